--- a/crates/engine/src/admission/policy.rs
+++ b/crates/engine/src/admission/policy.rs
@@ -1,4 +1,4 @@
-//! The queue and its order.
+//! The admission queue: order, load shedding and slot accounting.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,95 +10,95 @@
 use super::reserve::{Occupant, Reservations};
 use super::windows::ReservedSpan;
 
-/// One slot in so many is kept for urgent turns (ours).
-const URGENT_SHARE: u32 = 8;
+/// Divisor of the number of slots that gives the slots reserved for urgent turns.
+const URGENT_SLOT_DIVISOR: u32 = 8;
 
-/// Weight of the newest sample in the moving average of turns' durations: one in so many (ours).
-const DURATION_WEIGHT: u64 = 8;
+/// Divisor that gives the weight of the newest sample in the moving average of turn durations.
+const DURATION_WEIGHT_DIVISOR: u64 = 8;
 
-/// Part of the average duration that a turn needs at least, as a divisor (ours): many turns are shorter
-/// than the average, so only one that lacks even half of it is given up.
-const LEAST_NEED: u64 = 2;
+/// Divisor of the average turn duration that gives the least time a turn needs. Many turns are
+/// shorter than the average, so only a turn with less than half of it left is shed.
+const MIN_DURATION_DIVISOR: u64 = 2;
 
-/// Shortest time that a refused turn is told to stay away (ours).
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Shortest retry time returned with a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Longest time that a refused turn is told to stay away (ours).
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(10);
+/// Longest retry time returned with a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Sizes of one engine's admission.
+/// Slot, queue and reservation limits of one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Turns that run at once.
+    /// Maximum number of turns that run at the same time.
     pub slots: u32,
-    /// Turns that may wait.
+    /// Maximum number of turns that wait.
     pub queue: u32,
-    /// Slots kept for groups.
+    /// Slots reserved for window groups.
     pub spans: Vec<ReservedSpan>,
 }
 
-/// A turn that asks for a slot.
+/// The attributes of a turn that requests a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TurnAsk {
-    /// For fairness.
+pub struct AdmissionRequest {
+    /// The tenant, for fairness between tenants.
     pub tenant: TenantId,
-    /// For windows.
+    /// The window group whose reserved slots the turn may use.
     pub group: Option<WindowGroup>,
-    /// Whether it may use the urgent reserve.
+    /// Whether the turn may use the slots reserved for urgent turns.
     pub urgent: bool,
-    /// When it has to be over.
+    /// When the turn must have finished.
     pub deadline: UnixMillis,
 }
 
-/// What came of a wish.
+/// Result of a slot request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may run; give the slot back with [`Admission::release`].
+    /// The turn may run; the caller returns the slot with [`Admission::release`].
     Granted,
-    /// The queue is full, or it can no longer end in time: come back after this time.
+    /// The queue is full, or the turn can no longer finish before its deadline.
     Overloaded {
-        /// Time until a slot is likely.
+        /// Estimated time until a slot is free.
         retry_after: Duration,
     },
-    /// Its deadline has passed.
+    /// The turn's deadline has passed.
     DeadlineExceeded,
 }
 
-/// A wish and what came of it.
+/// The result of one slot request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
-    /// The wish.
+    /// The request.
     pub ticket: Ticket,
-    /// What came of it.
+    /// Its result.
     pub outcome: Outcome,
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
-    ask: TurnAsk,
+struct WaitingTurn {
+    request: AdmissionRequest,
     occupant: Occupant,
 }
 
 #[derive(Debug, Clone)]
-struct Running {
+struct RunningTurn {
     tenant: TenantId,
     occupant: Occupant,
     since: UnixMillis,
 }
 
-/// The slots of one engine.
+/// Admission state of one engine: running turns, waiting turns and reservations.
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
     reservations: Reservations,
     queue: u32,
-    running: BTreeMap<Ticket, Running>,
-    waiting: BTreeMap<Ticket, Waiting>,
-    /// Moving average of turns' durations, in milliseconds; 0 while unknown.
+    running: BTreeMap<Ticket, RunningTurn>,
+    waiting: BTreeMap<Ticket, WaitingTurn>,
+    /// Moving average of turn durations in milliseconds; 0 before the first turn has finished.
     average_ms: u64,
 }
 
 impl Admission {
-    /// Admission with the given sizes.
+    /// Creates an admission with the given limits and no turns.
     #[must_use]
     pub fn new(limits: AdmissionLimits) -> Self {
         let mut admission = Self::default();
@@ -106,50 +106,60 @@
         admission
     }
 
-    /// Takes new sizes; running turns keep their slots.
+    /// Applies new limits; running turns keep their slots.
     pub fn resize(&mut self, limits: AdmissionLimits) {
-        let urgent = limits.slots / URGENT_SHARE;
+        let urgent = limits.slots / URGENT_SLOT_DIVISOR;
         self.reservations = Reservations { slots: limits.slots, urgent, spans: limits.spans };
         self.queue = limits.queue;
     }
 
-    /// Turns running and waiting.
+    /// Numbers of running and of waiting turns.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         (count(self.running.len()), count(self.waiting.len()))
     }
 
-    /// How the slots are used, by group; groups without slots kept and running turns are left out.
+    /// Reserved and running slots by group. Groups with neither are omitted.
     #[must_use]
     pub fn uses(&self, now: UnixMillis) -> Vec<SlotUse> {
         let mut uses: BTreeMap<Option<WindowGroup>, (u32, u32)> = BTreeMap::new();
-        for (group, reserved) in self.reservations.shares_at(now) {
+        for (group, reserved) in self.reservations.reserved_slots_at(now) {
             uses.entry(Some(group.clone())).or_default().0 = reserved;
         }
         for running in self.running.values() {
             uses.entry(running.occupant.group.clone()).or_default().1 += 1;
         }
-        let told = |(group, (reserved, running))| SlotUse { group, reserved, running };
-        uses.into_iter().map(told).collect()
+        let to_slot_use = |(group, (reserved, running))| SlotUse { group, reserved, running };
+        uses.into_iter().map(to_slot_use).collect()
     }
 
-    /// A turn asks for a slot. The decisions may be about others too: one that is pushed out of a full queue.
-    pub fn request(&mut self, ticket: Ticket, ask: TurnAsk, now: UnixMillis) -> Vec<Decision> {
-        let occupant =
-            Occupant { group: ask.group.clone(), urgent: ask.urgent, ends_by: ask.deadline };
+    /// Requests a slot for a turn. The decisions may concern other turns too, such as one evicted
+    /// from a full queue.
+    pub fn request(
+        &mut self,
+        ticket: Ticket,
+        request: AdmissionRequest,
+        now: UnixMillis,
+    ) -> Vec<Decision> {
+        let occupant = Occupant {
+            group: request.group.clone(),
+            urgent: request.urgent,
+            ends_by: request.deadline,
+        };
         let mut decisions = self.shed(now);
-        if ask.deadline <= now {
+        if request.deadline <= now {
             decisions.push(Decision { ticket, outcome: Outcome::DeadlineExceeded });
             return decisions;
         }
-        self.waiting.insert(ticket, Waiting { ask, occupant });
-        // One that finds a slot free runs whatever the average says, so that the average can fall again.
+        self.waiting.insert(ticket, WaitingTurn { request, occupant });
+        // A turn that finds a free slot runs even if the average duration exceeds its deadline;
+        // otherwise no short turn would run and the average could never fall.
         decisions.extend(self.start_allowed(now));
         decisions.extend(self.shed(now));
         if self.waiting.len() > self.queue as usize {
             let retry_after = self.retry_after();
-            if let Some(ticket) = self.least_entitled() {
+            if let Some(ticket) = self.eviction_candidate() {
                 self.waiting.remove(&ticket);
                 let outcome = Outcome::Overloaded { retry_after };
                 decisions.push(Decision { ticket, outcome });
@@ -158,17 +168,18 @@
         decisions
     }
 
-    /// A turn is over, or no longer wants its slot.
+    /// Releases the slot of a finished turn, or withdraws a waiting request.
     pub fn release(&mut self, ticket: Ticket, now: UnixMillis) -> Vec<Decision> {
         self.waiting.remove(&ticket);
         if let Some(running) = self.running.remove(&ticket) {
-            self.note_duration(running.since.until(now));
+            self.record_duration(running.since.until(now));
         }
-        self.settle(now)
+        self.update(now)
     }
 
-    /// Time has passed: gives up what can no longer end in time, starts what may run now.
-    pub fn settle(&mut self, now: UnixMillis) -> Vec<Decision> {
+    /// Sheds waiting turns that can no longer finish before their deadline and starts those that may
+    /// run now.
+    pub fn update(&mut self, now: UnixMillis) -> Vec<Decision> {
         let mut decisions = self.shed(now);
         decisions.extend(self.start_allowed(now));
         decisions
@@ -178,36 +189,40 @@
         let mut decisions = Vec::new();
         while let Some(ticket) = self.next_to_run(now) {
             let Some(waiting) = self.waiting.remove(&ticket) else { break };
-            let running =
-                Running { tenant: waiting.ask.tenant, occupant: waiting.occupant, since: now };
+            let running = RunningTurn {
+                tenant: waiting.request.tenant,
+                occupant: waiting.occupant,
+                since: now,
+            };
             self.running.insert(ticket, running);
             decisions.push(Decision { ticket, outcome: Outcome::Granted });
         }
         decisions
     }
 
-    /// When [`Admission::settle`] is due next, if nothing happens before.
+    /// When [`Admission::update`] is due next if no request or release happens before.
     #[must_use]
-    pub fn next_settle(&self, now: UnixMillis) -> Option<UnixMillis> {
-        let needed = self.least_need();
-        let sheds = self.waiting.values().map(|w| {
-            let by = UnixMillis(w.ask.deadline.0.saturating_sub(millis(needed)));
+    pub fn next_update(&self, now: UnixMillis) -> Option<UnixMillis> {
+        let min_time = self.min_turn_time();
+        let shed_times = self.waiting.values().map(|w| {
+            let by = UnixMillis(w.request.deadline.0.saturating_sub(millis(min_time)));
             by.max(now).plus(Duration::from_millis(1))
         });
         let spans = self.reservations.spans.iter().flat_map(|s| [s.start, s.end]);
-        let edges = spans.filter(|at| *at > now && !self.waiting.is_empty());
-        sheds.chain(edges).min()
+        let boundaries = spans.filter(|at| *at > now && !self.waiting.is_empty());
+        shed_times.chain(boundaries).min()
     }
 
     fn shed(&mut self, now: UnixMillis) -> Vec<Decision> {
-        let needed = self.least_need();
+        let min_time = self.min_turn_time();
         let retry_after = self.retry_after();
-        let hopeless = |w: &Waiting| now.plus(needed) > w.ask.deadline || w.ask.deadline <= now;
+        let cannot_finish =
+            |w: &WaitingTurn| now.plus(min_time) > w.request.deadline || w.request.deadline <= now;
         let shed: Vec<(Ticket, UnixMillis)> = self
             .waiting
             .iter()
-            .filter(|(_, w)| hopeless(w))
-            .map(|(t, w)| (*t, w.ask.deadline))
+            .filter(|(_, w)| cannot_finish(w))
+            .map(|(t, w)| (*t, w.request.deadline))
             .collect();
         shed.into_iter()
             .map(|(ticket, deadline)| {
@@ -227,52 +242,52 @@
             return None;
         }
         let running: Vec<&Occupant> = self.running.values().map(|r| &r.occupant).collect();
-        let mut running_of: BTreeMap<&TenantId, usize> = BTreeMap::new();
+        let mut running_by_tenant: BTreeMap<&TenantId, usize> = BTreeMap::new();
         for turn in self.running.values() {
-            *running_of.entry(&turn.tenant).or_default() += 1;
+            *running_by_tenant.entry(&turn.tenant).or_default() += 1;
         }
-        let order = |t: Ticket, w: &Waiting| {
-            let busy = running_of.get(&w.ask.tenant).copied().unwrap_or(0);
-            (!w.ask.urgent, busy, w.ask.deadline, t)
+        let order = |t: Ticket, w: &WaitingTurn| {
+            let running_turns = running_by_tenant.get(&w.request.tenant).copied().unwrap_or(0);
+            (!w.request.urgent, running_turns, w.request.deadline, t)
         };
         let mut candidates: Vec<_> = self.waiting.iter().map(|(t, w)| (order(*t, w), w)).collect();
         candidates.sort_by_key(|(order, _)| *order);
-        let allowed = |w: &Waiting| self.reservations.allow(&w.occupant, &running, now);
+        let allowed = |w: &WaitingTurn| self.reservations.allow(&w.occupant, &running, now);
         candidates.into_iter().find(|(_, w)| allowed(w)).map(|((.., ticket), _)| ticket)
     }
 
-    /// Whom a full queue pushes out: of the tenant with the most waiting turns the one with the latest
-    /// deadline; urgent turns last.
-    fn least_entitled(&self) -> Option<Ticket> {
-        let mut waiting_of: BTreeMap<&TenantId, usize> = BTreeMap::new();
+    /// The waiting turn that a full queue evicts: the one with the latest deadline of the tenant with
+    /// the most waiting turns. Urgent turns are evicted only when no others wait.
+    fn eviction_candidate(&self) -> Option<Ticket> {
+        let mut waiting_by_tenant: BTreeMap<&TenantId, usize> = BTreeMap::new();
         for waiting in self.waiting.values() {
-            *waiting_of.entry(&waiting.ask.tenant).or_default() += 1;
+            *waiting_by_tenant.entry(&waiting.request.tenant).or_default() += 1;
         }
-        let claim = |t: Ticket, w: &Waiting| {
-            let crowd = waiting_of.get(&w.ask.tenant).copied().unwrap_or(0);
-            (!w.ask.urgent, crowd, w.ask.deadline, t)
+        let eviction_key = |t: Ticket, w: &WaitingTurn| {
+            let waiting_turns = waiting_by_tenant.get(&w.request.tenant).copied().unwrap_or(0);
+            (!w.request.urgent, waiting_turns, w.request.deadline, t)
         };
-        self.waiting.iter().map(|(t, w)| claim(*t, w)).max().map(|(.., ticket)| ticket)
+        self.waiting.iter().map(|(t, w)| eviction_key(*t, w)).max().map(|(.., ticket)| ticket)
     }
 
-    fn least_need(&self) -> Duration {
-        Duration::from_millis(self.average_ms / LEAST_NEED)
+    fn min_turn_time(&self) -> Duration {
+        Duration::from_millis(self.average_ms / MIN_DURATION_DIVISOR)
     }
 
-    /// Time until those who wait now have likely run.
+    /// Estimated time until the turns that wait now have run.
     fn retry_after(&self) -> Duration {
         let ahead = self.waiting.len() as u64 + 1;
         let slots = u64::from(self.reservations.slots.max(1));
         let wait = Duration::from_millis(ahead.saturating_mul(self.average_ms) / slots);
-        wait.clamp(LEAST_RETRY_AFTER, LONGEST_RETRY_AFTER)
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    fn note_duration(&mut self, duration: Duration) {
+    fn record_duration(&mut self, duration: Duration) {
         let sample = millis(duration);
         self.average_ms = if self.average_ms == 0 {
             sample
         } else {
-            (self.average_ms * (DURATION_WEIGHT - 1) + sample) / DURATION_WEIGHT
+            (self.average_ms * (DURATION_WEIGHT_DIVISOR - 1) + sample) / DURATION_WEIGHT_DIVISOR
         };
     }
 }
--- a/crates/engine/src/admission/windows.rs
+++ b/crates/engine/src/admission/windows.rs
@@ -1,38 +1,40 @@
-//! An engine's share of the windows (design section 5): follows from the bundle and its own slots.
+//! An engine's share of the reservation windows, computed from the bundle and the engine's own
+//! number of slots (design document, section 5).
 
 use hooklug_bundle::Bundle;
 use hooklug_types::{ServiceName, UnixMillis, WindowGroup};
 
-/// Slots that one engine keeps for a group over a span of time.
+/// Slots that one engine reserves for a group during a time span.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReservedSpan {
-    /// First instant.
+    /// Start of the span, inclusive.
     pub start: UnixMillis,
-    /// First instant after it.
+    /// End of the span, exclusive.
     pub end: UnixMillis,
-    /// Programs that it is for.
+    /// Group of the programs that may use the slots.
     pub group: WindowGroup,
-    /// Slots kept at this engine.
+    /// Slots reserved at this engine.
     pub slots: u32,
 }
 
 impl ReservedSpan {
-    /// Whether an instant lies in the span.
+    /// Whether an instant lies within the span.
     #[must_use]
     pub fn covers(&self, at: UnixMillis) -> bool {
         self.start <= at && at < self.end
     }
 }
 
-/// The spans that an engine with so many slots keeps for a service's windows. Each window gives the
-/// engine its part by slots, rounded up, so that the engines of the service together keep at least
-/// what the window asks for.
+/// The spans that an engine with `own_slots` slots reserves for a service's windows.
+///
+/// The engine's share of a window is proportional to its slots and rounded up, so that the engines
+/// of the service together reserve at least the window's slots.
 #[must_use]
 pub fn reserved_spans(bundle: &Bundle, service: &ServiceName, own_slots: u32) -> Vec<ReservedSpan> {
     let Some(entry) = bundle.services.get(service) else { return Vec::new() };
-    let whole = u64::from(entry.slots.max(own_slots).max(1));
-    let part = |slots: u32| {
-        let share = (u64::from(slots) * u64::from(own_slots)).div_ceil(whole);
+    let service_slots = u64::from(entry.slots.max(own_slots).max(1));
+    let own_share = |slots: u32| {
+        let share = (u64::from(slots) * u64::from(own_slots)).div_ceil(service_slots);
         u32::try_from(share).unwrap_or(own_slots).min(own_slots)
     };
     bundle
@@ -43,7 +45,7 @@
             start: window.start,
             end: window.end,
             group: window.group.clone(),
-            slots: part(window.slots),
+            slots: own_share(window.slots),
         })
         .collect()
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: its parts, started and stopped together.
+//! The engine: builds its components and runs and stops them together.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::shared::{Shared, SharedParts};
 use crate::{handlers, reporter};
 
-/// Why an engine can't run, or not any longer.
+/// Why an engine cannot start or had to stop.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
     /// The settings have no `engine` table.
@@ -25,9 +25,9 @@
     /// The engine must have at least one slot.
     #[error("engine.slots: must be at least 1")]
     NoSlots,
-    /// The lease has expired for ever: another engine may own the sessions. The process has to start
-    /// anew, as a new incarnation.
-    #[error("the lease of {0} has expired; a new incarnation has to be started")]
+    /// The lease has expired permanently and other engines may own the sessions. The process must
+    /// restart as a new incarnation.
+    #[error("the lease of {0} has expired; restart the engine as a new incarnation")]
     LeaseExpired(EngineIncarnation),
 }
 
@@ -42,10 +42,10 @@
 }
 
 impl Engine {
-    /// An engine from a node's context; nothing runs before [`Engine::run`].
+    /// Creates an engine from a node's context; nothing runs before [`Engine::run`].
     ///
     /// # Errors
-    /// When the settings are not those of an engine.
+    /// When the engine settings are missing or configure no slots.
     pub fn new(ctx: NodeContext) -> Result<Self, EngineError> {
         let settings = ctx.settings.engine.clone().ok_or(EngineError::NoSettings)?;
         if settings.slots == 0 {
@@ -71,32 +71,32 @@
         Ok(Self { shared, keeper, probe, stop: ctx.stop, grace })
     }
 
-    /// The handlers that gateways call.
+    /// The RPC handlers that gateways call.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
         handlers::router(&self.shared)
     }
 
-    /// This run of the engine.
+    /// The engine's id and incarnation.
     #[must_use]
     pub fn incarnation(&self) -> &EngineIncarnation {
         &self.shared.engine
     }
 
-    /// Runs until the engine is stopped and drained, or its version is over and its last session gone.
+    /// Runs until the engine has drained, after a stop or because its version was replaced.
     ///
     /// # Errors
-    /// [`EngineError::LeaseExpired`] when the engine lost its lease for ever. All sessions have been
-    /// dropped then; start the process (or the role, with a new identity) anew.
+    /// [`EngineError::LeaseExpired`] when the lease has expired permanently. All sessions have been
+    /// dropped by then; restart the process, or the role with a new identity.
     pub async fn run(self) -> Result<(), EngineError> {
         let Self { shared, keeper, probe, stop, grace } = self;
         let ended = CancellationToken::new();
-        // Whatever way this future ends, its tasks end with it.
+        // The guard stops the tasks even when this future is dropped.
         let _ends_tasks = ended.clone().drop_guard();
         let mut tasks = JoinSet::new();
         let mut lease = keeper.view().watch();
         let table_owner = shared.clone();
-        let lost = move || table_owner.table.tell_all(&Message::LeaseLost);
+        let lost = move || table_owner.table.broadcast(&Message::LeaseLost);
         tasks.spawn(keeper.run(ended.clone(), lost));
         tasks.spawn(probe.run(ended.clone()));
         tasks.spawn(reporter::run(shared.clone(), ended.clone()));
@@ -104,7 +104,7 @@
         tasks.spawn(async move { slots_owner.slots.run(slots_stop).await });
         let drain = Drain::new(shared.clone());
         let expired = async move {
-            // The keeper drops its end only once it is stopped, together with this future.
+            // The keeper drops the sender only when it is stopped, together with this future.
             let _ = lease.wait_for(|l| *l == LeaseState::Expired).await.map(|state| *state);
         };
         tokio::select! {
--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -1,7 +1,8 @@
-//! The engine's rpc handlers.
+//! The engine's RPC handlers.
 //!
-//! A caller that gives up cancels its handler at any await. What must complete (opening, taking)
-//! therefore runs in a task of its own; a followed stream leaves its session when it is dropped.
+//! A caller that disconnects cancels its handler at any await point. Work that must complete, such
+//! as opening and taking over a session, therefore runs in its own task. A stream disconnects its
+//! client from the session when it is dropped.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -23,19 +24,19 @@
 use crate::loader::group_of;
 use crate::opening;
 use crate::session_task::{Mailbox, loop_now};
-use crate::shared::{STORE_TIME, Shared};
+use crate::shared::{STORE_TIMEOUT, Shared};
 
-/// Times that a request is tried again when the loop that it was meant for ended under it (ours).
-const LOOP_TRIES: usize = 3;
+/// Attempts for a request whose session loop ends before it replies.
+const LOOP_ATTEMPTS: usize = 3;
 
-/// All handlers of an engine.
+/// The router with all handlers of an engine.
 #[must_use]
 pub fn router(shared: &Arc<Shared>) -> Router {
     let open = with(shared, |s, r: OpenSession| async move {
         to_reply(&s.clone(), detached(async move { opening::open(&s, r).await }).await)
     });
     let take = with(shared, |s, r: TakeSession| async move {
-        to_reply(&s.clone(), detached(async move { opening::take(&s, r).await }).await)
+        to_reply(&s.clone(), detached(async move { opening::take_over(&s, r).await }).await)
     });
     let abort =
         with(shared, |s, r: AbortTurn| async move { to_reply(&s, abort_turn(&s, &r).await) });
@@ -66,28 +67,32 @@
     EngineReply { load: shared.load(), result }
 }
 
-/// Runs something to its end even when whoever waits for it gives up.
+/// Runs a future in its own task, so that it completes even when the caller is cancelled.
 async fn detached<T: Send + 'static>(
     work: impl Future<Output = Result<T, EngineRefusal>> + Send + 'static,
 ) -> Result<T, EngineRefusal> {
     tokio::spawn(work).await.unwrap_or(Err(EngineRefusal::StoreUnavailable))
 }
 
-async fn find(shared: &Arc<Shared>, place: &SessionPlace) -> Result<Mailbox, EngineRefusal> {
+async fn find_mailbox(
+    shared: &Arc<Shared>,
+    place: &SessionPlace,
+) -> Result<Mailbox, EngineRefusal> {
     let (shared, place) = (shared.clone(), place.clone());
-    detached(async move { opening::find(&shared, &place).await }).await
+    detached(async move { opening::find_mailbox(&shared, &place).await }).await
 }
 
-/// Asks a session's loop; again when the loop ends under the question, so that the shard's record is told.
-async fn ask(
+/// Sends a request to a session's loop and waits for the reply. If the loop ends first, looks the
+/// session up again, so that the refusal carries the shard's record.
+async fn request_reply(
     shared: &Arc<Shared>,
     place: &SessionPlace,
     message: impl Fn(hooklug_session::ReplyId) -> Message,
 ) -> Result<Result<Answer, SessionRefusal>, EngineRefusal> {
-    for _ in 0..LOOP_TRIES {
-        let mailbox = find(shared, place).await?;
+    for _ in 0..LOOP_ATTEMPTS {
+        let mailbox = find_mailbox(shared, place).await?;
         let reply = shared.new_reply();
-        if let Some(answer) = mailbox.ask(reply, message(reply)).await {
+        if let Some(answer) = mailbox.request(reply, message(reply)).await {
             return Ok(answer);
         }
     }
@@ -100,7 +105,7 @@
 ) -> Result<TurnRecord, EngineRefusal> {
     let turn = &request.turn;
     let message = |reply| Message::Abort { reply, turn: turn.clone() };
-    match ask(shared, &request.place, message).await? {
+    match request_reply(shared, &request.place, message).await? {
         Ok(Answer::Turn(record)) => Ok(record),
         Err(SessionRefusal::UnknownTurn) => read_ended_turn(shared, &request.place, turn).await,
         Ok(_) => Err(EngineRefusal::StoreUnavailable),
@@ -108,14 +113,15 @@
     }
 }
 
-/// A turn that the loop does not know: only the shard may say that there is none.
+/// Reads a turn that the session's loop does not know; only the shard can confirm that it does not
+/// exist.
 async fn read_ended_turn(
     shared: &Shared,
     place: &SessionPlace,
     turn: &TurnId,
 ) -> Result<TurnRecord, EngineRefusal> {
     let query = ShardQuery::Turn { key: place.key.clone(), turn: turn.clone() };
-    let deadline = Instant::now() + STORE_TIME;
+    let deadline = Instant::now() + STORE_TIMEOUT;
     match shared.state.query_shard(group_of(&place.key), &query, deadline).await {
         Ok(ShardAnswer::Turn(Some(record))) if record.state != TurnState::Open => Ok(record),
         Ok(ShardAnswer::Turn(None)) => Err(EngineRefusal::Ledger(ShardRefusal::NoOpenTurn)),
@@ -132,7 +138,7 @@
         call: request.call.clone(),
         result: request.result.clone(),
     };
-    match ask(shared, &request.place, message).await? {
+    match request_reply(shared, &request.place, message).await? {
         Ok(Answer::ToolResult(seq)) => Ok(seq),
         Ok(_) => Err(EngineRefusal::StoreUnavailable),
         Err(refusal) => Err(to_refusal(refusal)),
@@ -143,26 +149,26 @@
     shared: &Arc<Shared>,
     request: &CloseSession,
 ) -> Result<SessionRecord, EngineRefusal> {
-    match ask(shared, &request.place, |reply| Message::Close { reply }).await {
+    match request_reply(shared, &request.place, |reply| Message::Close { reply }).await {
         Ok(Ok(Answer::Closed(record))) => Ok(*record),
         Ok(Ok(_)) => Err(EngineRefusal::StoreUnavailable),
         Ok(Err(refusal)) => Err(to_refusal(refusal)),
-        // Closed is closed, whoever did it.
+        // Closing is idempotent: the session may have been closed by an earlier request.
         Err(EngineRefusal::NotOwner { record: Some(record) }) if record.closed => Ok(*record),
         Err(refusal) => Err(refusal),
     }
 }
 
-/// A client's place in a session; leaves it when dropped.
-struct Connected {
+/// A client connected to a session; disconnects when dropped.
+struct ConnectedClient {
     mailbox: Mailbox,
     client: ClientId,
     items: mpsc::Receiver<ClientItem>,
 }
 
-impl Drop for Connected {
+impl Drop for ConnectedClient {
     fn drop(&mut self) {
-        self.mailbox.tell(Message::Leave { client: self.client });
+        self.mailbox.send(Message::Leave { client: self.client });
     }
 }
 
@@ -170,12 +176,12 @@
     shared: &Arc<Shared>,
     place: &SessionPlace,
     message: impl Fn(ClientId) -> Message,
-) -> Result<Connected, EngineRefusal> {
-    for _ in 0..LOOP_TRIES {
-        let mailbox = find(shared, place).await?;
+) -> Result<ConnectedClient, EngineRefusal> {
+    for _ in 0..LOOP_ATTEMPTS {
+        let mailbox = find_mailbox(shared, place).await?;
         let client = shared.new_client();
         if let Some(items) = mailbox.connect(client, message(client)) {
-            return Ok(Connected { mailbox, client, items });
+            return Ok(ConnectedClient { mailbox, client, items });
         }
     }
     Err(EngineRefusal::StoreUnavailable)
@@ -189,7 +195,7 @@
     let mut connected = match connect(&shared, &place, message).await {
         Ok(connected) => connected,
         Err(refusal) => {
-            // A caller that is gone needs no answer.
+            // Sending fails only if the caller has disconnected.
             let _ = sink.send(&refused(refusal)).await;
             return;
         }
@@ -220,14 +226,14 @@
         tenant: request.tenant,
         group: request.group,
         urgent: request.urgent,
-        deadline: loop_now() + Duration::from_millis(request.deadline_ms).min(LONGEST_TURN),
+        deadline: loop_now() + Duration::from_millis(request.deadline_ms).min(MAX_TURN_TIME),
     }
 }
 
-/// Longest time that a turn may take whatever its caller says (ours): a day.
-const LONGEST_TURN: Duration = Duration::from_secs(86_400);
+/// Upper bound of a turn's duration, whatever the caller requests: one day.
+const MAX_TURN_TIME: Duration = Duration::from_secs(86_400);
 
-/// Digest of a turn's content, by which a resend is told from another turn.
+/// Digest of a turn's content; distinguishes a resend from a different turn with the same id.
 #[must_use]
 pub fn content_digest(after: &Option<TurnId>, input: &str, max_tokens: TokenCount) -> Digest {
     Digest::of(&hooklug_state::encode(&(after, input, max_tokens)))
@@ -239,13 +245,13 @@
     let mut connected = match connect(&shared, &request.place, message).await {
         Ok(connected) => connected,
         Err(refusal) => {
-            // A caller that is gone needs no answer.
+            // Sending fails only if the caller has disconnected.
             let _ = sink.send(&JoinItem::Refused(refusal)).await;
             return;
         }
     };
     loop {
-        // A quiet session sends nothing, so a caller that is gone would not be noticed by sending.
+        // An idle session sends nothing, so a disconnect would not show as a failed send.
         let item = tokio::select! {
             item = connected.items.recv() => item,
             () = sink.closed() => return,
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -1,10 +1,10 @@
-//! The engine's lease: kept by renewals, valid for a fixed time from *sending* the last accepted one
-//! (design section 3).
+//! The engine's lease, valid for a fixed time after *sending* the last accepted renewal (design
+//! document, section 3).
 //!
-//! The lease lives in the shard of the engine's id. The holder counts on its own monotonic clock from
-//! before the renewal left; the shard's leader counts from its apply, later, and with a margin. So the
-//! holder always stops before anyone may be told that the lease has expired, whatever the clocks of
-//! the machines say.
+//! The lease is stored in the shard of the engine's id. The holder measures it on its own monotonic
+//! clock from before the renewal is sent; the shard's leader measures it from when it applies the
+//! renewal, which is later, and adds a margin. The holder therefore always stops before the shard
+//! may report the lease as expired, independent of the machines' wall clocks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,32 +17,34 @@
 use tokio_util::sync::CancellationToken;
 use tracing::{info, warn};
 
-/// Time that a lease is held from sending its last accepted renewal (ours).
+/// Time that a lease is held after sending its last accepted renewal.
 pub const LEASE_TIME: Duration = Duration::from_secs(3);
 
-/// Time between renewals (ours): two may fail before the lease runs out.
-pub const RENEW_EVERY: Duration = Duration::from_secs(1);
+/// Interval between renewals: two may fail before the lease runs out.
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause after a renewal that was not answered (ours).
+/// Pause after a renewal without a reply.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest wait for one renewal's answer (ours).
-const RENEW_TIME: Duration = Duration::from_millis(900);
+/// Longest wait for the reply to one renewal.
+const RENEW_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long after the end of a lease its loops stand still, for a late renewal, before they are given up (ours:
-/// one renewal more). An accepted renewal shows that the lease had not expired, so nobody took a session.
-pub const LAPSE_TIME: Duration = Duration::from_secs(1);
+/// Time after the end of a lease in which session loops are suspended, waiting for a late renewal,
+/// before the sessions are dropped; long enough for one more renewal. An accepted renewal proves
+/// that the lease had not expired, so no other engine has taken a session over.
+pub const LATE_RENEWAL_TIME: Duration = Duration::from_secs(1);
 
-/// How a lease stands.
+/// State of a lease as its holder knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Never renewed so far.
-    Unborn,
-    /// Held until then, by this process's monotonic clock.
-    Until(Instant),
-    /// It ran out, and no renewal came within [`LAPSE_TIME`]: all sessions are given up. It may be renewed yet.
+    /// No renewal has been accepted yet.
+    Unacquired,
+    /// Held until this instant of the process's monotonic clock.
+    HeldUntil(Instant),
+    /// The lease ran out and was not renewed within [`LATE_RENEWAL_TIME`], so all sessions were
+    /// dropped. It may still be renewed.
     Lapsed,
-    /// Expired by the shard, for ever: this incarnation may own nothing any more.
+    /// The shard expired the lease permanently: this incarnation may no longer own sessions.
     Expired,
 }
 
@@ -50,27 +52,27 @@
     /// Whether the lease is certainly held.
     #[must_use]
     pub fn is_held(self, now: Instant) -> bool {
-        matches!(self, Self::Until(until) if now < until)
+        matches!(self, Self::HeldUntil(until) if now < until)
     }
 
-    /// Until when it is certainly held; `fallback` when it is not at all.
+    /// Until when the lease is certainly held; `fallback` when it is not held.
     #[must_use]
     pub fn until_or(self, fallback: Instant) -> Instant {
         match self {
-            Self::Until(until) => until,
-            Self::Unborn | Self::Lapsed | Self::Expired => fallback,
+            Self::HeldUntil(until) => until,
+            Self::Unacquired | Self::Lapsed | Self::Expired => fallback,
         }
     }
 }
 
-/// Follows the lease. Cheap to clone.
+/// Read access to the state of a lease. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct LeaseView {
     state: watch::Receiver<LeaseState>,
 }
 
 impl LeaseView {
-    /// How the lease stands.
+    /// The current state of the lease.
     #[must_use]
     pub fn state(&self) -> LeaseState {
         *self.state.borrow()
@@ -82,32 +84,32 @@
         self.state().is_held(Instant::now())
     }
 
-    /// The present instant and until when the lease is certainly held, as seen from it. Waits while the lease has
-    /// run out and may be renewed yet, so that a loop that acts only on this neither acts without the lease nor
-    /// ends before its time.
+    /// Returns the current instant and until when the lease is certainly held. Waits while the lease
+    /// has run out and a late renewal is still possible, so that a loop that calls this before each
+    /// step neither acts without the lease nor stops too early.
     pub async fn decided(&self) -> (Instant, Instant) {
         loop {
             let (state, now) = (self.state(), Instant::now());
-            let LeaseState::Until(until) = state else { return (now, state.until_or(now)) };
+            let LeaseState::HeldUntil(until) = state else { return (now, state.until_or(now)) };
             if now < until {
                 return (now, until);
             }
             let mut changes = self.watch();
             if changes.wait_for(|later| *later != state).await.is_err() {
-                // The engine has stopped: there will be no renewal.
+                // The engine has stopped; there will be no further renewal.
                 return (now, now);
             }
         }
     }
 
-    /// Follows changes.
+    /// Subscribes to changes of the state.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<LeaseState> {
         self.state.clone()
     }
 }
 
-/// Renews the lease.
+/// Acquires the lease and renews it periodically.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     state: Arc<dyn StateAccess>,
@@ -116,69 +118,72 @@
 }
 
 impl LeaseKeeper {
-    /// A keeper of a holder's lease; nothing is renewed before [`LeaseKeeper::run`].
+    /// Creates a keeper of a holder's lease; nothing is renewed before [`LeaseKeeper::run`].
     #[must_use]
     pub fn new(state: Arc<dyn StateAccess>, holder: EngineIncarnation) -> Self {
-        Self { state, holder, lease: watch::Sender::new(LeaseState::Unborn) }
+        Self { state, holder, lease: watch::Sender::new(LeaseState::Unacquired) }
     }
 
-    /// Follows the lease.
+    /// A view of the lease's state.
     #[must_use]
     pub fn view(&self) -> LeaseView {
         LeaseView { state: self.lease.subscribe() }
     }
 
-    /// Renews until stopped, or until the lease has expired for ever. `lost` is called each time that the lease has
-    /// run out and was not renewed within [`LAPSE_TIME`].
-    pub async fn run(self, stop: CancellationToken, lost: impl Fn()) {
+    /// Renews until stopped or until the lease has expired permanently. Calls `on_lost` each time the
+    /// lease has run out and was not renewed within [`LATE_RENEWAL_TIME`], and when it has expired.
+    pub async fn run(self, stop: CancellationToken, on_lost: impl Fn()) {
         loop {
             let sent = Instant::now();
             tokio::select! {
                 () = stop.cancelled() => return,
                 renewed = self.renew(sent) => match renewed {
-                    Some(true) => { self.lease.send_replace(LeaseState::Until(sent + LEASE_TIME)); }
+                    Some(true) => {
+                        self.lease.send_replace(LeaseState::HeldUntil(sent + LEASE_TIME));
+                    }
                     Some(false) => break,
                     None => {}
                 },
-                () = self.lapse() => {
-                    warn!(holder = %self.holder, "lease has run out");
+                () = self.wait_for_lapse() => {
+                    warn!(holder = %self.holder, "lease ran out without a renewal; dropping all sessions");
                     self.lease.send_replace(LeaseState::Lapsed);
-                    lost();
+                    on_lost();
                 }
             }
-            let renewed = *self.lease.borrow() == LeaseState::Until(sent + LEASE_TIME);
-            let next = if renewed { sent + RENEW_EVERY } else { Instant::now() + RETRY_PAUSE };
+            let renewed = *self.lease.borrow() == LeaseState::HeldUntil(sent + LEASE_TIME);
+            let next = if renewed { sent + RENEW_INTERVAL } else { Instant::now() + RETRY_PAUSE };
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = sleep_until(next) => {}
             }
         }
-        info!(holder = %self.holder, "lease has expired for ever");
+        info!(holder = %self.holder, "lease expired permanently");
         self.lease.send_replace(LeaseState::Expired);
-        lost();
+        on_lost();
     }
 
-    /// `Some(true)` when renewed, `Some(false)` when expired for ever, `None` when not known.
+    /// `Some(true)` if the lease was renewed, `Some(false)` if it has expired permanently, `None` if
+    /// the result is unknown.
     async fn renew(&self, sent: Instant) -> Option<bool> {
         let command = ShardCommand::RenewLease { holder: self.holder.clone() };
         let group = shard_of(self.holder.engine.as_str());
-        match self.state.execute_shard(group, &command, sent + RENEW_TIME).await {
+        match self.state.execute_shard(group, &command, sent + RENEW_TIMEOUT).await {
             Ok(ShardReply::Lease(record)) => Some(!record.expired),
             Ok(ShardReply::Refused(ShardRefusal::LeaseExpired)) => Some(false),
-            Ok(other) => {
-                warn!(?other, "unexpected answer to a renewal");
+            Ok(reply) => {
+                warn!(?reply, "unexpected reply to a lease renewal");
                 None
             }
             Err(_) => None,
         }
     }
 
-    /// Waits until the lease has run out and the time for a late renewal is over.
-    async fn lapse(&self) {
+    /// Waits until the lease has run out and the time for a late renewal has passed.
+    async fn wait_for_lapse(&self) {
         let state = *self.lease.borrow();
         match state {
-            LeaseState::Until(until) => sleep_until(until + LAPSE_TIME).await,
-            LeaseState::Unborn | LeaseState::Lapsed | LeaseState::Expired => {
+            LeaseState::HeldUntil(until) => sleep_until(until + LATE_RENEWAL_TIME).await,
+            LeaseState::Unacquired | LeaseState::Lapsed | LeaseState::Expired => {
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,9 @@
-//! The session-host engine: runs sessions' loops beside a model server.
+//! The session-host engine: runs session loops that generate with a model server.
 //!
-//! The engine owns its sessions by its shard's word and its lease ([`lease`]), writes every event
-//! ahead ([`shard_writer`]), admits turns by slots and windows ([`admission`]), and drains when its
-//! version is over or the platform stops it ([`drain`]).
+//! The engine owns a session while the session's shard records it as the owner and its lease is
+//! held ([`lease`]). It commits every event before sending it to clients ([`shard_writer`]), admits
+//! turns by slots and windows ([`admission`]), and drains when its version is superseded or rolled
+//! back or the platform stops it ([`drain`]).
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/engine/src/loader.rs
+++ b/crates/engine/src/loader.rs
@@ -1,4 +1,4 @@
-//! Reads a session's history from its shard.
+//! Loads a session's record and history from its shard.
 
 use hooklug_session::LoadedSession;
 use hooklug_state::shard::{Event, SessionRecord, ShardAnswer, ShardQuery};
@@ -6,30 +6,30 @@
 use hooklug_types::{EventSeq, GroupId, SessionKey, UnixMillis, shard_of};
 use tokio::time::Instant;
 
-/// Events asked for at once (ours); a reply's own bound of bytes applies too.
+/// Maximum number of events requested per query; the size limit of a reply applies too.
 const PAGE_EVENTS: u32 = 2_000;
 
 /// Why a session could not be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LoadError {
-    /// The shard gave no answer.
+    /// The shard did not reply.
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
-    /// The answers do not fit together; the session changed meanwhile, most likely.
+    /// The replies are inconsistent, most likely because the session changed in between.
     #[error("the session changed while it was loaded")]
     Inconsistent,
 }
 
-/// The shard group of a session.
+/// The shard that stores a session.
 #[must_use]
 pub fn group_of(key: &SessionKey) -> GroupId {
     shard_of(key.program.as_str())
 }
 
-/// A session's record, if there is one.
+/// Reads a session's record, if it exists.
 ///
 /// # Errors
-/// When the shard gave no answer.
+/// When the shard did not reply.
 pub async fn read_record(
     state: &dyn StateAccess,
     key: &SessionKey,
@@ -42,10 +42,10 @@
     }
 }
 
-/// Loads a session that this engine owns under the given record.
+/// Loads the history of a session and the end time of its program.
 ///
 /// # Errors
-/// When the shard gave no answer, or the session changed meanwhile.
+/// When the shard did not reply, or the session changed while it was loaded.
 pub async fn load(
     state: &dyn StateAccess,
     record: SessionRecord,
@@ -60,13 +60,13 @@
     let history = read_events(state, &record, deadline).await?;
     let left = UnixMillis::now().until(program.end_time);
     let now = std::time::Instant::now();
-    // An end too far away for the clock's range is as good as none.
-    let program_end = now.checked_add(left).unwrap_or(now + FAR_AWAY);
+    // An end time beyond the range of `Instant` is treated as no end.
+    let program_end = now.checked_add(left).unwrap_or(now + FAR_FUTURE);
     Ok(LoadedSession { record, history, program_end })
 }
 
-/// Stands for "never" where an instant is needed: about 30 years.
-const FAR_AWAY: std::time::Duration = std::time::Duration::from_secs(1_000_000_000);
+/// Offset that stands for "never" where an instant is required: about 30 years.
+const FAR_FUTURE: std::time::Duration = std::time::Duration::from_secs(1_000_000_000);
 
 async fn read_events(
     state: &dyn StateAccess,
@@ -92,7 +92,7 @@
             return Err(LoadError::Inconsistent);
         }
     }
-    let whole = history.iter().zip(1..).all(|(e, place)| e.seq == EventSeq(place));
+    let contiguous = history.iter().zip(1..).all(|(e, seq)| e.seq == EventSeq(seq));
     let next = EventSeq(history.len() as u64 + 1);
-    if whole && next == record.next_seq { Ok(history) } else { Err(LoadError::Inconsistent) }
+    if contiguous && next == record.next_seq { Ok(history) } else { Err(LoadError::Inconsistent) }
 }
--- a/crates/engine/src/model/answer.rs
+++ b/crates/engine/src/model/answer.rs
@@ -1,42 +1,42 @@
-//! Checks the lines of a generation's answer. Pure: bytes in, events out.
+//! Parses and validates the response stream of a generation. No I/O: bytes in, events out.
 
 use hooklug_session::{ModelEnd, ModelEvent};
 use hooklug_types::TokenCount;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Longest line accepted, in bytes (ours).
-const LINE_BYTES: usize = 1 << 20;
+/// Maximum length of a line in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Why an answer is not one.
+/// Why a response stream is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Garbled {
-    /// A line is too long or is no JSON object of the contract.
-    #[error("a line is not by the contract: {0}")]
-    Line(String),
+pub enum InvalidResponse {
+    /// A line is too long or is not a JSON object that the protocol allows.
+    #[error("invalid line in the response: {0}")]
+    MalformedLine(String),
     /// A line belongs to another request.
-    #[error("a line belongs to request {found}")]
-    Crossed {
-        /// The request that it names.
+    #[error("line of another request, {found}, in the response")]
+    WrongRequest {
+        /// The request id in the line.
         found: String,
     },
     /// A line was lost, repeated or reordered.
-    #[error("line {found} where {expected} was due")]
-    Sequence {
-        /// The line that was due.
+    #[error("line {found} received where line {expected} was expected")]
+    OutOfOrder {
+        /// The expected sequence number.
         expected: u64,
-        /// The line that came.
+        /// The received sequence number.
         found: u64,
     },
-    /// The end line does not count what came.
-    #[error("the end line counts other lines or tokens")]
-    Counts,
-    /// Something follows the end line.
-    #[error("something follows the end line")]
-    AfterEnd,
-    /// The answer stops before its end line.
-    #[error("the answer was cut short")]
-    CutShort,
+    /// The counts in the end line do not match the received lines and tokens.
+    #[error("the counts in the end line do not match the received lines and tokens")]
+    CountMismatch,
+    /// The response continues after its end line.
+    #[error("data after the end line")]
+    DataAfterEnd,
+    /// The response stops before its end line.
+    #[error("the response ended before its end line")]
+    Truncated,
 }
 
 #[derive(Debug, Deserialize)]
@@ -49,7 +49,7 @@
     #[serde(default)]
     tokens: Option<u64>,
     #[serde(default, borrow)]
-    tool: Option<ToolWish<'a>>,
+    tool: Option<ToolRequest<'a>>,
     #[serde(default)]
     end: Option<End>,
     #[serde(default)]
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ToolWish<'a> {
+struct ToolRequest<'a> {
     name: String,
     #[serde(borrow)]
     arguments: &'a RawValue,
@@ -84,96 +84,106 @@
     }
 }
 
-/// The check of one answer.
+/// Incremental parser and validator of one response.
 #[derive(Debug)]
-pub struct AnswerCheck {
+pub struct ResponseValidator {
     request: String,
-    unread: Vec<u8>,
+    buffer: Vec<u8>,
     lines: u64,
     tokens: u64,
     end: Option<ModelEnd>,
 }
 
-impl AnswerCheck {
-    /// A check of the answer to a request.
+impl ResponseValidator {
+    /// Creates a validator for the response to a request.
     #[must_use]
     pub fn new(request: String) -> Self {
-        Self { request, unread: Vec::new(), lines: 0, tokens: 0, end: None }
+        Self { request, buffer: Vec::new(), lines: 0, tokens: 0, end: None }
     }
 
-    /// Takes the next bytes; returns the events of the lines that they complete. The end is not among
-    /// them: see [`AnswerCheck::finish`].
+    /// Parses the next bytes and appends the events of completed lines to `events`. The end line is not
+    /// an event; see [`ResponseValidator::finish`].
     ///
     /// # Errors
-    /// [`Garbled`]; events of sound lines before it are in `events`.
-    pub fn take(&mut self, bytes: &[u8], events: &mut Vec<ModelEvent>) -> Result<(), Garbled> {
-        self.unread.extend_from_slice(bytes);
-        while let Some(end) = self.unread.iter().position(|b| *b == b'\n') {
-            let rest = self.unread.split_off(end + 1);
-            let line = std::mem::replace(&mut self.unread, rest);
-            events.extend(self.line(&line[..end])?);
+    /// [`InvalidResponse`]; `events` holds the events of the valid lines before the error.
+    pub fn push(
+        &mut self,
+        bytes: &[u8],
+        events: &mut Vec<ModelEvent>,
+    ) -> Result<(), InvalidResponse> {
+        self.buffer.extend_from_slice(bytes);
+        while let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
+            let rest = self.buffer.split_off(end + 1);
+            let line = std::mem::replace(&mut self.buffer, rest);
+            events.extend(self.parse_line(&line[..end])?);
         }
-        if self.unread.len() > LINE_BYTES {
-            return Err(Garbled::Line("too long".to_owned()));
+        if self.buffer.len() > MAX_LINE_BYTES {
+            return Err(InvalidResponse::MalformedLine("line too long".to_owned()));
         }
         Ok(())
     }
 
-    /// The body is over: how the answer ended.
+    /// Completes the validation at the end of the body and returns how the generation ended.
     ///
     /// # Errors
-    /// [`Garbled`] when there was no end line, or something after it.
-    pub fn finish(&self) -> Result<ModelEnd, Garbled> {
-        if !self.unread.is_empty() {
-            return Err(if self.end.is_some() { Garbled::AfterEnd } else { Garbled::CutShort });
+    /// [`InvalidResponse`] when the end line is missing or data follows it.
+    pub fn finish(&self) -> Result<ModelEnd, InvalidResponse> {
+        if !self.buffer.is_empty() {
+            return Err(if self.end.is_some() {
+                InvalidResponse::DataAfterEnd
+            } else {
+                InvalidResponse::Truncated
+            });
         }
-        self.end.ok_or(Garbled::CutShort)
+        self.end.ok_or(InvalidResponse::Truncated)
     }
 
-    /// Whether the end line has come.
+    /// Whether the end line has been received.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.end.is_some()
     }
 
-    fn line(&mut self, bytes: &[u8]) -> Result<Option<ModelEvent>, Garbled> {
+    fn parse_line(&mut self, bytes: &[u8]) -> Result<Option<ModelEvent>, InvalidResponse> {
         if self.end.is_some() {
-            return Err(Garbled::AfterEnd);
+            return Err(InvalidResponse::DataAfterEnd);
         }
-        let line: Line<'_> =
-            serde_json::from_slice(bytes).map_err(|e| Garbled::Line(e.to_string()))?;
+        let line: Line<'_> = serde_json::from_slice(bytes)
+            .map_err(|e| InvalidResponse::MalformedLine(e.to_string()))?;
         if line.request != self.request {
-            return Err(Garbled::Crossed { found: line.request });
+            return Err(InvalidResponse::WrongRequest { found: line.request });
         }
         if line.seq != self.lines + 1 {
-            return Err(Garbled::Sequence { expected: self.lines + 1, found: line.seq });
+            return Err(InvalidResponse::OutOfOrder { expected: self.lines + 1, found: line.seq });
         }
-        let event = self.meaning(line)?;
+        let event = self.event_of(line)?;
         if event.is_some() {
             self.lines += 1;
         }
         Ok(event)
     }
 
-    /// The event of a line; `None` for the end line.
-    fn meaning(&mut self, line: Line<'_>) -> Result<Option<ModelEvent>, Garbled> {
+    /// Converts a line to an event; `None` for the end line.
+    fn event_of(&mut self, line: Line<'_>) -> Result<Option<ModelEvent>, InvalidResponse> {
         match line {
             Line { text: Some(text), tokens: Some(tokens), tool: None, end: None, .. } => {
                 self.tokens = self.tokens.saturating_add(tokens);
                 Ok(Some(ModelEvent::Text { text, tokens: TokenCount(tokens) }))
             }
-            Line { tool: Some(wish), text: None, end: None, .. } => {
-                let arguments = wish.arguments.get().to_owned();
-                Ok(Some(ModelEvent::Tool { tool: wish.name, arguments }))
+            Line { tool: Some(request), text: None, end: None, .. } => {
+                let arguments = request.arguments.get().to_owned();
+                Ok(Some(ModelEvent::Tool { tool: request.name, arguments }))
             }
             Line { end: Some(end), text: None, tool: None, tokens_total, events, .. } => {
                 if tokens_total != Some(self.tokens) || events != Some(self.lines) {
-                    return Err(Garbled::Counts);
+                    return Err(InvalidResponse::CountMismatch);
                 }
                 self.end = Some(end.into());
                 Ok(None)
             }
-            _ => Err(Garbled::Line("neither text, tool nor end".to_owned())),
+            _ => Err(InvalidResponse::MalformedLine(
+                "line is neither text, tool request nor end".to_owned(),
+            )),
         }
     }
 }
--- a/crates/engine/src/model/connection.rs
+++ b/crates/engine/src/model/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to the model server, whose identity was asked when it was opened.
+//! An HTTP/1.1 connection to the model server whose identity was read when it was opened.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,26 +16,26 @@
 
 use super::identity::BackendIdentity;
 
-/// Longest time to open a connection and learn the identity (ours).
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+/// Longest time to open a connection and read the identity, or to read another JSON document.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest body of an answer that is read as a whole, in bytes (ours).
-const SMALL_BODY_BYTES: usize = 64 << 10;
+/// Maximum size of a JSON response body in bytes.
+const MAX_JSON_BYTES: usize = 64 << 10;
 
-/// Why there is no connection, or no answer on it.
+/// Why opening a connection or a request on it failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// It could not be opened.
+    /// The connection could not be opened.
     #[error("cannot connect: {0}")]
     Io(#[from] std::io::Error),
-    /// The exchange broke.
-    #[error("exchange broke: {0}")]
+    /// The HTTP exchange failed.
+    #[error("HTTP exchange failed: {0}")]
     Http(#[from] hyper::Error),
-    /// It took too long.
-    #[error("no answer in time")]
+    /// No response arrived before the timeout.
+    #[error("the model server did not respond in time")]
     TimedOut,
-    /// The answer is not what the contract asks for.
-    #[error("not by the contract: {0}")]
+    /// The response does not conform to the backend protocol.
+    #[error("response does not conform to the backend protocol: {0}")]
     Contract(String),
 }
 
@@ -54,23 +54,23 @@
 }
 
 impl ModelConnection {
-    /// Opens a connection and asks who answers there.
+    /// Opens a connection and reads the server's identity.
     ///
     /// # Errors
-    /// When nobody answers in time or by the contract.
+    /// When the server does not respond in time or violates the backend protocol.
     pub async fn open(address: SocketAddr) -> Result<Self, ConnectError> {
-        timeout(CONNECT_TIME, Self::open_untimed(address))
+        timeout(CONNECT_TIMEOUT, Self::connect(address))
             .await
             .map_err(|_| ConnectError::TimedOut)?
     }
 
-    async fn open_untimed(address: SocketAddr) -> Result<Self, ConnectError> {
+    async fn connect(address: SocketAddr) -> Result<Self, ConnectError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%error, "connection to the model server ended");
+                tracing::debug!(%error, "connection to the model server closed with an error");
             }
         })
         .abort_handle();
@@ -83,36 +83,36 @@
         }
     }
 
-    /// Who answered when it was opened.
+    /// The server's identity, read when the connection was opened.
     #[must_use]
     pub fn identity(&self) -> &BackendIdentity {
         &self.identity
     }
 
-    /// Whether it can take a request now.
+    /// Whether a request can be sent now.
     #[must_use]
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Asks for a small JSON document.
+    /// Reads a small JSON document.
     ///
     /// # Errors
-    /// When no whole answer came in time.
+    /// When no complete, valid response arrives in time.
     pub async fn get<T: DeserializeOwned>(
         &mut self,
         address: SocketAddr,
         path: &str,
     ) -> Result<T, ConnectError> {
-        timeout(CONNECT_TIME, read_json(&mut self.sender, address, path))
+        timeout(CONNECT_TIMEOUT, read_json(&mut self.sender, address, path))
             .await
             .map_err(|_| ConnectError::TimedOut)?
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// When the connection broke first.
+    /// When the connection fails first.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -134,9 +134,9 @@
     sender.ready().await?;
     let response = sender.send_request(request).await?;
     if response.status() != StatusCode::OK {
-        return Err(ConnectError::Contract(format!("{path} answered {}", response.status())));
+        return Err(ConnectError::Contract(format!("{path} returned {}", response.status())));
     }
-    let body = Limited::new(response.into_body(), SMALL_BODY_BYTES)
+    let body = Limited::new(response.into_body(), MAX_JSON_BYTES)
         .collect()
         .await
         .map_err(|e| ConnectError::Contract(format!("{path}: {e}")))?;
--- a/crates/engine/src/model/generate.rs
+++ b/crates/engine/src/model/generate.rs
@@ -1,4 +1,4 @@
-//! Runs generations and turns their answers into messages of the session's loop.
+//! Runs generations on the model server and reports their events.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tracing::{debug, warn};
 
-use super::answer::AnswerCheck;
+use super::answer::ResponseValidator;
 use super::connection::ModelConnection;
 use super::identity::{BackendIdentity, BackendKind};
 use super::request::GenerateBody;
@@ -23,42 +23,42 @@
 const ENGINE_HEADER: &str = "x-hooklug-engine";
 const DEADLINE_HEADER: &str = "x-hooklug-deadline-ms";
 const REFUSED_HEADER: &str = "x-hooklug-refused";
-const ANSWER_TYPE: &str = "application/x-ndjson";
+const RESPONSE_CONTENT_TYPE: &str = "application/x-ndjson";
 
-/// Idle connections that are kept (ours).
-const IDLE_CONNECTIONS: usize = 64;
+/// Maximum number of idle connections in the pool.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// The client of one model server.
+/// Client of one model server, with a pool of idle connections.
 #[derive(Debug)]
 pub struct ModelClient {
     address: SocketAddr,
     service: ServiceName,
-    /// Who is expected there; set by the probe, from the server's own word.
+    /// Identity that responses must come from; set by the probe to what the server reported.
     expected: watch::Sender<Option<BackendIdentity>>,
     idle: Mutex<Vec<ModelConnection>>,
 }
 
 impl ModelClient {
-    /// A client of the server at an address, which must be of the given service.
+    /// Creates a client of the server at an address; the server must belong to the given service.
     #[must_use]
     pub fn new(address: SocketAddr, service: ServiceName) -> Self {
         Self { address, service, expected: watch::Sender::new(None), idle: Mutex::default() }
     }
 
-    /// Where the server is.
+    /// The server's address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether an identity may be this engine's model server at all.
+    /// Whether a server with this identity may be this engine's model server.
     #[must_use]
     pub fn accepts(&self, identity: &BackendIdentity) -> bool {
         identity.kind == BackendKind::Model && identity.service == self.service
     }
 
-    /// Notes who is there now; connections to another run are dropped.
-    pub fn expect(&self, identity: Option<&BackendIdentity>) {
+    /// Sets the expected identity. Idle connections are dropped when it changes.
+    pub fn set_expected(&self, identity: Option<&BackendIdentity>) {
         let changed = self.expected.send_if_modified(|known| {
             let changed = known.as_ref() != identity;
             *known = identity.cloned();
@@ -69,34 +69,34 @@
         }
     }
 
-    /// Follows who is expected there.
+    /// Subscribes to the expected identity.
     #[must_use]
     pub fn watch_expected(&self) -> watch::Receiver<Option<BackendIdentity>> {
         self.expected.subscribe()
     }
 
-    /// Runs one generation to its end; the last event is an `End`, `Failed` or `Cut`. Dropping the
-    /// future closes the connection, which aborts the generation.
-    pub async fn generate(&self, request: &GenerationRequest, tell: impl Fn(ModelEvent)) {
+    /// Runs one generation to its end; the last event is `End`, `Failed` or `Cut`. Dropping the future
+    /// closes the connection, which aborts the generation.
+    pub async fn generate(&self, request: &GenerationRequest, on_event: impl Fn(ModelEvent)) {
         let Some(mut connection) = self.connection().await else {
-            tell(ModelEvent::Failed(FailureCode::Unreachable));
+            on_event(ModelEvent::Failed(FailureCode::Unreachable));
             return;
         };
         let id = format!("r-{:032x}", rand::random::<u128>());
-        let last = match self.exchange(&mut connection, request, &id).await {
+        let last = match self.send_request(&mut connection, request, &id).await {
             Ok(response) => {
-                let (last, whole) = read_answer(response, id, &tell).await;
-                if whole {
-                    self.keep(connection);
+                let (last, reusable) = read_response(response, id, &on_event).await;
+                if reusable {
+                    self.put_idle(connection);
                 }
                 last
             }
             Err(last) => last,
         };
-        tell(last);
+        on_event(last);
     }
 
-    /// A connection to the expected server; an idle one, or a new one that has proven who answers.
+    /// Returns a connection to the expected server: an idle one, or a new one whose identity matches.
     async fn connection(&self) -> Option<ModelConnection> {
         let expected = self.expected.borrow().clone()?;
         while let Some(idle) = self.take_idle() {
@@ -106,23 +106,28 @@
         }
         match ModelConnection::open(self.address).await {
             Ok(connection) if *connection.identity() == expected => Some(connection),
-            // The same server, started anew since the last probe: nothing was sent to it yet.
-            Ok(connection) if self.is_new_run(connection.identity(), &expected) => {
-                self.expect(Some(connection.identity()));
+            // The same server, restarted since the last probe. Nothing was sent to it yet, so the
+            // new incarnation can be accepted.
+            Ok(connection) if self.is_restarted(connection.identity(), &expected) => {
+                self.set_expected(Some(connection.identity()));
                 Some(connection)
             }
             Ok(connection) => {
-                warn!(expected = %expected, found = %connection.identity(), "another server answers");
+                warn!(
+                    expected = %expected,
+                    found = %connection.identity(),
+                    "model server has an unexpected identity"
+                );
                 None
             }
             Err(error) => {
-                debug!(%error, "no connection to the model server");
+                debug!(%error, "cannot connect to the model server");
                 None
             }
         }
     }
 
-    fn is_new_run(&self, found: &BackendIdentity, expected: &BackendIdentity) -> bool {
+    fn is_restarted(&self, found: &BackendIdentity, expected: &BackendIdentity) -> bool {
         self.accepts(found) && found.engine == expected.engine
     }
 
@@ -130,15 +135,15 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop()
     }
 
-    fn keep(&self, connection: ModelConnection) {
+    fn put_idle(&self, connection: ModelConnection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < IDLE_CONNECTIONS {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
 
-    /// Sends the request and judges the head of its answer.
-    async fn exchange(
+    /// Sends the request and checks the head of the response.
+    async fn send_request(
         &self,
         connection: &mut ModelConnection,
         request: &GenerationRequest,
@@ -147,7 +152,7 @@
         let left = request.deadline.saturating_duration_since(std::time::Instant::now());
         let expected = connection.identity().to_string();
         let body = serde_json::to_vec(&GenerateBody::new(request)).map_err(|_| ModelEvent::Cut)?;
-        let sent = Request::post("/generate")
+        let http_request = Request::post("/generate")
             .header(http::header::HOST, self.address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
             .header(REQUEST_HEADER, id)
@@ -155,16 +160,17 @@
             .header(DEADLINE_HEADER, millis(left))
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| ModelEvent::Cut)?;
-        let response = connection.send(sent).await.map_err(|error| {
-            debug!(%error, "the model server gave no answer");
+        let response = connection.send(http_request).await.map_err(|error| {
+            debug!(%error, "request to the model server failed");
             ModelEvent::Cut
         })?;
-        judge_head(&response, id, &expected).map(|()| response)
+        check_head(&response, id, &expected).map(|()| response)
     }
 }
 
-/// Whether the head is the expected server's own answer to this request, and a stream.
-fn judge_head<B>(response: &Response<B>, id: &str, expected: &str) -> Result<(), ModelEvent> {
+/// Checks that the head comes from the expected server, belongs to this request and starts a
+/// stream.
+fn check_head<B>(response: &Response<B>, id: &str, expected: &str) -> Result<(), ModelEvent> {
     let headers = response.headers();
     if header(headers, REQUEST_HEADER) != Some(id) {
         return Err(ModelEvent::Cut);
@@ -180,7 +186,7 @@
     if response.status() != StatusCode::OK {
         return Err(ModelEvent::Failed(FailureCode::BackendError));
     }
-    if header(headers, http::header::CONTENT_TYPE.as_str()) != Some(ANSWER_TYPE) {
+    if header(headers, http::header::CONTENT_TYPE.as_str()) != Some(RESPONSE_CONTENT_TYPE) {
         return Err(ModelEvent::Cut);
     }
     Ok(())
@@ -190,29 +196,30 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Reads the body; the last event, and whether the connection may be used again.
-async fn read_answer(
+/// Reads the body and reports its events, except for the last one. Returns the last event and
+/// whether the connection can be reused.
+async fn read_response(
     response: Response<Incoming>,
     id: String,
-    tell: &impl Fn(ModelEvent),
+    on_event: &impl Fn(ModelEvent),
 ) -> (ModelEvent, bool) {
     let mut body = response.into_body();
-    let mut check = AnswerCheck::new(id);
+    let mut validator = ResponseValidator::new(id);
     let mut events = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return (ModelEvent::Cut, false) };
         let Ok(bytes) = frame.into_data() else { continue };
-        let taken = check.take(&bytes, &mut events);
-        events.drain(..).for_each(tell);
-        if let Err(error) = taken {
-            warn!(%error, "the model server's answer is not one");
+        let pushed = validator.push(&bytes, &mut events);
+        events.drain(..).for_each(on_event);
+        if let Err(error) = pushed {
+            warn!(%error, "invalid response from the model server");
             return (ModelEvent::Cut, false);
         }
     }
-    match check.finish() {
+    match validator.finish() {
         Ok(end) => (ModelEvent::End(end), true),
         Err(error) => {
-            warn!(%error, "the model server's answer is not whole");
+            warn!(%error, "incomplete response from the model server");
             (ModelEvent::Cut, false)
         }
     }
--- a/crates/engine/src/model/identity.rs
+++ b/crates/engine/src/model/identity.rs
@@ -1,11 +1,11 @@
-//! Who a back end says it is.
+//! The identity and status documents of a backend.
 
 use std::fmt;
 
 use hooklug_types::{EngineId, Incarnation, ServiceName};
 use serde::Deserialize;
 
-/// What a back end serves.
+/// Kind of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
@@ -15,37 +15,37 @@
     Application,
 }
 
-/// Answer to `GET /identity`.
+/// Response body of `GET /identity`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct BackendIdentity {
-    /// Its service.
+    /// Service that the backend belongs to.
     pub service: ServiceName,
-    /// Its name.
+    /// Engine id of the backend.
     pub engine: EngineId,
-    /// The run of its process.
+    /// Incarnation of the backend's process.
     pub incarnation: Incarnation,
-    /// Its version.
+    /// Software version.
     pub version: String,
-    /// What it serves.
+    /// Kind of the backend.
     pub kind: BackendKind,
 }
 
 impl fmt::Display for BackendIdentity {
-    /// As in the headers `x-hooklug-expect` and `x-hooklug-engine`.
+    /// Formats the identity as in the headers `x-hooklug-expect` and `x-hooklug-engine`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}/{}", self.service, self.engine, self.incarnation)
     }
 }
 
-/// Answer to `GET /status`.
+/// Response body of `GET /status`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct ServerStatus {
-    /// Whether it takes work.
+    /// Whether the server accepts requests.
     pub ready: bool,
-    /// Whether it is being replaced.
+    /// Whether the server is draining before it is replaced.
     pub draining: bool,
-    /// Generations that it can run at once.
+    /// Maximum number of concurrent generations.
     pub slots: u32,
-    /// Generations running now.
+    /// Number of running generations.
     pub running: u32,
 }
--- a/crates/engine/src/model/mod.rs
+++ b/crates/engine/src/model/mod.rs
@@ -1,8 +1,8 @@
-//! The client of the engine's model server (docs/BACKENDS.md).
+//! Client of the engine's model server (docs/BACKENDS.md).
 //!
-//! Nothing a server says is believed before it has proven whose it is: each new connection asks for
-//! the identity, each answer echoes the request's id and the expected identity, counts its lines and
-//! ends with an end line.
+//! Responses are accepted only from a verified server: each new connection first reads the server's
+//! identity. Each response echoes the request id and the expected identity, numbers its lines and
+//! ends with an end line that counts them.
 
 mod answer;
 mod connection;
@@ -11,7 +11,7 @@
 mod probe;
 mod request;
 
-pub use answer::{AnswerCheck, Garbled};
+pub use answer::{InvalidResponse, ResponseValidator};
 pub use connection::{ConnectError, ModelConnection};
 pub use generate::ModelClient;
 pub use identity::{BackendIdentity, BackendKind, ServerStatus};
--- a/crates/engine/src/model/probe.rs
+++ b/crates/engine/src/model/probe.rs
@@ -1,4 +1,4 @@
-//! Asks the model server once a second who and how it is.
+//! Polls the identity and the status of the model server once a second.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,36 +11,36 @@
 use super::generate::ModelClient;
 use super::identity::{BackendIdentity, ServerStatus};
 
-/// Time between probes (ours).
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// Interval between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between probes while the server does not answer (ours).
-const RETRY_EVERY: Duration = Duration::from_millis(250);
+/// Interval between probes after a failed one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Failed probes in a row after which the server counts as gone (ours).
-const FAILURES_UNTIL_GONE: u32 = 2;
+/// Consecutive failed probes after which the server is reported as unready.
+const FAILURES_UNTIL_UNREADY: u32 = 2;
 
-/// How the model server is.
+/// Health of the model server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum ModelHealth {
-    /// Not asked yet.
+    /// Not probed yet.
     #[default]
     Unknown,
-    /// It answers and takes work.
+    /// The server responds and accepts requests.
     Ready(ServerStatus),
-    /// It does not, for this reason.
+    /// The server does not respond, or accepts no requests, for this reason.
     Unready(String),
 }
 
 impl ModelHealth {
-    /// Whether it takes work.
+    /// Whether the server accepts requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         matches!(self, Self::Ready(_))
     }
 }
 
-/// Probes one model server.
+/// Periodic health probe of one model server.
 #[derive(Debug)]
 pub struct ModelProbe {
     client: Arc<ModelClient>,
@@ -48,13 +48,13 @@
 }
 
 impl ModelProbe {
-    /// A probe for a client's server; nothing is asked before [`ModelProbe::run`].
+    /// Creates a probe of a client's server; nothing is sent before [`ModelProbe::run`].
     #[must_use]
     pub fn new(client: Arc<ModelClient>) -> Self {
         Self { client, health: watch::Sender::new(ModelHealth::Unknown) }
     }
 
-    /// Follows how the server is.
+    /// Subscribes to the server's health.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<ModelHealth> {
         self.health.subscribe()
@@ -65,24 +65,24 @@
         let mut connection = None;
         let mut failures = 0;
         loop {
-            let probed = tokio::select! {
+            let result = tokio::select! {
                 () = stop.cancelled() => return,
-                probed = self.probe(&mut connection) => probed,
+                result = self.probe(&mut connection) => result,
             };
-            match probed {
+            match result {
                 Ok((identity, status)) => {
                     failures = 0;
-                    self.note(&identity, status);
+                    self.record(&identity, status);
                 }
                 Err(error) => {
                     connection = None;
                     failures += 1;
-                    if failures >= FAILURES_UNTIL_GONE {
+                    if failures >= FAILURES_UNTIL_UNREADY {
                         self.health.send_replace(ModelHealth::Unready(error.to_string()));
                     }
                 }
             }
-            let pause = if failures == 0 { PROBE_EVERY } else { RETRY_EVERY };
+            let pause = if failures == 0 { PROBE_INTERVAL } else { RETRY_INTERVAL };
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = tokio::time::sleep(pause) => {}
@@ -90,37 +90,38 @@
         }
     }
 
-    /// Asks on the kept connection, or on a new one: a server that was replaced is asked anew who it is.
+    /// Probes on the open connection if it is usable, else on a new one, which reads the identity
+    /// again in case the server was replaced.
     async fn probe(
         &self,
-        kept: &mut Option<ModelConnection>,
+        cached: &mut Option<ModelConnection>,
     ) -> Result<(BackendIdentity, ServerStatus), ConnectError> {
         let address = self.client.address();
-        let mut connection = match kept.take().filter(ModelConnection::is_usable) {
+        let mut connection = match cached.take().filter(ModelConnection::is_usable) {
             Some(connection) => connection,
             None => ModelConnection::open(address).await?,
         };
         let status = connection.get(address, "/status").await?;
         let identity = connection.identity().clone();
-        *kept = Some(connection);
+        *cached = Some(connection);
         Ok((identity, status))
     }
 
-    fn note(&self, identity: &BackendIdentity, status: ServerStatus) {
+    fn record(&self, identity: &BackendIdentity, status: ServerStatus) {
         if !self.client.accepts(identity) {
             let reason = format!("{identity} is not this engine's model server");
-            self.client.expect(None);
+            self.client.set_expected(None);
             self.health.send_replace(ModelHealth::Unready(reason));
             return;
         }
         if *self.client.watch_expected().borrow() != Some(identity.clone()) {
-            info!(%identity, "model server");
+            info!(%identity, "model server identity changed");
         }
-        self.client.expect(Some(identity));
+        self.client.set_expected(Some(identity));
         let health = if status.ready && !status.draining {
             ModelHealth::Ready(status)
         } else {
-            ModelHealth::Unready("model server is not ready or draining".to_owned())
+            ModelHealth::Unready("model server is not ready or is draining".to_owned())
         };
         self.health.send_replace(health);
     }
--- a/crates/engine/src/model/request.rs
+++ b/crates/engine/src/model/request.rs
@@ -1,11 +1,11 @@
-//! The body of `POST /generate`.
+//! The request body of `POST /generate`.
 
 use hooklug_session::GenerationRequest;
 use hooklug_state::shard::{Event, EventBody};
 use hooklug_types::{PrefixId, TurnId};
 use serde::Serialize;
 
-/// Who said something.
+/// Author of an entry of the context.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ContextRole {
@@ -17,14 +17,14 @@
     Tool,
 }
 
-/// One entry of the history.
+/// One entry of the context.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ContextEntry {
     role: ContextRole,
     text: String,
 }
 
-/// The body of `POST /generate`.
+/// The request body of `POST /generate`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct GenerateBody<'a> {
     session: String,
@@ -36,7 +36,7 @@
 }
 
 impl<'a> GenerateBody<'a> {
-    /// The body for a generation.
+    /// Builds the body of a generation request.
     #[must_use]
     pub fn new(request: &'a GenerationRequest) -> Self {
         Self {
@@ -50,7 +50,8 @@
     }
 }
 
-/// The history as the model server takes it: neighbouring pieces of one answer are joined.
+/// Converts a session's history to the context format of the model server; adjacent assistant
+/// entries are joined.
 #[must_use]
 pub fn context_of(history: &[Event]) -> Vec<ContextEntry> {
     let mut context: Vec<ContextEntry> = Vec::new();
--- a/crates/engine/src/opening.rs
+++ b/crates/engine/src/opening.rs
@@ -1,4 +1,4 @@
-//! Opening, taking over and taking up sessions.
+//! Opens sessions, takes them over from other engines and starts their loops.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,20 +15,20 @@
 
 use crate::loader::{LoadError, group_of, load, read_record};
 use crate::session_task::{self, Mailbox, loop_now};
-use crate::shared::{STORE_TIME, Shared};
+use crate::shared::{STORE_TIMEOUT, Shared};
 
-/// Opens a session here, unless another engine owns it.
+/// Opens a session on this engine, unless another engine owns it.
 ///
 /// # Errors
-/// [`EngineRefusal`] says why not.
+/// [`EngineRefusal`] if the session cannot be opened here.
 pub async fn open(
     shared: &Arc<Shared>,
     request: OpenSession,
 ) -> Result<SessionRecord, EngineRefusal> {
     check_incarnation(shared, &request.engine)?;
-    let _opening = shared.table.lock_opening(&request.key).await;
+    let _opening_lock = shared.table.lock_opening(&request.key).await;
     if shared.table.get(&request.key).is_none() {
-        check_may_take(shared)?;
+        check_accepts_sessions(shared)?;
     }
     if request.service != shared.settings.service {
         let reason = format!("this engine serves {}", shared.settings.service);
@@ -42,24 +42,25 @@
         prefix: request.prefix,
     });
     let record = execute(shared, &request.key, &command).await?;
-    hold_if_owner(shared, record).await
+    ensure_loop(shared, record).await
 }
 
-/// Takes a session over whose owner is gone. The former owner's lease is seen to be expired first.
+/// Takes over a session without an owner or whose owner's lease has expired; the shard of the lease
+/// decides whether it has.
 ///
 /// # Errors
-/// [`EngineRefusal`] says why not.
-pub async fn take(
+/// [`EngineRefusal`] if the session cannot be taken over.
+pub async fn take_over(
     shared: &Arc<Shared>,
     request: TakeSession,
 ) -> Result<SessionRecord, EngineRefusal> {
     check_incarnation(shared, &request.engine)?;
-    let _opening = shared.table.lock_opening(&request.key).await;
+    let _opening_lock = shared.table.lock_opening(&request.key).await;
     let record = record_of(shared, &request.key).await?;
     if record.owner.as_ref() == Some(&shared.engine) {
-        return hold_if_owner(shared, record).await;
+        return ensure_loop(shared, record).await;
     }
-    check_may_take(shared)?;
+    check_accepts_sessions(shared)?;
     if record.closed || record.epoch != request.expected_epoch {
         return Err(not_owner(record));
     }
@@ -75,67 +76,75 @@
         version: shared.settings.version.clone(),
     });
     let record = execute(shared, &request.key, &command).await?;
-    hold_if_owner(shared, record).await
+    ensure_loop(shared, record).await
 }
 
-/// The loop of a session that a gateway believes to be here.
+/// Finds the loop of a session that a gateway expects on this engine; starts it if the shard
+/// records this engine as the owner.
 ///
 /// # Errors
-/// [`EngineRefusal::NotOwner`] carries the shard's record.
-pub async fn find(shared: &Arc<Shared>, place: &SessionPlace) -> Result<Mailbox, EngineRefusal> {
+/// [`EngineRefusal::NotOwner`] with the shard's record if this engine is not the owner.
+pub async fn find_mailbox(
+    shared: &Arc<Shared>,
+    place: &SessionPlace,
+) -> Result<Mailbox, EngineRefusal> {
     check_incarnation(shared, &place.owner)?;
     if !shared.lease.is_held() {
         return Err(EngineRefusal::LeaseLost);
     }
-    if let Some(held) = shared.table.get(&place.key) {
-        if held.epoch >= place.epoch {
-            return Ok(held.mailbox);
+    if let Some(session) = shared.table.get(&place.key) {
+        if session.epoch >= place.epoch {
+            return Ok(session.mailbox);
         }
-        // The gateway has seen a later epoch than this loop: let the shard decide.
+        // The gateway has seen a later epoch than this loop; the shard's record decides.
         let record = record_of(shared, &place.key).await?;
-        held.mailbox.tell(Message::OwnerChanged { record: Box::new(record.clone()) });
-        if record.epoch != held.epoch {
+        session.mailbox.send(Message::OwnerChanged { record: Box::new(record.clone()) });
+        if record.epoch != session.epoch {
             return Err(not_owner(record));
         }
-        return Ok(held.mailbox);
+        return Ok(session.mailbox);
     }
-    let _opening = shared.table.lock_opening(&place.key).await;
-    if let Some(held) = shared.table.get(&place.key) {
-        return Ok(held.mailbox);
+    let _opening_lock = shared.table.lock_opening(&place.key).await;
+    if let Some(session) = shared.table.get(&place.key) {
+        return Ok(session.mailbox);
     }
     let record = record_of(shared, &place.key).await?;
-    hold(shared, record).await
+    get_or_start_loop(shared, record).await
 }
 
-/// The session's record as the shard has it.
+/// Reads the session's record from its shard.
 ///
 /// # Errors
-/// When there is none, or the shard gave no answer.
+/// When the session does not exist, or the shard did not reply.
 pub async fn record_of(shared: &Shared, key: &SessionKey) -> Result<SessionRecord, EngineRefusal> {
     let record = read_record(shared.state.as_ref(), key, store_deadline()).await;
     record.map_err(load_refusal)?.ok_or(EngineRefusal::Ledger(ShardRefusal::NoSession))
 }
 
-/// Refusal that names the owner.
+/// A refusal that carries the record with the current owner.
 #[must_use]
 pub fn not_owner(record: SessionRecord) -> EngineRefusal {
     EngineRefusal::NotOwner { record: Some(Box::new(record)) }
 }
 
-async fn hold_if_owner(
+async fn ensure_loop(
     shared: &Arc<Shared>,
     record: SessionRecord,
 ) -> Result<SessionRecord, EngineRefusal> {
-    hold(shared, record.clone()).await.map(|_| record)
+    get_or_start_loop(shared, record.clone()).await.map(|_| record)
 }
 
-/// Runs the loop of a session whose record names this engine. The caller holds the key's opening lock.
-async fn hold(shared: &Arc<Shared>, record: SessionRecord) -> Result<Mailbox, EngineRefusal> {
+/// Returns the loop of a session whose record names this engine as the owner, and starts it if
+/// needed. The caller holds the key's opening lock.
+async fn get_or_start_loop(
+    shared: &Arc<Shared>,
+    record: SessionRecord,
+) -> Result<Mailbox, EngineRefusal> {
     if record.closed || record.owner.as_ref() != Some(&shared.engine) {
         return Err(not_owner(record));
     }
-    if let Some(held) = shared.table.get(&record.key) {
-        return Ok(held.mailbox);
+    if let Some(session) = shared.table.get(&record.key) {
+        return Ok(session.mailbox);
     }
     let epoch = record.epoch;
     let loaded =
@@ -143,7 +152,7 @@
     let session = Session::new(loaded, shared.session_config(), loop_now());
     let mailbox = session_task::start(shared, session, epoch);
     if shared.handing_over.load(Ordering::Acquire) {
-        mailbox.tell(Message::HandOver);
+        mailbox.send(Message::HandOver);
     }
     Ok(mailbox)
 }
@@ -153,8 +162,8 @@
     key: &SessionKey,
     command: &ShardCommand,
 ) -> Result<SessionRecord, EngineRefusal> {
-    let answered = shared.state.execute_shard(group_of(key), command, store_deadline()).await;
-    match answered {
+    let reply = shared.state.execute_shard(group_of(key), command, store_deadline()).await;
+    match reply {
         Ok(ShardReply::Session(record)) => Ok(record),
         Ok(ShardReply::Refused(ShardRefusal::StaleEpoch { record })) => {
             Err(EngineRefusal::NotOwner { record: Some(record) })
@@ -174,15 +183,15 @@
     }
 }
 
-fn check_incarnation(shared: &Shared, meant: &EngineIncarnation) -> Result<(), EngineRefusal> {
-    if *meant == shared.engine {
+fn check_incarnation(shared: &Shared, expected: &EngineIncarnation) -> Result<(), EngineRefusal> {
+    if *expected == shared.engine {
         Ok(())
     } else {
         Err(EngineRefusal::WrongIncarnation { running: shared.engine.clone() })
     }
 }
 
-fn check_may_take(shared: &Shared) -> Result<(), EngineRefusal> {
+fn check_accepts_sessions(shared: &Shared) -> Result<(), EngineRefusal> {
     if shared.is_draining() {
         return Err(EngineRefusal::Draining);
     }
@@ -197,5 +206,5 @@
 }
 
 fn store_deadline() -> Instant {
-    Instant::now() + STORE_TIME
+    Instant::now() + STORE_TIMEOUT
 }
--- a/crates/engine/src/release.rs
+++ b/crates/engine/src/release.rs
@@ -1,46 +1,48 @@
-//! What a bundle says of this engine's version. Pure.
+//! The release state of this engine's version under the installed bundle. No I/O.
 
 use std::time::Duration;
 
 use hooklug_bundle::{Bundle, VersionState};
 use hooklug_types::{ServiceName, ServiceVersion};
 
-/// What the bundle says of an engine's version.
+/// Release state of an engine's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseState {
-    /// There is no bundle yet.
+    /// No bundle is installed yet.
     NoBundle,
-    /// The bundle does not list the version, and none did before: it is not released yet.
+    /// Neither this bundle nor an earlier one lists the version: it is not released yet.
     Unlisted,
-    /// It is the newest sound version: new sessions may come.
+    /// The newest healthy version: it accepts new sessions.
     Current,
-    /// A newer sound version is there, or the version is no longer listed: sessions stay, no new ones.
+    /// A newer healthy version exists, or the version is no longer listed: it keeps its sessions and
+    /// accepts no new ones.
     Superseded,
-    /// It was found harmful: sessions go elsewhere between turns.
+    /// The version was rolled back because of a regression: its sessions are handed over between
+    /// turns.
     RolledBack,
 }
 
 impl ReleaseState {
-    /// Whether the engine takes no new sessions and exits once it holds none.
+    /// Whether the engine accepts no new sessions and exits once it holds none.
     #[must_use]
     pub fn drains(self) -> bool {
         matches!(self, Self::Superseded | Self::RolledBack)
     }
 
-    /// The state under a bundle, after an earlier state.
+    /// The state of a version under a bundle, given its previous state.
     #[must_use]
-    pub fn under(
+    pub fn for_bundle(
         bundle: Option<&Bundle>,
         service: &ServiceName,
         version: &ServiceVersion,
-        earlier: Self,
+        previous: Self,
     ) -> Self {
-        let Some(bundle) = bundle else { return earlier };
+        let Some(bundle) = bundle else { return previous };
         let entry = bundle.services.get(service);
         let listed = entry.and_then(|s| s.versions.iter().find(|v| v.version == *version));
         let (Some(entry), Some(listed)) = (entry, listed) else {
-            let was_listed = !matches!(earlier, Self::NoBundle | Self::Unlisted);
-            return if was_listed { Self::Superseded } else { Self::Unlisted };
+            let was_released = !matches!(previous, Self::NoBundle | Self::Unlisted);
+            return if was_released { Self::Superseded } else { Self::Unlisted };
         };
         if listed.state == VersionState::RolledBack {
             Self::RolledBack
@@ -52,10 +54,10 @@
     }
 }
 
-/// How long a newer version is watched, in which a superseded engine stays for a roll-back (ours: the
-/// time that the service's steps take).
+/// Time that a superseded engine stays for a possible rollback: as long as the steps of the
+/// service's rollout take, during which the newer version is monitored.
 #[must_use]
-pub fn watch_time(bundle: Option<&Bundle>, service: &ServiceName) -> Duration {
+pub fn rollout_time(bundle: Option<&Bundle>, service: &ServiceName) -> Duration {
     let entry = bundle.and_then(|b| b.services.get(service));
     entry.map_or(Duration::ZERO, |s| {
         let steps = u64::try_from(s.steps.len()).unwrap_or(u64::MAX);
--- a/crates/engine/src/reporter.rs
+++ b/crates/engine/src/reporter.rs
@@ -1,4 +1,4 @@
-//! Tells the cluster and the platform how the engine is.
+//! Reports the engine's state, load and readiness to the node agent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,39 +9,41 @@
 
 use crate::shared::Shared;
 
-/// Time between looks (ours); a change of readiness or draining is told at the next one.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which the state is checked; a change of readiness or draining is reported at the
+/// next check.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after which a changed load alone is told (ours): loads travel on replies, this is for the view.
-const LOAD_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between reports of which only the load changed. Gateways receive the current load
+/// with each reply; these reports are for the cluster view.
+const LOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Name of the engine among the components of readiness.
+/// Name of the engine's component in the readiness report.
 const COMPONENT: &str = "engine";
 
-/// Reports until stopped.
+/// Runs the reporter until stopped.
 pub async fn run(shared: Arc<Shared>, stop: CancellationToken) {
-    let mut load_told = Instant::now();
+    let mut load_reported = Instant::now();
     loop {
         let report = NodeReport {
             engine: Some(shared.hosted_engine()),
             load: Some(shared.load()),
             slot_uses: shared.slots.uses(),
         };
-        let load_is_due = load_told.elapsed() >= LOAD_EVERY;
-        let told = shared.node.report.send_if_modified(|known| {
+        let load_is_due = load_reported.elapsed() >= LOAD_INTERVAL;
+        let reported = shared.node.report.send_if_modified(|known| {
             let changed = known.engine != report.engine || (load_is_due && *known != report);
             if changed {
                 known.clone_from(&report);
             }
             changed
         });
-        if told {
-            load_told = Instant::now();
+        if reported {
+            load_reported = Instant::now();
         }
         report_readiness(&shared);
         tokio::select! {
             () = stop.cancelled() => return,
-            () = sleep(LOOK_EVERY) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
     }
 }
--- a/crates/engine/src/session_task.rs
+++ b/crates/engine/src/session_task.rs
@@ -1,4 +1,5 @@
-//! Runs one session's loop: messages in from a mailbox, effects carried out.
+//! The task that runs one session's loop: receives messages from a mailbox and applies the
+//! effects that the session returns.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,39 +17,40 @@
 use crate::admission::Ticket;
 use crate::loader::group_of;
 use crate::shard_writer::Submission;
-use crate::shared::{STORE_TIME, Shared};
+use crate::shared::{STORE_TIMEOUT, Shared};
 
-/// Items that may wait for one client (ours). One that falls further behind is cut and may resume.
+/// Capacity of one client's item queue. A client that falls further behind is disconnected and may
+/// resume.
 pub const CLIENT_QUEUE_ITEMS: usize = 256;
 
-/// Something for a session's task.
+/// Input of a session's task.
 #[derive(Debug)]
 enum Envelope {
-    /// For the loop alone.
+    /// A message without a reply.
     Message(Message),
-    /// From a client with its stream.
+    /// A message that connects a client and its stream.
     Client { client: ClientId, sink: mpsc::Sender<ClientItem>, message: Message },
-    /// From somebody who waits for an answer.
-    Ask {
+    /// A message whose sender waits for the reply.
+    Request {
         reply: ReplyId,
         answer: oneshot::Sender<Result<Answer, SessionRefusal>>,
         message: Message,
     },
 }
 
-/// Where a session's task takes its messages. Cheap to clone.
+/// Sending half of a session task's queue. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Mailbox {
     sender: mpsc::UnboundedSender<Envelope>,
 }
 
 impl Mailbox {
-    /// Puts a message in. When the task is gone the message has no meaning any more.
-    pub fn tell(&self, message: Message) {
+    /// Sends a message; it is discarded if the task has ended.
+    pub fn send(&self, message: Message) {
         let _ = self.sender.send(Envelope::Message(message));
     }
 
-    /// Connects a client; `None` when the task is gone.
+    /// Connects a client; `None` if the task has ended.
     #[must_use]
     pub fn connect(
         &self,
@@ -59,26 +61,26 @@
         self.sender.send(Envelope::Client { client, sink, message }).ok().map(|()| items)
     }
 
-    /// Asks something and waits for the answer; `None` when the task is gone.
-    pub async fn ask(
+    /// Sends a message and waits for the reply; `None` if the task has ended.
+    pub async fn request(
         &self,
         reply: ReplyId,
         message: Message,
     ) -> Option<Result<Answer, SessionRefusal>> {
-        let (answer, answered) = oneshot::channel();
-        self.sender.send(Envelope::Ask { reply, answer, message }).ok()?;
-        answered.await.ok()
+        let (answer, replied) = oneshot::channel();
+        self.sender.send(Envelope::Request { reply, answer, message }).ok()?;
+        replied.await.ok()
     }
 
-    /// Whether both lead to the same task.
+    /// Whether both send to the same task.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.sender.same_channel(&other.sender)
     }
 }
 
-/// Starts the task of a session's loop, held under an epoch. It is in the table before it runs, since a
-/// loop that ends at once takes itself out of it.
+/// Starts the task of a session's loop. The session is added to the table before the task runs,
+/// because a loop that ends at once removes itself from the table.
 #[must_use]
 pub fn start(shared: &Arc<Shared>, session: Session, epoch: SessionEpoch) -> Mailbox {
     let (sender, envelopes) = mpsc::unbounded_channel();
@@ -96,7 +98,7 @@
     };
     shared.table.insert(task.key.clone(), epoch, mailbox.clone());
     tokio::spawn(task.run(envelopes));
-    mailbox.tell(Message::Tick);
+    mailbox.send(Message::Tick);
     mailbox
 }
 
@@ -118,33 +120,34 @@
             let wake = self.session.next_wake().map(tokio::time::Instant::from_std);
             let envelope = tokio::select! {
                 envelope = envelopes.recv() => envelope,
-                () = sleep_until_some(wake) => Some(Envelope::Message(Message::Tick)),
+                () = sleep_until_option(wake) => Some(Envelope::Message(Message::Tick)),
             };
             let Some(envelope) = envelope else { break };
-            // Nothing is handled, and so nothing released, while the lease has run out and may be renewed yet.
-            let (now, lease_until) = self.shared.lease.decided().await;
-            self.take(envelope, moment(now, lease_until));
+            // While the lease has run out but may still be renewed, no message is handled and so no
+            // event is sent to a client.
+            let (now, lease_until) = self.shared.lease.wait_until_decided().await;
+            self.handle(envelope, moment(now, lease_until));
         }
         self.shared.table.remove(&self.key, &self.mailbox);
-        // Those who came too late are refused; nobody can put more in.
+        // Refuses the messages that are still queued; the closed channel accepts no more.
         envelopes.close();
         while let Some(envelope) = envelopes.recv().await {
             let now = tokio::time::Instant::now();
-            self.take(envelope, moment(now, now));
+            self.handle(envelope, moment(now, now));
         }
         for (_, ticket) in self.tickets.drain() {
             self.shared.slots.release(ticket);
         }
     }
 
-    fn take(&mut self, envelope: Envelope, moment: Moment) {
+    fn handle(&mut self, envelope: Envelope, moment: Moment) {
         let message = match envelope {
             Envelope::Message(message) => message,
             Envelope::Client { client, sink, message } => {
                 self.clients.insert(client, sink);
                 message
             }
-            Envelope::Ask { reply, answer, message } => {
+            Envelope::Request { reply, answer, message } => {
                 self.waiting.insert(reply, answer);
                 message
             }
@@ -159,11 +162,11 @@
         }
         let effects = self.session.handle(message, moment);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Commit { commit, command } => {
                 let submission = Submission { command, commit, mailbox: self.mailbox.clone() };
@@ -191,31 +194,32 @@
             }
             Effect::Reply { reply, answer } => {
                 if let Some(waiting) = self.waiting.remove(&reply) {
-                    // Whoever asked may have given up.
+                    // The caller may no longer wait for the reply.
                     let _ = waiting.send(answer);
                 }
             }
             Effect::Ended(ending) => {
-                tracing::debug!(session = %self.key, ?ending, "session left this engine");
+                tracing::debug!(session = %self.key, ?ending, "session ended on this engine");
             }
         }
     }
 
-    /// A client whose queue is full is cut: it holds up neither the loop nor other clients.
+    /// Sends an item to a client. A client whose queue is full is disconnected, so that it blocks
+    /// neither the loop nor other clients.
     fn send(&mut self, client: ClientId, item: ClientItem) {
         let Some(sink) = self.clients.get(&client) else { return };
         if sink.try_send(item).is_err() {
             metrics::counter!("hooklug_slow_clients_cut").increment(1);
             self.clients.remove(&client);
-            self.mailbox.tell(Message::Leave { client });
+            self.mailbox.send(Message::Leave { client });
         }
     }
 
     fn generate(&mut self, generation: GenerationId, request: Box<GenerationRequest>) {
         let (model, mailbox) = (self.shared.model.clone(), self.mailbox.clone());
         let running = tokio::spawn(async move {
-            let tell = |event| mailbox.tell(Message::Model { generation, event });
-            model.generate(&request, tell).await;
+            let on_event = |event| mailbox.send(Message::Model { generation, event });
+            model.generate(&request, on_event).await;
         });
         self.generations.insert(generation, running.abort_handle());
     }
@@ -225,12 +229,12 @@
         let (group, key) = (self.group, self.key.clone());
         tokio::spawn(async move {
             let query = ShardQuery::Turn { key, turn };
-            let deadline = tokio::time::Instant::now() + STORE_TIME;
+            let deadline = tokio::time::Instant::now() + STORE_TIMEOUT;
             let message = match shared.state.query_shard(group, &query, deadline).await {
                 Ok(ShardAnswer::Turn(record)) => Message::TurnLookedUp { look_up, record },
                 _ => Message::LookUpFailed { look_up },
             };
-            mailbox.tell(message);
+            mailbox.send(message);
         });
     }
 }
@@ -251,14 +255,14 @@
     matches!(event, ModelEvent::End(_) | ModelEvent::Failed(_) | ModelEvent::Cut)
 }
 
-async fn sleep_until_some(instant: Option<tokio::time::Instant>) {
+async fn sleep_until_option(instant: Option<tokio::time::Instant>) {
     match instant {
         Some(instant) => tokio::time::sleep_until(instant).await,
         None => std::future::pending().await,
     }
 }
 
-/// The process's monotonic clock as the loops see it.
+/// The current time of the monotonic clock that session loops use.
 #[must_use]
 pub fn loop_now() -> Instant {
     tokio::time::Instant::now().into_std()
--- a/crates/engine/src/shard_writer.rs
+++ b/crates/engine/src/shard_writer.rs
@@ -1,5 +1,7 @@
-//! Appends to shards: one in flight a shard, the next carries all that has gathered since
-//! (design section 7). No timer: one event an append at low load, large batches at high load.
+//! Batches the commands of sessions into appends to their shards (design document, section 7).
+//!
+//! Each shard has one append in flight; the next one carries all commands submitted in the
+//! meantime. There is no batching timer: an append has one command at low load and many at high load.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,27 +17,27 @@
 
 use crate::session_task::Mailbox;
 
-/// Longest wait for one append's answer (ours). Its commands are then sent again by their sessions.
-const COMMIT_TIME: Duration = Duration::from_secs(1);
+/// Longest wait for the reply to an append. After it the sessions resend their commands.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after an append without an answer (ours).
+/// Pause after an append without a reply.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Most commands of one append (ours).
-const BATCH_COMMANDS: usize = 512;
+/// Maximum number of commands per append.
+const MAX_BATCH_COMMANDS: usize = 512;
 
-/// A session's command on its way to the shard.
+/// A session's command to be committed in the shard.
 #[derive(Debug)]
 pub struct Submission {
     /// The command.
     pub command: ShardCommand,
-    /// The session's commit.
+    /// The session's id of the commit.
     pub commit: CommitId,
-    /// Where the answer goes.
+    /// The session's mailbox, which receives the result.
     pub mailbox: Mailbox,
 }
 
-/// The writers of all shards, started as they are needed.
+/// The writers of all shards; each is started with the first command for its shard.
 #[derive(Debug)]
 pub struct ShardWriters {
     state: Arc<dyn StateAccess>,
@@ -43,44 +45,45 @@
 }
 
 impl ShardWriters {
-    /// Writers over some state; a writer ends when this value is dropped.
+    /// Creates the writers. Their tasks end when this value is dropped.
     #[must_use]
     pub fn new(state: Arc<dyn StateAccess>) -> Self {
         Self { state, queues: Mutex::default() }
     }
 
-    /// Puts a command into the next append. The queue is bounded by its users: a session has one commit in flight.
+    /// Adds a command to the next append. The queue is bounded by the number of sessions, since each
+    /// has one commit in flight.
     pub fn submit(&self, group: GroupId, submission: Submission) {
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         let queue = queues.entry(group).or_insert_with(|| {
             let (queue, submissions) = mpsc::unbounded_channel();
-            tokio::spawn(write(self.state.clone(), group, submissions));
+            tokio::spawn(run_writer(self.state.clone(), group, submissions));
             queue
         });
-        // The writer ends only after its queue was dropped.
+        // The writer ends only after its queue is dropped, so the send cannot fail.
         let _ = queue.send(submission);
     }
 }
 
-async fn write(
+async fn run_writer(
     state: Arc<dyn StateAccess>,
     group: GroupId,
     mut submissions: mpsc::UnboundedReceiver<Submission>,
 ) {
-    let mut gathered = Vec::new();
-    while submissions.recv_many(&mut gathered, BATCH_COMMANDS).await > 0 {
-        let taken = std::mem::take(&mut gathered);
+    let mut batch = Vec::new();
+    while submissions.recv_many(&mut batch, MAX_BATCH_COMMANDS).await > 0 {
+        let submitted = std::mem::take(&mut batch);
         let (commands, waiting): (Vec<_>, Vec<_>) =
-            taken.into_iter().map(|s| (s.command, (s.commit, s.mailbox))).unzip();
+            submitted.into_iter().map(|s| (s.command, (s.commit, s.mailbox))).unzip();
         match append(state.as_ref(), group, commands).await {
             Some(replies) => {
                 for ((commit, mailbox), reply) in waiting.into_iter().zip(replies) {
-                    mailbox.tell(Message::Committed { commit, reply });
+                    mailbox.send(Message::Committed { commit, reply });
                 }
             }
             None => {
                 for (commit, mailbox) in waiting {
-                    mailbox.tell(Message::CommitUncertain { commit });
+                    mailbox.send(Message::CommitUncertain { commit });
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
@@ -88,7 +91,8 @@
     }
 }
 
-/// The replies, one a command; `None` when the answer was lost or does not fit.
+/// Appends the commands and returns one reply per command; `None` if the reply was lost or does not
+/// match the commands.
 async fn append(
     state: &dyn StateAccess,
     group: GroupId,
@@ -104,13 +108,13 @@
         }
         None => return Some(Vec::new()),
     };
-    let deadline = Instant::now() + COMMIT_TIME;
+    let deadline = Instant::now() + COMMIT_TIMEOUT;
     match state.execute_shard(group, &command, deadline).await {
         Ok(ShardReply::Batch(replies)) if replies.len() == count => Some(replies),
         Ok(ShardReply::Batch(_)) => None,
         Ok(reply) => (count == 1).then(|| vec![reply]),
         Err(error) => {
-            debug!(%error, "append without an answer");
+            debug!(%error, "append to a shard failed");
             None
         }
     }
--- a/crates/engine/src/shared.rs
+++ b/crates/engine/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of the engine share.
+//! State that the components of the engine share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -20,65 +20,66 @@
 use crate::slots::Slots;
 use crate::table::SessionTable;
 
-/// Longest wait for a store's answer on behalf of a caller (ours).
-pub const STORE_TIME: Duration = Duration::from_secs(3);
+/// Timeout of a store request that is made for a caller.
+pub const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Turns that may wait while no bundle names a number (ours; the bundle's own default).
+/// Length of the turn queue while no bundle sets one; equals the default of the bundle format.
 const DEFAULT_QUEUE: u32 = 256;
 
-/// What all parts of one engine share.
+/// State that the components of one engine share.
 #[derive(Debug)]
 pub struct Shared {
-    /// Its settings.
+    /// The engine's settings.
     pub settings: EngineSettings,
-    /// This run of it.
+    /// The engine's id and incarnation.
     pub engine: EngineIncarnation,
-    /// Shared state.
+    /// Access to the replicated state.
     pub state: Arc<dyn StateAccess>,
-    /// The cluster.
+    /// Handle to the node agent.
     pub node: NodeHandle,
-    /// Its lease.
+    /// The engine's lease.
     pub lease: LeaseView,
-    /// Its model server.
+    /// Client of the model server.
     pub model: Arc<ModelClient>,
-    /// How the model server is.
+    /// Health of the model server.
     pub model_health: watch::Receiver<ModelHealth>,
-    /// Writers of the shards.
+    /// Writers that append to the shards.
     pub writers: ShardWriters,
-    /// Its sessions.
+    /// Sessions held by this engine.
     pub table: SessionTable,
-    /// Its slots.
+    /// Admission of turns to the engine's slots.
     pub slots: Slots,
-    /// What the bundle says of its version.
+    /// Release state of the engine's version.
     pub release: watch::Sender<ReleaseState>,
-    /// Whether the platform has asked the process to stop.
+    /// Whether the platform has requested a stop.
     pub stopping: AtomicBool,
-    /// Whether sessions are being given up, so that one that is taken up again must go too.
+    /// Whether sessions are being handed over; a session whose loop is started meanwhile is handed over
+    /// too.
     pub handing_over: AtomicBool,
     last_id: AtomicU64,
 }
 
-/// Parts that a [`Shared`] is made of.
+/// Components that a [`Shared`] is built from.
 #[derive(Debug)]
 pub struct SharedParts {
     /// The engine's settings.
     pub settings: EngineSettings,
-    /// This run of it.
+    /// The engine's id and incarnation.
     pub engine: EngineIncarnation,
-    /// Shared state.
+    /// Access to the replicated state.
     pub state: Arc<dyn StateAccess>,
-    /// The cluster.
+    /// Handle to the node agent.
     pub node: NodeHandle,
-    /// Its lease.
+    /// The engine's lease.
     pub lease: LeaseView,
-    /// Its model server.
+    /// Client of the model server.
     pub model: Arc<ModelClient>,
-    /// How the model server is.
+    /// Health of the model server.
     pub model_health: watch::Receiver<ModelHealth>,
 }
 
 impl Shared {
-    /// Joins the parts.
+    /// Builds the shared state from its components.
     #[must_use]
     pub fn new(parts: SharedParts) -> Self {
         let bundle = parts.node.bundle.borrow().clone();
@@ -101,31 +102,31 @@
         }
     }
 
-    /// The bundle in force here.
+    /// The installed bundle.
     #[must_use]
     pub fn bundle(&self) -> Option<Arc<InstalledBundle>> {
         self.node.bundle.borrow().clone()
     }
 
-    /// Sizes of admission under the bundle in force.
+    /// Admission limits under the installed bundle.
     #[must_use]
     pub fn admission_limits(&self) -> AdmissionLimits {
         admission_limits(&self.settings, self.bundle().as_deref())
     }
 
-    /// Values that session loops are run with.
+    /// Configuration of session loops.
     #[must_use]
     pub fn session_config(&self) -> SessionConfig {
         SessionConfig { unconnected_keep: Duration::from_millis(self.settings.unconnected_keep_ms) }
     }
 
-    /// Whether the engine takes no new sessions.
+    /// Whether the engine accepts no new sessions.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.stopping.load(Ordering::Acquire) || self.release.borrow().drains()
     }
 
-    /// Why it may not take a session now; `None` when it may.
+    /// Why the engine cannot accept a session now; `None` if it can.
     #[must_use]
     pub fn unready_reason(&self) -> Option<&'static str> {
         if !self.lease.is_held() {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Its load, for replies.
+    /// The engine's load, as sent with replies.
     #[must_use]
     pub fn load(&self) -> EngineLoad {
         let (running, queued) = self.slots.load();
@@ -155,7 +156,7 @@
         }
     }
 
-    /// What it tells of itself.
+    /// The engine's entry in the node report.
     #[must_use]
     pub fn hosted_engine(&self) -> HostedEngine {
         HostedEngine {
@@ -168,13 +169,13 @@
         }
     }
 
-    /// A new client's id.
+    /// Allocates an id for a client.
     #[must_use]
     pub fn new_client(&self) -> ClientId {
         ClientId(self.new_id())
     }
 
-    /// The id of somebody who waits for an answer.
+    /// Allocates an id for a request that waits for a reply.
     #[must_use]
     pub fn new_reply(&self) -> ReplyId {
         ReplyId(self.new_id())
--- a/crates/engine/src/slots.rs
+++ b/crates/engine/src/slots.rs
@@ -1,4 +1,5 @@
-//! Admission at work: sessions' wishes for slots in, decisions back to the sessions.
+//! Shared admission state: passes the slot requests of sessions to [`Admission`] and sends the
+//! decisions to their mailboxes.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,95 +12,102 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-use crate::admission::{Admission, AdmissionLimits, Decision, Outcome, Ticket, TurnAsk};
+use crate::admission::{Admission, AdmissionLimits, AdmissionRequest, Decision, Outcome, Ticket};
 use crate::session_task::Mailbox;
 
-/// Share of the retry time that is added at random (ours), so that refused callers do not return together.
+/// Largest random addition to the retry time, as a fraction of it, so that refused callers do not
+/// retry at the same time.
 const RETRY_JITTER: f64 = 0.5;
 
-/// Longest sleep between looks at the queue (ours).
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// Longest pause between updates of the admission queue.
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// The engine's slots.
 #[derive(Debug)]
 pub struct Slots {
-    desk: Mutex<Desk>,
+    state: Mutex<SlotState>,
     changed: Notify,
     last_ticket: AtomicU64,
 }
 
 #[derive(Debug)]
-struct Desk {
+struct SlotState {
     admission: Admission,
     waiting: BTreeMap<Ticket, (Mailbox, SlotTicket)>,
 }
 
 impl Slots {
-    /// Slots with the given sizes.
+    /// Creates the slots with the given limits.
     #[must_use]
     pub fn new(limits: AdmissionLimits) -> Self {
-        let desk = Desk { admission: Admission::new(limits), waiting: BTreeMap::new() };
-        Self { desk: Mutex::new(desk), changed: Notify::new(), last_ticket: AtomicU64::new(0) }
+        let state = SlotState { admission: Admission::new(limits), waiting: BTreeMap::new() };
+        Self { state: Mutex::new(state), changed: Notify::new(), last_ticket: AtomicU64::new(0) }
     }
 
-    /// Takes new sizes.
+    /// Applies new limits.
     pub fn resize(&self, limits: AdmissionLimits) {
-        let mut desk = self.lock();
-        desk.admission.resize(limits);
-        let decisions = desk.admission.settle(UnixMillis::now());
-        desk.tell(decisions);
+        let mut state = self.lock();
+        state.admission.resize(limits);
+        let decisions = state.admission.update(UnixMillis::now());
+        state.send_decisions(decisions);
     }
 
-    /// A session asks for a slot; it is answered by a message. Returns the ticket to release it with.
-    pub fn request(&self, mailbox: Mailbox, wish: SlotTicket, request: SlotRequest) -> Ticket {
+    /// Requests a slot for a session, which receives the decision as a message. Returns the ticket that
+    /// releases the slot.
+    pub fn request(
+        &self,
+        mailbox: Mailbox,
+        session_ticket: SlotTicket,
+        request: SlotRequest,
+    ) -> Ticket {
         let ticket = Ticket(self.last_ticket.fetch_add(1, Ordering::Relaxed));
         let now = UnixMillis::now();
         let left = request.deadline.saturating_duration_since(std::time::Instant::now());
-        let ask = TurnAsk {
+        let admission_request = AdmissionRequest {
             tenant: request.tenant,
             group: request.group,
             urgent: request.urgent,
             deadline: now.plus(left),
         };
-        let mut desk = self.lock();
-        desk.waiting.insert(ticket, (mailbox, wish));
-        let decisions = desk.admission.request(ticket, ask, now);
-        desk.tell(decisions);
+        let mut state = self.lock();
+        state.waiting.insert(ticket, (mailbox, session_ticket));
+        let decisions = state.admission.request(ticket, admission_request, now);
+        state.send_decisions(decisions);
         self.changed.notify_one();
         ticket
     }
 
-    /// Gives a slot, or the wish for one, back.
+    /// Releases a slot or withdraws a waiting request.
     pub fn release(&self, ticket: Ticket) {
-        let mut desk = self.lock();
-        desk.waiting.remove(&ticket);
-        let decisions = desk.admission.release(ticket, UnixMillis::now());
-        desk.tell(decisions);
+        let mut state = self.lock();
+        state.waiting.remove(&ticket);
+        let decisions = state.admission.release(ticket, UnixMillis::now());
+        state.send_decisions(decisions);
     }
 
-    /// Turns running and waiting.
+    /// Numbers of running and of waiting turns.
     #[must_use]
     pub fn load(&self) -> (u32, u32) {
         self.lock().admission.load()
     }
 
-    /// How the slots are used now, by group.
+    /// Reserved and running slots by group.
     #[must_use]
     pub fn uses(&self) -> Vec<SlotUse> {
         self.lock().admission.uses(UnixMillis::now())
     }
 
-    /// Gives up waiting turns in time, until stopped.
+    /// Updates the admission queue when it is due, until stopped.
     pub async fn run(&self, stop: CancellationToken) {
         loop {
             let now = UnixMillis::now();
             let next = {
-                let mut desk = self.lock();
-                let decisions = desk.admission.settle(now);
-                desk.tell(decisions);
-                desk.admission.next_settle(now)
+                let mut state = self.lock();
+                let decisions = state.admission.update(now);
+                state.send_decisions(decisions);
+                state.admission.next_update(now)
             };
-            let pause = next.map_or(LONGEST_SLEEP, |at| now.until(at)).min(LONGEST_SLEEP);
+            let pause = next.map_or(MAX_PAUSE, |at| now.until(at)).min(MAX_PAUSE);
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = self.changed.notified() => {}
@@ -108,13 +116,13 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SlotState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Desk {
-    fn tell(&mut self, decisions: Vec<Decision>) {
+impl SlotState {
+    fn send_decisions(&mut self, decisions: Vec<Decision>) {
         for Decision { ticket, outcome } in decisions {
             let Some((mailbox, ticket)) = self.waiting.remove(&ticket) else { continue };
             let message = match outcome {
@@ -131,7 +139,7 @@
                     Message::SlotRefused { ticket, refusal: SlotRefusal::DeadlineExceeded }
                 }
             };
-            mailbox.tell(message);
+            mailbox.send(message);
         }
     }
 }
--- a/crates/engine/src/table.rs
+++ b/crates/engine/src/table.rs
@@ -1,4 +1,4 @@
-//! The sessions that this engine holds.
+//! The table of sessions held by this engine.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -10,24 +10,24 @@
 
 use crate::session_task::Mailbox;
 
-/// Locks over which session keys are spread (ours).
+/// Number of locks that session keys are hashed to.
 const OPENING_LOCKS: usize = 1024;
 
-/// A session that is held.
+/// A session held by this engine.
 #[derive(Debug, Clone)]
 pub struct HeldSession {
-    /// Epoch that it is held under.
+    /// Epoch under which the engine owns the session.
     pub epoch: SessionEpoch,
-    /// Where its loop takes messages.
+    /// Mailbox of the session's task.
     pub mailbox: Mailbox,
 }
 
-/// Sessions by key, and a lock a key for opening one.
+/// Held sessions by key, with locks that serialize the opening of a session.
 #[derive(Debug)]
 pub struct SessionTable {
     held: Mutex<HashMap<SessionKey, HeldSession>>,
     count: watch::Sender<usize>,
-    opening: Vec<tokio::sync::Mutex<()>>,
+    opening_locks: Vec<tokio::sync::Mutex<()>>,
     hasher: RandomState,
 }
 
@@ -36,14 +36,14 @@
         Self {
             held: Mutex::default(),
             count: watch::Sender::new(0),
-            opening: std::iter::repeat_with(Default::default).take(OPENING_LOCKS).collect(),
+            opening_locks: std::iter::repeat_with(Default::default).take(OPENING_LOCKS).collect(),
             hasher: RandomState::new(),
         }
     }
 }
 
 impl SessionTable {
-    /// A session, if it is held here.
+    /// Returns a session if this engine holds it.
     #[must_use]
     pub fn get(&self, key: &SessionKey) -> Option<HeldSession> {
         self.lock().get(key).cloned()
@@ -56,7 +56,7 @@
         self.count.send_replace(held.len());
     }
 
-    /// Removes a session, unless another task holds it by now.
+    /// Removes a session, unless another task has replaced its entry.
     pub fn remove(&self, key: &SessionKey, mailbox: &Mailbox) {
         let mut held = self.lock();
         if held.get(key).is_some_and(|h| h.mailbox.is_same(mailbox)) {
@@ -65,35 +65,35 @@
         }
     }
 
-    /// Sessions held.
+    /// Number of held sessions.
     #[must_use]
     pub fn len(&self) -> usize {
         *self.count.borrow()
     }
 
-    /// Whether none is held.
+    /// Whether no session is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Follows the number of sessions.
+    /// Subscribes to the number of held sessions.
     #[must_use]
     pub fn watch_len(&self) -> watch::Receiver<usize> {
         self.count.subscribe()
     }
 
-    /// Tells all sessions something.
-    pub fn tell_all(&self, message: &Message) {
+    /// Sends a message to all held sessions.
+    pub fn broadcast(&self, message: &Message) {
         for held in self.lock().values() {
-            held.mailbox.tell(message.clone());
+            held.mailbox.send(message.clone());
         }
     }
 
-    /// Held while a session is opened, so that one is never opened twice here.
+    /// Locks the opening of a session, so that the same session is never opened twice concurrently.
     pub async fn lock_opening(&self, key: &SessionKey) -> tokio::sync::MutexGuard<'_, ()> {
-        let place = usize::try_from(self.hasher.hash_one(key) % OPENING_LOCKS as u64);
-        self.opening[place.unwrap_or(0)].lock().await
+        let index = usize::try_from(self.hasher.hash_one(key) % OPENING_LOCKS as u64);
+        self.opening_locks[index.unwrap_or(0)].lock().await
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SessionKey, HeldSession>> {
--- a/crates/engine/tests/admission.rs
+++ b/crates/engine/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: order, windows, shedding. Time is an argument, so nothing waits.
+//! Admission control: queue order, windows and load shedding, with simulated time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,7 +6,8 @@
 use hooklug_bundle::Bundle;
 use hooklug_bundle::model::{Service, ServiceKind, VersionEntry, VersionState, Window};
 use hooklug_engine::admission::{
-    Admission, AdmissionLimits, Decision, Outcome, ReservedSpan, Ticket, TurnAsk, reserved_spans,
+    Admission, AdmissionLimits, AdmissionRequest, Decision, Outcome, ReservedSpan, Ticket,
+    reserved_spans,
 };
 use hooklug_types::{BundleVersion, UnixMillis, WindowGroup};
 use proptest::prelude::*;
@@ -17,8 +18,8 @@
     UnixMillis(START.0 + ms)
 }
 
-fn ask(tenant: &str, deadline_ms: u64) -> TurnAsk {
-    TurnAsk {
+fn request(tenant: &str, deadline_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: tenant.parse().unwrap(),
         group: None,
         urgent: false,
@@ -26,8 +27,8 @@
     }
 }
 
-fn member(tenant: &str, group: &str, deadline_ms: u64) -> TurnAsk {
-    TurnAsk { group: Some(group.parse().unwrap()), ..ask(tenant, deadline_ms) }
+fn member(tenant: &str, group: &str, deadline_ms: u64) -> AdmissionRequest {
+    AdmissionRequest { group: Some(group.parse().unwrap()), ..request(tenant, deadline_ms) }
 }
 
 fn span(group: &str, start: u64, end: u64, slots: u32) -> ReservedSpan {
@@ -45,10 +46,10 @@
 #[test]
 fn slots_are_given_out_and_the_earliest_deadline_comes_next() {
     let mut admission = admission(2, 10, Vec::new());
-    assert_eq!(granted(&admission.request(Ticket(1), ask("a", 90_000), at(0))), [1]);
-    assert_eq!(granted(&admission.request(Ticket(2), ask("b", 90_000), at(0))), [2]);
-    assert!(admission.request(Ticket(3), ask("a", 50_000), at(0)).is_empty());
-    assert!(admission.request(Ticket(4), ask("a", 40_000), at(0)).is_empty());
+    assert_eq!(granted(&admission.request(Ticket(1), request("a", 90_000), at(0))), [1]);
+    assert_eq!(granted(&admission.request(Ticket(2), request("b", 90_000), at(0))), [2]);
+    assert!(admission.request(Ticket(3), request("a", 50_000), at(0)).is_empty());
+    assert!(admission.request(Ticket(4), request("a", 40_000), at(0)).is_empty());
     assert_eq!(admission.load(), (2, 2));
     assert_eq!(granted(&admission.release(Ticket(1), at(10))), [4]);
     assert_eq!(granted(&admission.release(Ticket(4), at(20))), [3]);
@@ -58,20 +59,20 @@
 fn a_tenant_with_fewer_running_turns_comes_first() {
     let mut admission = admission(3, 10, Vec::new());
     for ticket in 1..=3 {
-        admission.request(Ticket(ticket), ask("many", 90_000), at(0));
+        admission.request(Ticket(ticket), request("many", 90_000), at(0));
     }
-    admission.request(Ticket(4), ask("many", 20_000), at(0));
-    admission.request(Ticket(5), ask("few", 80_000), at(0));
+    admission.request(Ticket(4), request("many", 20_000), at(0));
+    admission.request(Ticket(5), request("few", 80_000), at(0));
     assert_eq!(granted(&admission.release(Ticket(1), at(10))), [5]);
 }
 
 #[test]
 fn a_full_queue_refuses_at_once_and_pushes_out_the_tenant_that_crowds_it() {
     let mut admission = admission(1, 2, Vec::new());
-    admission.request(Ticket(1), ask("a", 90_000), at(0));
-    admission.request(Ticket(2), ask("crowd", 80_000), at(0));
-    admission.request(Ticket(3), ask("crowd", 85_000), at(0));
-    let decisions = admission.request(Ticket(4), ask("other", 90_000), at(0));
+    admission.request(Ticket(1), request("a", 90_000), at(0));
+    admission.request(Ticket(2), request("crowd", 80_000), at(0));
+    admission.request(Ticket(3), request("crowd", 85_000), at(0));
+    let decisions = admission.request(Ticket(4), request("other", 90_000), at(0));
     assert_eq!(decisions.len(), 1);
     assert_eq!(decisions[0].ticket, Ticket(3));
     let Outcome::Overloaded { retry_after } = decisions[0].outcome else { panic!("{decisions:?}") };
@@ -81,39 +82,39 @@
 #[test]
 fn what_can_no_longer_end_in_time_is_refused_as_soon_as_that_is_known() {
     let mut admission = admission(1, 10, Vec::new());
-    // Turns take ten seconds here.
-    admission.request(Ticket(1), ask("a", 90_000), at(0));
+    // The first turn sets the average duration to ten seconds.
+    admission.request(Ticket(1), request("a", 90_000), at(0));
     admission.release(Ticket(1), at(10_000));
-    admission.request(Ticket(2), ask("a", 90_000), at(10_000));
-    assert!(admission.request(Ticket(3), ask("a", 20_000), at(10_000)).is_empty());
-    let due = admission.next_settle(at(10_000)).unwrap();
+    admission.request(Ticket(2), request("a", 90_000), at(10_000));
+    assert!(admission.request(Ticket(3), request("a", 20_000), at(10_000)).is_empty());
+    let due = admission.next_update(at(10_000)).unwrap();
     assert!(due < at(20_000), "before its deadline");
-    let shed = admission.settle(due);
+    let shed = admission.update(due);
     assert!(matches!(
         shed[..],
         [Decision { ticket: Ticket(3), outcome: Outcome::Overloaded { .. } }]
     ));
-    // One that could not wait that long is refused at once.
-    let hopeless = admission.request(Ticket(4), ask("a", 11_000), at(10_100));
+    // A turn with less than half of the average duration left is refused at once.
+    let too_short = admission.request(Ticket(4), request("a", 11_000), at(10_100));
     assert!(matches!(
-        hopeless[..],
+        too_short[..],
         [Decision { ticket: Ticket(4), outcome: Outcome::Overloaded { .. } }]
     ));
-    let late = admission.request(Ticket(5), ask("a", 10_000), at(10_100));
+    let late = admission.request(Ticket(5), request("a", 10_000), at(10_100));
     assert!(matches!(late[..], [Decision { outcome: Outcome::DeadlineExceeded, .. }]));
-    // With a slot free even a short one runs: that is how the average falls again.
+    // A free slot is granted even to a turn shorter than the average, so that the average can fall.
     admission.release(Ticket(2), at(20_000));
-    assert_eq!(granted(&admission.request(Ticket(6), ask("a", 21_000), at(20_000))), [6]);
+    assert_eq!(granted(&admission.request(Ticket(6), request("a", 21_000), at(20_000))), [6]);
 }
 
 #[test]
 fn urgent_turns_have_a_reserve_and_come_first() {
     let mut admission = admission(8, 10, Vec::new());
     for ticket in 1..=8 {
-        admission.request(Ticket(ticket), ask("a", 90_000), at(0));
+        admission.request(Ticket(ticket), request("a", 90_000), at(0));
     }
-    assert_eq!(admission.load(), (7, 1), "one slot is kept");
-    let urgent = TurnAsk { urgent: true, ..ask("a", 90_000) };
+    assert_eq!(admission.load(), (7, 1), "one slot is reserved for urgent turns");
+    let urgent = AdmissionRequest { urgent: true, ..request("a", 90_000) };
     assert_eq!(granted(&admission.request(Ticket(9), urgent.clone(), at(0))), [9]);
     admission.request(Ticket(10), urgent, at(0));
     assert_eq!(granted(&admission.release(Ticket(1), at(10))), [10]);
@@ -122,12 +123,12 @@
 #[test]
 fn a_windows_members_get_their_slots_while_it_is_open() {
     let mut admission = admission(4, 10, vec![span("frost", 0, 60_000, 2)]);
-    assert_eq!(granted(&admission.request(Ticket(1), ask("a", 30_000), at(0))), [1]);
-    assert_eq!(granted(&admission.request(Ticket(2), ask("a", 30_000), at(0))), [2]);
-    assert!(admission.request(Ticket(3), ask("a", 30_000), at(0)).is_empty());
+    assert_eq!(granted(&admission.request(Ticket(1), request("a", 30_000), at(0))), [1]);
+    assert_eq!(granted(&admission.request(Ticket(2), request("a", 30_000), at(0))), [2]);
+    assert!(admission.request(Ticket(3), request("a", 30_000), at(0)).is_empty());
     assert_eq!(granted(&admission.request(Ticket(4), member("b", "frost", 30_000), at(0))), [4]);
     assert_eq!(granted(&admission.request(Ticket(5), member("b", "frost", 30_000), at(0))), [5]);
-    // Above its share the group competes like all others.
+    // Beyond its reservation the group competes with all other turns.
     assert!(admission.request(Ticket(6), member("b", "frost", 30_000), at(0)).is_empty());
     assert_eq!(granted(&admission.release(Ticket(1), at(10))), [3]);
 }
@@ -135,9 +136,9 @@
 #[test]
 fn idle_slots_of_a_coming_window_are_lent_only_to_turns_that_end_in_time() {
     let mut admission = admission(2, 10, vec![span("frost", 60_000, 90_000, 2)]);
-    assert_eq!(granted(&admission.request(Ticket(1), ask("a", 60_000), at(0))), [1]);
-    assert!(admission.request(Ticket(2), ask("a", 60_001), at(0)).is_empty());
-    assert_eq!(granted(&admission.request(Ticket(3), ask("a", 59_000), at(0))), [3]);
+    assert_eq!(granted(&admission.request(Ticket(1), request("a", 60_000), at(0))), [1]);
+    assert!(admission.request(Ticket(2), request("a", 60_001), at(0)).is_empty());
+    assert_eq!(granted(&admission.request(Ticket(3), request("a", 59_000), at(0))), [3]);
     let opened = at(60_000);
     admission.release(Ticket(1), opened);
     admission.release(Ticket(3), opened);
@@ -158,8 +159,8 @@
         span("sowing", 0, 90_000, 1),
     ];
     let mut admission = admission(4, 10, spans);
-    assert_eq!(granted(&admission.request(Ticket(1), ask("a", 30_000), at(0))), [1]);
-    assert!(admission.request(Ticket(2), ask("a", 30_000), at(0)).is_empty());
+    assert_eq!(granted(&admission.request(Ticket(1), request("a", 30_000), at(0))), [1]);
+    assert!(admission.request(Ticket(2), request("a", 30_000), at(0)).is_empty());
     for (ticket, group) in [(3, "frost"), (4, "frost"), (5, "sowing")] {
         let decisions = admission.request(Ticket(ticket), member("b", group, 30_000), at(0));
         assert_eq!(granted(&decisions), [ticket]);
@@ -194,8 +195,8 @@
 }
 
 proptest! {
-    /// Engines that together have the service's slots keep at least what the window asks for, and an
-    /// engine never more than it has, however the slots are spread.
+    /// However the service's slots are distributed over engines, the engines together reserve at
+    /// least the window's slots, and no engine reserves more than it has.
     #[test]
     fn shares_follow_from_the_bundle_alone(
         engines in proptest::collection::vec(1_u32..40, 1..12),
@@ -215,8 +216,8 @@
         prop_assert!(kept < window + engines.len() as u32);
     }
 
-    /// Whatever is asked: never more running than slots, each wish decided once, and while a window
-    /// is open its members' unused slots stay free of others.
+    /// For any sequence of requests, there are never more running turns than slots, each request is
+    /// decided at most once, and the unused reserved slots of an open window are not given to others.
     #[test]
     fn no_slot_is_given_twice_and_no_reservation_is_eaten(
         steps in proptest::collection::vec((0_u8..10, 0_u64..4, 1_u64..40_000, 0_u64..2_000), 1..200),
@@ -225,34 +226,34 @@
         let mut admission = admission(slots, 5, vec![span("frost", 20_000, 10_000_000, kept)]);
         let mut now = 0;
         let mut running: BTreeMap<Ticket, bool> = BTreeMap::new();
-        let mut asked: BTreeMap<Ticket, bool> = BTreeMap::new();
+        let mut requests: BTreeMap<Ticket, bool> = BTreeMap::new();
         let mut decided: BTreeSet<Ticket> = BTreeSet::new();
-        for (number, (kind, tenant, patience, pause)) in steps.into_iter().enumerate() {
+        for (number, (kind, tenant, time_left, pause)) in steps.into_iter().enumerate() {
             now += pause;
             let ticket = Ticket(number as u64);
             let decisions = if kind < 6 {
                 let is_member = kind < 2;
-                asked.insert(ticket, is_member);
+                requests.insert(ticket, is_member);
                 let tenant = format!("tenant-{tenant}");
-                let wish = if is_member {
-                    member(&tenant, "frost", now + patience)
+                let request = if is_member {
+                    member(&tenant, "frost", now + time_left)
                 } else {
-                    ask(&tenant, now + patience)
+                    request(&tenant, now + time_left)
                 };
-                admission.request(ticket, wish, at(now))
+                admission.request(ticket, request, at(now))
             } else if let Some(first) = running.keys().next().copied() {
                 running.remove(&first);
                 admission.release(first, at(now))
             } else {
-                admission.settle(at(now))
+                admission.update(at(now))
             };
             for decision in decisions {
                 prop_assert!(decided.insert(decision.ticket), "decided twice: {decision:?}");
                 if decision.outcome == Outcome::Granted {
-                    running.insert(decision.ticket, asked[&decision.ticket]);
+                    running.insert(decision.ticket, requests[&decision.ticket]);
                     let others = running.values().filter(|member| !**member).count() as u32;
-                    // Turns may overstay their deadline here, so only fresh grants are judged.
-                    if now >= 20_000 && !asked[&decision.ticket] {
+                    // Turns may run past their deadline in this test, so only new grants are checked.
+                    if now >= 20_000 && !requests[&decision.ticket] {
                         prop_assert!(others + kept <= slots);
                     }
                 }
@@ -267,16 +268,16 @@
 fn uses_name_each_group_with_slots_kept_or_turns_running() {
     let mut admission =
         admission(8, 8, vec![span("frost", 0, 10_000, 3), span("idle", 0, 5_000, 1)]);
-    let turns = [member("a", "frost", 60_000), ask("b", 60_000)];
+    let turns = [member("a", "frost", 60_000), request("b", 60_000)];
     for (ticket, turn) in (1..).zip(turns) {
         admission.request(Ticket(ticket), turn, at(1_000));
     }
-    let told = |now| {
+    let uses_at = |now| {
         let uses = admission.uses(at(now)).into_iter();
         let group = |group: Option<WindowGroup>| group.map(|g| g.to_string());
         uses.map(|u| (group(u.group), u.reserved, u.running)).collect::<Vec<_>>()
     };
     let (frost, idle) = (Some("frost".to_owned()), Some("idle".to_owned()));
-    assert_eq!(told(1_000), [(None, 0, 1), (frost.clone(), 3, 1), (idle, 1, 0)]);
-    assert_eq!(told(20_000), [(None, 0, 1), (frost, 0, 1)], "the windows are over");
+    assert_eq!(uses_at(1_000), [(None, 0, 1), (frost.clone(), 3, 1), (idle, 1, 0)]);
+    assert_eq!(uses_at(20_000), [(None, 0, 1), (frost, 0, 1)], "the windows have closed");
 }
--- a/crates/engine/tests/clients.rs
+++ b/crates/engine/tests/clients.rs
@@ -1,4 +1,5 @@
-//! Slow clients hold up neither the loop nor each other; they are cut and resume.
+//! Slow clients block neither the session loop nor other clients; they are disconnected and can
+//! resume.
 
 mod support;
 
@@ -39,8 +40,9 @@
     }
 }
 
-/// The parts of an engine without its rpc server, so that a client's queue is filled by the loop alone.
-async fn shared(world: &World, model: &ModelServer) -> Arc<Shared> {
+/// Builds the components of an engine without its RPC server, so that nothing but the test reads a
+/// client's queue.
+async fn start_shared(world: &World, model: &ModelServer) -> Arc<Shared> {
     let engine = EngineIncarnation { engine: "e1".parse().unwrap(), incarnation: Incarnation(1) };
     let state: Arc<dyn StateAccess> = Arc::new(world.state.clone());
     let keeper = LeaseKeeper::new(state.clone(), engine.clone());
@@ -70,7 +72,7 @@
     shared
 }
 
-async fn started(world: &World, shared: &Arc<Shared>) -> session_task::Mailbox {
+async fn start_session(world: &World, shared: &Arc<Shared>) -> session_task::Mailbox {
     world.put_program("p1", 1_000_000, UnixMillis::now().plus(Duration::from_secs(600))).await;
     let open = ShardCommand::OpenSession(OpenSession {
         key: key("p1", "s1"),
@@ -86,7 +88,7 @@
     session_task::start(shared, Session::new(loaded, shared.session_config(), loop_now()), epoch)
 }
 
-fn in_order(events: &[Event], from: u64) {
+fn assert_consecutive(events: &[Event], from: u64) {
     let seqs: Vec<u64> = events.iter().map(|e| e.seq.0).collect();
     assert_eq!(seqs, (from..from + events.len() as u64).collect::<Vec<_>>());
 }
@@ -94,41 +96,43 @@
 #[tokio::test]
 async fn a_client_with_a_full_queue_is_cut_and_the_others_are_not_held_up() {
     let (world, model) = (World::new(), ModelServer::start().await);
-    let shared = shared(&world, &model).await;
-    let mailbox = started(&world, &shared).await;
+    let shared = start_shared(&world, &model).await;
+    let mailbox = start_session(&world, &shared).await;
     let slow_client = shared.new_client();
     let joined = Message::Join { client: slow_client, last_seen: None };
     let mut slow = mailbox.connect(slow_client, joined).unwrap();
     let client = shared.new_client();
     let run = Message::RunTurn { client, request: long_turn(), last_seen: EventSeq(0) };
-    let mut quick = mailbox.connect(client, run).unwrap();
+    let mut fast = mailbox.connect(client, run).unwrap();
 
     let mut events = Vec::new();
-    while let Some(item) = tokio::time::timeout(PATIENCE, quick.recv()).await.unwrap() {
+    while let Some(item) = tokio::time::timeout(PATIENCE, fast.recv()).await.unwrap() {
         if let ClientItem::Events(more) = item {
             events.extend(more);
         }
     }
-    in_order(&events, 1);
+    assert_consecutive(&events, 1);
     assert_eq!(events.len() as u64, LINES + 2);
 
     let mut items = 0;
-    let mut kept = Vec::new();
+    let mut received = Vec::new();
     while let Some(item) = tokio::time::timeout(PATIENCE, slow.recv()).await.unwrap() {
         items += 1;
         if let ClientItem::Events(more) = item {
-            kept.extend(more);
+            received.extend(more);
         }
     }
-    assert_eq!(items, CLIENT_QUEUE_ITEMS, "cut with a full queue");
-    in_order(&kept, 1);
+    assert_eq!(items, CLIENT_QUEUE_ITEMS, "disconnected with a full queue");
+    assert_consecutive(&received, 1);
 
     let client = shared.new_client();
-    let last_seen = kept.last().map(|e| e.seq);
+    let last_seen = received.last().map(|e| e.seq);
     let mut resumed = mailbox.connect(client, Message::Join { client, last_seen }).unwrap();
-    let Some(ClientItem::Events(rest)) = resumed.recv().await else { panic!("no rest") };
-    kept.extend(rest);
-    assert_eq!(kept, events);
+    let Some(ClientItem::Events(rest)) = resumed.recv().await else {
+        panic!("no events on resume")
+    };
+    received.extend(rest);
+    assert_eq!(received, events);
 }
 
 #[tokio::test]
@@ -141,7 +145,7 @@
     request.max_tokens = TokenCount(LINES);
     let ran = world.run(&engine, &request).await;
     assert_eq!(ran.end(), Some(&EndReason::Finished));
-    in_order(&ran.events, 1);
+    assert_consecutive(&ran.events, 1);
 
     let mut seen = Vec::new();
     while seen.len() < ran.events.len() {
--- a/crates/engine/tests/lease.rs
+++ b/crates/engine/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease, with a clock that the test moves.
+//! Renewal and loss of the engine's lease, on a paused clock.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hooklug_engine::lease::{
-    LAPSE_TIME, LEASE_TIME, LeaseKeeper, LeaseState, LeaseView, RENEW_EVERY,
+    LATE_RENEWAL_TIME, LEASE_TIME, LeaseKeeper, LeaseState, LeaseView, RENEW_INTERVAL,
 };
 use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
 use hooklug_store::{MemoryState, StateAccess};
@@ -17,10 +17,10 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use tokio_util::sync::CancellationToken;
 
-/// Shortest time that these tests tell apart.
+/// Time resolution of these tests.
 const STEP: Duration = Duration::from_millis(10);
 
-struct Kept {
+struct RunningKeeper {
     view: LeaseView,
     lost: Arc<AtomicU32>,
     ended: JoinHandle<()>,
@@ -32,7 +32,7 @@
     EngineIncarnation { engine: "e1".parse().unwrap(), incarnation: Incarnation(1) }
 }
 
-fn keep() -> Kept {
+fn start_keeper() -> RunningKeeper {
     let state = MemoryState::default();
     let link = StalledState::new(state.clone());
     let keeper = LeaseKeeper::new(Arc::new(link.clone()), holder());
@@ -42,10 +42,10 @@
     let run = keeper.run(CancellationToken::new(), move || {
         count.fetch_add(1, Ordering::SeqCst);
     });
-    Kept { view, lost, ended: tokio::spawn(run), link, state }
+    RunningKeeper { view, lost, ended: tokio::spawn(run), link, state }
 }
 
-impl Kept {
+impl RunningKeeper {
     fn lost(&self) -> u32 {
         self.lost.load(Ordering::SeqCst)
     }
@@ -59,101 +59,102 @@
 
 #[tokio::test(start_paused = true)]
 async fn it_is_held_while_renewed_and_cannot_be_expired() {
-    let kept = keep();
+    let keeper = start_keeper();
     for _ in 0..20 {
-        sleep(RENEW_EVERY).await;
-        assert!(kept.view.is_held());
-        assert!(matches!(kept.expire().await, LeaseVerdict::Held { .. }));
+        sleep(RENEW_INTERVAL).await;
+        assert!(keeper.view.is_held());
+        assert!(matches!(keeper.expire().await, LeaseVerdict::Held { .. }));
     }
-    assert_eq!(kept.lost(), 0);
+    assert_eq!(keeper.lost(), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn it_runs_out_by_its_own_clock_before_the_shard_may_expire_it() {
-    let kept = keep();
-    sleep(RENEW_EVERY * 2 + Duration::from_millis(10)).await;
-    let LeaseState::Until(until) = kept.view.state() else { panic!("not held") };
-    kept.link.stall(true);
-    while kept.view.is_held() {
-        assert!(matches!(kept.expire().await, LeaseVerdict::Held { .. }));
+    let keeper = start_keeper();
+    sleep(RENEW_INTERVAL * 2 + Duration::from_millis(10)).await;
+    let LeaseState::HeldUntil(until) = keeper.view.state() else { panic!("not held") };
+    keeper.link.stall(true);
+    while keeper.view.is_held() {
+        assert!(matches!(keeper.expire().await, LeaseVerdict::Held { .. }));
         sleep(Duration::from_millis(1)).await;
     }
     assert!(Instant::now() >= until);
-    // Loops stand still from here on; they are given up once no late renewal is waited for any more.
-    let given_up = until + LAPSE_TIME;
-    let standing = timeout_at(given_up - STEP, kept.view.decided());
-    assert!(standing.await.is_err());
-    assert_eq!(kept.lost(), 0);
-    sleep_until(given_up + STEP).await;
-    assert_eq!(kept.lost(), 1);
-    assert_eq!(kept.view.state(), LeaseState::Lapsed);
-    let (now, lease_until) = kept.view.decided().await;
+    // From here on loops are suspended; sessions are dropped when the time for a late renewal is over.
+    let lapsed_at = until + LATE_RENEWAL_TIME;
+    let suspended = timeout_at(lapsed_at - STEP, keeper.view.wait_until_decided());
+    assert!(suspended.await.is_err());
+    assert_eq!(keeper.lost(), 0);
+    sleep_until(lapsed_at + STEP).await;
+    assert_eq!(keeper.lost(), 1);
+    assert_eq!(keeper.view.state(), LeaseState::Lapsed);
+    let (now, lease_until) = keeper.view.wait_until_decided().await;
     assert!(now >= lease_until);
 }
 
 #[tokio::test(start_paused = true)]
 async fn loops_stand_still_until_a_late_renewal_and_then_go_on() {
-    let kept = keep();
+    let keeper = start_keeper();
     sleep(STEP).await;
-    let LeaseState::Until(until) = kept.view.state() else { panic!("not held") };
-    // Two renewals get no answer; that of the third comes after the lease has run out.
-    kept.link.stall(true);
+    let LeaseState::HeldUntil(until) = keeper.view.state() else { panic!("not held") };
+    // Two renewals get no reply; the reply to the third arrives after the lease has run out.
+    keeper.link.stall(true);
     sleep_until(until - STEP).await;
-    kept.link.delay(LAPSE_TIME / 2);
-    kept.link.stall(false);
+    keeper.link.delay(LATE_RENEWAL_TIME / 2);
+    keeper.link.stall(false);
     sleep_until(until + STEP).await;
-    assert!(!kept.view.is_held());
-    let (now, lease_until) = kept.view.decided().await;
-    assert!(now >= until + LAPSE_TIME / 2 && now < lease_until, "{now:?} {lease_until:?}");
-    assert_eq!(kept.lost(), 0);
-    assert!(matches!(kept.expire().await, LeaseVerdict::Held { .. }));
+    assert!(!keeper.view.is_held());
+    let (now, lease_until) = keeper.view.wait_until_decided().await;
+    assert!(now >= until + LATE_RENEWAL_TIME / 2 && now < lease_until, "{now:?} {lease_until:?}");
+    assert_eq!(keeper.lost(), 0);
+    assert!(matches!(keeper.expire().await, LeaseVerdict::Held { .. }));
 }
 
 #[tokio::test(start_paused = true)]
 async fn nobody_waits_for_a_renewal_of_an_engine_that_has_stopped() {
-    let kept = keep();
+    let keeper = start_keeper();
     sleep(STEP).await;
-    kept.ended.abort();
+    keeper.ended.abort();
     sleep(LEASE_TIME).await;
-    let (now, lease_until) = kept.view.decided().await;
+    let (now, lease_until) = keeper.view.wait_until_decided().await;
     assert!(now >= lease_until);
 }
 
 #[tokio::test(start_paused = true)]
 async fn it_counts_from_sending_however_late_the_answer() {
-    let kept = keep();
+    let keeper = start_keeper();
     sleep(Duration::from_millis(10)).await;
-    kept.link.delay(Duration::from_millis(800));
-    sleep(RENEW_EVERY * 3).await;
-    let LeaseState::Until(until) = kept.view.state() else { panic!("not held") };
-    // The last answer came at most one renewal ago; had it counted from the answer, it would last longer.
+    keeper.link.delay(Duration::from_millis(800));
+    sleep(RENEW_INTERVAL * 3).await;
+    let LeaseState::HeldUntil(until) = keeper.view.state() else { panic!("not held") };
+    // The last reply arrived at most one renewal interval ago. If the lease were measured from the
+    // reply instead of from the sending, more time would be left.
     let left = until - Instant::now();
     assert!(left <= LEASE_TIME - Duration::from_millis(800), "{left:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn one_that_only_ran_out_is_renewed_again() {
-    let kept = keep();
-    sleep(RENEW_EVERY).await;
-    kept.link.stall(true);
+    let keeper = start_keeper();
+    sleep(RENEW_INTERVAL).await;
+    keeper.link.stall(true);
     sleep(LEASE_TIME * 2).await;
-    assert!(!kept.view.is_held());
-    kept.link.stall(false);
-    sleep(RENEW_EVERY).await;
-    assert!(kept.view.is_held());
-    assert_eq!(kept.lost(), 1);
-    assert!(!kept.ended.is_finished());
+    assert!(!keeper.view.is_held());
+    keeper.link.stall(false);
+    sleep(RENEW_INTERVAL).await;
+    assert!(keeper.view.is_held());
+    assert_eq!(keeper.lost(), 1);
+    assert!(!keeper.ended.is_finished());
 }
 
 #[tokio::test(start_paused = true)]
 async fn one_that_has_expired_is_expired_for_ever() {
-    let kept = keep();
-    sleep(RENEW_EVERY).await;
-    kept.link.stall(true);
+    let keeper = start_keeper();
+    sleep(RENEW_INTERVAL).await;
+    keeper.link.stall(true);
     sleep(LEASE_TIME * 2).await;
-    assert_eq!(kept.expire().await, LeaseVerdict::Expired);
-    kept.link.stall(false);
-    kept.ended.await.unwrap();
-    assert_eq!(kept.view.state(), LeaseState::Expired);
-    assert!(!kept.view.is_held());
+    assert_eq!(keeper.expire().await, LeaseVerdict::Expired);
+    keeper.link.stall(false);
+    keeper.ended.await.unwrap();
+    assert_eq!(keeper.view.state(), LeaseState::Expired);
+    assert!(!keeper.view.is_held());
 }
--- a/crates/engine/tests/leaving.rs
+++ b/crates/engine/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! How sessions leave an engine: drain, stop, roll-back, lost model server, no clients.
+//! When sessions leave an engine: drain, stop, rollback, unready model server, no clients.
 
 mod support;
 
@@ -17,7 +17,7 @@
     EngineOptions { name, version, ..EngineOptions::default() }
 }
 
-async fn ended(engine: RunningEngine) {
+async fn assert_ended(engine: RunningEngine) {
     let ended = tokio::time::timeout(PATIENCE, engine.ended).await.expect("ends in time");
     assert_eq!(ended.unwrap(), Ok(()));
 }
@@ -39,7 +39,7 @@
     assert_eq!(kept.end(), Some(&EndReason::Finished));
     assert!(!engine.ended.is_finished());
     world.close(&engine, &place).await.unwrap();
-    ended(engine).await;
+    assert_ended(engine).await;
 }
 
 #[tokio::test]
@@ -58,7 +58,7 @@
     model.let_through("t1", 10);
     assert_eq!(read_turn(&mut stream).await.end(), Some(&EndReason::Finished));
     eventually("busy one given up", async || world.record(&busy.key).await.owner.is_none()).await;
-    ended(engine).await;
+    assert_ended(engine).await;
 }
 
 #[tokio::test]
@@ -104,7 +104,7 @@
     let taken = taken.unwrap();
     let next = world.run(&old, &run_turn(&taken, "t2", Some("t1"), "say 1")).await;
     assert_eq!(next.end(), Some(&EndReason::Finished));
-    ended(new).await;
+    assert_ended(new).await;
 }
 
 #[tokio::test]
@@ -125,13 +125,13 @@
     assert!(engine.node.readiness.reasons().contains_key("engine"));
     let refused = world.open(&engine, key("p1", "s2")).await.unwrap_err();
     assert_eq!(refused, EngineRefusal::Draining);
-    // Both turns go on within the grace period.
+    // Both turns continue during the grace period.
     model.let_through("long", 20);
     model.let_through("short", 20);
     assert_eq!(read_turn(&mut short).await.end(), Some(&EndReason::Finished));
     let cut = read_turn(&mut long).await;
     assert_eq!(cut.end(), Some(&EndReason::Interrupted));
-    ended(engine).await;
+    assert_ended(engine).await;
     for key in [&idle.key, &ends.key, &lasts.key] {
         let record = world.record(key).await;
         assert_eq!((record.owner, record.open_turn), (None, None));
@@ -178,7 +178,7 @@
     model.set_identity("incarnation", 8.into());
     let ran = world.run(&engine, &run_turn(&place, "t1", None, "say 1")).await;
     assert!(matches!(ran.end(), Some(EndReason::Failed { .. })), "{ran:?}");
-    assert!(model.asked().is_empty());
+    assert!(model.requests().is_empty());
 }
 
 #[tokio::test]
--- a/crates/engine/tests/model_answer.rs
+++ b/crates/engine/tests/model_answer.rs
@@ -1,6 +1,6 @@
-//! The check of a model server's answer: however it is cut into pieces, and whatever is wrong with it.
+//! Validation of a model server's response: arbitrary chunk boundaries and invalid responses.
 
-use hooklug_engine::model::{AnswerCheck, Garbled};
+use hooklug_engine::model::{InvalidResponse, ResponseValidator};
 use hooklug_session::{ModelEnd, ModelEvent};
 use hooklug_types::TokenCount;
 use proptest::prelude::*;
@@ -16,15 +16,15 @@
     lines
 }
 
-fn check(pieces: &[&[u8]]) -> (Vec<ModelEvent>, Result<ModelEnd, Garbled>) {
-    let mut check = AnswerCheck::new("r-1".to_owned());
+fn check(pieces: &[&[u8]]) -> (Vec<ModelEvent>, Result<ModelEnd, InvalidResponse>) {
+    let mut validator = ResponseValidator::new("r-1".to_owned());
     let mut events = Vec::new();
     for piece in pieces {
-        if let Err(error) = check.take(piece, &mut events) {
+        if let Err(error) = validator.push(piece, &mut events) {
             return (events, Err(error));
         }
     }
-    (events, check.finish())
+    (events, validator.finish())
 }
 
 fn text(number: u64) -> ModelEvent {
@@ -44,8 +44,8 @@
         prop_assert_eq!(end, Ok(ModelEnd::Stop));
     }
 
-    /// A line lost, repeated, exchanged or cut anywhere: what comes out is a beginning of the answer,
-    /// and never an end.
+    /// With a line lost, repeated, swapped or truncated, the validator returns a prefix of the valid
+    /// events and never an end.
     #[test]
     fn nothing_but_the_whole_answer_ends(count in 1_u64..8, place in 0_usize..8, kind in 0..4) {
         let mut all = lines(count);
@@ -74,10 +74,10 @@
 fn faults_are_told_apart() {
     let crossed = lines(1)[0].replace("r-1", "r-2") + "\n";
     let found = "r-2".to_owned();
-    assert_eq!(check(&[crossed.as_bytes()]).1, Err(Garbled::Crossed { found }));
+    assert_eq!(check(&[crossed.as_bytes()]).1, Err(InvalidResponse::WrongRequest { found }));
     let unknown = r#"{"request":"r-1","seq":1,"text":"a","tokens":1,"more":2}"#.to_owned() + "\n";
-    assert!(matches!(check(&[unknown.as_bytes()]).1, Err(Garbled::Line(_))));
-    assert_eq!(check(&[b""]).1, Err(Garbled::CutShort));
+    assert!(matches!(check(&[unknown.as_bytes()]).1, Err(InvalidResponse::MalformedLine(_))));
+    assert_eq!(check(&[b""]).1, Err(InvalidResponse::Truncated));
     let unended = lines(1).join("\n");
-    assert_eq!(check(&[unended.as_bytes()]).1, Err(Garbled::CutShort));
+    assert_eq!(check(&[unended.as_bytes()]).1, Err(InvalidResponse::Truncated));
 }
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -1,4 +1,5 @@
-//! One owner at a time: takeover, frozen engines, lost answers, budgets over engines.
+//! Single ownership of sessions: takeover, frozen engines, lost replies, and budgets shared by
+//! engines.
 
 mod support;
 
@@ -26,7 +27,7 @@
     counts.sum()
 }
 
-/// The number of the engine's last renewal, as the shard has it.
+/// The number of the engine's last renewal that the shard has applied.
 async fn renewal(world: &World, engine: &RunningEngine) -> Renewal {
     let group = shard_of(engine.engine.engine.as_str());
     let query = ShardQuery::Lease(engine.engine.clone());
@@ -55,7 +56,7 @@
     let taken = world.take_when_free(&second, &place).await;
     println!("taken over {:?} after the kill", killed.elapsed());
     assert_eq!(taken.epoch, place.epoch.next());
-    // A lost answer: the same request again gives the same place.
+    // A retry after a lost reply returns the same result.
     assert_eq!(world.take(&second, &place).await.unwrap(), taken);
 
     let mut resumed = request.clone();
@@ -95,7 +96,7 @@
     let mut seen = read_events(&mut stream, 4).await;
 
     link.stall(true);
-    // Said by the model, never committed in time.
+    // These lines are generated but not committed before the takeover.
     model.let_through("t1", 5);
     let taken = world.take_when_free(&second, &place).await;
     link.stall(false);
@@ -110,7 +111,7 @@
     let whole = world.run(&second, &resumed).await;
     assert_eq!(whole.events[..seen.len()], seen);
     assert_eq!(whole.end(), Some(&EndReason::Interrupted));
-    // What arrived late changed nothing.
+    // The delayed commands had no effect.
     assert_eq!(world.history(&place.key).await, whole.events);
     eventually("the model stopped", async || model.aborted() == ["t1"]).await;
 }
@@ -128,7 +129,8 @@
     model.let_through("t1", 3);
     let mut seen = read_events(&mut stream, 4).await;
 
-    // As when a shard's leader is lost: two renewals fail, and the third is sent when the lease has run out.
+    // As when a shard loses its leader: two renewals fail, and the third is sent after the lease has
+    // run out.
     link.stall(true);
     eventually("a renewal is lost", async || link.stalled_renewals() == 1).await;
     let last = renewal(&world, &engine).await;
@@ -199,11 +201,12 @@
     let mut stream = world.stream(&first, &first_turn).await;
     read_events(&mut stream, 1).await;
 
-    // Four tokens are left: asked for that many, and stopped when the model does not keep to it.
+    // Four tokens are left: the request is limited to them, and the turn fails when the model exceeds
+    // the limit.
     let over = world.run(&second, &run_turn(&two, "t1", None, "heavy 5")).await;
     assert_eq!(over.end(), Some(&EndReason::Failed { code: FailureCode::BudgetSpent }));
     assert_eq!(tokens_of(&over.events), 0);
-    assert_eq!(model.asked()[1].max_tokens, 4);
+    assert_eq!(model.requests()[1].max_tokens, 4);
     let ran = world.run(&second, &run_turn(&two, "t2", Some("t1"), "say 4")).await;
     assert_eq!(tokens_of(&ran.events), 4);
     let held = world.run(&second, &run_turn(&two, "t3", Some("t2"), "say 1")).await.refusal;
--- a/crates/engine/tests/support/bundles.rs
+++ b/crates/engine/tests/support/bundles.rs
@@ -1,4 +1,4 @@
-//! Bundles as engines have them in force.
+//! Bundles for the engines under test.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use super::{service, version};
 
-/// A bundle whose model service lists versions, oldest first.
+/// A bundle with a model service of the given versions, oldest first.
 pub fn bundle(number: u64, versions: &[(&str, VersionState)]) -> Bundle {
     let versions =
         versions.iter().map(|(name, state)| VersionEntry { version: version(name), state: *state });
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Engines, their model servers and shared state in one process.
+//! Engines, model servers and in-memory state in one process.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the helpers")]
 
 pub mod model_server;
 pub mod stalled;
@@ -22,7 +22,7 @@
 pub use streams::*;
 pub use world::*;
 
-/// Far enough that a passing test never meets it.
+/// Timeout of the tests, long enough that a passing test never reaches it.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 pub fn service() -> ServiceName {
@@ -52,12 +52,12 @@
     Instant::now() + PATIENCE
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds.
 pub async fn eventually(what: &str, condition: impl AsyncFn() -> bool) {
     let waiting = async {
         while !condition().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "not in time: {what}");
+    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "timed out: {what}");
 }
--- a/crates/engine/tests/support/model_server.rs
+++ b/crates/engine/tests/support/model_server.rs
@@ -1,4 +1,4 @@
-//! A model server that does what a turn's input tells it, by the contract or against it.
+//! A fake model server whose behaviour, valid or invalid, is selected by the input of each turn.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 use serde_json::{Value, json};
 use tokio::sync::{Semaphore, mpsc};
 
-/// One generation that was asked for.
+/// A generation request that the server accepted.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct GenerationRequest {
     pub turn: String,
     pub max_tokens: u64,
     pub context: Value,
@@ -24,10 +24,10 @@
 #[derive(Debug)]
 struct Inner {
     identity: Mutex<Value>,
-    asked: Mutex<Vec<Asked>>,
-    /// Generations whose connection was closed before their end.
+    requests: Mutex<Vec<GenerationRequest>>,
+    /// Turns whose connection was closed before the generation ended.
     aborted: Mutex<Vec<String>>,
-    /// Lines that gated generations may still say, by turn.
+    /// Number of lines that gated generations may still send, by turn.
     gates: Mutex<BTreeMap<String, Arc<Semaphore>>>,
     ready: Mutex<bool>,
 }
@@ -45,14 +45,14 @@
         });
         let inner = Arc::new(Inner {
             identity: Mutex::new(identity),
-            asked: Mutex::default(),
+            requests: Mutex::default(),
             aborted: Mutex::default(),
             gates: Mutex::default(),
             ready: Mutex::new(true),
         });
         let router = Router::new()
-            .route("/identity", get(identity_answer))
-            .route("/status", get(status_answer))
+            .route("/identity", get(get_identity))
+            .route("/status", get(get_status))
             .route("/generate", post(generate))
             .with_state(inner.clone());
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -61,13 +61,13 @@
         Self { address, inner }
     }
 
-    /// Lets a turn's gated generation say so many lines more.
+    /// Lets a turn's gated generation send `lines` more lines.
     pub fn let_through(&self, turn: &str, lines: usize) {
         self.inner.gate(turn).add_permits(lines);
     }
 
-    pub fn asked(&self) -> Vec<Asked> {
-        self.inner.asked.lock().unwrap().clone()
+    pub fn requests(&self) -> Vec<GenerationRequest> {
+        self.inner.requests.lock().unwrap().clone()
     }
 
     pub fn aborted(&self) -> Vec<String> {
@@ -90,11 +90,11 @@
     }
 }
 
-async fn identity_answer(State(inner): State<Arc<Inner>>) -> Json<Value> {
+async fn get_identity(State(inner): State<Arc<Inner>>) -> Json<Value> {
     Json(inner.identity.lock().unwrap().clone())
 }
 
-async fn status_answer(State(inner): State<Arc<Inner>>) -> Json<Value> {
+async fn get_status(State(inner): State<Arc<Inner>>) -> Json<Value> {
     let ready = *inner.ready.lock().unwrap();
     Json(json!({"ready": ready, "draining": false, "slots": 16, "running": 0}))
 }
@@ -109,8 +109,9 @@
         .to_string()
 }
 
-/// The lines that an input asks for: `say 3`, `cut 2`, `crossed 2`, `gap 2`, `repeated 2`, `miscounted 2`,
-/// `after-end 2`, `not-json 2`, `error 1`, `tool 2`, `heavy 5` (one line with so many tokens).
+/// The response lines for an input: `say 3`, `cut 2`, `crossed 2`, `gap 2`, `repeated 2`,
+/// `miscounted 2`, `after-end 2`, `not-json 2`, `error 1`, `tool 2`, `heavy 5` (one line with five
+/// tokens).
 fn lines(request: &str, kind: &str, count: u64) -> Vec<String> {
     let mut lines: Vec<String> = (1..=count).map(|seq| text(request, seq, 1)).collect();
     match kind {
@@ -126,9 +127,9 @@
         "not-json" => lines.push("{\"request\": ".to_owned()),
         "error" => lines.push(end(request, count, "error")),
         "tool" => {
-            let wish = json!({"request": request, "seq": count + 1,
+            let tool_line = json!({"request": request, "seq": count + 1,
                 "tool": {"name": "read_sensor", "arguments": {"house": 4}}});
-            lines.push(wish.to_string());
+            lines.push(tool_line.to_string());
             let end = json!({"request": request, "seq": count + 2, "end": "stop",
                 "tokens_total": count, "events": count + 1});
             lines.push(end.to_string());
@@ -143,7 +144,7 @@
     headers.get(name).map(|v| v.to_str().unwrap().to_owned()).unwrap_or_default()
 }
 
-fn current(inner: &Inner) -> String {
+fn current_identity(inner: &Inner) -> String {
     let id = inner.identity.lock().unwrap();
     let word = |field: &str| id[field].as_str().unwrap_or_default().to_owned();
     format!("{}/{}/{}", word("service"), word("engine"), id["incarnation"])
@@ -155,43 +156,49 @@
     Json(body): Json<Value>,
 ) -> Response {
     let request = echo(&headers, "x-hooklug-request");
-    let answer_by = current(&inner);
-    let mut sent = BTreeMap::from([
+    let identity = current_identity(&inner);
+    let mut response_headers = BTreeMap::from([
         ("x-hooklug-request", request.clone()),
-        ("x-hooklug-engine", answer_by.clone()),
+        ("x-hooklug-engine", identity.clone()),
         ("content-type", "application/x-ndjson".to_owned()),
     ]);
     let input = body["input"].as_str().unwrap_or_default().to_owned();
     let mut words = input.split(' ');
     let kind = words.next().unwrap_or_default().to_owned();
     let count: u64 = words.next().and_then(|w| w.parse().ok()).unwrap_or(0);
-    if kind == "refuse" || echo(&headers, "x-hooklug-expect") != answer_by {
-        sent.insert("x-hooklug-refused", "draining".to_owned());
-        return respond(StatusCode::SERVICE_UNAVAILABLE, &sent, Body::empty());
+    if kind == "refuse" || echo(&headers, "x-hooklug-expect") != identity {
+        response_headers.insert("x-hooklug-refused", "draining".to_owned());
+        return respond(StatusCode::SERVICE_UNAVAILABLE, &response_headers, Body::empty());
     }
-    let asked = Asked {
+    let accepted = GenerationRequest {
         turn: body["turn"].as_str().unwrap_or_default().to_owned(),
         max_tokens: body["max_tokens"].as_u64().unwrap_or_default(),
         context: body["context"].clone(),
     };
-    inner.asked.lock().unwrap().push(asked.clone());
+    inner.requests.lock().unwrap().push(accepted.clone());
     match kind.as_str() {
-        "fail" => return respond(StatusCode::INTERNAL_SERVER_ERROR, &sent, Body::empty()),
-        "not-echoed" => drop(sent.insert("x-hooklug-request", "r-of-another".to_owned())),
-        "another" => drop(sent.insert("x-hooklug-engine", "advisor/model-9/1".to_owned())),
+        "fail" => {
+            return respond(StatusCode::INTERNAL_SERVER_ERROR, &response_headers, Body::empty());
+        }
+        "not-echoed" => {
+            drop(response_headers.insert("x-hooklug-request", "r-of-another".to_owned()))
+        }
+        "another" => {
+            drop(response_headers.insert("x-hooklug-engine", "advisor/model-9/1".to_owned()))
+        }
         _ => {}
     }
-    let limit = asked.max_tokens;
+    let limit = accepted.max_tokens;
     let lines = lines(&request, &kind, if kind == "heavy" { count } else { count.min(limit) });
     let (sink, source) = mpsc::channel::<Result<Bytes, std::io::Error>>(1);
-    tokio::spawn(say(inner, asked.turn, kind, lines, sink));
+    tokio::spawn(send_lines(inner, accepted.turn, kind, lines, sink));
     let stream = futures::stream::unfold(source, async |mut source| {
         source.recv().await.map(|item| (item, source))
     });
-    respond(StatusCode::OK, &sent, Body::from_stream(stream))
+    respond(StatusCode::OK, &response_headers, Body::from_stream(stream))
 }
 
-async fn say(
+async fn send_lines(
     inner: Arc<Inner>,
     turn: String,
     kind: String,
@@ -216,7 +223,7 @@
         }
     }
     if kind == "broken" {
-        let _ = sink.send(Err(std::io::Error::other("broken on purpose"))).await;
+        let _ = sink.send(Err(std::io::Error::other("injected stream error"))).await;
     }
 }
 
--- a/crates/engine/tests/support/running.rs
+++ b/crates/engine/tests/support/running.rs
@@ -1,4 +1,4 @@
-//! A running engine, its settings and the test's hold on it.
+//! A running engine and its settings.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 
 const SECRET: &str = "a secret of the test cluster";
 
-/// What differs between engines of tests.
+/// Options of an engine under test.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
     pub name: &'static str,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A running engine and the test's hold on it.
+/// A running engine with the handles that control it.
 pub struct RunningEngine {
     pub engine: EngineIncarnation,
     pub address: SocketAddr,
@@ -55,7 +55,7 @@
 }
 
 impl RunningEngine {
-    /// Ends the engine as a kill would: no drain, no hand-over, its lease runs out.
+    /// Stops the engine as a kill would: no drain, no handover; its lease runs out.
     pub fn kill(&self) {
         self.ended.abort();
         self.serving.cancel();
@@ -65,7 +65,7 @@
         self.feeds.bundle.send_replace(installed(bundle));
     }
 
-    /// Waits until the engine says of itself that it is ready.
+    /// Waits until the engine reports that it is ready.
     pub async fn ready(&mut self) {
         let ready = self
             .feeds
--- a/crates/engine/tests/support/stalled.rs
+++ b/crates/engine/tests/support/stalled.rs
@@ -1,4 +1,5 @@
-//! Shared state behind a link that can stall: what was sent meanwhile arrives late, its answer is lost.
+//! State access over a link that can stall: commands sent during a stall are applied when it ends,
+//! and their replies are lost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,17 +30,17 @@
         self.stalled.send_replace(stalled);
     }
 
-    /// Renewals of leases that were sent since the link stalled.
+    /// Number of lease renewals sent while the link was stalled.
     pub fn stalled_renewals(&self) -> u32 {
         *self.renewals.borrow()
     }
 
-    /// Makes answers to commands come so much later.
+    /// Delays the replies to commands.
     pub fn delay(&self, delay: Duration) {
         self.delay.send_replace(delay);
     }
 
-    async fn pass(&self, group: GroupId, deadline: Instant) -> Result<(), Unavailable> {
+    async fn wait_for_link(&self, group: GroupId, deadline: Instant) -> Result<(), Unavailable> {
         let mut stalled = self.stalled.subscribe();
         match timeout_at(deadline, stalled.wait_for(|s| !*s)).await {
             Ok(_) => Ok(()),
@@ -57,12 +58,12 @@
         deadline: Instant,
     ) -> Result<ShardReply, Unavailable> {
         if !*self.stalled.borrow() {
-            let answer = self.inner.execute_shard(group, command, deadline).await;
+            let reply = self.inner.execute_shard(group, command, deadline).await;
             let delay = *self.delay.borrow();
             if !delay.is_zero() {
                 tokio::time::sleep(delay).await;
             }
-            return answer;
+            return reply;
         }
         if matches!(command, ShardCommand::RenewLease { .. }) {
             self.renewals.send_modify(|sent| *sent += 1);
@@ -70,7 +71,7 @@
         let (inner, command) = (self.inner.clone(), command.clone());
         let mut stalled = self.stalled.subscribe();
         tokio::spawn(async move {
-            // The link's other end lives as long as the test.
+            // The sender lives as long as the test, so the wait ends only with the stall.
             let _ = stalled.wait_for(|s| !*s).await.map(|s| *s);
             let _ = inner.execute_shard(group, &command, Instant::now() + super::PATIENCE).await;
         });
@@ -84,7 +85,7 @@
         query: &ShardQuery,
         deadline: Instant,
     ) -> Result<ShardAnswer, Unavailable> {
-        self.pass(group, deadline).await?;
+        self.wait_for_link(group, deadline).await?;
         self.inner.query_shard(group, query, deadline).await
     }
 
@@ -93,7 +94,7 @@
         command: &MetaCommand,
         deadline: Instant,
     ) -> Result<MetaReply, Unavailable> {
-        self.pass(META_GROUP, deadline).await?;
+        self.wait_for_link(META_GROUP, deadline).await?;
         self.inner.execute_meta(command, deadline).await
     }
 
@@ -102,7 +103,7 @@
         query: &MetaQuery,
         deadline: Instant,
     ) -> Result<MetaAnswer, Unavailable> {
-        self.pass(META_GROUP, deadline).await?;
+        self.wait_for_link(META_GROUP, deadline).await?;
         self.inner.query_meta(query, deadline).await
     }
 
@@ -112,7 +113,7 @@
         subject: LeaseSubject,
         deadline: Instant,
     ) -> Result<LeaseVerdict, Unavailable> {
-        self.pass(group, deadline).await?;
+        self.wait_for_link(group, deadline).await?;
         self.inner.expire_lease(group, subject, deadline).await
     }
 }
--- a/crates/engine/tests/support/streams.rs
+++ b/crates/engine/tests/support/streams.rs
@@ -1,4 +1,4 @@
-//! Turns and joins as a gateway asks for them, and what their streams say.
+//! Turn and join requests as a gateway sends them, and readers of their streams.
 
 use hooklug_protocol::engine::{EngineRefusal, Join, JoinItem, RunTurn, TurnItem};
 use hooklug_rpc::ItemStream;
@@ -30,7 +30,7 @@
     }
 }
 
-/// What a turn's stream said.
+/// The items of a turn's stream.
 #[derive(Debug, Default)]
 pub struct TurnOutcome {
     pub accepted: bool,
@@ -76,7 +76,7 @@
     outcome
 }
 
-/// Reads a turn's stream until it holds so many events.
+/// Reads a turn's stream until it has returned `count` events.
 pub async fn read_events(stream: &mut ItemStream<TurnItem>, count: usize) -> Vec<Event> {
     let mut events = Vec::new();
     while events.len() < count {
--- a/crates/engine/tests/support/world.rs
+++ b/crates/engine/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Shared state with the engines on it, driven as a gateway drives them.
+//! Engines on shared in-memory state, with the requests of a gateway.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     read_turn, service, soon,
 };
 
-/// Shared state, and a gateway's client.
+/// In-memory state and the RPC client of a gateway.
 #[derive(Clone)]
 pub struct World {
     pub state: MemoryState,
@@ -46,7 +46,7 @@
         Self { state, client: RpcClient::new(gateway) }
     }
 
-    /// Starts an engine beside a model server and waits until it is ready.
+    /// Starts an engine that uses a model server and waits until it is ready.
     pub async fn engine(&self, model: &ModelServer, options: EngineOptions) -> RunningEngine {
         let bundle = bundle(1, &[(options.version, VersionState::Sound)]);
         let state: Arc<dyn StateAccess> = Arc::new(self.state.clone());
@@ -97,7 +97,7 @@
         assert!(matches!(reply, ShardReply::Program(_)), "{reply:?}");
     }
 
-    /// A program with much budget and time, and an open session of it.
+    /// Creates a program with a large budget and a late end time, and opens a session of it.
     pub async fn session(&self, engine: &RunningEngine, program: &str) -> SessionPlace {
         let end = UnixMillis::now().plus(Duration::from_secs(3_600));
         self.put_program(program, 1_000_000, end).await;
@@ -131,7 +131,7 @@
         self.call(engine, &request).await.map(|record| place(&record))
     }
 
-    /// Takes a session over as soon as its former owner's lease allows it.
+    /// Takes a session over as soon as its previous owner's lease has expired.
     pub async fn take_when_free(
         &self,
         engine: &RunningEngine,
@@ -148,7 +148,7 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, taking).await.expect("taken in time")
+        tokio::time::timeout(PATIENCE, taking).await.expect("taken over in time")
     }
 
     pub async fn call<R, T>(&self, engine: &RunningEngine, request: &R) -> Result<T, EngineRefusal>
--- a/crates/engine/tests/turns.rs
+++ b/crates/engine/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Turns from end to end: rpc client, engine, model server, shared state.
+//! Turns end to end: RPC client, engine, model server and replicated state.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::model_server::ModelServer;
 use support::*;
 
-fn whole_and_ordered(events: &[hooklug_state::shard::Event], first: u64) {
+fn assert_consecutive(events: &[hooklug_state::shard::Event], first: u64) {
     let seqs: Vec<u64> = events.iter().map(|e| e.seq.0).collect();
     let expected: Vec<u64> = (first..first + events.len() as u64).collect();
     assert_eq!(seqs, expected, "{events:?}");
@@ -24,16 +24,16 @@
     assert!(first.accepted);
     assert_eq!(first.text(), "w1 w2 w3 ");
     assert_eq!(first.end(), Some(&EndReason::Finished));
-    whole_and_ordered(&first.events, 1);
+    assert_consecutive(&first.events, 1);
 
     let second = world.run(&engine, &run_turn(&place, "t2", Some("t1"), "say 2")).await;
     assert_eq!(second.end(), Some(&EndReason::Finished));
-    whole_and_ordered(&second.events, 6);
+    assert_consecutive(&second.events, 6);
 
-    let asked = model.asked();
-    assert_eq!(asked[1].context.as_array().unwrap().len(), 2);
-    assert_eq!(asked[1].context[0]["text"], "say 3");
-    assert_eq!(asked[1].context[1]["text"], "w1 w2 w3 ");
+    let requests = model.requests();
+    assert_eq!(requests[1].context.as_array().unwrap().len(), 2);
+    assert_eq!(requests[1].context[0]["text"], "say 3");
+    assert_eq!(requests[1].context[1]["text"], "w1 w2 w3 ");
     let mut both = first.events;
     both.extend(second.events);
     assert_eq!(world.history(&place.key).await, both);
@@ -54,23 +54,23 @@
     let mut resumed = request.clone();
     resumed.last_seen = seen[2].seq;
     let mut resume = world.stream(&engine, &resumed).await;
-    // Both are attached before the rest is said.
+    // Both streams are attached before the remaining lines are generated.
     assert!(matches!(next_item(&mut resend).await, Some(TurnItem::Accepted { .. })));
     assert!(matches!(next_item(&mut resume).await, Some(TurnItem::Accepted { .. })));
     model.let_through("t1", 3);
 
     let whole = read_turn(&mut resend).await;
-    whole_and_ordered(&whole.events, 1);
+    assert_consecutive(&whole.events, 1);
     assert_eq!(whole.text(), "w1 w2 w3 w4 ");
     let rest = read_turn(&mut resume).await;
     assert_eq!(rest.text(), "w3 w4 ");
-    whole_and_ordered(&rest.events, 4);
-    assert_eq!(model.asked().len(), 1);
+    assert_consecutive(&rest.events, 4);
+    assert_eq!(model.requests().len(), 1);
 
-    // Ended by now: answered from the history, to a new connection too.
+    // The turn has ended: a new connection gets it from the history.
     let again = world.run(&engine, &request).await;
     assert_eq!(again.events, whole.events);
-    assert_eq!(model.asked().len(), 1);
+    assert_eq!(model.requests().len(), 1);
 }
 
 #[tokio::test]
@@ -81,9 +81,9 @@
     world.run(&engine, &run_turn(&place, "t1", None, "say 1")).await;
     let other = world.run(&engine, &run_turn(&place, "t1", None, "say 2")).await;
     assert_eq!(other.refusal, Some(EngineRefusal::Ledger(ShardRefusal::TurnDiffers)));
-    let stray = world.run(&engine, &run_turn(&place, "t3", Some("t2"), "say 2")).await;
+    let unrelated = world.run(&engine, &run_turn(&place, "t3", Some("t2"), "say 2")).await;
     let refusal = ShardRefusal::NotHead { head: Some(turn("t1")), after_known: false };
-    assert_eq!(stray.refusal, Some(EngineRefusal::Ledger(refusal)));
+    assert_eq!(unrelated.refusal, Some(EngineRefusal::Ledger(refusal)));
 }
 
 #[tokio::test]
@@ -95,7 +95,7 @@
 
     let mut joined = world.stream(&engine, &join(&place, None)).await;
     let Some(JoinItem::Sync { history, record }) = next_join(&mut joined).await else {
-        panic!("no sync first")
+        panic!("the first item is not a sync")
     };
     assert_eq!(history, world.history(&place.key).await);
     assert_eq!(record.next_seq.0, history.len() as u64 + 1);
@@ -116,7 +116,7 @@
         rest.push(event);
     }
     assert_eq!(rest, all[1..]);
-    // Closed is closed, also when asked again.
+    // Closing again succeeds.
     assert!(world.close(&engine, &place).await.unwrap().closed);
 }
 
@@ -134,7 +134,7 @@
     let rest = read_turn(&mut stream).await;
     assert_eq!(rest.end(), Some(&EndReason::Aborted));
     eventually("the model server sees the abort", async || model.aborted() == ["t1"]).await;
-    // Again: the same answer.
+    // A retry returns the same record.
     assert_eq!(world.call(&engine, &abort).await.unwrap(), record);
     let unknown = AbortTurn { place: place.clone(), turn: turn("t9") };
     let refusal = world.call(&engine, &unknown).await.unwrap_err();
@@ -149,9 +149,10 @@
     let first = world.run(&engine, &run_turn(&place, "t1", None, "tool 1")).await;
     assert!(first.events.iter().any(|e| matches!(&e.body,
         EventBody::ToolRequested { tool, arguments } if tool == "read_sensor" && arguments == r#"{"house":4}"#)));
-    let told = ToolResult { place: place.clone(), call: "c1".to_owned(), result: "21".to_owned() };
-    let seq = world.call(&engine, &told).await.unwrap();
-    assert_eq!(world.call(&engine, &told).await.unwrap(), seq);
+    let result =
+        ToolResult { place: place.clone(), call: "c1".to_owned(), result: "21".to_owned() };
+    let seq = world.call(&engine, &result).await.unwrap();
+    assert_eq!(world.call(&engine, &result).await.unwrap(), seq);
     let results = world.history(&place.key).await;
     let results = results.iter().filter(|e| matches!(e.body, EventBody::ToolResult { .. }));
     assert_eq!(results.map(|e| e.seq).collect::<Vec<_>>(), [seq]);
@@ -180,8 +181,8 @@
         ("say 2", EndReason::Finished, "w1 w2 "),
     ];
     let mut after: Option<String> = None;
-    for (place_in_line, (input, reason, text)) in cases.iter().enumerate() {
-        let name = format!("t{place_in_line}");
+    for (number, (input, reason, text)) in cases.iter().enumerate() {
+        let name = format!("t{number}");
         let ran = world.run(&engine, &run_turn(&place, &name, after.as_deref(), input)).await;
         assert_eq!((ran.end(), ran.text().as_str()), (Some(reason), *text), "{input}");
         after = Some(name);
@@ -198,7 +199,7 @@
     let refused = world.run(&engine, &run_turn(&former, "t1", None, "say 1")).await;
     let running = engine.engine.clone();
     assert_eq!(refused.refusal, Some(EngineRefusal::WrongIncarnation { running }));
-    // A gateway with an earlier epoch is served: this engine is the owner.
+    // A gateway with an earlier epoch is served, because this engine is the owner.
     let mut earlier = place.clone();
     earlier.epoch = SessionEpoch(0);
     let ran = world.run(&engine, &run_turn(&earlier, "t1", None, "say 1")).await;
