--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 use crate::loader::group_of;
-use crate::opening;
+use crate::ownership;
 use crate::session_task::{Mailbox, loop_now};
 use crate::shared::{STORE_TIMEOUT, Shared};
 
@@ -33,10 +33,10 @@
 #[must_use]
 pub fn router(shared: &Arc<Shared>) -> Router {
     let open = with(shared, |s, r: OpenSession| async move {
-        to_reply(&s.clone(), detached(async move { opening::open(&s, r).await }).await)
+        to_reply(&s.clone(), detached(async move { ownership::open(&s, r).await }).await)
     });
     let take = with(shared, |s, r: TakeSession| async move {
-        to_reply(&s.clone(), detached(async move { opening::take_over(&s, r).await }).await)
+        to_reply(&s.clone(), detached(async move { ownership::take_over(&s, r).await }).await)
     });
     let abort =
         with(shared, |s, r: AbortTurn| async move { to_reply(&s, abort_turn(&s, &r).await) });
@@ -79,7 +79,7 @@
     place: &SessionPlace,
 ) -> Result<Mailbox, EngineRefusal> {
     let (shared, place) = (shared.clone(), place.clone());
-    detached(async move { opening::find_mailbox(&shared, &place).await }).await
+    detached(async move { ownership::find_mailbox(&shared, &place).await }).await
 }
 
 /// Sends a request to a session's loop and waits for the reply. If the loop ends first, looks the
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod lease;
 pub mod loader;
 pub mod model;
-pub mod opening;
+pub mod ownership;
 pub mod release;
 mod reporter;
 pub mod session_task;
--- a/crates/engine/src/model/generate.rs
+++ b/crates/engine/src/model/generate.rs
@@ -13,10 +13,10 @@
 use tokio::sync::watch;
 use tracing::{debug, warn};
 
-use super::answer::ResponseValidator;
 use super::connection::ModelConnection;
 use super::identity::{BackendIdentity, BackendKind};
 use super::request::GenerateBody;
+use super::response::ResponseValidator;
 
 const REQUEST_HEADER: &str = "x-hooklug-request";
 const EXPECT_HEADER: &str = "x-hooklug-expect";
--- a/crates/engine/src/model/mod.rs
+++ b/crates/engine/src/model/mod.rs
@@ -4,15 +4,15 @@
 //! identity. Each response echoes the request id and the expected identity, numbers its lines and
 //! ends with an end line that counts them.
 
-mod answer;
 mod connection;
 mod generate;
 mod identity;
 mod probe;
 mod request;
+mod response;
 
-pub use answer::{InvalidResponse, ResponseValidator};
 pub use connection::{ConnectError, ModelConnection};
 pub use generate::ModelClient;
 pub use identity::{BackendIdentity, BackendKind, ServerStatus};
 pub use probe::{ModelHealth, ModelProbe};
+pub use response::{InvalidResponse, ResponseValidator};
