--- a/crates/ingress/src/answer.rs
+++ b/crates/ingress/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a request comes to.
+//! The result of a request: a backend's response or a refusal.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,12 +9,12 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// A back end's answer to be passed on, or a refusal of our own.
+/// Result of a request: a backend's response to forward, or a refusal of this gateway.
 #[derive(Debug)]
 pub enum IngressAnswer {
-    /// The back end's answer, head and body unchanged.
+    /// The backend's response, head and body unchanged.
     Passed(Parts, AnswerBody),
-    /// Our own.
+    /// The gateway refused or failed the request itself.
     Refused(Refusal),
 }
 
@@ -24,86 +24,88 @@
     }
 }
 
-/// Why a request gets no back end's answer. Each variant says what it promises.
+/// Why a request gets no backend response. Each variant documents whether the request may have run.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// No bundle is in force here yet. The request has not run and never will.
-    #[error("no configuration is in force here yet")]
+    /// This gateway has no bundle yet. The request was not and will not be run.
+    #[error("this gateway has no configuration yet")]
     NotConfigured {
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
-    /// No route serves the host and path.
-    #[error("no route serves this host and path")]
+    /// No route matches the host and path.
+    #[error("no route matches this host and path")]
     NoRoute,
-    /// The request is not what the route takes. It has not run and never will.
+    /// The route does not accept the request's format. The request was not and will not be run.
     #[error("the request is malformed: {0}")]
     Malformed(String),
-    /// There is no room, or no word from the shared state. The request has not run and never will.
+    /// No backend has capacity, or the shared state is unavailable. The request was not and will not be
+    /// run.
     #[error("not run: {reason}")]
     NotRun {
-        /// What was missing.
+        /// Why the request was not run.
         reason: &'static str,
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
-    /// The program's token budget is spent. The turn has not run and never will.
+    /// The program's token budget is spent. The turn was not and will not be run.
     #[error("the token budget is spent")]
     BudgetSpent,
-    /// The turn to go on from is not kept anywhere. The turn has not run and never will.
-    #[error("the turn to go on from is not known")]
+    /// No shard has the previous turn. The turn was not and will not be run.
+    #[error("the previous turn is unknown")]
     UnknownTurn,
-    /// The back end's answer was lost or is not its own; the request may have run.
-    #[error("the answer was lost: {0}")]
+    /// The response was lost or belongs to another request; the request may have run.
+    #[error("the backend's response was lost: {0}")]
     AnswerLost(String),
-    /// The time was over; the request may have run.
-    #[error("no answer in time")]
+    /// The deadline passed without a response; the request may have run.
+    #[error("the backend did not respond before the deadline")]
     TimedOut,
 }
 
-/// The body of an answer must not look whole, because it is not.
+/// Error that makes the server abort a response body that is incomplete.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was cut short")]
-pub struct Cut;
+#[error("the response body is incomplete")]
+pub struct Truncated;
 
-/// A body that is whole, or comes as a stream that may be cut.
+/// Body of a response: either complete or a stream that may be truncated.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
-    Whole(Option<Bytes>),
-    /// Piece by piece; the sender's end without [`Cut`] is the end of the body.
-    Stream(mpsc::Receiver<Result<Bytes, Cut>>),
+    /// The complete body; `None` if it is empty or already read.
+    Complete(Option<Bytes>),
+    /// Chunks of the body. The body is complete when the sender is dropped without sending
+    /// [`Truncated`].
+    Stream(mpsc::Receiver<Result<Bytes, Truncated>>),
 }
 
 impl From<Bytes> for AnswerBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+        Self::Complete(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Stream(pieces) => {
-                pieces.poll_recv(cx).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Stream(chunks) => {
+                chunks.poll_recv(cx).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Self::Stream(_) => SizeHint::default(),
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One request sent to one back end.
+//! One attempt: sends a request to one backend and classifies the response.
 
 use std::time::Duration;
 
@@ -9,69 +9,69 @@
 
 use bytes::Bytes;
 
-use crate::backends::{Outcome, Reserved};
+use crate::backends::{Outcome, Reservation};
 use crate::connections::{Connection, Connections};
 use crate::dialect::{BackendDialect, Outgoing, Verdict};
 
-/// What came of it.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum Attempt {
-    /// The back end answers.
-    Answered(Box<Answering>),
-    /// It did not run the request and never will, for want of room.
-    NoRoom,
-    /// It did not run the request and never will, for another reason.
+    /// The backend has sent the head of its response.
+    Responded(Box<PendingResponse>),
+    /// The backend is at capacity. It did not run the request and will not.
+    AtCapacity,
+    /// The backend did not run the request and will not, for another reason.
     NotExecuted,
-    /// Not one byte of the request was written.
+    /// No byte of the request was written.
     NotSent,
-    /// The answer was lost, or is not the request's own; the request may have run.
-    Lost(String),
-    /// The time was over before the answer began; the request may have run.
+    /// The response was lost or belongs to another request; the request may have run.
+    ResponseLost(String),
+    /// The deadline passed before the response started; the request may have run.
     TimedOut,
 }
 
-/// An answer whose head has come.
+/// A response whose head has been received and whose body has not been read yet.
 #[derive(Debug)]
-pub struct Answering {
-    /// The head.
+pub struct PendingResponse {
+    /// The head of the response.
     pub head: Parts,
-    /// The body.
+    /// The unread body.
     body: Incoming,
     connection: Connection,
     idle_time: Option<Duration>,
     closes: bool,
-    /// The place at the back end.
-    pub reserved: Reserved,
+    /// The reservation of the request at the backend.
+    pub reservation: Reservation,
     /// When the request was sent.
     pub sent: Instant,
 }
 
-/// Why the rest of an answer did not come.
+/// Why a response body could not be read completely.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The back end broke off.
-    #[error("the back end broke off: {0}")]
-    Broken(String),
-    /// The time was over.
-    #[error("the answer did not end in time")]
+    /// The connection failed before the end of the body.
+    #[error("the connection to the backend failed within the response: {0}")]
+    ConnectionFailed(String),
+    /// The deadline passed.
+    #[error("the response did not end before the deadline")]
     TimedOut,
-    /// The answer is longer than is taken.
-    #[error("the answer is longer than {0} bytes")]
+    /// The body exceeds the size limit.
+    #[error("the response is longer than {0} bytes")]
     TooLong(usize),
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response.
 pub async fn send(
     connections: &Connections,
     dialect: &dyn BackendDialect,
-    mut reserved: Reserved,
+    mut reservation: Reservation,
     outgoing: &Outgoing<'_>,
     end: Instant,
 ) -> Attempt {
-    let picked = &reserved.picked;
+    let picked = &reservation.picked;
     let opened = connections.get(&picked.id, picked.address, end).await;
     let Ok(mut connection) = opened else {
-        reserved.end(Outcome::Broken);
+        reservation.end(Outcome::NoResponse);
         return Attempt::NotSent;
     };
     let sent = Instant::now();
@@ -80,60 +80,60 @@
     let response = match timeout_at(end, connection.sender.try_send_request(request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
-            reserved.end(Outcome::Broken);
+            reservation.end(Outcome::NoResponse);
             return match error.message() {
                 Some(_) => Attempt::NotSent,
-                None => Attempt::Lost(error.error().to_string()),
+                None => Attempt::ResponseLost(error.error().to_string()),
             };
         }
         Err(_) => return Attempt::TimedOut,
     };
-    reserved.note_answer();
+    reservation.mark_responded();
     let (head, body) = response.into_parts();
-    let told = dialect.read_head(&head, &outgoing.request.id);
-    if let Some(load) = told.load {
-        reserved.note_load(load);
+    let info = dialect.read_head(&head, &outgoing.request.id);
+    if let Some(load) = info.load {
+        reservation.record_load(load);
     }
-    let answering = Answering {
+    let response = PendingResponse {
         head,
         body,
         connection,
-        idle_time: told.idle_time,
-        closes: told.closes,
-        reserved,
+        idle_time: info.idle_time,
+        closes: info.closes,
+        reservation,
         sent,
     };
-    match told.verdict {
-        Verdict::Answer => Attempt::Answered(Box::new(answering)),
+    match info.verdict {
+        Verdict::Answer => Attempt::Responded(Box::new(response)),
         Verdict::NoRoom => {
-            answering.refused(connections, end, Outcome::NoRoom).await;
-            Attempt::NoRoom
+            response.finish_refused(connections, end, Outcome::AtCapacity).await;
+            Attempt::AtCapacity
         }
         Verdict::NotExecuted { stale } => {
-            let outcome = if stale { Outcome::Stale } else { Outcome::Failed };
-            answering.refused(connections, end, outcome).await;
+            let outcome = if stale { Outcome::WrongBackend } else { Outcome::Failed };
+            response.finish_refused(connections, end, outcome).await;
             Attempt::NotExecuted
         }
         Verdict::Foreign => {
-            answering.reserved.end(Outcome::Broken);
-            Attempt::Lost("the answer belongs to another request".to_owned())
+            response.reservation.end(Outcome::NoResponse);
+            Attempt::ResponseLost("the response belongs to another request".to_owned())
         }
     }
 }
 
-/// Longest body of a refusal that is read so that its connection can be used again (ours).
-const MOST_REFUSAL_BYTES: usize = 4 << 10;
+/// Maximum size of a refusal's body that is read so that the connection can be reused.
+const MAX_REFUSAL_BYTES: usize = 4 << 10;
 
-impl Answering {
-    /// The next piece of the body; `None` at its end.
+impl PendingResponse {
+    /// Reads the next chunk of the body; `None` at its end.
     ///
     /// # Errors
-    /// When the back end broke off.
-    pub async fn next_piece(&mut self) -> Result<Option<Bytes>, BodyError> {
+    /// When the connection fails before the end of the body.
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
             match self.body.frame().await {
                 None => return Ok(None),
-                Some(Err(error)) => return Err(BodyError::Broken(error.to_string())),
+                Some(Err(error)) => return Err(BodyError::ConnectionFailed(error.to_string())),
                 Some(Ok(frame)) => {
                     if let Ok(bytes) = frame.into_data() {
                         return Ok(Some(bytes));
@@ -143,40 +143,41 @@
         }
     }
 
-    /// The whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
-    /// When it does not come whole and in time.
-    pub async fn whole_body(&mut self, end: Instant, most: usize) -> Result<Bytes, BodyError> {
-        let mut pieces = Vec::new();
+    /// When the body is incomplete, too long or not received before the deadline.
+    pub async fn read_body(&mut self, end: Instant, max_bytes: usize) -> Result<Bytes, BodyError> {
+        let mut chunks = Vec::new();
         let mut length = 0;
         loop {
-            let next = timeout_at(end, self.next_piece()).await;
-            let Some(piece) = next.map_err(|_| BodyError::TimedOut)?? else { break };
-            length += piece.len();
-            if length > most {
-                return Err(BodyError::TooLong(most));
+            let next = timeout_at(end, self.next_chunk()).await;
+            let Some(chunk) = next.map_err(|_| BodyError::TimedOut)?? else { break };
+            length += chunk.len();
+            if length > max_bytes {
+                return Err(BodyError::TooLong(max_bytes));
             }
-            pieces.push(piece);
+            chunks.push(chunk);
         }
-        Ok(match pieces.len() {
-            1 => pieces.swap_remove(0),
-            _ => pieces.concat().into(),
+        Ok(match chunks.len() {
+            1 => chunks.swap_remove(0),
+            _ => chunks.concat().into(),
         })
     }
 
-    /// Gives the connection back after the whole body, and the place with what came of the request.
+    /// Returns the connection to the pool after the complete body was read, and ends the reservation
+    /// with the outcome of the request.
     pub fn end(self, connections: &Connections, outcome: Outcome) {
         if !self.closes {
             connections.put_back(self.connection, self.idle_time);
         }
-        self.reserved.end(outcome);
+        self.reservation.end(outcome);
     }
 
-    async fn refused(mut self, connections: &Connections, end: Instant, outcome: Outcome) {
-        match self.whole_body(end, MOST_REFUSAL_BYTES).await {
+    async fn finish_refused(mut self, connections: &Connections, end: Instant, outcome: Outcome) {
+        match self.read_body(end, MAX_REFUSAL_BYTES).await {
             Ok(_) => self.end(connections, outcome),
-            Err(_) => self.reserved.end(outcome),
+            Err(_) => self.reservation.end(outcome),
         }
     }
 }
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -1,4 +1,5 @@
-//! The back ends as this gateway knows them: the platform's list joined with what came of its own requests.
+//! The table of backends: the platform's list combined with the outcomes of this gateway's own
+//! requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,39 +19,41 @@
 use crate::versions::AllowedVersions;
 use crate::{LoadReport, PromptPart};
 
-/// First pause after a failure in which a back end is passed over (ours); it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Time for which a backend is ejected after its first failure; doubles with each further failure.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(250);
 
-/// Longest such pause (ours).
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Longest time for which a failing backend is ejected.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// Pause after a back end said that it has no room (ours).
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(30);
+/// Time for which a backend that reported to be at capacity gets no requests.
+const AT_CAPACITY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Most of a service's back ends that may be passed over for failures (ours): beyond it the fault is likelier to be
-/// here or on the way.
-const MOST_PASSED_OVER: f64 = 0.5;
+/// Largest share of a service's backends that may be ejected. If more fail, the fault is more likely
+/// in this gateway or in the network, and ejections are ignored.
+const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Weight of the newest answer in the average time and the share of failures (ours).
+/// Weight of the newest response in the moving averages of latency and failures.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Silence of a back end after which a caller's leaving counts against it (ours): its requests may all end so.
-const LONG_SILENCE: Duration = Duration::from_millis(1_500);
+/// Time without a response after which a request that its caller abandons counts as a failure of
+/// the backend. Otherwise a hung backend whose callers all give up would never record a failure.
+const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How one request at a back end ended.
+/// Outcome of one request, as it affects the backend's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered well, after so long.
-    Answered(Duration),
-    /// It was answered with a failure of the back end's own.
+    /// The backend responded successfully after this time.
+    Succeeded(Duration),
+    /// The backend responded with an error.
     Failed,
-    /// The back end had no room.
-    NoRoom,
-    /// Another back end answers at the address.
-    Stale,
-    /// No connection could be had, or the answer was lost.
-    Broken,
-    /// Its caller left, or its time was over; this says nothing of the back end.
+    /// The backend was at capacity.
+    AtCapacity,
+    /// Another backend responds at the address.
+    WrongBackend,
+    /// No valid, complete response: the connection failed, or the response was lost or belongs to
+    /// another request.
+    NoResponse,
+    /// The caller disconnected or the deadline passed, which does not indicate a fault of the backend.
     Unknown,
 }
 
@@ -59,12 +62,12 @@
     listed: Arc<ListedBackend>,
     load: LoadEstimate,
     latency_ms: f64,
-    /// Share of its last answers that were failures, or did not come.
+    /// Moving average of failed and lost responses, from 0 to 1.
     failure_share: f64,
     failures: u32,
-    passed_over_until: Option<Instant>,
-    no_room_until: Option<Instant>,
-    /// Another back end answered at its address.
+    ejected_until: Option<Instant>,
+    at_capacity_until: Option<Instant>,
+    /// Whether another backend responded at the listed address.
     stale: bool,
 }
 
@@ -76,18 +79,18 @@
             latency_ms: 0.0,
             failure_share: 0.0,
             failures: 0,
-            passed_over_until: None,
-            no_room_until: None,
+            ejected_until: None,
+            at_capacity_until: None,
             stale: false,
         }
     }
 
-    fn is_passed_over(&self, now: Instant) -> bool {
-        self.passed_over_until.is_some_and(|until| now < until)
+    fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    fn has_room(&self, now: Instant) -> bool {
-        self.no_room_until.is_none_or(|until| now >= until)
+    fn has_capacity(&self, now: Instant) -> bool {
+        self.at_capacity_until.is_none_or(|until| now >= until)
     }
 
     fn candidate(&self, missing_tokens: u32, now: Instant) -> Candidate<'_> {
@@ -101,27 +104,27 @@
         }
     }
 
-    fn note(&mut self, outcome: Outcome, now: Instant) {
+    fn record(&mut self, outcome: Outcome, now: Instant) {
         let failed = match outcome {
-            Outcome::Answered(_) => Some(0.0),
-            Outcome::Failed | Outcome::Broken => Some(1.0),
-            Outcome::NoRoom | Outcome::Stale | Outcome::Unknown => None,
+            Outcome::Succeeded(_) => Some(0.0),
+            Outcome::Failed | Outcome::NoResponse => Some(1.0),
+            Outcome::AtCapacity | Outcome::WrongBackend | Outcome::Unknown => None,
         };
         if let Some(failed) = failed {
             self.failure_share += NEWEST_WEIGHT * (failed - self.failure_share);
         }
         match outcome {
-            Outcome::Answered(time) => {
-                let time_ms = time.as_secs_f64() * 1_000.0;
-                let known = if self.latency_ms > 0.0 { self.latency_ms } else { time_ms };
-                self.latency_ms = known + NEWEST_WEIGHT * (time_ms - known);
-                (self.failures, self.passed_over_until) = (0, None);
+            Outcome::Succeeded(latency) => {
+                let time_ms = latency.as_secs_f64() * 1_000.0;
+                let average = if self.latency_ms > 0.0 { self.latency_ms } else { time_ms };
+                self.latency_ms = average + NEWEST_WEIGHT * (time_ms - average);
+                (self.failures, self.ejected_until) = (0, None);
             }
-            Outcome::NoRoom => self.no_room_until = Some(now + NO_ROOM_PAUSE),
-            Outcome::Stale => self.stale = true,
-            Outcome::Failed | Outcome::Broken => {
-                let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(8));
-                self.passed_over_until = Some(now + pause.min(LONGEST_PAUSE));
+            Outcome::AtCapacity => self.at_capacity_until = Some(now + AT_CAPACITY_PAUSE),
+            Outcome::WrongBackend => self.stale = true,
+            Outcome::Failed | Outcome::NoResponse => {
+                let pause = BASE_EJECTION_TIME.saturating_mul(1 << self.failures.min(8));
+                self.ejected_until = Some(now + pause.min(MAX_EJECTION_TIME));
                 self.failures += 1;
             }
             Outcome::Unknown => {}
@@ -129,31 +132,31 @@
     }
 }
 
-/// What a back end is wanted for.
+/// Kind of the request that a backend is selected for.
 #[derive(Debug, Clone, Copy)]
-pub enum Purpose<'a> {
-    /// A call: any will do.
+pub enum RequestKind<'a> {
+    /// A tool call, which any backend of the service can run equally well.
     Call,
-    /// A prompt of these parts: one that holds them is better.
+    /// A prompt of these parts; engines that have them cached are preferred.
     Prompt(&'a [PromptPart]),
 }
 
-/// Which back end is wanted.
+/// Criteria by which a backend is selected.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct SelectionCriteria<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Versions that may take the request.
+    /// Versions that may receive the request.
     pub versions: &'a AllowedVersions,
-    /// Those that have been tried already.
+    /// Backends that were already tried for this request.
     pub tried: &'a [EngineId],
-    /// What it is wanted for.
-    pub purpose: Purpose<'a>,
+    /// Kind of the request.
+    pub kind: RequestKind<'a>,
 }
 
-/// A chosen back end.
+/// A selected backend.
 #[derive(Debug, Clone)]
-pub struct Picked {
+pub struct PickedBackend {
     /// Its id.
     pub id: EngineId,
     /// Where it listens.
@@ -164,7 +167,7 @@
     pub version: ServiceVersion,
 }
 
-/// All back ends that this gateway knows.
+/// All backends that this gateway knows, with their load and health.
 #[derive(Debug)]
 pub struct BackendTable {
     inner: Mutex<Inner>,
@@ -176,48 +179,52 @@
     by_service: HashMap<ServiceName, Vec<EngineId>>,
     caches: PromptCaches,
     rings: HashMap<ServiceName, PrefixRing>,
-    /// This gateway's name, by which it has its own part of the back ends that serve calls.
+    /// This gateway's name, which determines its preferred subset of backends for calls.
     own_name: String,
 }
 
 impl BackendTable {
-    /// No back ends yet; the name tells this gateway from others.
+    /// Creates an empty table. The name must differ between gateways.
     #[must_use]
     pub fn new(own_name: String) -> Self {
         Self { inner: Mutex::new(Inner { own_name, ..Inner::default() }) }
     }
 
-    /// Follows the platform's list. What is known of back ends that stay is kept.
-    pub fn follow(&self, list: &BackendList) {
+    /// Applies a new list of the platform. The state of backends that remain listed is retained.
+    pub fn apply_list(&self, list: &BackendList) {
         let mut inner = self.lock();
         inner.backends.retain(|id, backend| list.get(id).is_some() || backend.load.in_flight > 0);
         inner.by_service.clear();
         inner.caches.retain(|id| list.get(id).is_some());
         for listed in list.iter() {
-            let known = inner.backends.entry(listed.id.clone());
-            known.or_insert_with(|| Backend::new(listed.clone())).listed = listed.clone();
+            let entry = inner.backends.entry(listed.id.clone());
+            entry.or_insert_with(|| Backend::new(listed.clone())).listed = listed.clone();
             inner.by_service.entry(listed.service.clone()).or_default().push(listed.id.clone());
         }
     }
 
-    /// Whether the list names a back end, draining or not.
+    /// Whether the table has a backend, draining or not.
     #[must_use]
     pub fn is_listed(&self, id: &EngineId) -> bool {
         self.lock().backends.contains_key(id)
     }
 
-    /// Chooses a back end and counts the request there.
-    pub fn pick(self: &Arc<Self>, wanted: &Wanted<'_>, rng: &mut impl Rng) -> Option<Reserved> {
+    /// Selects a backend and counts the request as in flight there.
+    pub fn pick(
+        self: &Arc<Self>,
+        criteria: &SelectionCriteria<'_>,
+        rng: &mut impl Rng,
+    ) -> Option<Reservation> {
         let now = Instant::now();
         let mut inner = self.lock();
-        let id = inner.choose(wanted, now, rng)?;
-        if let Purpose::Prompt(parts) = wanted.purpose {
-            inner.note_prompt(wanted.service, &id, parts);
+        let id = inner.select(criteria, now, rng)?;
+        if let RequestKind::Prompt(parts) = criteria.kind {
+            inner.record_prompt(criteria.service, &id, parts);
         }
         let backend = inner.backends.get_mut(&id)?;
         backend.load.in_flight += 1;
         let listed = &backend.listed;
-        let picked = Picked {
+        let picked = PickedBackend {
             id,
             address: listed.address,
             service: listed.service.clone(),
@@ -225,7 +232,7 @@
         };
         drop(inner);
         let outcome = Outcome::Unknown;
-        Some(Reserved { table: self.clone(), picked, outcome, since: now, answers: false })
+        Some(Reservation { table: self.clone(), picked, outcome, since: now, has_responded: false })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -234,39 +241,46 @@
 }
 
 impl Inner {
-    fn choose(&self, wanted: &Wanted<'_>, now: Instant, rng: &mut impl Rng) -> Option<EngineId> {
-        let usable = self.usable(wanted);
-        let eligible = eligible(&usable, wanted, now);
-        let chosen = match wanted.purpose {
-            Purpose::Call => {
+    fn select(
+        &self,
+        criteria: &SelectionCriteria<'_>,
+        now: Instant,
+        rng: &mut impl Rng,
+    ) -> Option<EngineId> {
+        let usable = self.usable(criteria);
+        let eligible = eligible(&usable, criteria, now);
+        let chosen = match criteria.kind {
+            RequestKind::Call => {
                 let candidates: Vec<_> = eligible.iter().map(|b| b.candidate(0, now)).collect();
                 let own = choice::own_subset(&candidates, &self.own_name);
-                choice::of_two(&own, rng).or_else(|| choice::of_two(&candidates, rng)).copied()
+                choice::better_of_two(&own, rng)
+                    .or_else(|| choice::better_of_two(&candidates, rng))
+                    .copied()
             }
-            Purpose::Prompt(parts) => {
-                let own = self.own_engines(wanted.service, &usable, parts);
+            RequestKind::Prompt(parts) => {
+                let own = self.own_engines(criteria.service, &usable, parts);
                 let missing = |backend: &Backend| {
                     let id = &backend.listed.id;
                     self.caches.missing_tokens(id, parts, own.contains(&id))
                 };
                 let candidates: Vec<_> =
                     eligible.iter().map(|b| b.candidate(missing(b), now)).collect();
-                choice::by_prompt(&candidates, rng).copied()
+                choice::best_for_prompt(&candidates, rng).copied()
             }
         };
         chosen.map(|candidate| candidate.id.clone())
     }
 
-    /// Back ends of the service and versions that take new work.
-    fn usable(&self, wanted: &Wanted<'_>) -> Vec<&Backend> {
-        let ids = self.by_service.get(wanted.service).into_iter().flatten();
+    /// Backends of the service and the allowed versions that accept new requests.
+    fn usable(&self, criteria: &SelectionCriteria<'_>) -> Vec<&Backend> {
+        let ids = self.by_service.get(criteria.service).into_iter().flatten();
         ids.filter_map(|id| self.backends.get(id))
             .filter(|b| !b.listed.draining && !b.stale)
-            .filter(|b| wanted.versions.allows(&b.listed.version))
+            .filter(|b| criteria.versions.allows(&b.listed.version))
             .collect()
     }
 
-    /// Engines that a prompt's first part has to itself.
+    /// Engines within the ring segment of the prompt's first part.
     fn own_engines<'a>(
         &self,
         service: &ServiceName,
@@ -274,75 +288,80 @@
         parts: &[PromptPart],
     ) -> Vec<&'a EngineId> {
         let ring = self.rings.get(service);
-        let part = ring.zip(parts.first()).and_then(|(ring, first)| ring.part(&first.id));
-        let Some(part) = part else { return Vec::new() };
+        let segment = ring.zip(parts.first()).and_then(|(ring, first)| ring.segment(&first.id));
+        let Some(segment) = segment else { return Vec::new() };
         let ordered = in_ring_order(usable.iter().map(|backend| &backend.listed.id));
         let engines = ordered.len();
-        let own = ordered.into_iter().enumerate().filter(|(place, _)| part.holds(*place, engines));
+        let own =
+            ordered.into_iter().enumerate().filter(|(index, _)| segment.overlaps(*index, engines));
         own.map(|(_, engine)| engine).collect()
     }
 
-    fn note_prompt(&mut self, service: &ServiceName, engine: &EngineId, parts: &[PromptPart]) {
-        self.caches.note(engine, parts);
+    fn record_prompt(&mut self, service: &ServiceName, engine: &EngineId, parts: &[PromptPart]) {
+        self.caches.record(engine, parts);
         if let Some(first) = parts.first() {
-            self.rings.entry(service.clone()).or_default().note(&first.id);
+            self.rings.entry(service.clone()).or_default().record(&first.id);
         }
     }
 }
 
-/// Those that may take one more try: not tried yet, with room, and not passed over for failures; without regard to
-/// failures when they leave none, or when so many fail that the fault is likelier elsewhere.
-fn eligible<'a>(usable: &[&'a Backend], wanted: &Wanted<'_>, now: Instant) -> Vec<&'a Backend> {
-    let may_try = |b: &&Backend| !wanted.tried.contains(&b.listed.id) && b.has_room(now);
-    let open: Vec<&Backend> = usable.iter().copied().filter(may_try).collect();
-    let sound: Vec<&Backend> = open.iter().copied().filter(|b| !b.is_passed_over(now)).collect();
-    let passed_over = usable.iter().filter(|b| b.is_passed_over(now)).count();
-    let too_many = passed_over as f64 > MOST_PASSED_OVER * usable.len() as f64;
-    if sound.is_empty() || too_many { open } else { sound }
+/// Filters the backends that may receive the next attempt: not tried yet, not at capacity and not
+/// ejected. Ejections are ignored if they would leave no backend or exceed [`MAX_EJECTED_SHARE`].
+fn eligible<'a>(
+    usable: &[&'a Backend],
+    criteria: &SelectionCriteria<'_>,
+    now: Instant,
+) -> Vec<&'a Backend> {
+    let may_receive = |b: &&Backend| !criteria.tried.contains(&b.listed.id) && b.has_capacity(now);
+    let available: Vec<&Backend> = usable.iter().copied().filter(may_receive).collect();
+    let healthy: Vec<&Backend> = available.iter().copied().filter(|b| !b.is_ejected(now)).collect();
+    let ejected = usable.iter().filter(|b| b.is_ejected(now)).count();
+    let too_many = ejected as f64 > MAX_EJECTED_SHARE * usable.len() as f64;
+    if healthy.is_empty() || too_many { available } else { healthy }
 }
 
-/// A request's place at a back end; given up when dropped, with what came of the request.
+/// Counts a request as in flight at a backend; dropping it records the outcome of the request.
 #[derive(Debug)]
-pub struct Reserved {
+pub struct Reservation {
     table: Arc<BackendTable>,
-    /// The back end.
-    pub picked: Picked,
+    /// The selected backend.
+    pub picked: PickedBackend,
     outcome: Outcome,
     since: Instant,
-    /// Whether the back end has begun to answer.
-    answers: bool,
+    /// Whether the head of the response has been received.
+    has_responded: bool,
 }
 
-impl Reserved {
-    /// Notes that the head of an answer has come.
-    pub fn note_answer(&mut self) {
-        self.answers = true;
+impl Reservation {
+    /// Records that the head of the response has been received.
+    pub fn mark_responded(&mut self) {
+        self.has_responded = true;
     }
 
-    /// Takes the back end's word on its load.
-    pub fn note_load(&self, report: LoadReport) {
+    /// Records the load that the backend reported.
+    pub fn record_load(&self, report: LoadReport) {
         let mut inner = self.table.lock();
         if let Some(backend) = inner.backends.get_mut(&self.picked.id) {
-            backend.load.note(report, Instant::now());
+            backend.load.record(report, Instant::now());
         }
     }
 
-    /// Notes how the request ended; the place is given up.
+    /// Ends the reservation with the outcome of the request.
     pub fn end(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for Reserved {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        let silent = !self.answers && self.since.elapsed() >= LONG_SILENCE;
-        if self.outcome == Outcome::Unknown && silent {
-            self.outcome = Outcome::Broken;
+        let unresponsive = !self.has_responded && self.since.elapsed() >= UNRESPONSIVE_TIME;
+        if self.outcome == Outcome::Unknown && unresponsive {
+            self.outcome = Outcome::NoResponse;
         }
         let mut inner = self.table.lock();
         if let Some(backend) = inner.backends.get_mut(&self.picked.id) {
             backend.load.in_flight = backend.load.in_flight.saturating_sub(1);
-            backend.note(self.outcome, Instant::now());
+            backend.record(self.outcome, Instant::now());
         }
     }
 }
--- a/crates/ingress/src/calls.rs
+++ b/crates/ingress/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: one request, one whole answer.
+//! Tool calls: one request with one complete response.
 
 use std::time::Duration;
 
@@ -8,103 +8,106 @@
 use tokio::time::Instant;
 
 use crate::answer::{IngressAnswer, Refusal};
-use crate::attempt::{Answering, Attempt, BodyError, send};
-use crate::backends::{Outcome, Purpose, Reserved};
-use crate::deadline::Times;
+use crate::attempt::{Attempt, BodyError, PendingResponse, send};
+use crate::backends::{Outcome, RequestKind, Reservation};
+use crate::deadline::RequestDeadlines;
 use crate::dialect::Outgoing;
 use crate::ingress::Ingress;
 use crate::routes::NamedRoute;
 use crate::{AnswerBody, IngressRequest};
 
-/// Longest answer to a call, in bytes (ours).
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of the response to a call, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Pause before back ends that had no room are asked again (ours).
-pub(crate) const ROOM_PAUSE: Duration = Duration::from_millis(15);
+/// Pause before backends are tried again after all were at capacity.
+pub(crate) const CAPACITY_PAUSE: Duration = Duration::from_millis(15);
 
-/// When a caller should come back whose request found no room (ours).
-pub(crate) const NO_ROOM_RETRY: Duration = Duration::from_millis(100);
+/// Retry time returned to a caller when all backends are at capacity.
+pub(crate) const AT_CAPACITY_RETRY: Duration = Duration::from_millis(100);
 
-/// Tries of one request: which back ends it met, and what came of them.
+/// The attempts of one request so far: the tried backends and the last failure.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct AttemptHistory {
     pub(crate) tried: Vec<EngineId>,
-    /// Tries that may have run.
+    /// Number of attempts that may have run.
     pub(crate) may_have_run: u32,
     last_failure: Option<IngressAnswer>,
 }
 
-impl Tries {
-    /// What to answer when there is nothing left to try.
-    fn give_up(self) -> IngressAnswer {
+impl AttemptHistory {
+    /// The answer to the caller when no further attempt is made.
+    fn into_answer(self) -> IngressAnswer {
         match self.last_failure {
             Some(answer) => answer,
             None if self.may_have_run > 0 => {
-                Refusal::AnswerLost("all tries failed".to_owned()).into()
+                Refusal::AnswerLost("all attempts failed".to_owned()).into()
             }
             None => {
-                let reason = "no back end has room";
-                Refusal::NotRun { reason, retry_after: NO_ROOM_RETRY }.into()
+                let reason = "no backend of the route has capacity";
+                Refusal::NotRun { reason, retry_after: AT_CAPACITY_RETRY }.into()
             }
         }
     }
 }
 
 impl Ingress {
-    /// Serves a call.
+    /// Serves a tool call.
     pub(crate) async fn serve_call(
         &self,
         request: &IngressRequest,
         route: &NamedRoute,
     ) -> IngressAnswer {
-        let times = Times::of(request, &route.route);
+        let deadlines = RequestDeadlines::of(request, &route.route);
         let repeatable = route.route.repeat == RepeatRule::Repeatable;
-        let mut tries = Tries::default();
+        let mut attempts = AttemptHistory::default();
         loop {
-            let Some(reserved) = self.pick_or_wait(route, &mut tries, Purpose::Call, &times).await
+            let Some(reservation) =
+                self.reserve_backend(route, &mut attempts, RequestKind::Call, &deadlines).await
             else {
-                return tries.give_up();
+                return attempts.into_answer();
             };
-            match self.send(request, &request.body, route, reserved, &times).await {
-                Attempt::NoRoom | Attempt::NotExecuted | Attempt::NotSent => {}
+            match self.send(request, &request.body, route, reservation, &deadlines).await {
+                Attempt::AtCapacity | Attempt::NotExecuted | Attempt::NotSent => {}
                 Attempt::TimedOut => return Refusal::TimedOut.into(),
-                Attempt::Lost(reason) => {
-                    tries.may_have_run += 1;
-                    tries.last_failure = Some(Refusal::AnswerLost(reason).into());
+                Attempt::ResponseLost(reason) => {
+                    attempts.may_have_run += 1;
+                    attempts.last_failure = Some(Refusal::AnswerLost(reason).into());
                 }
-                Attempt::Answered(answering) => {
-                    tries.may_have_run += 1;
-                    match self.take_answer(*answering, route, &times).await {
+                Attempt::Responded(response) => {
+                    attempts.may_have_run += 1;
+                    match self.read_response(*response, route, &deadlines).await {
                         Ok(answer) => return answer,
-                        Err(failure) => tries.last_failure = Some(failure),
+                        Err(failure) => attempts.last_failure = Some(failure),
                     }
                 }
             }
-            let may_go_on = repeatable && tries.may_have_run < route.route.max_attempts;
-            if tries.may_have_run > 0 && !may_go_on {
-                return tries.give_up();
+            let may_retry = repeatable && attempts.may_have_run < route.route.max_attempts;
+            if attempts.may_have_run > 0 && !may_retry {
+                return attempts.into_answer();
             }
         }
     }
 
-    /// A back end for one more try; waits a little while none has room.
-    pub(crate) async fn pick_or_wait(
+    /// Reserves a backend for the next attempt. While none has capacity and nothing may have run, waits
+    /// until `hold_until`.
+    pub(crate) async fn reserve_backend(
         &self,
         route: &NamedRoute,
-        tries: &mut Tries,
-        purpose: Purpose<'_>,
-        times: &Times,
-    ) -> Option<Reserved> {
+        attempts: &mut AttemptHistory,
+        kind: RequestKind<'_>,
+        deadlines: &RequestDeadlines,
+    ) -> Option<Reservation> {
         loop {
-            if let Some(reserved) = self.pick(route, &tries.tried, purpose) {
-                tries.tried.push(reserved.picked.id.clone());
-                return Some(reserved);
+            if let Some(reservation) = self.pick(route, &attempts.tried, kind) {
+                attempts.tried.push(reservation.picked.id.clone());
+                return Some(reservation);
             }
-            if tries.may_have_run > 0 || Instant::now() + ROOM_PAUSE >= times.hold_until {
+            if attempts.may_have_run > 0 || Instant::now() + CAPACITY_PAUSE >= deadlines.hold_until
+            {
                 return None;
             }
-            tokio::time::sleep(ROOM_PAUSE).await;
-            tries.tried.clear();
+            tokio::time::sleep(CAPACITY_PAUSE).await;
+            attempts.tried.clear();
         }
     }
 
@@ -113,70 +116,71 @@
         request: &IngressRequest,
         body: &Bytes,
         route: &NamedRoute,
-        reserved: Reserved,
-        times: &Times,
+        reservation: Reservation,
+        deadlines: &RequestDeadlines,
     ) -> Attempt {
-        let backend = reserved.picked.id.clone();
+        let backend = reservation.picked.id.clone();
         let outgoing = Outgoing {
             request,
             body,
             backend: &backend,
-            time_left: times.left(Instant::now()),
+            time_left: deadlines.left(Instant::now()),
             priority: route.route.priority,
         };
-        send(&self.connections, &*self.dialect, reserved, &outgoing, times.end).await
+        send(&self.connections, &*self.dialect, reservation, &outgoing, deadlines.end).await
     }
 
-    /// Reads an answer whole; gives it back as a failure when another back end may do better.
-    async fn take_answer(
+    /// Reads the complete response. Returns it as `Err` if it is a failure that another backend may not
+    /// have.
+    async fn read_response(
         &self,
-        mut answering: Answering,
+        mut response: PendingResponse,
         route: &NamedRoute,
-        times: &Times,
+        deadlines: &RequestDeadlines,
     ) -> Result<IngressAnswer, IngressAnswer> {
-        let body = answering.whole_body(times.end, MOST_ANSWER_BYTES).await;
-        let is_failure = answering.head.status.is_server_error();
-        let time = answering.sent.elapsed();
-        self.record(route, &answering, body.is_ok() && !is_failure, time);
+        let body = response.read_body(deadlines.end, MAX_RESPONSE_BYTES).await;
+        let is_failure = response.head.status.is_server_error();
+        let time = response.sent.elapsed();
+        self.record(route, &response, body.is_ok() && !is_failure, time);
         match body {
             Ok(body) => {
-                let head = answering.head.clone();
-                let outcome = if is_failure { Outcome::Failed } else { Outcome::Answered(time) };
-                answering.end(&self.connections, outcome);
+                let head = response.head.clone();
+                let outcome = if is_failure { Outcome::Failed } else { Outcome::Succeeded(time) };
+                response.end(&self.connections, outcome);
                 let answer = IngressAnswer::Passed(head, AnswerBody::from(body));
                 if is_failure { Err(answer) } else { Ok(answer) }
             }
             Err(BodyError::TimedOut) => Ok(Refusal::TimedOut.into()),
             Err(error) => {
-                answering.reserved.end(Outcome::Broken);
+                response.reservation.end(Outcome::NoResponse);
                 Err(Refusal::AnswerLost(error.to_string()).into())
             }
         }
     }
 
-    /// Counts an answer for the judgement of a version that is being rolled out.
+    /// Records a response for the statistics by which a version under rollout is judged.
     pub(crate) fn record(
         &self,
         route: &NamedRoute,
-        answering: &Answering,
+        response: &PendingResponse,
         success: bool,
         time: Duration,
     ) {
-        self.recorder(route, answering)(success, time);
+        self.recorder(route, response)(success, time);
     }
 
-    /// Counts an answer later.
+    /// Returns a function that records a response later; see [`Ingress::record`].
     pub(crate) fn recorder(
         &self,
         route: &NamedRoute,
-        answering: &Answering,
+        response: &PendingResponse,
     ) -> impl Fn(bool, Duration) + Send + 'static {
-        let picked = answering.reserved.picked.clone();
-        let watched = self.is_watched(&picked.service);
+        let picked = response.reservation.picked.clone();
+        let has_rollout = self.has_rollout(&picked.service);
         let statistics = self.node.node.statistics.clone();
         let name = route.name.clone();
         move |success, time| {
-            if watched {
+            if has_rollout {
                 statistics.record(&picked.service, &picked.version, &name, success, time);
             }
         }
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to back ends, kept by back end and used again.
+//! Pool of HTTP/1.1 connections to backends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,30 +14,30 @@
 use tokio::time::{Instant, timeout_at};
 use tracing::debug;
 
-/// Longest time to open a connection (ours); a request that waits for it has not been sent.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// Longest time to open a connection. A request that waits for it has not been sent.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an unused connection is kept when its back end does not say (ours).
+/// Longest time that an idle connection stays open, and the default if the backend sends no limit.
 const IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// Part of the rest that a back end allows after which a connection is not used again (ours): what is sent as the
-/// back end closes is lost.
+/// Fraction of the backend's idle timeout after which a connection is no longer reused: a request
+/// sent while the backend closes the connection is lost.
 const IDLE_SHARE: f64 = 0.6;
 
-/// No connection could be had; not one byte of a request was written.
+/// A connection could not be opened; no byte of a request was written.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("cannot connect to {address}: {reason}")]
 pub struct ConnectError {
     /// The address.
     pub address: SocketAddr,
-    /// The system's words.
+    /// The error of the operating system.
     pub reason: String,
 }
 
-/// An open connection that carries one request at a time.
+/// An open connection, used by one request at a time.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends requests.
+    /// Request sender of the connection.
     pub sender: SendRequest<Full<Bytes>>,
     backend: EngineId,
 }
@@ -48,17 +48,17 @@
     until: Instant,
 }
 
-/// Unused connections by back end.
+/// Pool of idle connections by backend.
 #[derive(Debug, Default)]
 pub struct Connections {
     idle: Mutex<HashMap<EngineId, Vec<Idle>>>,
 }
 
 impl Connections {
-    /// An unused connection, else a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
     /// # Errors
-    /// [`ConnectError`] when none could be opened in time.
+    /// [`ConnectError`] if no connection could be opened in time.
     pub async fn get(
         &self,
         backend: &EngineId,
@@ -71,14 +71,14 @@
             }
         }
         let failed = |reason: String| ConnectError { address, reason };
-        let until = deadline.min(Instant::now() + CONNECT_TIME);
+        let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         match timeout_at(until, open(backend, address)).await {
             Ok(opened) => opened.map_err(|error| failed(error.to_string())),
-            Err(_) => Err(failed("not in time".to_owned())),
+            Err(_) => Err(failed("timed out".to_owned())),
         }
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn put_back(&self, connection: Connection, idle_time: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
@@ -89,21 +89,21 @@
         self.lock().entry(backend).or_default().push(Idle { connection, until });
     }
 
-    /// Closes what has been unused for long, or leads to back ends that are not listed any more.
+    /// Closes connections that have been idle for too long or whose backend is no longer listed.
     pub fn sweep(&self, is_listed: impl Fn(&EngineId) -> bool) {
         let now = Instant::now();
-        self.lock().retain(|backend, kept| {
-            kept.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-            !kept.is_empty() && is_listed(backend)
+        self.lock().retain(|backend, connections| {
+            connections.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+            !connections.is_empty() && is_listed(backend)
         });
     }
 
-    /// The unused connection that was used last; it is the likeliest to be open still.
+    /// Takes the most recently used idle connection, which is the most likely to be still open.
     fn take_idle(&self, backend: &EngineId) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.lock();
-        let kept = idle.get_mut(backend)?;
-        while let Some(found) = kept.pop() {
+        let connections = idle.get_mut(backend)?;
+        while let Some(found) = connections.pop() {
             if found.until > now && !found.connection.sender.is_closed() {
                 return Some(found.connection);
             }
@@ -125,7 +125,7 @@
     let (mut sender, driver) = handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
         if let Err(error) = driver.await {
-            debug!(%error, "connection to a back end ended");
+            debug!(%error, "connection to a backend closed with an error");
         }
     });
     sender.ready().await?;
--- a/crates/ingress/src/dialect.rs
+++ b/crates/ingress/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a dialect says of the way back ends speak.
+//! Interface to the HTTP dialect of backends.
 
 use std::time::Duration;
 
@@ -10,56 +10,56 @@
 
 use crate::{IngressRequest, LoadReport};
 
-/// One request as it goes to one back end.
+/// A request to be sent to one backend.
 #[derive(Debug, Clone, Copy)]
 pub struct Outgoing<'a> {
     /// The caller's request.
     pub request: &'a IngressRequest,
-    /// The body to send: the caller's, with the history before it on routes that keep turns.
+    /// The body to send: the caller's body, preceded by the history on routes that retain turns.
     pub body: &'a Bytes,
-    /// The back end that must be the one to run it.
+    /// The only backend that may run the request.
     pub backend: &'a EngineId,
-    /// What is left of its time.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// Its rank; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What a head of an answer means.
+/// Meaning of the head of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The back end's answer to this request.
+    /// The backend's response to this request.
     Answer,
-    /// The back end says that it did not run the request and will not, because it has no room.
+    /// The backend is at capacity: it did not run the request and will not.
     NoRoom,
-    /// The back end says that it did not run the request and will not, for another reason; `stale` when it is not
-    /// the one that was named.
+    /// The backend did not run the request and will not, for another reason.
     NotExecuted {
-        /// Whether another back end answers at the address.
+        /// Whether the responding backend is not the one that was addressed.
         stale: bool,
     },
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     Foreign,
 }
 
-/// What the head of an answer tells.
+/// Information from the head of a backend's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendHead {
-    /// What it means.
+    /// Meaning of the response.
     pub verdict: Verdict,
-    /// The back end's load.
+    /// Load that the backend reported.
     pub load: Option<LoadReport>,
-    /// How long the connection may rest.
+    /// How long the backend keeps the connection open while idle.
     pub idle_time: Option<Duration>,
-    /// Whether the back end wants no more requests on this connection.
+    /// Whether the backend closes the connection after this response.
     pub closes: bool,
 }
 
-/// How requests are put to back ends, and what their answers mean. A dialect translates; it decides nothing.
+/// Translates requests for backends and interprets the heads of their responses. Implementations
+/// make no decisions about selection or retries.
 pub trait BackendDialect: Send + Sync + 'static {
-    /// The request to send.
+    /// Builds the HTTP request to send.
     fn request(&self, outgoing: &Outgoing<'_>) -> Request<Full<Bytes>>;
 
-    /// Reads the head of an answer to a request with this id.
+    /// Interprets the head of the response to the request with this id.
     fn read_head(&self, head: &Parts, request_id: &str) -> BackendHead;
 }
--- a/crates/ingress/src/history_cache.rs
+++ b/crates/ingress/src/history_cache.rs
@@ -1,4 +1,5 @@
-//! Histories of turns that ended here, so that the next turn of a session need not fetch its history.
+//! Cache of the histories of turns that ended on this gateway, so that the next turn of a session
+//! need not fetch its history from the shard.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -6,48 +7,49 @@
 use hooklug_types::TurnId;
 use lru::LruCache;
 
-/// Bytes held at most (ours): a session's next turn comes within seconds, and the shard has the rest.
-const MOST_BYTES: usize = 3 << 19;
+/// Maximum size of the cache in bytes. A session's next turn usually follows within seconds; older
+/// histories are read from the shard.
+const MAX_BYTES: usize = 3 << 19;
 
-/// Histories by the turn that they end with; the least recently used give way.
+/// LRU cache of histories by the turn that they end with.
 #[derive(Debug)]
 pub struct HistoryCache {
-    held: Mutex<Held>,
+    state: Mutex<CacheState>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct CacheState {
     histories: LruCache<TurnId, Bytes>,
     bytes: usize,
 }
 
 impl Default for HistoryCache {
     fn default() -> Self {
-        Self { held: Mutex::new(Held { histories: LruCache::unbounded(), bytes: 0 }) }
+        Self { state: Mutex::new(CacheState { histories: LruCache::unbounded(), bytes: 0 }) }
     }
 }
 
 impl HistoryCache {
-    /// The history up to and with a turn.
+    /// The history up to and including a turn.
     #[must_use]
     pub fn get(&self, turn: &TurnId) -> Option<Bytes> {
         self.lock().histories.get(turn).cloned()
     }
 
-    /// Holds a history.
+    /// Adds a history and evicts the least recently used ones beyond the size limit.
     pub fn put(&self, turn: TurnId, history: Bytes) {
-        let mut held = self.lock();
-        held.bytes += history.len();
-        if let Some(replaced) = held.histories.put(turn, history) {
-            held.bytes -= replaced.len();
+        let mut state = self.lock();
+        state.bytes += history.len();
+        if let Some(replaced) = state.histories.put(turn, history) {
+            state.bytes -= replaced.len();
         }
-        while held.bytes > MOST_BYTES {
-            let Some((_, oldest)) = held.histories.pop_lru() else { break };
-            held.bytes -= oldest.len();
+        while state.bytes > MAX_BYTES {
+            let Some((_, oldest)) = state.histories.pop_lru() else { break };
+            state.bytes -= oldest.len();
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, CacheState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -1,4 +1,4 @@
-//! The part of a gateway that passes requests through: what it knows, and the way of one request.
+//! The ingress: routing state, background tasks and dispatch of requests.
 
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::answer::{IngressAnswer, Refusal};
-use crate::backends::{BackendTable, Purpose, Reserved, Wanted};
+use crate::backends::{BackendTable, RequestKind, Reservation, SelectionCriteria};
 use crate::connections::Connections;
 use crate::history_cache::HistoryCache;
 use crate::records::TurnRecords;
@@ -20,30 +20,30 @@
 use crate::versions::AllowedVersions;
 use crate::{BackendDialect, IngressRequest};
 
-/// When a caller should come back who met a gateway without a bundle (ours).
+/// Retry time returned to a caller while the gateway has no bundle.
 const NOT_CONFIGURED_RETRY: Duration = Duration::from_millis(300);
 
-/// Pause between sweeps of unused connections (ours).
+/// Pause between sweeps of the connection pool.
 const SWEEP_PAUSE: Duration = Duration::from_secs(2);
 
-/// What the ingress is built from.
+/// Components that an [`Ingress`] is built from.
 pub struct IngressContext {
-    /// The node.
+    /// Context of the node.
     pub node: NodeContext,
-    /// The platform's list of back ends.
+    /// The platform's list of backends.
     pub backends: BackendWatch,
-    /// How back ends speak.
+    /// HTTP dialect of the backends.
     pub dialect: Arc<dyn BackendDialect>,
 }
 
-/// A bundle's routes, ready for use.
+/// The HTTP sections of the installed bundle with their lookup table.
 #[derive(Debug, Default)]
 pub(crate) struct Routing {
     pub(crate) table: RouteTable,
     pub(crate) http: HttpRouting,
 }
 
-/// Passes requests through.
+/// Forwards requests to backends.
 pub struct Ingress {
     pub(crate) node: NodeContext,
     list: BackendWatch,
@@ -52,8 +52,8 @@
     pub(crate) connections: Arc<Connections>,
     pub(crate) records: TurnRecords,
     pub(crate) histories: Arc<HistoryCache>,
-    /// Work that outlives its request: ends of turns whose callers left.
-    pub(crate) afterwork: TaskTracker,
+    /// Tasks that outlive their request, such as recording the end of a turn.
+    pub(crate) background_tasks: TaskTracker,
     routing: RwLock<Option<Arc<Routing>>>,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Ingress {
-    /// An ingress that serves nothing before its bundle comes.
+    /// Creates an ingress, which refuses all requests until [`Ingress::run`] has received a bundle.
     #[must_use]
     pub fn new(context: IngressContext) -> Self {
         let IngressContext { node, backends: list, dialect } = context;
@@ -78,27 +78,29 @@
             connections: Arc::default(),
             records,
             histories: Arc::default(),
-            afterwork: TaskTracker::new(),
+            background_tasks: TaskTracker::new(),
             routing: RwLock::default(),
         }
     }
 
-    /// Follows the bundle and the list of back ends, for ever.
+    /// Applies changes of the bundle and of the list of backends and sweeps idle connections; never
+    /// returns.
     pub async fn run(&self) {
         tokio::join!(
-            self.follow_bundle(self.node.node.bundle.clone()),
-            self.follow_list(self.list.clone()),
+            self.watch_bundle(self.node.node.bundle.clone()),
+            self.watch_list(self.list.clone()),
             self.sweep(),
         );
     }
 
-    /// Waits for work that outlives its request.
+    /// Waits for the tasks that outlive their request.
     pub async fn finish(&self) {
-        self.afterwork.close();
-        self.afterwork.wait().await;
+        self.background_tasks.close();
+        self.background_tasks.wait().await;
     }
 
-    /// Serves one request. When the future is dropped the caller has left: the back end's work is cancelled.
+    /// Serves one request. Dropping the future, as when the caller disconnects, cancels the request at
+    /// the backend.
     pub async fn serve(&self, request: &IngressRequest) -> IngressAnswer {
         let Some(routing) = self.routing() else {
             return Refusal::NotConfigured { retry_after: NOT_CONFIGURED_RETRY }.into();
@@ -114,37 +116,37 @@
         }
     }
 
-    /// What callers may send, by the bundle in force.
+    /// Limits of callers' requests under the installed bundle.
     #[must_use]
     pub fn limits(&self) -> hooklug_bundle::http::HttpLimits {
         self.routing().map(|routing| routing.http.limits.clone()).unwrap_or_default()
     }
 
-    /// Chooses a back end of the route for one more try.
+    /// Selects a backend of the route for the next attempt.
     pub(crate) fn pick(
         &self,
         route: &NamedRoute,
         tried: &[EngineId],
-        purpose: Purpose<'_>,
-    ) -> Option<Reserved> {
+        kind: RequestKind<'_>,
+    ) -> Option<Reservation> {
         let mut rng = rand::rng();
         let service = pick_service(&route.route, &mut rng)?;
         let rollout = self.rollout(service);
         let versions = AllowedVersions::draw(rollout.as_ref(), &mut rng);
-        let wanted = Wanted { service, versions: &versions, tried, purpose };
-        let picked = self.backends.pick(&wanted, &mut rng);
-        // The few engines of a version on trial may be full; then the others take the request.
+        let criteria = SelectionCriteria { service, versions: &versions, tried, kind };
+        let picked = self.backends.pick(&criteria, &mut rng);
+        // A version on trial has few engines; if they are full, other versions serve the request.
         picked.or_else(|| {
             let AllowedVersions::Only(target) = &versions else { return None };
             let trial = rollout.as_ref().is_some_and(RolloutRecord::is_on_trial);
             let versions = AllowedVersions::AllBut(target.clone());
-            let wanted = Wanted { service, versions: &versions, tried, purpose };
-            trial.then(|| self.backends.pick(&wanted, &mut rng)).flatten()
+            let criteria = SelectionCriteria { service, versions: &versions, tried, kind };
+            trial.then(|| self.backends.pick(&criteria, &mut rng)).flatten()
         })
     }
 
     /// Whether a version of the service is being rolled out.
-    pub(crate) fn is_watched(&self, service: &ServiceName) -> bool {
+    pub(crate) fn has_rollout(&self, service: &ServiceName) -> bool {
         self.rollout(service).is_some_and(|rollout| !rollout.phase.is_final())
     }
 
@@ -156,7 +158,7 @@
         self.routing.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    async fn follow_bundle(&self, mut bundle: watch::Receiver<Option<Arc<InstalledBundle>>>) {
+    async fn watch_bundle(&self, mut bundle: watch::Receiver<Option<Arc<InstalledBundle>>>) {
         loop {
             let installed = bundle.borrow_and_update().clone();
             if let Some(http) = installed.and_then(|installed| installed.bundle.http.clone()) {
@@ -170,10 +172,10 @@
         }
     }
 
-    async fn follow_list(&self, mut list: BackendWatch) {
+    async fn watch_list(&self, mut list: BackendWatch) {
         loop {
             if let Some(known) = list.borrow_and_update().clone() {
-                self.backends.follow(&known);
+                self.backends.apply_list(&known);
             }
             if list.changed().await.is_err() {
                 return;
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,8 +1,9 @@
-//! Requests that are passed through to pools of back ends: calls of tools, and turns of chained sessions.
+//! Reverse proxy of a gateway: forwards tool calls and turns of chained sessions to backend pools.
 //!
-//! A gateway with this part is session host too: it owns the sessions whose turns come in here, drives model
-//! engines chosen for each turn, and keeps budgets and finished turns in the shards. The way requests and back ends
-//! speak is a dialect ([`BackendDialect`]); everything that decides, retries, caches or remembers is here.
+//! A gateway with this crate is also a session host: it owns the sessions whose turns it receives,
+//! selects a model engine for each turn, and stores budgets and finished turns in the shards. The
+//! HTTP format of callers and backends is translated by a dialect ([`BackendDialect`]); selection,
+//! retries, caching and records are implemented here.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -29,7 +30,7 @@
 pub mod turns;
 pub mod versions;
 
-pub use answer::{AnswerBody, Cut, IngressAnswer, Refusal};
+pub use answer::{AnswerBody, IngressAnswer, Refusal, Truncated};
 pub use dialect::{BackendDialect, BackendHead, Outgoing, Verdict};
 pub use ingress::{Ingress, IngressContext};
 pub use load::LoadReport;
--- a/crates/ingress/src/load.rs
+++ b/crates/ingress/src/load.rs
@@ -1,61 +1,64 @@
-//! What is known of a back end's load: its last word and what this gateway sent since. Pure.
+//! Estimate of a backend's load from its last report and this gateway's own requests. No I/O.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time after which a report says little (ours): what ran then has mostly ended.
-const REPORT_LIFE: Duration = Duration::from_millis(1_500);
+/// Time after which a report is ignored: most of the requests it counted have ended by then.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// Load as a back end tells it.
+/// Load as reported by a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that may run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// A back end's load as one gateway estimates it.
+/// A backend's load as estimated by one gateway.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoadEstimate {
-    /// Requests of this gateway that are under way there.
+    /// This gateway's requests in flight at the backend.
     pub in_flight: u32,
-    told: Option<Told>,
+    last_report: Option<ReceivedReport>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReceivedReport {
     report: LoadReport,
     at: Instant,
-    /// This gateway's share of the report.
-    own: u32,
+    /// This gateway's requests in flight when the report was received.
+    own_in_flight: u32,
 }
 
 impl LoadEstimate {
-    /// Takes a report.
-    pub fn note(&mut self, report: LoadReport, now: Instant) {
-        self.told = Some(Told { report, at: now, own: self.in_flight });
+    /// Records a report.
+    pub fn record(&mut self, report: LoadReport, now: Instant) {
+        self.last_report = Some(ReceivedReport { report, at: now, own_in_flight: self.in_flight });
     }
 
-    /// Requests that are likely there now. What others sent fades with the age of the report.
+    /// Estimated number of requests at the backend. The share of other gateways decays linearly with
+    /// the age of the report.
     #[must_use]
     pub fn requests(&self, now: Instant) -> f64 {
         let own = f64::from(self.in_flight);
-        let Some(told) = &self.told else { return own };
-        let reported = told.report.running.saturating_add(told.report.waiting);
-        let others = f64::from(reported.saturating_sub(told.own));
-        let age = now.saturating_duration_since(told.at).as_secs_f64();
-        let fade = (1.0 - age / REPORT_LIFE.as_secs_f64()).max(0.0);
-        own + others * fade
+        let Some(last) = &self.last_report else { return own };
+        let reported = last.report.running.saturating_add(last.report.waiting);
+        let others = f64::from(reported.saturating_sub(last.own_in_flight));
+        let age = now.saturating_duration_since(last.at).as_secs_f64();
+        let decay = (1.0 - age / REPORT_LIFETIME.as_secs_f64()).max(0.0);
+        own + others * decay
     }
 
-    /// The same as a share of the slots that the back end tells, or that the list gives it.
+    /// Estimated number of requests divided by the reported slots, or by the listed slots if none were
+    /// reported.
     #[must_use]
     pub fn share(&self, listed_slots: u32, now: Instant) -> f64 {
-        let told = self.told.map(|told| told.report.slots).filter(|slots| *slots > 0);
-        self.requests(now) / f64::from(told.unwrap_or(listed_slots).max(1))
+        let reported_slots =
+            self.last_report.map(|last| last.report.slots).filter(|slots| *slots > 0);
+        self.requests(now) / f64::from(reported_slots.unwrap_or(listed_slots).max(1))
     }
 }
--- a/crates/ingress/src/prompt_caches.rs
+++ b/crates/ingress/src/prompt_caches.rs
@@ -1,4 +1,5 @@
-//! Which parts of prompts the engines are likely to hold, by what this gateway sent them. Pure.
+//! Estimate of the prompt parts that engines have cached, from the prompts that this gateway sent
+//! them. No I/O.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,38 +10,39 @@
 
 use crate::PromptPart;
 
-/// Parts remembered of one engine (ours): shared ones and those of the sessions that ran there lately.
-const PARTS_OF_ENGINE: NonZeroUsize = NonZeroUsize::new(1_024).unwrap();
+/// Maximum number of tracked parts per engine: shared parts and those of sessions that ran there
+/// recently.
+const MAX_PARTS_PER_ENGINE: NonZeroUsize = NonZeroUsize::new(1_024).unwrap();
 
-/// Parts by engine; the least recently used are forgotten, as in the engines' own caches.
+/// Cached parts by engine; the least recently used are evicted, as in the engines' own caches.
 #[derive(Debug, Default)]
 pub struct PromptCaches {
     engines: HashMap<EngineId, LruCache<u64, ()>>,
 }
 
 impl PromptCaches {
-    /// Tokens of a prompt that an engine has to read: all from the first part that it does not hold. An engine of the
-    /// prefix's own counts as holding the first part.
+    /// Tokens of a prompt that an engine has to process: all from the first part that is not cached. If
+    /// `is_own`, the engine is in the ring segment of the first part, which then counts as cached.
     #[must_use]
     pub fn missing_tokens(&self, engine: &EngineId, prompt: &[PromptPart], is_own: bool) -> u32 {
-        let held = self.engines.get(engine);
-        let is_held = |(number, part): &(usize, &PromptPart)| {
-            (is_own && *number == 0) || held.is_some_and(|held| held.contains(&key(part)))
+        let cached = self.engines.get(engine);
+        let is_cached = |(number, part): &(usize, &PromptPart)| {
+            (is_own && *number == 0) || cached.is_some_and(|cached| cached.contains(&key(part)))
         };
-        let known = prompt.iter().enumerate().take_while(is_held).count();
-        prompt[known..].iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
+        let cached_parts = prompt.iter().enumerate().take_while(is_cached).count();
+        prompt[cached_parts..].iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
-    /// Notes that an engine reads a prompt.
-    pub fn note(&mut self, engine: &EngineId, prompt: &[PromptPart]) {
-        let held = self.engines.entry(engine.clone());
-        let held = held.or_insert_with(|| LruCache::new(PARTS_OF_ENGINE));
+    /// Records that an engine processes a prompt.
+    pub fn record(&mut self, engine: &EngineId, prompt: &[PromptPart]) {
+        let cached = self.engines.entry(engine.clone());
+        let cached = cached.or_insert_with(|| LruCache::new(MAX_PARTS_PER_ENGINE));
         for part in prompt {
-            held.put(key(part), ());
+            cached.put(key(part), ());
         }
     }
 
-    /// Forgets engines that are gone.
+    /// Removes engines that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(&EngineId) -> bool) {
         self.engines.retain(|engine, _| is_listed(engine));
     }
--- a/crates/ingress/src/records.rs
+++ b/crates/ingress/src/records.rs
@@ -1,4 +1,4 @@
-//! Budgets, owners and kept turns in the shards.
+//! Records the start and the end of turns in the shards, with budgets, owners and histories.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,25 +18,26 @@
 
 use crate::TurnRequest;
 
-/// Added to the time for which turns are kept (ours): the clocks of two group leaders may differ by some seconds.
+/// Added to the retention time of turns, because the clocks of two group leaders may differ by some
+/// seconds.
 const CLOCK_MARGIN: Duration = Duration::from_secs(5);
 
-/// Why a turn was not begun.
+/// Why a turn was not started.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// The budget is spent, for good.
+    /// The token budget is spent permanently.
     #[error("the token budget is spent")]
     BudgetSpent,
-    /// Other turns hold what is left of the budget.
-    #[error("what is left of the token budget is held by other turns")]
+    /// The rest of the budget is reserved by other turns.
+    #[error("the rest of the token budget is reserved by other turns")]
     BudgetReserved,
-    /// The turn to go on from is not kept in the program's shard.
-    #[error("the turn to go on from is not kept in this shard")]
+    /// The program's shard does not have the previous turn.
+    #[error("the program's shard does not have the previous turn")]
     UnknownTurn,
-    /// The turn's id has been used before.
-    #[error("the id of the turn has been used before")]
-    Repeated,
-    /// The shard gave no answer in time.
+    /// The id of the turn was already used.
+    #[error("the id of the turn was already used")]
+    DuplicateTurn,
+    /// The shard did not reply in time.
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
 }
@@ -44,30 +45,31 @@
 /// Why a turn's end was not recorded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EndError {
-    /// The shard refuses it for good: a later turn of the session has begun, or the program is forgotten.
-    #[error("refused: {0}")]
+    /// The shard refuses it permanently: a later turn of the session has started, or the program's
+    /// record was removed.
+    #[error("the shard refused to end the turn: {0}")]
     Refused(ShardRefusal),
-    /// The shard gave no answer in time.
+    /// The shard did not reply in time.
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
 }
 
-/// What a turn's beginning says beside the request.
+/// Parameters of a turn's start in addition to the request.
 #[derive(Debug, Clone, Default)]
-pub struct Beginning {
-    /// The new input, on routes that keep turns.
+pub struct TurnStart {
+    /// The new input, on routes that retain turns.
     pub input: Option<Bytes>,
-    /// Whether the history is not at hand.
+    /// Whether the shard must return the history because it is not cached.
     pub wants_history: bool,
-    /// The history, when another program's shard keeps it.
+    /// The history, if it was read from another program's shard.
     pub imported: Option<Bytes>,
-    /// Longest time that the turn may run.
+    /// Maximum duration of the turn.
     pub time_limit: Duration,
-    /// How long finished turns are kept.
+    /// Retention time of finished turns.
     pub keep: Duration,
 }
 
-/// A turn's records. Cheap to clone.
+/// Access to the records of turns in the shards. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct TurnRecords {
     state: Arc<dyn StateAccess>,
@@ -79,21 +81,21 @@
 }
 
 impl TurnRecords {
-    /// Records of the turns of this session host.
+    /// Creates the access for a session host.
     #[must_use]
     pub fn new(state: Arc<dyn StateAccess>, host: NodeId) -> Self {
         Self { state, host }
     }
 
-    /// Begins a turn; this host owns the session from here on.
+    /// Starts a turn; this host owns the session afterwards.
     ///
     /// # Errors
-    /// [`StartError`]; after `Unavailable` the turn may have been begun, and counts against the budget until its
-    /// time limit and beyond.
+    /// [`StartError`]. After `Unavailable` the turn may have been started; it then counts against the
+    /// budget until its time limit and beyond.
     pub async fn start(
         &self,
         turn: &TurnRequest,
-        beginning: Beginning,
+        start: TurnStart,
         deadline: Instant,
     ) -> Result<StartedTurn, StartError> {
         let command = ShardCommand::StartTurn(StartTurn {
@@ -103,11 +105,11 @@
             after: turn.after.clone(),
             token_budget: turn.token_budget,
             max_tokens: turn.max_tokens,
-            input: beginning.input,
-            wants_history: beginning.wants_history,
-            imported: beginning.imported,
-            time_limit_ms: millis(beginning.time_limit),
-            keep_ms: millis(beginning.keep + CLOCK_MARGIN),
+            input: start.input,
+            wants_history: start.wants_history,
+            imported: start.imported,
+            time_limit_ms: millis(start.time_limit),
+            keep_ms: millis(start.keep + CLOCK_MARGIN),
         });
         let group = shard_of(turn.program.as_str());
         match self.state.execute_shard(group, &command, deadline).await? {
@@ -115,14 +117,14 @@
             ShardReply::Refused(ShardRefusal::BudgetSpent) => Err(StartError::BudgetSpent),
             ShardReply::Refused(ShardRefusal::BudgetReserved) => Err(StartError::BudgetReserved),
             ShardReply::Refused(ShardRefusal::UnknownTurn) => Err(StartError::UnknownTurn),
-            _ => Err(StartError::Repeated),
+            _ => Err(StartError::DuplicateTurn),
         }
     }
 
-    /// Ends a turn; with its whole output it is kept.
+    /// Ends a turn. The turn is retained if its complete output is given.
     ///
     /// # Errors
-    /// [`EndError`]; the turn must then not look whole to its caller.
+    /// [`EndError`]; the caller of the turn must then not receive a complete response.
     pub async fn end(
         &self,
         turn: &TurnRequest,
@@ -145,10 +147,10 @@
         }
     }
 
-    /// The history up to and with a turn that another program keeps; `None` when no shard keeps it.
+    /// Searches all shards for the history up to and including a turn; `None` if no shard has it.
     ///
     /// # Errors
-    /// When any shard gave no answer, and none that did keeps the turn.
+    /// If some shard did not reply and none of the others has the turn.
     pub async fn find_history(
         &self,
         turn: &TurnId,
@@ -156,17 +158,17 @@
     ) -> Result<Option<Bytes>, Unavailable> {
         let query = ShardQuery::History(turn.clone());
         let shards: Vec<GroupId> = GroupId::all().filter(|group| *group != META_GROUP).collect();
-        let ask = |shard: &GroupId| self.state.query_shard(*shard, &query, deadline);
-        let mut asked: FuturesUnordered<_> = shards.iter().map(ask).collect();
-        let mut missing = None;
-        while let Some(answer) = asked.next().await {
+        let query_history = |shard: &GroupId| self.state.query_shard(*shard, &query, deadline);
+        let mut queries: FuturesUnordered<_> = shards.iter().map(query_history).collect();
+        let mut unavailable = None;
+        while let Some(answer) = queries.next().await {
             match answer {
                 Ok(ShardAnswer::History(Some(history))) => return Ok(Some(history)),
                 Ok(_) => {}
-                Err(error) => missing = Some(error),
+                Err(error) => unavailable = Some(error),
             }
         }
-        missing.map_or(Ok(None), Err)
+        unavailable.map_or(Ok(None), Err)
     }
 }
 
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as the dialect hands it over.
+//! A caller's request in the form that the dialect produces.
 
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 use http::{HeaderMap, Method, Uri};
 use tokio::time::Instant;
 
-/// A caller's request, read whole.
+/// A caller's request, completely read.
 #[derive(Debug, Clone)]
 pub struct IngressRequest {
-    /// Its id; each attempt of a caller has one of its own.
+    /// Id of the request; each attempt of a caller has its own.
     pub id: String,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
     pub uri: Uri,
-    /// Host that it is for.
+    /// Requested host.
     pub host: String,
-    /// Headers that go on to the back end.
+    /// Headers to forward to the backend.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
-    /// When its last byte was read.
+    /// When the last byte was read.
     pub received: Instant,
-    /// How long its caller waits; `None` when it does not say.
+    /// How long the caller waits; `None` if it did not say.
     pub patience: Option<Duration>,
-    /// For turns of agent programs.
+    /// Parameters of the turn, if the request is a turn of an agent program.
     pub turn: Option<TurnRequest>,
-    /// Parts of its prompt, shared ones first.
+    /// Parts of the prompt, shared ones first.
     pub prompt: Vec<PromptPart>,
 }
 
-/// What a turn says beside its input.
+/// Parameters of a turn in addition to its input.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnRequest {
-    /// Its program.
+    /// Program that the turn belongs to.
     pub program: ProgramId,
-    /// Its session.
+    /// Session that the turn belongs to.
     pub session: SessionId,
-    /// The turn itself.
+    /// Id of the turn.
     pub turn: TurnId,
-    /// The turn that it goes on from.
+    /// The previous turn, whose history this turn continues.
     pub after: Option<TurnId>,
-    /// Tokens that all turns of the program may generate.
+    /// Maximum number of tokens that all turns of the program may generate.
     pub token_budget: Option<TokenCount>,
-    /// The most that this turn generates.
+    /// Maximum number of tokens that this turn generates.
     pub max_tokens: TokenCount,
 }
 
-/// A part of a prompt. Parts are shared among requests; engines may hold them in their cache.
+/// A part of a prompt. Requests may share parts, and engines may have them cached.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// Id of the part's content.
     pub id: String,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
--- a/crates/ingress/src/routes.rs
+++ b/crates/ingress/src/routes.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request: the longest prefix of the host's routes that begins the path. Pure.
+//! Finds the route of a request: the route of the host with the longest matching path prefix. No I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 pub struct NamedRoute {
     /// Its name.
     pub name: RouteName,
-    /// What it says.
+    /// Its definition in the bundle.
     pub route: HttpRoute,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl RouteTable {
-    /// The table of a bundle's routes.
+    /// Builds the table of a bundle's routes.
     #[must_use]
     pub fn new(routing: &HttpRouting) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<NamedRoute>>> = HashMap::new();
@@ -36,7 +36,7 @@
         Self { hosts }
     }
 
-    /// The route of a host and path. A port after the host says nothing.
+    /// Finds the route of a host and path. A port after the host is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<NamedRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
@@ -45,18 +45,18 @@
     }
 }
 
-/// Picks one of a route's pools by their weights; `None` when all weights are 0.
+/// Selects one of a route's pools at random by weight; `None` if all weights are 0.
 pub fn pick_service<'a>(route: &'a HttpRoute, rng: &mut impl Rng) -> Option<&'a ServiceName> {
     let total: u32 = route.backends.iter().map(|backend| backend.weight).sum();
     if total == 0 {
         return None;
     }
-    let mut ticket = rng.random_range(0..total);
+    let mut point = rng.random_range(0..total);
     for backend in &route.backends {
-        if ticket < backend.weight {
+        if point < backend.weight {
             return Some(&backend.service);
         }
-        ticket -= backend.weight;
+        point -= backend.weight;
     }
     None
 }
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: HTTP/1.1 on one listener, with an orderly end.
+//! HTTP/1.1 server for callers, with graceful shutdown.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -16,37 +16,38 @@
 use tokio_util::task::TaskTracker;
 use tracing::debug;
 
-use crate::{AnswerBody, Cut};
+use crate::{AnswerBody, Truncated};
 
-/// Part of the grace period for which idle connections stay open (ours): what their callers have sent meanwhile is
-/// served, and each answer says that the connection ends.
-const LINGER_SHARE: f64 = 0.3;
+/// Fraction of the grace period for which idle connections stay open. Requests sent in this time are
+/// served, and each response announces that the connection closes.
+const IDLE_SHARE: f64 = 0.3;
 
-/// Part of the grace period after which new requests are refused (ours): one that is taken must have the time to end.
+/// Fraction of the grace period after which new requests are refused, because an accepted request
+/// must have time to complete.
 const REFUSE_SHARE: f64 = 0.4;
 
-/// Pause after a failed accept: out of descriptors, most likely.
+/// Pause after a failed accept, which most likely means that no file descriptors are free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers callers' requests.
+/// Handler of callers' requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; dropped when its caller leaves.
+    /// Handles one request. The future is dropped when the caller disconnects.
     fn handle(
         &self,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send;
 
-    /// The answer to a request that came too late before the end of the process. It has not run and never will.
+    /// The response to a request that arrives too late during shutdown. The request is not run.
     fn refuse(&self) -> Response<AnswerBody>;
 
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     fn idle_time(&self) -> Duration;
 }
 
-/// When a stopping server does what.
+/// The stages of a graceful shutdown, as tokens that are cancelled when a stage begins.
 #[derive(Debug, Clone, Default)]
-struct Stages {
-    /// Answers say that their connection ends.
+struct ShutdownStages {
+    /// Responses announce that their connection closes.
     stop: CancellationToken,
     /// Idle connections are closed.
     close: CancellationToken,
@@ -54,21 +55,23 @@
     refuse: CancellationToken,
 }
 
-/// Serves until stopped, and then until all that runs has ended or `grace` is over. New connections are taken to the
-/// last, since callers may not know of the stop yet; new requests are refused once they could not end in time.
+/// Serves until stopped, and then until all running requests have completed or `grace` is over.
+///
+/// New connections are accepted until the end, since callers may not know of the stop yet. New
+/// requests are refused once they could not complete in time.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
     stop: CancellationToken,
     grace: Duration,
 ) {
-    let stages = Stages { stop, ..Stages::default() };
+    let stages = ShutdownStages { stop, ..ShutdownStages::default() };
     let connections = TaskTracker::new();
     let accepting = accept(&listener, &handler, &stages, &connections);
     let ending = async {
         stages.stop.cancelled().await;
-        let (stopped, linger) = (Instant::now(), grace.mul_f64(LINGER_SHARE));
-        tokio::time::sleep_until(stopped + linger).await;
+        let (stopped, idle_period) = (Instant::now(), grace.mul_f64(IDLE_SHARE));
+        tokio::time::sleep_until(stopped + idle_period).await;
         stages.close.cancel();
         tokio::time::sleep_until(stopped + grace.mul_f64(REFUSE_SHARE)).await;
         stages.refuse.cancel();
@@ -84,7 +87,7 @@
 async fn accept<H: Handler>(
     listener: &TcpListener,
     handler: &Arc<H>,
-    stages: &Stages,
+    stages: &ShutdownStages,
     connections: &TaskTracker,
 ) {
     loop {
@@ -97,12 +100,13 @@
     }
 }
 
-async fn serve_connection<H: Handler>(stream: TcpStream, handler: Arc<H>, stages: Stages) {
+async fn serve_connection<H: Handler>(stream: TcpStream, handler: Arc<H>, stages: ShutdownStages) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
     let idle_time = handler.idle_time();
-    // A connection that comes after the idle ones were closed is there for one request, and is not closed before it.
+    // A connection accepted after the idle ones were closed must not be closed before its first
+    // request.
     let close =
         if stages.close.is_cancelled() { CancellationToken::new() } else { stages.close.clone() };
     let service = service_fn(move |request| {
@@ -115,7 +119,7 @@
             if stages.stop.is_cancelled() {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok::<_, Cut>(response)
+            Ok::<_, Truncated>(response)
         }
     });
     let connection = http1::Builder::new()
@@ -131,6 +135,6 @@
         }
     };
     if let Err(error) = ended {
-        debug!(%error, "a caller's connection ended");
+        debug!(%error, "connection of a caller closed with an error");
     }
 }
--- a/crates/ingress/src/sse.rs
+++ b/crates/ingress/src/sse.rs
@@ -1,32 +1,33 @@
-//! Cuts a stream of bytes into events. Only what is needed of `text/event-stream`: lines, `data` fields, blank lines.
+//! Incremental parser of `text/event-stream`, limited to lines, `data` fields and blank lines.
 
 use bytes::{Bytes, BytesMut};
 
-/// Field that carries an event's data.
+/// Name of the field that carries an event's data.
 const DATA_FIELD: &[u8] = b"data";
 
 /// One event's data: the values of its `data` lines, joined by line feeds.
 pub type EventData = Bytes;
 
-/// Reads events out of pieces of any length.
+/// Parses events from chunks of any length.
 #[derive(Debug, Default)]
 pub struct EventReader {
     line: BytesMut,
     data: BytesMut,
     has_data: bool,
-    /// Whether the last byte was a carriage return, whose line feed belongs to it.
-    after_return: bool,
+    /// Whether the last byte was a carriage return; a line feed that follows belongs to the same line
+    /// end.
+    after_cr: bool,
 }
 
 impl EventReader {
-    /// Takes a piece; gives the data of each event that it completes.
-    pub fn read(&mut self, piece: &[u8]) -> Vec<EventData> {
+    /// Parses a chunk and returns the data of each event that it completes.
+    pub fn read(&mut self, chunk: &[u8]) -> Vec<EventData> {
         let mut events = Vec::new();
-        for byte in piece {
-            let completes_return = *byte == b'\n' && self.after_return;
-            self.after_return = *byte == b'\r';
+        for byte in chunk {
+            let ends_crlf = *byte == b'\n' && self.after_cr;
+            self.after_cr = *byte == b'\r';
             match byte {
-                b'\n' if completes_return => {}
+                b'\n' if ends_crlf => {}
                 b'\n' | b'\r' => events.extend(self.end_line()),
                 _ => self.line.extend_from_slice(&[*byte]),
             }
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -1,7 +1,8 @@
-//! Passes an engine's stream on, event by event, and records the turn before its end is shown.
+//! Forwards an engine's stream to the caller and records the turn before the stream ends.
 //!
-//! Events go out as they come. The end of the body waits for the commit of the whole turn on routes that keep turns:
-//! a turn that its caller saw whole is never unknown afterwards.
+//! Events are forwarded as they arrive. On routes that retain turns, the end of the body is sent
+//! only after the complete turn is committed, so that a turn that its caller received completely is
+//! never unknown afterwards.
 
 use std::sync::Arc;
 
@@ -9,138 +10,140 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-use crate::answer::{AnswerBody, Cut, IngressAnswer};
-use crate::attempt::Answering;
+use crate::answer::{AnswerBody, IngressAnswer, Truncated};
+use crate::attempt::PendingResponse;
 use crate::backends::Outcome;
 use crate::connections::Connections;
-use crate::deadline::Times;
+use crate::deadline::RequestDeadlines;
 use crate::history_cache::HistoryCache;
 use crate::ingress::{Ingress, Routing};
 use crate::routes::NamedRoute;
 use crate::sse::EventReader;
-use crate::turns::{END_TIME, OpenTurn, joined};
+use crate::turns::{END_TIMEOUT, OpenTurn, concatenated};
 
-/// Pieces that may wait for the caller's connection.
-const PIECES_WAITING: usize = 16;
+/// Capacity of the queue of chunks to the caller's connection.
+const CHUNK_QUEUE_LENGTH: usize = 16;
 
-/// A stream on its way from an engine to a caller.
-struct Passing {
-    answering: Answering,
-    pieces: mpsc::Sender<Result<Bytes, Cut>>,
+/// Forwards one stream from an engine to a caller.
+struct StreamForwarder {
+    response: PendingResponse,
+    chunks: mpsc::Sender<Result<Bytes, Truncated>>,
     open: OpenTurn,
     events: EventReader,
     tokens_per_event: u64,
-    /// The prompt and what was said so far, on routes that keep turns.
-    kept: Option<Kept>,
+    /// The prompt and the output so far, on routes that retain turns.
+    retained: Option<RetainedTurn>,
     connections: Arc<Connections>,
     histories: Arc<HistoryCache>,
     end: Instant,
 }
 
-struct Kept {
+struct RetainedTurn {
     prompt: Bytes,
     output: BytesMut,
 }
 
-/// How the engine's part of a stream ended.
+/// How the stream of an engine ended.
 enum StreamEnd {
-    Whole,
-    /// The engine broke off, or time was over.
-    Broken,
-    CallerLeft,
+    Complete,
+    /// The connection to the engine failed, or the deadline passed.
+    Interrupted,
+    CallerDisconnected,
 }
 
 impl Ingress {
-    /// Answers with an engine's stream; the rest happens in a task of its own.
-    pub(crate) fn pass_stream(
+    /// Returns an answer with an engine's stream, which a separate task forwards.
+    pub(crate) fn forward_stream(
         &self,
-        answering: Answering,
+        response: PendingResponse,
         route: &NamedRoute,
         routing: &Arc<Routing>,
         open: OpenTurn,
         prompt: Bytes,
-        times: Times,
+        deadlines: RequestDeadlines,
     ) -> IngressAnswer {
-        let service = routing.http.services.get(&answering.reserved.picked.service);
+        let service = routing.http.services.get(&response.reservation.picked.service);
         let model = service.and_then(|service| service.model.as_ref());
-        let (pieces, body) = mpsc::channel(PIECES_WAITING);
-        let head = answering.head.clone();
-        let kept = route.route.keep_ms.map(|_| Kept { prompt, output: BytesMut::new() });
-        let passing = Passing {
-            answering,
-            pieces,
+        let (chunks, body) = mpsc::channel(CHUNK_QUEUE_LENGTH);
+        let head = response.head.clone();
+        let retained =
+            route.route.keep_ms.map(|_| RetainedTurn { prompt, output: BytesMut::new() });
+        let forwarder = StreamForwarder {
+            response,
+            chunks,
             open,
             events: EventReader::default(),
             tokens_per_event: model.map_or(1, |model| model.tokens_per_event),
-            kept,
+            retained,
             connections: self.connections.clone(),
             histories: self.histories.clone(),
-            end: times.end,
+            end: deadlines.end,
         };
-        let recorder = self.recorder(route, &passing.answering);
-        self.afterwork.spawn(async move { passing.run(recorder).await });
+        let recorder = self.recorder(route, &forwarder.response);
+        self.background_tasks.spawn(async move { forwarder.run(recorder).await });
         IngressAnswer::Passed(head, AnswerBody::Stream(body))
     }
 }
 
-impl Passing {
+impl StreamForwarder {
     async fn run(mut self, recorder: impl Fn(bool, std::time::Duration)) {
         let mut first_event = None;
-        let end = self.pass_all(&mut first_event).await;
-        let first_event = first_event.unwrap_or_else(|| self.answering.sent.elapsed());
+        let end = self.forward_chunks(&mut first_event).await;
+        let first_event = first_event.unwrap_or_else(|| self.response.sent.elapsed());
         match end {
-            StreamEnd::Whole => {
+            StreamEnd::Complete => {
                 recorder(true, first_event);
                 self.finish(first_event).await;
             }
-            StreamEnd::Broken => {
+            StreamEnd::Interrupted => {
                 recorder(false, first_event);
-                let _ = self.pieces.send(Err(Cut)).await;
-                self.answering.reserved.end(Outcome::Broken);
+                let _ = self.chunks.send(Err(Truncated)).await;
+                self.response.reservation.end(Outcome::NoResponse);
             }
-            StreamEnd::CallerLeft => {}
+            StreamEnd::CallerDisconnected => {}
         }
     }
 
-    async fn pass_all(&mut self, first_event: &mut Option<std::time::Duration>) -> StreamEnd {
+    async fn forward_chunks(&mut self, first_event: &mut Option<std::time::Duration>) -> StreamEnd {
         loop {
             let next = tokio::select! {
-                next = timeout_at(self.end, self.answering.next_piece()) => next,
-                () = self.pieces.closed() => return StreamEnd::CallerLeft,
+                next = timeout_at(self.end, self.response.next_chunk()) => next,
+                () = self.chunks.closed() => return StreamEnd::CallerDisconnected,
             };
-            let piece = match next {
-                Ok(Ok(Some(piece))) => piece,
-                Ok(Ok(None)) => return StreamEnd::Whole,
-                Ok(Err(_)) | Err(_) => return StreamEnd::Broken,
+            let chunk = match next {
+                Ok(Ok(Some(chunk))) => chunk,
+                Ok(Ok(None)) => return StreamEnd::Complete,
+                Ok(Err(_)) | Err(_) => return StreamEnd::Interrupted,
             };
-            self.take(&piece);
-            first_event.get_or_insert_with(|| self.answering.sent.elapsed());
-            if self.pieces.send(Ok(piece)).await.is_err() {
-                return StreamEnd::CallerLeft;
+            self.parse_chunk(&chunk);
+            first_event.get_or_insert_with(|| self.response.sent.elapsed());
+            if self.chunks.send(Ok(chunk)).await.is_err() {
+                return StreamEnd::CallerDisconnected;
             }
         }
     }
 
-    fn take(&mut self, piece: &[u8]) {
-        for data in self.events.read(piece) {
+    fn parse_chunk(&mut self, chunk: &[u8]) {
+        for data in self.events.read(chunk) {
             self.open.tokens.0 += self.tokens_per_event;
-            if let Some(kept) = &mut self.kept {
-                kept.output.extend_from_slice(&data);
-                kept.output.extend_from_slice(b"\n");
+            if let Some(retained) = &mut self.retained {
+                retained.output.extend_from_slice(&data);
+                retained.output.extend_from_slice(b"\n");
             }
         }
     }
 
-    /// Records the turn, then lets the answer end.
+    /// Records the end of the turn, then ends the response.
     async fn finish(mut self, first_event: std::time::Duration) {
-        self.answering.end(&self.connections, Outcome::Answered(first_event));
-        let Some(kept) = self.kept else { return };
-        let output = kept.output.freeze();
-        let deadline = self.end.min(Instant::now() + END_TIME);
-        if self.open.end_whole(output.clone(), deadline).await {
-            self.histories.put(self.open.turn.turn.clone(), joined(&kept.prompt, &output));
+        self.response.end(&self.connections, Outcome::Succeeded(first_event));
+        let Some(retained) = self.retained else { return };
+        let output = retained.output.freeze();
+        let deadline = self.end.min(Instant::now() + END_TIMEOUT);
+        if self.open.end_complete(output.clone(), deadline).await {
+            self.histories
+                .put(self.open.turn.turn.clone(), concatenated(&retained.prompt, &output));
         } else {
-            let _ = self.pieces.send(Err(Cut)).await;
+            let _ = self.chunks.send(Err(Truncated)).await;
         }
     }
 }
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -1,4 +1,5 @@
-//! Turns of chained sessions: this host owns the session, drives an engine, and keeps what was said.
+//! Turns of chained sessions: this host owns the session, forwards the turn to an engine and records
+//! the output.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,47 +14,49 @@
 
 use crate::answer::{IngressAnswer, Refusal};
 use crate::attempt::Attempt;
-use crate::backends::{Outcome, Purpose};
-use crate::calls::Tries;
-use crate::deadline::Times;
+use crate::backends::{Outcome, RequestKind};
+use crate::calls::AttemptHistory;
+use crate::deadline::RequestDeadlines;
 use crate::ingress::{Ingress, Routing};
-use crate::records::{Beginning, StartError, TurnRecords};
+use crate::records::{StartError, TurnRecords, TurnStart};
 use crate::routes::NamedRoute;
 use crate::{AnswerBody, IngressRequest, TurnRequest};
 
-/// Longest wait for the shard before a turn is refused (ours): an election takes about a second.
-const START_TIME: Duration = Duration::from_millis(1_800);
+/// Longest wait for the shard before a turn is refused; an election takes about a second.
+const START_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Longest time in which the end of a turn is recorded (ours).
-pub(crate) const END_TIME: Duration = Duration::from_secs(3);
+/// Longest time for recording the end of a turn.
+pub(crate) const END_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// When a caller should come back whose turn met a shard without a leader (ours).
+/// Retry time returned to a caller when the shard is unavailable, as without a leader.
 const SHARD_RETRY: Duration = Duration::from_millis(200);
 
-/// When a caller should come back whose program's other turns hold the budget (ours).
+/// Retry time returned to a caller when other turns of the program have reserved the budget.
 const BUDGET_RETRY: Duration = Duration::from_millis(250);
 
-/// How long programs are remembered on routes that keep nothing (ours): their budgets outlive a restart.
-const LEDGER_KEEP: Duration = Duration::from_secs(60);
+/// Retention time on routes that do not retain turns, so that the budgets of programs survive a
+/// restart.
+const LEDGER_RETENTION: Duration = Duration::from_secs(60);
 
-/// Longest answer of an engine that is no stream, in bytes (ours).
-const MOST_FAILURE_BYTES: usize = 64 << 10;
+/// Maximum size of an engine's error response, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 64 << 10;
 
-/// A turn that was begun and has not ended. Dropped without its end being recorded, it records what the caller got.
+/// A started turn whose end is not recorded yet. If it is dropped, a background task records the
+/// tokens that were sent to the caller.
 #[derive(Debug)]
 pub(crate) struct OpenTurn {
     records: TurnRecords,
-    afterwork: TaskTracker,
+    background_tasks: TaskTracker,
     pub(crate) turn: TurnRequest,
     epoch: SessionEpoch,
-    /// Tokens that went to the caller.
+    /// Number of tokens sent to the caller.
     pub(crate) tokens: TokenCount,
     ended: bool,
 }
 
 impl OpenTurn {
-    /// Records the end of a whole turn.
-    pub(crate) async fn end_whole(&mut self, output: Bytes, deadline: Instant) -> bool {
+    /// Records the end of a complete turn; returns whether that succeeded.
+    pub(crate) async fn end_complete(&mut self, output: Bytes, deadline: Instant) -> bool {
         let (turn, tokens) = (&self.turn, self.tokens);
         match self.records.end(turn, self.epoch, tokens, Some(output), deadline).await {
             Ok(()) => {
@@ -61,7 +64,7 @@
                 true
             }
             Err(error) => {
-                debug!(turn = %turn.turn, %error, "the end of a turn is not recorded");
+                debug!(turn = %turn.turn, %error, "cannot record the end of a turn");
                 false
             }
         }
@@ -75,9 +78,9 @@
         }
         let (records, turn) = (self.records.clone(), self.turn.clone());
         let (epoch, tokens) = (self.epoch, self.tokens);
-        self.afterwork.spawn(async move {
-            let deadline = Instant::now() + END_TIME;
-            // Without this record the turn counts at its most.
+        self.background_tasks.spawn(async move {
+            let deadline = Instant::now() + END_TIMEOUT;
+            // If this fails, the turn counts with its maximum number of tokens.
             let _ = records.end(&turn, epoch, tokens, None, deadline).await;
         });
     }
@@ -92,44 +95,44 @@
         route: &NamedRoute,
         routing: &Arc<Routing>,
     ) -> IngressAnswer {
-        let times = Times::of(request, &route.route);
-        let (open, history) = match self.begin(request, turn, route, &times).await {
-            Ok(begun) => begun,
+        let deadlines = RequestDeadlines::of(request, &route.route);
+        let (open, history) = match self.start_turn(request, turn, route, &deadlines).await {
+            Ok(started) => started,
             Err(refusal) => return refusal.into(),
         };
         let body = match &history {
-            Some(history) => joined(history, &request.body),
+            Some(history) => concatenated(history, &request.body),
             None => request.body.clone(),
         };
-        self.run_turn(request, route, routing, RunningTurn { open, body, times }).await
+        self.run_turn(request, route, routing, RunningTurn { open, body, deadlines }).await
     }
 
-    /// Begins a turn in the shard; the history that it goes on from comes with it.
-    async fn begin(
+    /// Starts a turn in the shard and returns it with the history that it continues.
+    async fn start_turn(
         &self,
         request: &IngressRequest,
         turn: &TurnRequest,
         route: &NamedRoute,
-        times: &Times,
+        deadlines: &RequestDeadlines,
     ) -> Result<(OpenTurn, Option<Bytes>), Refusal> {
         let keep = route.route.keep_ms.map(Duration::from_millis);
-        let held = turn.after.as_ref().and_then(|after| self.histories.get(after));
-        let beginning = Beginning {
+        let cached = turn.after.as_ref().and_then(|after| self.histories.get(after));
+        let start = TurnStart {
             input: keep.map(|_| request.body.clone()),
-            wants_history: turn.after.is_some() && held.is_none(),
+            wants_history: turn.after.is_some() && cached.is_none(),
             imported: None,
-            time_limit: times.left(Instant::now()),
-            keep: keep.unwrap_or(LEDGER_KEEP),
+            time_limit: deadlines.left(Instant::now()),
+            keep: keep.unwrap_or(LEDGER_RETENTION),
         };
-        let deadline = times.end.min(Instant::now() + START_TIME);
-        let (started, history) = match self.records.start(turn, beginning.clone(), deadline).await {
-            Ok(started) => (started, held),
-            Err(StartError::UnknownTurn) => self.import(turn, beginning, held, deadline).await?,
+        let deadline = deadlines.end.min(Instant::now() + START_TIMEOUT);
+        let (started, history) = match self.records.start(turn, start.clone(), deadline).await {
+            Ok(started) => (started, cached),
+            Err(StartError::UnknownTurn) => self.import(turn, start, cached, deadline).await?,
             Err(error) => return Err(refusal(&error)),
         };
         let open = OpenTurn {
             records: self.records.clone(),
-            afterwork: self.afterwork.clone(),
+            background_tasks: self.background_tasks.clone(),
             turn: turn.clone(),
             epoch: started.epoch,
             tokens: TokenCount(0),
@@ -138,27 +141,29 @@
         Ok((open, started.history.or(history)))
     }
 
-    /// Begins a turn that goes on from another program's turn: its history is looked for in all shards.
+    /// Starts a turn that continues a turn of another program, whose history is searched in all shards.
     async fn import(
         &self,
         turn: &TurnRequest,
-        beginning: Beginning,
-        held: Option<Bytes>,
+        start: TurnStart,
+        cached: Option<Bytes>,
         deadline: Instant,
     ) -> Result<(StartedTurn, Option<Bytes>), Refusal> {
         let Some(after) = &turn.after else { return Err(Refusal::UnknownTurn) };
-        let found = match held {
-            Some(held) => Some(held),
-            None => self.records.find_history(after, deadline).await.map_err(|_| no_word())?,
+        let found = match cached {
+            Some(cached) => Some(cached),
+            None => {
+                self.records.find_history(after, deadline).await.map_err(|_| shard_unavailable())?
+            }
         };
         let history = found.ok_or(Refusal::UnknownTurn)?;
         let imported = Some(history.clone());
-        let beginning = Beginning { imported, wants_history: false, ..beginning };
-        let started = self.records.start(turn, beginning, deadline).await;
+        let start = TurnStart { imported, wants_history: false, ..start };
+        let started = self.records.start(turn, start, deadline).await;
         Ok((started.map_err(|error| refusal(&error))?, Some(history)))
     }
 
-    /// Finds an engine that takes the turn and passes its stream on.
+    /// Finds an engine that accepts the turn and forwards its stream.
     async fn run_turn(
         &self,
         request: &IngressRequest,
@@ -166,30 +171,37 @@
         routing: &Arc<Routing>,
         running: RunningTurn,
     ) -> IngressAnswer {
-        let RunningTurn { open, body, times } = running;
-        let purpose = Purpose::Prompt(&request.prompt);
-        let mut tries = Tries::default();
+        let RunningTurn { open, body, deadlines } = running;
+        let kind = RequestKind::Prompt(&request.prompt);
+        let mut attempts = AttemptHistory::default();
         loop {
-            let reserved = self.pick_or_wait(route, &mut tries, purpose, &times).await;
-            let Some(reserved) = reserved else {
-                return refused("no engine has room", crate::calls::NO_ROOM_RETRY).into();
+            let reservation = self.reserve_backend(route, &mut attempts, kind, &deadlines).await;
+            let Some(reservation) = reservation else {
+                return not_run(
+                    "no engine of the route has capacity",
+                    crate::calls::AT_CAPACITY_RETRY,
+                )
+                .into();
             };
-            match self.send(request, &body, route, reserved, &times).await {
-                Attempt::NoRoom | Attempt::NotExecuted | Attempt::NotSent => {}
+            match self.send(request, &body, route, reservation, &deadlines).await {
+                Attempt::AtCapacity | Attempt::NotExecuted | Attempt::NotSent => {}
                 Attempt::TimedOut => return Refusal::TimedOut.into(),
-                Attempt::Lost(reason) => return Refusal::AnswerLost(reason).into(),
-                Attempt::Answered(answering) if answering.head.status == StatusCode::OK => {
-                    return self.pass_stream(*answering, route, routing, open, body, times);
+                Attempt::ResponseLost(reason) => return Refusal::AnswerLost(reason).into(),
+                Attempt::Responded(response) if response.head.status == StatusCode::OK => {
+                    return self.forward_stream(*response, route, routing, open, body, deadlines);
                 }
-                Attempt::Answered(mut answering) => {
-                    let body = answering.whole_body(times.end, MOST_FAILURE_BYTES).await;
-                    self.record(route, &answering, false, answering.sent.elapsed());
-                    let head = answering.head.clone();
+                Attempt::Responded(mut response) => {
+                    let body = response.read_body(deadlines.end, MAX_ERROR_BODY_BYTES).await;
+                    self.record(route, &response, false, response.sent.elapsed());
+                    let head = response.head.clone();
                     let Ok(body) = body else {
-                        answering.reserved.end(Outcome::Broken);
-                        return Refusal::AnswerLost("the answer was cut".to_owned()).into();
+                        response.reservation.end(Outcome::NoResponse);
+                        return Refusal::AnswerLost(
+                            "the engine's error response is incomplete".to_owned(),
+                        )
+                        .into();
                     };
-                    answering.end(&self.connections, Outcome::Failed);
+                    response.end(&self.connections, Outcome::Failed);
                     return IngressAnswer::Passed(head, AnswerBody::from(body));
                 }
             }
@@ -197,32 +209,32 @@
     }
 }
 
-/// A turn that was begun, with the whole prompt for its engine.
+/// A started turn with the complete prompt for its engine.
 struct RunningTurn {
     open: OpenTurn,
     body: Bytes,
-    times: Times,
+    deadlines: RequestDeadlines,
 }
 
-fn refused(reason: &'static str, retry_after: Duration) -> Refusal {
+fn not_run(reason: &'static str, retry_after: Duration) -> Refusal {
     Refusal::NotRun { reason, retry_after }
 }
 
-fn no_word() -> Refusal {
-    refused("no word from the turn's shard", SHARD_RETRY)
+fn shard_unavailable() -> Refusal {
+    not_run("the turn's shard is unavailable", SHARD_RETRY)
 }
 
 fn refusal(error: &StartError) -> Refusal {
     match error {
         StartError::BudgetSpent => Refusal::BudgetSpent,
-        StartError::BudgetReserved => refused("other turns hold the budget", BUDGET_RETRY),
+        StartError::BudgetReserved => not_run("other turns have reserved the budget", BUDGET_RETRY),
         StartError::UnknownTurn => Refusal::UnknownTurn,
-        StartError::Repeated => Refusal::AnswerLost("the id was used before".to_owned()),
-        StartError::Unavailable(_) => no_word(),
+        StartError::DuplicateTurn => Refusal::AnswerLost("the turn id was already used".to_owned()),
+        StartError::Unavailable(_) => shard_unavailable(),
     }
 }
 
-pub(crate) fn joined(first: &[u8], second: &[u8]) -> Bytes {
+pub(crate) fn concatenated(first: &[u8], second: &[u8]) -> Bytes {
     let mut whole = BytesMut::with_capacity(first.len() + second.len());
     whole.extend_from_slice(first);
     whole.extend_from_slice(second);
--- a/crates/ingress/src/versions.rs
+++ b/crates/ingress/src/versions.rs
@@ -1,22 +1,22 @@
-//! Which versions of a service may get requests, by the roll-outs under way. Pure.
+//! Versions of a service that may receive requests during a rollout. No I/O.
 
 use hooklug_state::meta::{RolloutPhase, RolloutRecord};
 use hooklug_types::ServiceVersion;
 use rand::{Rng, RngExt};
 
-/// Versions that one request may go to.
+/// Versions that may receive one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AllowedVersions {
-    /// Any.
+    /// All versions.
     All,
     /// Only this one.
     Only(ServiceVersion),
-    /// Any but this one.
+    /// All versions except this one.
     AllBut(ServiceVersion),
 }
 
 impl AllowedVersions {
-    /// Whether a version may get the request.
+    /// Whether a version may receive the request.
     #[must_use]
     pub fn allows(&self, version: &ServiceVersion) -> bool {
         match self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Draws the versions of one request of a service with this roll-out.
+    /// Selects the allowed versions of one request at random by the phase of the service's rollout.
     pub fn draw(rollout: Option<&RolloutRecord>, rng: &mut impl Rng) -> Self {
         let Some(rollout) = rollout else { return Self::All };
         let target = rollout.target.clone();
--- a/crates/ingress/tests/pure.rs
+++ b/crates/ingress/tests/pure.rs
@@ -1,9 +1,9 @@
-//! The pure parts: routes, events, choice of back ends, loads.
+//! Components without I/O: routes, event parsing, selection of backends and load estimates.
 
 use std::time::Duration;
 
 use hooklug_bundle::http::{HttpRoute, HttpRouting, RepeatRule, WeightedService};
-use hooklug_ingress::choice::{Candidate, by_prompt, of_two, own_subset};
+use hooklug_ingress::choice::{Candidate, best_for_prompt, better_of_two, own_subset};
 use hooklug_ingress::load::LoadEstimate;
 use hooklug_ingress::prefix_ring::{PrefixRing, in_ring_order};
 use hooklug_ingress::prompt_caches::PromptCaches;
@@ -70,10 +70,10 @@
     let backends = vec![service("none", 0), service("some", 1), service("most", 9)];
     let weighted = HttpRoute { backends, ..route("a", "/") };
     let draws: Vec<_> = (0..1_000).filter_map(|_| pick_service(&weighted, &mut rng)).collect();
-    let of = |name: &str| draws.iter().filter(|drawn| drawn.as_str() == name).count();
-    assert_eq!(of("none"), 0);
-    assert!((50..200).contains(&of("some")), "{}", of("some"));
-    assert_eq!(of("some") + of("most"), 1_000);
+    let count_of = |name: &str| draws.iter().filter(|drawn| drawn.as_str() == name).count();
+    assert_eq!(count_of("none"), 0);
+    assert!((50..200).contains(&count_of("some")), "{}", count_of("some"));
+    assert_eq!(count_of("some") + count_of("most"), 1_000);
 }
 
 #[test]
@@ -89,17 +89,17 @@
     #[test]
     fn events_do_not_depend_on_how_the_bytes_arrive(cuts in prop::collection::vec(1_usize..9, 1..40)) {
         let stream = b"id: 1\ndata: first\n\nid: 2\r\ndata: sec\r\ndata: ond\r\n\r\ndata\n\ndata: x\n\n";
-        let whole = EventReader::default().read(stream);
+        let expected = EventReader::default().read(stream);
         let (mut reader, mut events, mut rest) = (EventReader::default(), Vec::new(), &stream[..]);
         for cut in cuts.into_iter().cycle() {
-            let (piece, left) = rest.split_at(cut.min(rest.len()));
-            events.extend(reader.read(piece));
+            let (chunk, left) = rest.split_at(cut.min(rest.len()));
+            events.extend(reader.read(chunk));
             rest = left;
             if rest.is_empty() {
                 break;
             }
         }
-        prop_assert_eq!(events, whole);
+        prop_assert_eq!(events, expected);
     }
 }
 
@@ -126,20 +126,20 @@
     }
 }
 
-/// Shares of the ring that each engine gets, when prefixes are asked for this often.
-fn shares(asked: &[(&str, usize)], fleet: &Fleet) -> Vec<f64> {
+/// The share of the requests that each engine gets, given the number of requests per prefix.
+fn shares(requests: &[(&str, usize)], fleet: &Fleet) -> Vec<f64> {
     let mut ring = PrefixRing::default();
-    asked.iter().for_each(|(prefix, times)| (0..*times).for_each(|_| ring.note(prefix)));
+    requests.iter().for_each(|(prefix, times)| (0..*times).for_each(|_| ring.record(prefix)));
     let ordered = in_ring_order(fleet.ids.iter());
-    let total: usize = asked.iter().map(|(_, times)| times).sum();
+    let total: usize = requests.iter().map(|(_, times)| times).sum();
     let mut shares = vec![0.0; ordered.len()];
-    for (prefix, times) in asked {
-        let part = ring.part(prefix).expect("asked for");
+    for (prefix, times) in requests {
+        let segment = ring.segment(prefix).expect("a recorded prefix");
         let own: Vec<usize> =
-            (0..ordered.len()).filter(|place| part.holds(*place, ordered.len())).collect();
+            (0..ordered.len()).filter(|index| segment.overlaps(*index, ordered.len())).collect();
         assert!(!own.is_empty());
-        for place in &own {
-            shares[*place] += *times as f64 / total as f64 / own.len() as f64;
+        for index in &own {
+            shares[*index] += *times as f64 / total as f64 / own.len() as f64;
         }
     }
     shares
@@ -148,8 +148,8 @@
 #[test]
 fn prefixes_share_the_engines_out_by_how_often_they_are_asked_for() {
     let fleet = Fleet::of(48);
-    let asked = [("a", 160), ("b", 80), ("c", 60), ("d", 40), ("e", 30), ("f", 20)];
-    let shares = shares(&asked, &fleet);
+    let requests = [("a", 160), ("b", 80), ("c", 60), ("d", 40), ("e", 30), ("f", 20)];
+    let shares = shares(&requests, &fleet);
     let fair = 1.0 / 48.0;
     assert!(shares.iter().all(|share| *share > 0.3 * fair && *share < 2.0 * fair), "{shares:?}");
 }
@@ -157,9 +157,9 @@
 #[test]
 fn a_rare_prefix_has_no_engines_of_its_own() {
     let mut ring = PrefixRing::default();
-    (0..600).for_each(|_| ring.note("often"));
-    assert!(ring.part("never").is_none());
-    assert!(ring.part("often").is_some());
+    (0..600).for_each(|_| ring.record("often"));
+    assert!(ring.segment("never").is_none());
+    assert!(ring.segment("often").is_some());
 }
 
 #[test]
@@ -168,7 +168,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let fleet = Fleet::of(9);
     for holder in 0..9 {
-        let held = |requests: f64| {
+        let candidates_with_load = |requests: f64| {
             let mut candidates = fleet.candidates(|n| if n == holder { requests } else { 1.0 });
             candidates[holder].missing_tokens = 100;
             candidates.iter_mut().enumerate().filter(|(n, _)| *n != holder).for_each(|(_, c)| {
@@ -176,9 +176,18 @@
             });
             candidates
         };
-        assert_eq!(*by_prompt(&held(3.0), &mut rng).unwrap().id, fleet.ids[holder]);
-        assert_ne!(*by_prompt(&held(20.0), &mut rng).unwrap().id, fleet.ids[holder]);
-        assert_ne!(*by_prompt(&held(64.0), &mut rng).unwrap().id, fleet.ids[holder]);
+        assert_eq!(
+            *best_for_prompt(&candidates_with_load(3.0), &mut rng).unwrap().id,
+            fleet.ids[holder]
+        );
+        assert_ne!(
+            *best_for_prompt(&candidates_with_load(20.0), &mut rng).unwrap().id,
+            fleet.ids[holder]
+        );
+        assert_ne!(
+            *best_for_prompt(&candidates_with_load(64.0), &mut rng).unwrap().id,
+            fleet.ids[holder]
+        );
     }
 }
 
@@ -190,8 +199,8 @@
     let mut candidates = fleet.candidates(|number| if number == 0 { 0.0 } else { 4.0 });
     candidates[0].failure_share = 0.4;
     for _ in 0..20 {
-        assert_eq!(*of_two(&candidates, &mut rng).unwrap().id, fleet.ids[1]);
-        assert_eq!(*by_prompt(&candidates, &mut rng).unwrap().id, fleet.ids[1]);
+        assert_eq!(*better_of_two(&candidates, &mut rng).unwrap().id, fleet.ids[1]);
+        assert_eq!(*best_for_prompt(&candidates, &mut rng).unwrap().id, fleet.ids[1]);
     }
 }
 
@@ -218,7 +227,7 @@
     let mut caches = PromptCaches::default();
     let first = [shared.clone(), own.clone()];
     assert_eq!(caches.missing_tokens(&engine, &first, false), 3_060);
-    caches.note(&engine, &first);
+    caches.record(&engine, &first);
     assert_eq!(caches.missing_tokens(&engine, &first, false), 0);
     assert_eq!(caches.missing_tokens(&engine, &[shared.clone(), own, next.clone()], false), 40);
     assert_eq!(caches.missing_tokens(&engine, &[next, shared], false), 2_600);
@@ -235,10 +244,10 @@
     let fleet = Fleet::of(2);
     let candidates = fleet.candidates(|number| if number == 0 { 77.0 } else { 26.0 });
     for _ in 0..20 {
-        assert_eq!(*of_two(&candidates, &mut rng).unwrap().id, fleet.ids[1]);
+        assert_eq!(*better_of_two(&candidates, &mut rng).unwrap().id, fleet.ids[1]);
     }
-    assert!(of_two(&[], &mut rng).is_none());
-    assert!(by_prompt(&[], &mut rng).is_none());
+    assert!(better_of_two(&[], &mut rng).is_none());
+    assert!(best_for_prompt(&[], &mut rng).is_none());
 }
 
 #[test]
@@ -246,10 +255,10 @@
     let began = Instant::now();
     let mut load = LoadEstimate::default();
     load.in_flight = 2;
-    load.note(LoadReport { running: 6, waiting: 1, slots: 8 }, began);
+    load.record(LoadReport { running: 6, waiting: 1, slots: 8 }, began);
     assert!((load.requests(began) - 7.0).abs() < 1e-9);
     load.in_flight = 3;
     assert!((load.requests(began) - 8.0).abs() < 1e-9);
-    assert!((load.share(64, began) - 1.0).abs() < 1e-9, "the engine's own word on its slots");
+    assert!((load.share(64, began) - 1.0).abs() < 1e-9, "uses the reported slots");
     assert!((load.requests(began + Duration::from_secs(60)) - 3.0).abs() < 1e-9);
 }
--- a/crates/ingress/tests/records.rs
+++ b/crates/ingress/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records of turns while a shard gives no word.
+//! Search for a turn's history while one shard does not reply.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 use hooklug_types::{GroupId, NodeId, TurnId};
 use tokio::time::Instant;
 
-/// The shard that keeps the turn.
-const KEEPER: GroupId = GroupId(9);
+/// The shard that has the turn.
+const HISTORY_SHARD: GroupId = GroupId(9);
 
-/// A shard without a leader.
-const SILENT: GroupId = GroupId(2);
+/// A shard without a leader, which does not reply.
+const UNRESPONSIVE_SHARD: GroupId = GroupId(2);
 
-/// Shards of which one keeps a turn, one gives no word, and the others know nothing.
+/// State in which one shard has the turn, one does not reply and the others do not have the turn.
 #[derive(Debug)]
-struct OneSilent;
+struct OneUnresponsiveShard;
 
-fn silent<T>(group: GroupId) -> Result<T, Unavailable> {
+fn unavailable<T>(group: GroupId) -> Result<T, Unavailable> {
     Err(Unavailable { group, reason: "no leader".to_owned() })
 }
 
 #[async_trait]
-impl StateAccess for OneSilent {
+impl StateAccess for OneUnresponsiveShard {
     async fn execute_shard(
         &self,
         group: GroupId,
         _command: &ShardCommand,
         _deadline: Instant,
     ) -> Result<ShardReply, Unavailable> {
-        silent(group)
+        unavailable(group)
     }
 
     async fn query_shard(
@@ -44,12 +44,12 @@
         _query: &ShardQuery,
         deadline: Instant,
     ) -> Result<ShardAnswer, Unavailable> {
-        if group == SILENT {
+        if group == UNRESPONSIVE_SHARD {
             tokio::time::sleep_until(deadline).await;
-            return silent(group);
+            return unavailable(group);
         }
-        let kept = (group == KEEPER).then(|| Bytes::from_static(b"what was said"));
-        Ok(ShardAnswer::History(kept))
+        let history = (group == HISTORY_SHARD).then(|| Bytes::from_static(b"the history"));
+        Ok(ShardAnswer::History(history))
     }
 
     async fn execute_meta(
@@ -57,7 +57,7 @@
         _command: &MetaCommand,
         _deadline: Instant,
     ) -> Result<MetaReply, Unavailable> {
-        silent(hooklug_types::META_GROUP)
+        unavailable(hooklug_types::META_GROUP)
     }
 
     async fn query_meta(
@@ -65,7 +65,7 @@
         _query: &MetaQuery,
         _deadline: Instant,
     ) -> Result<MetaAnswer, Unavailable> {
-        silent(hooklug_types::META_GROUP)
+        unavailable(hooklug_types::META_GROUP)
     }
 
     async fn expire_lease(
@@ -74,17 +74,22 @@
         _subject: LeaseSubject,
         _deadline: Instant,
     ) -> Result<LeaseVerdict, Unavailable> {
-        silent(group)
+        unavailable(group)
     }
 }
 
-/// Guards against turns that are refused though their history was found, since another shard is silent.
+/// Guards against a turn being refused, although its history was found, because another shard does
+/// not reply.
 #[tokio::test(start_paused = true)]
 async fn a_history_that_was_found_waits_for_no_silent_shard() {
-    let records = TurnRecords::new(Arc::new(OneSilent), NodeId(1));
+    let records = TurnRecords::new(Arc::new(OneUnresponsiveShard), NodeId(1));
     let turn = TurnId::new("turn").expect("a name");
-    let asked = Instant::now();
-    let found = records.find_history(&turn, asked + Duration::from_secs(2)).await;
-    assert_eq!(found, Ok(Some(Bytes::from_static(b"what was said"))));
-    assert_eq!(asked.elapsed(), Duration::ZERO, "the clock stands still unless something waits");
+    let start = Instant::now();
+    let found = records.find_history(&turn, start + Duration::from_secs(2)).await;
+    assert_eq!(found, Ok(Some(Bytes::from_static(b"the history"))));
+    assert_eq!(
+        start.elapsed(),
+        Duration::ZERO,
+        "the paused clock advances only if something waits"
+    );
 }
--- a/crates/ingress/tests/server.rs
+++ b/crates/ingress/tests/server.rs
@@ -1,4 +1,5 @@
-//! The end of a server: what was taken is answered, what comes too late is refused, nothing is given up.
+//! Graceful shutdown of the server: accepted requests are answered, late ones are refused, and none
+//! is dropped without a response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +14,20 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// Generous, so that a busy machine refuses in time; all that runs ends long before.
+/// Grace period, long enough for a busy machine; the test itself needs only a part of it.
 const GRACE: Duration = Duration::from_secs(5);
 
-/// Holds requests for `/held` until they are released, and answers others at once.
+/// Handler that holds requests for `/held` until released and answers others at once.
 #[derive(Default)]
-struct Holding {
-    taken: Notify,
+struct HoldingHandler {
+    accepted: Notify,
     released: Notify,
 }
 
-impl Handler for Holding {
+impl Handler for HoldingHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         if request.uri().path() == "/held" {
-            self.taken.notify_one();
+            self.accepted.notify_one();
             self.released.notified().await;
         }
         Response::new(AnswerBody::from(Bytes::from_static(b"done")))
@@ -43,33 +44,33 @@
     }
 }
 
-/// All that comes of a request on a connection of its own.
-async fn ask(address: std::net::SocketAddr, path: &str) -> String {
+/// Sends a request on a new connection and returns the complete response text.
+async fn send_request(address: std::net::SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("it listens");
     let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await.expect("it reads");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("a whole answer");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.expect("a complete response");
+    response
 }
 
 #[tokio::test]
 async fn a_request_that_comes_late_after_the_stop_is_refused_and_one_that_runs_is_answered() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
-    let (handler, stop) = (Arc::new(Holding::default()), CancellationToken::new());
+    let (handler, stop) = (Arc::new(HoldingHandler::default()), CancellationToken::new());
     let serving = tokio::spawn(serve(listener, handler.clone(), stop.clone(), GRACE));
-    let held = tokio::spawn(async move { ask(address, "/held").await });
-    handler.taken.notified().await;
+    let held = tokio::spawn(async move { send_request(address, "/held").await });
+    handler.accepted.notified().await;
     stop.cancel();
-    let mut answer = ask(address, "/").await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    while answer.starts_with("HTTP/1.1 200") {
-        assert!(answer.to_ascii_lowercase().contains("connection: close"), "{answer}");
+    let mut response = send_request(address, "/").await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    while response.starts_with("HTTP/1.1 200") {
+        assert!(response.to_ascii_lowercase().contains("connection: close"), "{response}");
         tokio::time::sleep(Duration::from_millis(20)).await;
-        answer = ask(address, "/").await;
+        response = send_request(address, "/").await;
     }
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     handler.released.notify_one();
     assert!(held.await.unwrap().starts_with("HTTP/1.1 200"));
     serving.await.unwrap();
--- a/crates/ingress/tests/support/mod.rs
+++ b/crates/ingress/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An ingress over state in memory, with stand-in back ends on loopback that misbehave as told.
+//! An ingress on in-memory state with fake backends on loopback that follow a script.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 mod stand_in;
 
@@ -16,8 +16,8 @@
 use hooklug_control::backends::BackendList;
 use hooklug_control::{InstalledBundle, NodeContext, NodeFeeds, NodeHandle};
 use hooklug_ingress::{
-    AnswerBody, BackendDialect, BackendHead, Cut, Ingress, IngressAnswer, IngressContext,
-    IngressRequest, LoadReport, Outgoing, TurnRequest, Verdict,
+    AnswerBody, BackendDialect, BackendHead, Ingress, IngressAnswer, IngressContext,
+    IngressRequest, LoadReport, Outgoing, Truncated, TurnRequest, Verdict,
 };
 use hooklug_protocol::backends::ListedBackend;
 use hooklug_protocol::control::NodeAddress;
@@ -38,22 +38,22 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub use stand_in::{Behaviour, StandIn};
+pub use stand_in::{Behaviour, FakeBackend};
 
-/// Longest wait for a condition; generous, since it bounds no promise.
+/// Longest wait for a condition; not a tested bound.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 pub const HOST: &str = "app.example";
 pub const TOKENS_PER_EVENT: u64 = 3;
 const SECRET: &str = "a secret of the tests";
 
-/// Header of a request's id, in requests and answers.
+/// Header with the request id, in requests and responses.
 pub const ID: &str = "test-id";
-/// Header of the back end that is meant.
-pub const MEANT: &str = "test-meant";
-/// Header of a back end's refusal: `full` or `other`.
+/// Header with the addressed backend.
+pub const EXPECTED_BACKEND: &str = "test-meant";
+/// Header with the reason of a backend's refusal: `full` or `other`.
 pub const NOT_RUN: &str = "test-not-run";
 
-/// The dialect of the stand-ins.
+/// The dialect of the fake backends.
 pub struct TestDialect;
 
 impl BackendDialect for TestDialect {
@@ -63,7 +63,7 @@
             .uri(outgoing.request.uri.clone())
             .header("host", &outgoing.request.host)
             .header(ID, &outgoing.request.id)
-            .header(MEANT, outgoing.backend.as_str())
+            .header(EXPECTED_BACKEND, outgoing.backend.as_str())
             .body(Full::new(outgoing.body.clone()))
             .expect("a request")
     }
@@ -89,13 +89,14 @@
 }
 
 impl World {
-    /// An ingress with these back ends behind each of the routes `/once/`, `/any/`, `/kept/` and `/free/`.
-    pub async fn new(backends: &[&StandIn]) -> Self {
+    /// Creates an ingress whose routes `/once/`, `/any/`, `/kept/` and `/free/` all lead to these
+    /// backends.
+    pub async fn new(backends: &[&FakeBackend]) -> Self {
         Self::on(MemoryState::default(), backends).await
     }
 
-    /// The same over shards that another one may use too.
-    pub async fn on(state: MemoryState, backends: &[&StandIn]) -> Self {
+    /// Creates an ingress on state that other worlds may share.
+    pub async fn on(state: MemoryState, backends: &[&FakeBackend]) -> Self {
         let world = Self::without_bundle(state, backends);
         world.install_bundle();
         let ingress = world.ingress.clone();
@@ -109,7 +110,7 @@
         world
     }
 
-    pub fn without_bundle(state: MemoryState, backends: &[&StandIn]) -> Self {
+    pub fn without_bundle(state: MemoryState, backends: &[&FakeBackend]) -> Self {
         let (handle, feeds) = NodeHandle::new();
         let listed = backends.iter().map(|backend| listed(backend));
         let (list, watch_list) = watch::channel(Some(Arc::new(BackendList::new(listed))));
@@ -133,7 +134,7 @@
     }
 }
 
-fn listed(backend: &StandIn) -> ListedBackend {
+fn listed(backend: &FakeBackend) -> ListedBackend {
     ListedBackend {
         id: EngineId::new(&backend.name).unwrap(),
         service: ServiceName::new("pool").unwrap(),
@@ -250,15 +251,15 @@
     IngressRequest { turn: Some(turn), ..call(path, id) }
 }
 
-/// Status and body of an answer that was passed on; `Err` when the body was cut.
-pub async fn passed(answer: IngressAnswer) -> (u16, Result<String, Cut>) {
+/// Status and body of a forwarded response; the body is `Err` if it was truncated.
+pub async fn forwarded(answer: IngressAnswer) -> (u16, Result<String, Truncated>) {
     match answer {
-        IngressAnswer::Passed(head, body) => (head.status.as_u16(), whole(body).await),
+        IngressAnswer::Passed(head, body) => (head.status.as_u16(), read_body(body).await),
         IngressAnswer::Refused(refusal) => panic!("refused: {refusal}"),
     }
 }
 
-pub async fn whole(body: AnswerBody) -> Result<String, Cut> {
+pub async fn read_body(body: AnswerBody) -> Result<String, Truncated> {
     let bytes = body.collect().await?.to_bytes();
     Ok(String::from_utf8(bytes.to_vec()).expect("text"))
 }
@@ -267,7 +268,7 @@
 pub async fn eventually(what: &str, condition: impl Fn() -> bool) {
     let until = Instant::now() + PATIENCE;
     while !condition() {
-        assert!(Instant::now() < until, "never happened: {what}");
+        assert!(Instant::now() < until, "timed out: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/ingress/tests/support/stand_in.rs
+++ b/crates/ingress/tests/support/stand_in.rs
@@ -1,4 +1,4 @@
-//! A back end that speaks just enough HTTP/1.1, and breaks it as told.
+//! A fake backend with a minimal HTTP/1.1 server that follows a script of behaviours.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,104 +10,107 @@
 
 use super::{ID, NOT_RUN};
 
-/// What a stand-in does with one request.
+/// Behaviour of a fake backend for one request.
 #[derive(Debug, Clone)]
 pub enum Behaviour {
-    /// Runs it and answers with a status and a body.
+    /// Runs the request and responds with a status and a body.
     Answer(u16, &'static str),
-    /// Says that it has no room, and does not run it.
-    Full,
-    /// Says that it is another one, and does not run it.
-    Other,
-    /// Runs it and closes the connection without an answer.
-    Lost,
-    /// Runs it and answers with another request's id.
-    Foreign,
-    /// Runs it and closes the connection in the middle of the body.
-    Cut,
-    /// Runs it and answers with a stream of these events.
+    /// Reports that it is at capacity and does not run the request.
+    AtCapacity,
+    /// Reports that it is another backend and does not run the request.
+    WrongBackend,
+    /// Runs the request and closes the connection without a response.
+    NoResponse,
+    /// Runs the request and responds with the id of another request.
+    WrongRequest,
+    /// Runs the request and closes the connection within the body.
+    Truncated,
+    /// Runs the request and responds with a stream of these events.
     Events(&'static [&'static str]),
-    /// Runs it, sends these events and closes the connection before the end of the stream.
-    EventsCut(&'static [&'static str]),
-    /// Runs it, sends these events, and ends the stream once it is released.
+    /// Runs the request, sends these events and closes the connection before the end of the stream.
+    EventsTruncated(&'static [&'static str]),
+    /// Runs the request, sends these events, and ends the stream when released.
     EventsHeld(&'static [&'static str]),
-    /// Runs it and says nothing until its caller leaves.
-    Silent,
+    /// Runs the request and sends nothing until its caller disconnects.
+    Unresponsive,
 }
 
-/// A request that ran.
+/// A request that the backend ran.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct ExecutedRequest {
     pub id: String,
     pub body: String,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct BackendState {
     script: VecDeque<Behaviour>,
-    ran: Vec<Ran>,
-    left: usize,
+    executed: Vec<ExecutedRequest>,
+    disconnects: usize,
 }
 
-/// A stand-in; follows its script, and then answers `200` with `done`.
-pub struct StandIn {
+/// A fake backend that follows its script and then responds with `200` and `done`.
+pub struct FakeBackend {
     pub name: String,
     pub address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<BackendState>>,
     released: Arc<Notify>,
 }
 
-impl StandIn {
+impl FakeBackend {
     pub async fn start(name: &str, script: &[Behaviour]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
         let address = listener.local_addr().expect("bound");
-        let seen = Seen { script: script.iter().cloned().collect(), ..Seen::default() };
-        let seen = Arc::new(Mutex::new(seen));
+        let state =
+            BackendState { script: script.iter().cloned().collect(), ..BackendState::default() };
+        let state = Arc::new(Mutex::new(state));
         let released = Arc::new(Notify::new());
-        let (serving, release) = (seen.clone(), released.clone());
+        let (serving, release) = (state.clone(), released.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(stream, serving.clone(), release.clone()));
             }
         });
-        Self { name: name.to_owned(), address, seen, released }
+        Self { name: name.to_owned(), address, state, released }
     }
 
-    /// Lets a held stream end.
+    /// Ends a held stream.
     pub fn release(&self) {
         self.released.notify_one();
     }
 
-    /// Requests that ran, in order.
-    pub fn ran(&self) -> Vec<Ran> {
-        self.seen.lock().unwrap().ran.clone()
+    /// Requests that the backend ran, in order.
+    pub fn executed(&self) -> Vec<ExecutedRequest> {
+        self.state.lock().unwrap().executed.clone()
     }
 
-    /// Requests whose caller left before the answer.
-    pub fn left(&self) -> usize {
-        self.seen.lock().unwrap().left
+    /// Number of requests whose caller disconnected before the response.
+    pub fn disconnects(&self) -> usize {
+        self.state.lock().unwrap().disconnects
     }
 }
 
-struct Asked {
+struct ReceivedRequest {
     id: String,
     body: String,
 }
 
-async fn serve(stream: TcpStream, seen: Arc<Mutex<Seen>>, release: Arc<Notify>) {
+async fn serve(stream: TcpStream, state: Arc<Mutex<BackendState>>, release: Arc<Notify>) {
     let (reading, mut writing) = stream.into_split();
     let mut reader = BufReader::new(reading);
-    while let Some(asked) = read_request(&mut reader).await {
+    while let Some(request) = read_request(&mut reader).await {
         let behaviour = {
-            let mut seen = seen.lock().unwrap();
-            let behaviour = seen.script.pop_front().unwrap_or(Behaviour::Answer(200, "done"));
-            if !matches!(behaviour, Behaviour::Full | Behaviour::Other) {
-                seen.ran.push(Ran { id: asked.id.clone(), body: asked.body.clone() });
+            let mut state = state.lock().unwrap();
+            let behaviour = state.script.pop_front().unwrap_or(Behaviour::Answer(200, "done"));
+            if !matches!(behaviour, Behaviour::AtCapacity | Behaviour::WrongBackend) {
+                state
+                    .executed
+                    .push(ExecutedRequest { id: request.id.clone(), body: request.body.clone() });
             }
             behaviour
         };
-        let (answer, stays) = answer(&behaviour, &asked.id);
-        if writing.write_all(answer.as_bytes()).await.is_err() {
+        let (response, keep_open) = response_to(&behaviour, &request.id);
+        if writing.write_all(response.as_bytes()).await.is_err() {
             return;
         }
         if matches!(behaviour, Behaviour::EventsHeld(_)) {
@@ -116,37 +119,41 @@
                 return;
             }
         }
-        if matches!(behaviour, Behaviour::Silent) {
-            // Ends when the other side closes.
+        if matches!(behaviour, Behaviour::Unresponsive) {
+            // The read returns when the caller closes the connection.
             let _ = reader.read(&mut [0; 1]).await;
-            seen.lock().unwrap().left += 1;
+            state.lock().unwrap().disconnects += 1;
             return;
         }
-        if !stays {
+        if !keep_open {
             return;
         }
     }
 }
 
-fn answer(behaviour: &Behaviour, id: &str) -> (String, bool) {
-    let whole = |status: u16, headers: &str, body: &str| {
+fn response_to(behaviour: &Behaviour, id: &str) -> (String, bool) {
+    let complete = |status: u16, headers: &str, body: &str| {
         let length = body.len();
         format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
     };
     let own = format!("{ID}: {id}\r\n");
     match behaviour {
-        Behaviour::Answer(status, body) => (whole(*status, &own, body), true),
-        Behaviour::Full => (whole(503, &format!("{own}{NOT_RUN}: full\r\n"), "full"), true),
-        Behaviour::Other => (whole(421, &format!("{own}{NOT_RUN}: other\r\n"), ""), true),
-        Behaviour::Lost => (String::new(), false),
-        Behaviour::Foreign => (whole(200, &format!("{ID}: another\r\n"), "not yours"), true),
-        Behaviour::Cut => {
+        Behaviour::Answer(status, body) => (complete(*status, &own, body), true),
+        Behaviour::AtCapacity => {
+            (complete(503, &format!("{own}{NOT_RUN}: full\r\n"), "full"), true)
+        }
+        Behaviour::WrongBackend => (complete(421, &format!("{own}{NOT_RUN}: other\r\n"), ""), true),
+        Behaviour::NoResponse => (String::new(), false),
+        Behaviour::WrongRequest => {
+            (complete(200, &format!("{ID}: another\r\n"), "not yours"), true)
+        }
+        Behaviour::Truncated => {
             (format!("HTTP/1.1 200 X\r\n{own}Content-Length: 100\r\n\r\nonly a part"), false)
         }
         Behaviour::Events(events) => (format!("{}0\r\n\r\n", stream(&own, events)), true),
-        Behaviour::EventsCut(events) => (stream(&own, events), false),
+        Behaviour::EventsTruncated(events) => (stream(&own, events), false),
         Behaviour::EventsHeld(events) => (stream(&own, events), true),
-        Behaviour::Silent => (String::new(), false),
+        Behaviour::Unresponsive => (String::new(), false),
     }
 }
 
@@ -158,7 +165,7 @@
     })
 }
 
-async fn read_request(reader: &mut (impl AsyncBufReadExt + Unpin)) -> Option<Asked> {
+async fn read_request(reader: &mut (impl AsyncBufReadExt + Unpin)) -> Option<ReceivedRequest> {
     let (mut id, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
@@ -179,5 +186,5 @@
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).await.ok()?;
-    Some(Asked { id, body: String::from_utf8(body).ok()? })
+    Some(ReceivedRequest { id, body: String::from_utf8(body).ok()? })
 }
