--- a/crates/ingress/tests/support/mod.rs
+++ b/crates/ingress/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
-mod stand_in;
+mod fake_backend;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub use stand_in::{Behaviour, FakeBackend};
+pub use fake_backend::{Behaviour, FakeBackend};
 
 /// Longest wait for a condition; not a tested bound.
 pub const PATIENCE: Duration = Duration::from_secs(30);
