--- a/crates/engine/src/admission/policy.rs
+++ b/crates/engine/src/admission/policy.rs
@@ -153,8 +153,8 @@
             return decisions;
         }
         self.waiting.insert(ticket, WaitingTurn { request, occupant });
-        // A turn that finds a free slot runs even if the average duration exceeds its deadline;
-        // otherwise no short turn would run and the average could never fall.
+        // A turn that finds a free slot runs even if it has less time left than the average turn
+        // needs; otherwise the average could never fall again.
         decisions.extend(self.start_allowed(now));
         decisions.extend(self.shed(now));
         if self.waiting.len() > self.queue as usize {
--- a/crates/engine/src/session_task.rs
+++ b/crates/engine/src/session_task.rs
@@ -67,9 +67,9 @@
         reply: ReplyId,
         message: Message,
     ) -> Option<Result<Answer, SessionRefusal>> {
-        let (answer, replied) = oneshot::channel();
+        let (answer, receiver) = oneshot::channel();
         self.sender.send(Envelope::Request { reply, answer, message }).ok()?;
-        replied.await.ok()
+        receiver.await.ok()
     }
 
     /// Whether both send to the same task.
--- a/crates/engine/tests/clients.rs
+++ b/crates/engine/tests/clients.rs
@@ -36,7 +36,7 @@
         tenant: "dalatek".parse().unwrap(),
         group: None,
         urgent: false,
-        deadline: loop_now() + PATIENCE,
+        deadline: loop_now() + TEST_TIMEOUT,
     }
 }
 
@@ -81,10 +81,11 @@
         version: version("v1"),
         prefix: None,
     });
-    let reply = shared.state.execute_shard(group(&key("p1", "s1")), &open, soon()).await.unwrap();
+    let reply =
+        shared.state.execute_shard(group(&key("p1", "s1")), &open, test_deadline()).await.unwrap();
     let ShardReply::Session(record) = reply else { panic!("{reply:?}") };
     let epoch = record.epoch;
-    let loaded = loader::load(shared.state.as_ref(), record, soon()).await.unwrap();
+    let loaded = loader::load(shared.state.as_ref(), record, test_deadline()).await.unwrap();
     session_task::start(shared, Session::new(loaded, shared.session_config(), loop_now()), epoch)
 }
 
@@ -106,7 +107,7 @@
     let mut fast = mailbox.connect(client, run).unwrap();
 
     let mut events = Vec::new();
-    while let Some(item) = tokio::time::timeout(PATIENCE, fast.recv()).await.unwrap() {
+    while let Some(item) = tokio::time::timeout(TEST_TIMEOUT, fast.recv()).await.unwrap() {
         if let ClientItem::Events(more) = item {
             events.extend(more);
         }
@@ -116,7 +117,7 @@
 
     let mut items = 0;
     let mut received = Vec::new();
-    while let Some(item) = tokio::time::timeout(PATIENCE, slow.recv()).await.unwrap() {
+    while let Some(item) = tokio::time::timeout(TEST_TIMEOUT, slow.recv()).await.unwrap() {
         items += 1;
         if let ClientItem::Events(more) = item {
             received.extend(more);
--- a/crates/engine/tests/leaving.rs
+++ b/crates/engine/tests/leaving.rs
@@ -18,7 +18,7 @@
 }
 
 async fn assert_ended(engine: RunningEngine) {
-    let ended = tokio::time::timeout(PATIENCE, engine.ended).await.expect("ends in time");
+    let ended = tokio::time::timeout(TEST_TIMEOUT, engine.ended).await.expect("ends in time");
     assert_eq!(ended.unwrap(), Ok(()));
 }
 
@@ -31,12 +31,12 @@
     engine.install(bundle(2, &SUPERSEDED));
     let mut report = engine.feeds.report.clone();
     let draining = report.wait_for(|r| r.engine.as_ref().is_some_and(|e| e.draining));
-    tokio::time::timeout(PATIENCE, draining).await.unwrap().unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, draining).await.unwrap().unwrap();
 
     let refused = world.open(&engine, key("p1", "s2")).await.unwrap_err();
     assert_eq!(refused, EngineRefusal::Draining);
-    let kept = world.run(&engine, &run_turn(&place, "t2", Some("t1"), "say 2")).await;
-    assert_eq!(kept.end(), Some(&EndReason::Finished));
+    let second_turn = world.run(&engine, &run_turn(&place, "t2", Some("t1"), "say 2")).await;
+    assert_eq!(second_turn.end(), Some(&EndReason::Finished));
     assert!(!engine.ended.is_finished());
     world.close(&engine, &place).await.unwrap();
     assert_ended(engine).await;
@@ -53,11 +53,13 @@
     read_events(&mut stream, 1).await;
 
     engine.install(bundle(2, &SUPERSEDED));
-    eventually("idle one given up", async || world.record(&idle.key).await.owner.is_none()).await;
+    eventually("idle session handed over", async || world.record(&idle.key).await.owner.is_none())
+        .await;
     assert_eq!(world.record(&busy.key).await.owner, Some(engine.engine.clone()));
     model.let_through("t1", 10);
     assert_eq!(read_turn(&mut stream).await.end(), Some(&EndReason::Finished));
-    eventually("busy one given up", async || world.record(&busy.key).await.owner.is_none()).await;
+    eventually("busy session handed over", async || world.record(&busy.key).await.owner.is_none())
+        .await;
     assert_ended(engine).await;
 }
 
@@ -71,7 +73,10 @@
         async || world.open(&engine, key("p1", "s2")).await == Err(EngineRefusal::Draining);
     eventually("draining", refusing).await;
     engine.install(bundle(3, &[("v1", VersionState::Sound), ("v2", VersionState::RolledBack)]));
-    eventually("open again", async || world.open(&engine, key("p1", "s2")).await.is_ok()).await;
+    eventually("accepts sessions again", async || {
+        world.open(&engine, key("p1", "s2")).await.is_ok()
+    })
+    .await;
     assert_eq!(world.record(&place.key).await.owner, Some(engine.engine.clone()));
 }
 
@@ -96,11 +101,11 @@
     assert_eq!(world.record(&busy.key).await.owner, Some(new.engine.clone()));
     model.let_through("t1", 10);
     assert_eq!(read_turn(&mut stream).await.end(), Some(&EndReason::Finished));
-    eventually("given up", async || world.record(&busy.key).await.owner.is_none()).await;
+    eventually("session handed over", async || world.record(&busy.key).await.owner.is_none()).await;
 
-    let given_up = world.record(&busy.key).await;
+    let record = world.record(&busy.key).await;
     let taken =
-        world.take(&old, &hooklug_types::SessionPlace { epoch: given_up.epoch, ..busy }).await;
+        world.take(&old, &hooklug_types::SessionPlace { epoch: record.epoch, ..busy }).await;
     let taken = taken.unwrap();
     let next = world.run(&old, &run_turn(&taken, "t2", Some("t1"), "say 1")).await;
     assert_eq!(next.end(), Some(&EndReason::Finished));
@@ -113,15 +118,17 @@
     let options = EngineOptions { grace_ms: 2_000, ..named("e1", "v1") };
     let engine = world.engine(&model, options).await;
     let idle = world.session(&engine, "p1").await;
-    let ends = world.session(&engine, "p2").await;
-    let lasts = world.session(&engine, "p3").await;
-    let mut long = world.stream(&engine, &run_turn(&lasts, "long", None, "gated 100")).await;
+    let short_session = world.session(&engine, "p2").await;
+    let long_session = world.session(&engine, "p3").await;
+    let mut long = world.stream(&engine, &run_turn(&long_session, "long", None, "gated 100")).await;
     read_events(&mut long, 1).await;
-    let mut short = world.stream(&engine, &run_turn(&ends, "short", None, "gated 2")).await;
+    let mut short =
+        world.stream(&engine, &run_turn(&short_session, "short", None, "gated 2")).await;
     read_events(&mut short, 1).await;
 
     engine.stop.cancel();
-    eventually("idle one given up", async || world.record(&idle.key).await.owner.is_none()).await;
+    eventually("idle session handed over", async || world.record(&idle.key).await.owner.is_none())
+        .await;
     assert!(engine.node.readiness.reasons().contains_key("engine"));
     let refused = world.open(&engine, key("p1", "s2")).await.unwrap_err();
     assert_eq!(refused, EngineRefusal::Draining);
@@ -129,10 +136,10 @@
     model.let_through("long", 20);
     model.let_through("short", 20);
     assert_eq!(read_turn(&mut short).await.end(), Some(&EndReason::Finished));
-    let cut = read_turn(&mut long).await;
-    assert_eq!(cut.end(), Some(&EndReason::Interrupted));
+    let interrupted = read_turn(&mut long).await;
+    assert_eq!(interrupted.end(), Some(&EndReason::Interrupted));
     assert_ended(engine).await;
-    for key in [&idle.key, &ends.key, &lasts.key] {
+    for key in [&idle.key, &short_session.key, &long_session.key] {
         let record = world.record(key).await;
         assert_eq!((record.owner, record.open_turn), (None, None));
     }
@@ -143,11 +150,11 @@
     let (world, model) = (World::new(), ModelServer::start().await);
     let options = EngineOptions { unconnected_keep_ms: 300, ..named("e1", "v1") };
     let engine = world.engine(&model, options).await;
-    let left = world.session(&engine, "p1").await;
+    let unconnected = world.session(&engine, "p1").await;
     let joined = world.session(&engine, "p2").await;
     let mut stream = world.stream(&engine, &join(&joined, None)).await;
     next_join(&mut stream).await;
-    eventually("closed", async || world.record(&left.key).await.closed).await;
+    eventually("closed", async || world.record(&unconnected.key).await.closed).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     assert!(!world.record(&joined.key).await.closed);
     drop(stream);
@@ -164,9 +171,13 @@
     eventually("unready", unready).await;
     let refused = world.open(&engine, key("p1", "s2")).await.unwrap_err();
     assert!(matches!(refused, EngineRefusal::NotReady { .. }), "{refused:?}");
-    eventually("given up", async || world.record(&place.key).await.owner.is_none()).await;
+    eventually("session handed over", async || world.record(&place.key).await.owner.is_none())
+        .await;
     model.set_ready(true);
-    eventually("ready again", async || world.open(&engine, key("p1", "s2")).await.is_ok()).await;
+    eventually("accepts sessions again", async || {
+        world.open(&engine, key("p1", "s2")).await.is_ok()
+    })
+    .await;
 }
 
 #[tokio::test]
@@ -187,10 +198,11 @@
     let state = std::sync::Arc::new(world.state.clone());
     let released = bundle(1, &[("v1", VersionState::Sound)]);
     let engine = world.engine_with(&model, named("e2", "v2"), state, released).await;
-    world.put_program("p1", 10, hooklug_types::UnixMillis::now().plus(PATIENCE)).await;
+    world.put_program("p1", 10, hooklug_types::UnixMillis::now().plus(TEST_TIMEOUT)).await;
     let refused = world.open(&engine, key("p1", "s1")).await.unwrap_err();
     assert!(matches!(refused, EngineRefusal::NotReady { .. }), "{refused:?}");
     assert!(!engine.ended.is_finished());
     engine.install(bundle(2, &SUPERSEDED));
-    eventually("open", async || world.open(&engine, key("p1", "s1")).await.is_ok()).await;
+    eventually("accepts sessions", async || world.open(&engine, key("p1", "s1")).await.is_ok())
+        .await;
 }
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -31,7 +31,7 @@
 async fn renewal(world: &World, engine: &RunningEngine) -> Renewal {
     let group = shard_of(engine.engine.engine.as_str());
     let query = ShardQuery::Lease(engine.engine.clone());
-    match world.state.query_shard(group, &query, soon()).await.unwrap() {
+    match world.state.query_shard(group, &query, test_deadline()).await.unwrap() {
         ShardAnswer::Lease(Some(lease)) => lease.renewal,
         other => panic!("{other:?}"),
     }
@@ -75,7 +75,8 @@
     assert_eq!(next.end(), Some(&EndReason::Finished));
     let spent = tokens_of(&world.history(&place.key).await);
     let program = ShardQuery::Program(place.key.program.clone());
-    let answer = world.state.query_shard(group(&place.key), &program, soon()).await.unwrap();
+    let answer =
+        world.state.query_shard(group(&place.key), &program, test_deadline()).await.unwrap();
     let ShardAnswer::Program(Some(program)) = answer else { panic!("{answer:?}") };
     assert_eq!((program.spent, program.reserved), (TokenCount(spent), TokenCount(0)));
 }
@@ -103,16 +104,16 @@
     let late = read_turn(&mut stream).await;
     assert_eq!(late.refusal, Some(EngineRefusal::LeaseLost));
     seen.extend(late.events);
-    let ended = tokio::time::timeout(PATIENCE, first.ended).await.unwrap().unwrap();
+    let ended = tokio::time::timeout(TEST_TIMEOUT, first.ended).await.unwrap().unwrap();
     assert_eq!(ended, Err(EngineError::LeaseExpired(first.engine)));
 
     let mut resumed = request;
     resumed.place = taken.clone();
-    let whole = world.run(&second, &resumed).await;
-    assert_eq!(whole.events[..seen.len()], seen);
-    assert_eq!(whole.end(), Some(&EndReason::Interrupted));
+    let full = world.run(&second, &resumed).await;
+    assert_eq!(full.events[..seen.len()], seen);
+    assert_eq!(full.end(), Some(&EndReason::Interrupted));
     // The delayed commands had no effect.
-    assert_eq!(world.history(&place.key).await, whole.events);
+    assert_eq!(world.history(&place.key).await, full.events);
     eventually("the model stopped", async || model.aborted() == ["t1"]).await;
 }
 
@@ -173,7 +174,7 @@
     let (world, model) = (World::new(), ModelServer::start().await);
     let (first, second) =
         (world.engine(&model, named("e1")).await, world.engine(&model, named("e2")).await);
-    world.put_program("p1", 1_000, UnixMillis::now().plus(PATIENCE)).await;
+    world.put_program("p1", 1_000, UnixMillis::now().plus(TEST_TIMEOUT)).await;
     for round in 0..20 {
         let key = key("p1", &format!("s{round}"));
         let (a, b) =
@@ -193,7 +194,7 @@
     let (world, model) = (World::new(), ModelServer::start().await);
     let (first, second) =
         (world.engine(&model, named("e1")).await, world.engine(&model, named("e2")).await);
-    world.put_program("p1", 10, UnixMillis::now().plus(PATIENCE)).await;
+    world.put_program("p1", 10, UnixMillis::now().plus(TEST_TIMEOUT)).await;
     let one = world.open(&first, key("p1", "s1")).await.unwrap();
     let two = world.open(&second, key("p1", "s2")).await.unwrap();
     let mut first_turn = run_turn(&one, "t1", None, "gated 6");
@@ -217,7 +218,7 @@
     let spent = world.run(&second, &run_turn(&two, "t3", Some("t2"), "say 1")).await.refusal;
     assert_eq!(spent, Some(EngineRefusal::Ledger(ShardRefusal::BudgetSpent)));
     let program = ShardQuery::Program(ProgramId::new("p1").unwrap());
-    let answer = world.state.query_shard(shard_of("p1"), &program, soon()).await.unwrap();
+    let answer = world.state.query_shard(shard_of("p1"), &program, test_deadline()).await.unwrap();
     let ShardAnswer::Program(Some(program)) = answer else { panic!("{answer:?}") };
     assert_eq!((program.spent, program.reserved), (TokenCount(10), TokenCount(0)));
 }
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -23,7 +23,7 @@
 pub use world::*;
 
 /// Timeout of the tests, long enough that a passing test never reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn service() -> ServiceName {
     ServiceName::new("advisor").unwrap()
@@ -48,8 +48,8 @@
     shard_of(key.program.as_str())
 }
 
-pub fn soon() -> Instant {
-    Instant::now() + PATIENCE
+pub fn test_deadline() -> Instant {
+    Instant::now() + TEST_TIMEOUT
 }
 
 /// Waits until a condition holds.
@@ -59,5 +59,5 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "timed out: {what}");
+    assert!(tokio::time::timeout(TEST_TIMEOUT, waiting).await.is_ok(), "timed out: {what}");
 }
--- a/crates/engine/tests/support/running.rs
+++ b/crates/engine/tests/support/running.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::{PATIENCE, installed, service, version};
+use super::{TEST_TIMEOUT, installed, service, version};
 
 const SECRET: &str = "a secret of the test cluster";
 
@@ -71,7 +71,7 @@
             .feeds
             .report
             .wait_for(|report| report.engine.as_ref().is_some_and(|engine| engine.ready));
-        tokio::time::timeout(PATIENCE, ready).await.expect("ready in time").unwrap();
+        tokio::time::timeout(TEST_TIMEOUT, ready).await.expect("ready in time").unwrap();
     }
 }
 
--- a/crates/engine/tests/support/stalled.rs
+++ b/crates/engine/tests/support/stalled.rs
@@ -73,7 +73,8 @@
         tokio::spawn(async move {
             // The sender lives as long as the test, so the wait ends only with the stall.
             let _ = stalled.wait_for(|s| !*s).await.map(|s| *s);
-            let _ = inner.execute_shard(group, &command, Instant::now() + super::PATIENCE).await;
+            let _ =
+                inner.execute_shard(group, &command, Instant::now() + super::TEST_TIMEOUT).await;
         });
         tokio::time::sleep_until(deadline).await;
         Err(Unavailable { group, reason: "stalled".to_owned() })
--- a/crates/engine/tests/support/streams.rs
+++ b/crates/engine/tests/support/streams.rs
@@ -5,7 +5,7 @@
 use hooklug_state::shard::{Event, EventBody, SessionRecord};
 use hooklug_types::{EventSeq, SessionPlace, TenantId, TokenCount};
 
-use super::{PATIENCE, turn};
+use super::{TEST_TIMEOUT, turn};
 
 pub fn place(record: &SessionRecord) -> SessionPlace {
     SessionPlace {
@@ -60,7 +60,7 @@
 }
 
 pub async fn next_item(stream: &mut ItemStream<TurnItem>) -> Option<TurnItem> {
-    let next = tokio::time::timeout(PATIENCE, stream.next());
+    let next = tokio::time::timeout(TEST_TIMEOUT, stream.next());
     next.await.expect("an item in time").ok().flatten()
 }
 
@@ -90,7 +90,7 @@
 }
 
 pub async fn next_join(stream: &mut ItemStream<JoinItem>) -> Option<JoinItem> {
-    let next = tokio::time::timeout(PATIENCE, stream.next());
+    let next = tokio::time::timeout(TEST_TIMEOUT, stream.next());
     next.await.expect("an item in time").ok().flatten()
 }
 
--- a/crates/engine/tests/support/world.rs
+++ b/crates/engine/tests/support/world.rs
@@ -25,8 +25,8 @@
 use super::model_server::ModelServer;
 use super::running::{identity, settings};
 use super::{
-    EngineOptions, PATIENCE, RunningEngine, TurnOutcome, bundle, group, installed, key, place,
-    read_turn, service, soon,
+    EngineOptions, RunningEngine, TEST_TIMEOUT, TurnOutcome, bundle, group, installed, key, place,
+    read_turn, service, test_deadline,
 };
 
 /// In-memory state and the RPC client of a gateway.
@@ -93,7 +93,8 @@
             token_budget: TokenCount(budget),
             end_time,
         });
-        let reply = self.state.execute_shard(shard_of(program), &command, soon()).await.unwrap();
+        let reply =
+            self.state.execute_shard(shard_of(program), &command, test_deadline()).await.unwrap();
         assert!(matches!(reply, ShardReply::Program(_)), "{reply:?}");
     }
 
@@ -148,7 +149,7 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, taking).await.expect("taken over in time")
+        tokio::time::timeout(TEST_TIMEOUT, taking).await.expect("taken over in time")
     }
 
     pub async fn call<R, T>(&self, engine: &RunningEngine, request: &R) -> Result<T, EngineRefusal>
@@ -156,7 +157,7 @@
         R: Request<Reply = EngineReply<T>>,
         T: serde::Serialize + serde::de::DeserializeOwned + Send + 'static,
     {
-        self.client.call(engine.address, request, soon()).await.unwrap().result
+        self.client.call(engine.address, request, test_deadline()).await.unwrap().result
     }
 
     pub async fn stream<R: StreamRequest>(
@@ -164,7 +165,7 @@
         engine: &RunningEngine,
         request: &R,
     ) -> ItemStream<R::Item> {
-        self.client.open(engine.address, request, soon()).await.unwrap()
+        self.client.open(engine.address, request, test_deadline()).await.unwrap()
     }
 
     pub async fn close(
@@ -172,7 +173,7 @@
         engine: &RunningEngine,
         place: &SessionPlace,
     ) -> Result<SessionRecord, EngineRefusal> {
-        let deadline = UnixMillis::now().plus(PATIENCE);
+        let deadline = UnixMillis::now().plus(TEST_TIMEOUT);
         self.call(engine, &CloseSession { place: place.clone(), deadline }).await
     }
 
@@ -184,7 +185,7 @@
 
     pub async fn history(&self, key: &SessionKey) -> Vec<Event> {
         let query = ShardQuery::Events { key: key.clone(), after: EventSeq(0), limit: 100_000 };
-        match self.state.query_shard(group(key), &query, soon()).await.unwrap() {
+        match self.state.query_shard(group(key), &query, test_deadline()).await.unwrap() {
             ShardAnswer::Events { events, more: false } => events,
             other => panic!("{other:?}"),
         }
@@ -192,7 +193,7 @@
 
     pub async fn record(&self, key: &SessionKey) -> SessionRecord {
         let query = ShardQuery::Session(key.clone());
-        match self.state.query_shard(group(key), &query, soon()).await.unwrap() {
+        match self.state.query_shard(group(key), &query, test_deadline()).await.unwrap() {
             ShardAnswer::Session(Some(record)) => record,
             other => panic!("{other:?}"),
         }
--- a/crates/engine/tests/turns.rs
+++ b/crates/engine/tests/turns.rs
@@ -59,9 +59,9 @@
     assert!(matches!(next_item(&mut resume).await, Some(TurnItem::Accepted { .. })));
     model.let_through("t1", 3);
 
-    let whole = read_turn(&mut resend).await;
-    assert_consecutive(&whole.events, 1);
-    assert_eq!(whole.text(), "w1 w2 w3 w4 ");
+    let full = read_turn(&mut resend).await;
+    assert_consecutive(&full.events, 1);
+    assert_eq!(full.text(), "w1 w2 w3 w4 ");
     let rest = read_turn(&mut resume).await;
     assert_eq!(rest.text(), "w3 w4 ");
     assert_consecutive(&rest.events, 4);
@@ -69,7 +69,7 @@
 
     // The turn has ended: a new connection gets it from the history.
     let again = world.run(&engine, &request).await;
-    assert_eq!(again.events, whole.events);
+    assert_eq!(again.events, full.events);
     assert_eq!(model.requests().len(), 1);
 }
 
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -24,7 +24,7 @@
     pub body: Bytes,
     /// When the last byte was read.
     pub received: Instant,
-    /// How long the caller waits; `None` if it did not say.
+    /// How long the caller waits; `None` if it set no limit.
     pub patience: Option<Duration>,
     /// Parameters of the turn, if the request is a turn of an agent program.
     pub turn: Option<TurnRequest>,
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -235,8 +235,8 @@
 }
 
 pub(crate) fn concatenated(first: &[u8], second: &[u8]) -> Bytes {
-    let mut whole = BytesMut::with_capacity(first.len() + second.len());
-    whole.extend_from_slice(first);
-    whole.extend_from_slice(second);
-    whole.freeze()
+    let mut bytes = BytesMut::with_capacity(first.len() + second.len());
+    bytes.extend_from_slice(first);
+    bytes.extend_from_slice(second);
+    bytes.freeze()
 }
--- a/crates/ingress/tests/support/mod.rs
+++ b/crates/ingress/tests/support/mod.rs
@@ -41,7 +41,7 @@
 pub use fake_backend::{Behaviour, FakeBackend};
 
 /// Longest wait for a condition; not a tested bound.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 pub const HOST: &str = "app.example";
 pub const TOKENS_PER_EVENT: u64 = 3;
 const SECRET: &str = "a secret of the tests";
@@ -266,7 +266,7 @@
 
 /// Waits until a condition holds.
 pub async fn eventually(what: &str, condition: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < until, "timed out: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
