--- a/crates/engine/src/admission/policy.rs
+++ b/crates/engine/src/admission/policy.rs
@@ -155,7 +155,7 @@
         self.waiting.insert(ticket, WaitingTurn { request, occupant });
         // A turn that finds a free slot runs even if it has less time left than the average turn
         // needs; otherwise the average could never fall again.
-        decisions.extend(self.start_allowed(now));
+        decisions.extend(self.start_waiting(now));
         decisions.extend(self.shed(now));
         if self.waiting.len() > self.queue as usize {
             let retry_after = self.retry_after();
@@ -181,11 +181,11 @@
     /// run now.
     pub fn update(&mut self, now: UnixMillis) -> Vec<Decision> {
         let mut decisions = self.shed(now);
-        decisions.extend(self.start_allowed(now));
+        decisions.extend(self.start_waiting(now));
         decisions
     }
 
-    fn start_allowed(&mut self, now: UnixMillis) -> Vec<Decision> {
+    fn start_waiting(&mut self, now: UnixMillis) -> Vec<Decision> {
         let mut decisions = Vec::new();
         while let Some(ticket) = self.next_to_run(now) {
             let Some(waiting) = self.waiting.remove(&ticket) else { break };
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -49,7 +49,7 @@
         let mut bundle = self.shared.node.bundle.clone();
         let mut sessions = self.shared.table.watch_len();
         loop {
-            self.follow_bundle();
+            self.apply_bundle();
             self.hand_over_sessions();
             if self.is_drained() {
                 info!("engine drained: no sessions left");
@@ -67,7 +67,7 @@
         self.stop(Instant::now() + grace, grace).await;
     }
 
-    fn follow_bundle(&mut self) {
+    fn apply_bundle(&mut self) {
         let shared = &self.shared;
         let installed = shared.bundle();
         let bundle = installed.as_deref().map(|i| &i.bundle);
--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -32,18 +32,25 @@
 /// The router with all handlers of an engine.
 #[must_use]
 pub fn router(shared: &Arc<Shared>) -> Router {
-    let open = with(shared, |s, r: OpenSession| async move {
-        to_reply(&s.clone(), detached(async move { ownership::open(&s, r).await }).await)
+    let open = with_shared(shared, |s, r: OpenSession| async move {
+        to_reply(&s.clone(), run_detached(async move { ownership::open(&s, r).await }).await)
     });
-    let take = with(shared, |s, r: TakeSession| async move {
-        to_reply(&s.clone(), detached(async move { ownership::take_over(&s, r).await }).await)
+    let take = with_shared(shared, |s, r: TakeSession| async move {
+        to_reply(&s.clone(), run_detached(async move { ownership::take_over(&s, r).await }).await)
     });
     let abort =
-        with(shared, |s, r: AbortTurn| async move { to_reply(&s, abort_turn(&s, &r).await) });
+        with_shared(
+            shared,
+            |s, r: AbortTurn| async move { to_reply(&s, abort_turn(&s, &r).await) },
+        );
     let tool =
-        with(shared, |s, r: ToolResult| async move { to_reply(&s, tool_result(&s, &r).await) });
-    let close =
-        with(shared, |s, r: CloseSession| async move { to_reply(&s, close_session(&s, &r).await) });
+        with_shared(
+            shared,
+            |s, r: ToolResult| async move { to_reply(&s, tool_result(&s, &r).await) },
+        );
+    let close = with_shared(shared, |s, r: CloseSession| async move {
+        to_reply(&s, close_session(&s, &r).await)
+    });
     let (turns, joins) = (shared.clone(), shared.clone());
     Router::new()
         .route(move |_, request| open(request))
@@ -55,7 +62,7 @@
         .stream(move |_, request, sink| join(joins.clone(), request, sink))
 }
 
-fn with<R, F, Fut>(shared: &Arc<Shared>, handler: F) -> impl Fn(R) -> Fut + use<R, F, Fut>
+fn with_shared<R, F, Fut>(shared: &Arc<Shared>, handler: F) -> impl Fn(R) -> Fut + use<R, F, Fut>
 where
     F: Fn(Arc<Shared>, R) -> Fut,
 {
@@ -68,7 +75,7 @@
 }
 
 /// Runs a future in its own task, so that it completes even when the caller is cancelled.
-async fn detached<T: Send + 'static>(
+async fn run_detached<T: Send + 'static>(
     work: impl Future<Output = Result<T, EngineRefusal>> + Send + 'static,
 ) -> Result<T, EngineRefusal> {
     tokio::spawn(work).await.unwrap_or(Err(EngineRefusal::StoreUnavailable))
@@ -79,7 +86,7 @@
     place: &SessionPlace,
 ) -> Result<Mailbox, EngineRefusal> {
     let (shared, place) = (shared.clone(), place.clone());
-    detached(async move { ownership::find_mailbox(&shared, &place).await }).await
+    run_detached(async move { ownership::find_mailbox(&shared, &place).await }).await
 }
 
 /// Sends a request to a session's loop and waits for the reply. If the loop ends first, looks the
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -57,7 +57,7 @@
 
     /// Until when the lease is certainly held; `fallback` when it is not held.
     #[must_use]
-    pub fn until_or(self, fallback: Instant) -> Instant {
+    pub fn held_until_or(self, fallback: Instant) -> Instant {
         match self {
             Self::HeldUntil(until) => until,
             Self::Unacquired | Self::Lapsed | Self::Expired => fallback,
@@ -87,10 +87,12 @@
     /// Returns the current instant and until when the lease is certainly held. Waits while the lease
     /// has run out and a late renewal is still possible, so that a loop that calls this before each
     /// step neither acts without the lease nor stops too early.
-    pub async fn decided(&self) -> (Instant, Instant) {
+    pub async fn wait_until_decided(&self) -> (Instant, Instant) {
         loop {
             let (state, now) = (self.state(), Instant::now());
-            let LeaseState::HeldUntil(until) = state else { return (now, state.until_or(now)) };
+            let LeaseState::HeldUntil(until) = state else {
+                return (now, state.held_until_or(now));
+            };
             if now < until {
                 return (now, until);
             }
--- a/crates/engine/src/loader.rs
+++ b/crates/engine/src/loader.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of events requested per query; the size limit of a reply applies too.
-const PAGE_EVENTS: u32 = 2_000;
+const MAX_PAGE_EVENTS: u32 = 2_000;
 
 /// Why a session could not be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -77,7 +77,7 @@
     let mut history: Vec<Event> = Vec::new();
     loop {
         let after = history.last().map_or(EventSeq(0), |e| e.seq);
-        let query = ShardQuery::Events { key: record.key.clone(), after, limit: PAGE_EVENTS };
+        let query = ShardQuery::Events { key: record.key.clone(), after, limit: MAX_PAGE_EVENTS };
         let ShardAnswer::Events { events, more } =
             state.query_shard(group, &query, deadline).await?
         else {
--- a/crates/engine/src/model/generate.rs
+++ b/crates/engine/src/model/generate.rs
@@ -78,7 +78,7 @@
     /// Runs one generation to its end; the last event is `End`, `Failed` or `Cut`. Dropping the future
     /// closes the connection, which aborts the generation.
     pub async fn generate(&self, request: &GenerationRequest, on_event: impl Fn(ModelEvent)) {
-        let Some(mut connection) = self.connection().await else {
+        let Some(mut connection) = self.get_connection().await else {
             on_event(ModelEvent::Failed(FailureCode::Unreachable));
             return;
         };
@@ -97,7 +97,7 @@
     }
 
     /// Returns a connection to the expected server: an idle one, or a new one whose identity matches.
-    async fn connection(&self) -> Option<ModelConnection> {
+    async fn get_connection(&self) -> Option<ModelConnection> {
         let expected = self.expected.borrow().clone()?;
         while let Some(idle) = self.take_idle() {
             if idle.is_usable() && *idle.identity() == expected {
--- a/crates/engine/src/session_task.rs
+++ b/crates/engine/src/session_task.rs
@@ -74,7 +74,7 @@
 
     /// Whether both send to the same task.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn same_channel_as(&self, other: &Self) -> bool {
         self.sender.same_channel(&other.sender)
     }
 }
--- a/crates/engine/src/table.rs
+++ b/crates/engine/src/table.rs
@@ -59,7 +59,7 @@
     /// Removes a session, unless another task has replaced its entry.
     pub fn remove(&self, key: &SessionKey, mailbox: &Mailbox) {
         let mut held = self.lock();
-        if held.get(key).is_some_and(|h| h.mailbox.is_same(mailbox)) {
+        if held.get(key).is_some_and(|h| h.mailbox.same_channel_as(mailbox)) {
             held.remove(key);
             self.count.send_replace(held.len());
         }
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -258,10 +258,10 @@
                     .copied()
             }
             RequestKind::Prompt(parts) => {
-                let own = self.own_engines(criteria.service, &usable, parts);
+                let in_segment = self.segment_engines(criteria.service, &usable, parts);
                 let missing = |backend: &Backend| {
                     let id = &backend.listed.id;
-                    self.caches.missing_tokens(id, parts, own.contains(&id))
+                    self.caches.missing_tokens(id, parts, in_segment.contains(&id))
                 };
                 let candidates: Vec<_> =
                     eligible.iter().map(|b| b.candidate(missing(b), now)).collect();
@@ -281,7 +281,7 @@
     }
 
     /// Engines within the ring segment of the prompt's first part.
-    fn own_engines<'a>(
+    fn segment_engines<'a>(
         &self,
         service: &ServiceName,
         usable: &[&'a Backend],
--- a/crates/ingress/src/calls.rs
+++ b/crates/ingress/src/calls.rs
@@ -57,7 +57,7 @@
         request: &IngressRequest,
         route: &NamedRoute,
     ) -> IngressAnswer {
-        let deadlines = RequestDeadlines::of(request, &route.route);
+        let deadlines = RequestDeadlines::for_request(request, &route.route);
         let repeatable = route.route.repeat == RepeatRule::Repeatable;
         let mut attempts = AttemptHistory::default();
         loop {
--- a/crates/ingress/src/deadline.rs
+++ b/crates/ingress/src/deadline.rs
@@ -25,7 +25,7 @@
 impl RequestDeadlines {
     /// Computes the deadlines of a request on a route: the caller's timeout, limited by the route's.
     #[must_use]
-    pub fn of(request: &IngressRequest, route: &HttpRoute) -> Self {
+    pub fn for_request(request: &IngressRequest, route: &HttpRoute) -> Self {
         let route_timeout = Duration::from_millis(route.timeout_ms);
         let patience =
             request.patience.map_or(route_timeout, |patience| patience.min(route_timeout));
--- a/crates/ingress/src/prompt_caches.rs
+++ b/crates/ingress/src/prompt_caches.rs
@@ -21,13 +21,18 @@
 }
 
 impl PromptCaches {
-    /// Tokens of a prompt that an engine has to process: all from the first part that is not cached. If
-    /// `is_own`, the engine is in the ring segment of the first part, which then counts as cached.
+    /// Tokens of a prompt that an engine has to process: all from the first part that is not cached.
+    /// With `in_segment`, the engine is in the ring segment of the first part, which counts as cached.
     #[must_use]
-    pub fn missing_tokens(&self, engine: &EngineId, prompt: &[PromptPart], is_own: bool) -> u32 {
+    pub fn missing_tokens(
+        &self,
+        engine: &EngineId,
+        prompt: &[PromptPart],
+        in_segment: bool,
+    ) -> u32 {
         let cached = self.engines.get(engine);
         let is_cached = |(number, part): &(usize, &PromptPart)| {
-            (is_own && *number == 0) || cached.is_some_and(|cached| cached.contains(&key(part)))
+            (in_segment && *number == 0) || cached.is_some_and(|cached| cached.contains(&key(part)))
         };
         let cached_parts = prompt.iter().enumerate().take_while(is_cached).count();
         prompt[cached_parts..].iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -20,7 +20,7 @@
 
 /// Fraction of the grace period for which idle connections stay open. Requests sent in this time are
 /// served, and each response announces that the connection closes.
-const IDLE_SHARE: f64 = 0.3;
+const IDLE_CLOSE_SHARE: f64 = 0.3;
 
 /// Fraction of the grace period after which new requests are refused, because an accepted request
 /// must have time to complete.
@@ -70,7 +70,7 @@
     let accepting = accept(&listener, &handler, &stages, &connections);
     let ending = async {
         stages.stop.cancelled().await;
-        let (stopped, idle_period) = (Instant::now(), grace.mul_f64(IDLE_SHARE));
+        let (stopped, idle_period) = (Instant::now(), grace.mul_f64(IDLE_CLOSE_SHARE));
         tokio::time::sleep_until(stopped + idle_period).await;
         stages.close.cancel();
         tokio::time::sleep_until(stopped + grace.mul_f64(REFUSE_SHARE)).await;
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -95,7 +95,7 @@
         route: &NamedRoute,
         routing: &Arc<Routing>,
     ) -> IngressAnswer {
-        let deadlines = RequestDeadlines::of(request, &route.route);
+        let deadlines = RequestDeadlines::for_request(request, &route.route);
         let (open, history) = match self.start_turn(request, turn, route, &deadlines).await {
             Ok(started) => started,
             Err(refusal) => return refusal.into(),
