--- a/crates/engine/src/admission/policy.rs
+++ b/crates/engine/src/admission/policy.rs
@@ -67,9 +67,9 @@
 /// The result of one slot request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
-    /// The request.
+    /// Ticket of the slot request.
     pub ticket: Ticket,
-    /// Its result.
+    /// Result of the slot request.
     pub outcome: Outcome,
 }
 
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -78,7 +78,7 @@
         *self.state.borrow()
     }
 
-    /// Whether it is held now.
+    /// Whether the lease is certainly held now.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.state().is_held(Instant::now())
--- a/crates/engine/src/model/identity.rs
+++ b/crates/engine/src/model/identity.rs
@@ -24,7 +24,7 @@
     pub engine: EngineId,
     /// Incarnation of the backend's process.
     pub incarnation: Incarnation,
-    /// Software version.
+    /// Software version of the backend.
     pub version: String,
     /// Kind of the backend.
     pub kind: BackendKind,
--- a/crates/engine/src/model/request.rs
+++ b/crates/engine/src/model/request.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ContextRole {
-    /// The program.
+    /// The agent program.
     User,
-    /// The model.
+    /// The model server.
     Assistant,
-    /// A tool.
+    /// A tool, with its result.
     Tool,
 }
 
--- a/crates/engine/src/shard_writer.rs
+++ b/crates/engine/src/shard_writer.rs
@@ -29,7 +29,7 @@
 /// A session's command to be committed in the shard.
 #[derive(Debug)]
 pub struct Submission {
-    /// The command.
+    /// The command to append.
     pub command: ShardCommand,
     /// The session's id of the commit.
     pub commit: CommitId,
--- a/crates/engine/src/slots.rs
+++ b/crates/engine/src/slots.rs
@@ -22,7 +22,7 @@
 /// Longest pause between updates of the admission queue.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-/// The engine's slots.
+/// The engine's slots, shared by all sessions.
 #[derive(Debug)]
 pub struct Slots {
     state: Mutex<SlotState>,
@@ -44,7 +44,7 @@
         Self { state: Mutex::new(state), changed: Notify::new(), last_ticket: AtomicU64::new(0) }
     }
 
-    /// Applies new limits.
+    /// Applies new limits; running turns keep their slots.
     pub fn resize(&self, limits: AdmissionLimits) {
         let mut state = self.lock();
         state.admission.resize(limits);
--- a/crates/engine/src/table.rs
+++ b/crates/engine/src/table.rs
@@ -49,7 +49,7 @@
         self.lock().get(key).cloned()
     }
 
-    /// Adds a session.
+    /// Adds a session under the epoch in which the engine owns it.
     pub fn insert(&self, key: SessionKey, epoch: SessionEpoch, mailbox: Mailbox) {
         let mut held = self.lock();
         held.insert(key, HeldSession { epoch, mailbox });
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -35,7 +35,7 @@
 pub struct PendingResponse {
     /// The head of the response.
     pub head: Parts,
-    /// The unread body.
+    /// The body of the response, not read yet.
     body: Incoming,
     connection: Connection,
     idle_time: Option<Duration>,
@@ -52,7 +52,7 @@
     /// The connection failed before the end of the body.
     #[error("the connection to the backend failed within the response: {0}")]
     ConnectionFailed(String),
-    /// The deadline passed.
+    /// The deadline of the request passed.
     #[error("the response did not end before the deadline")]
     TimedOut,
     /// The body exceeds the size limit.
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -144,7 +144,7 @@
 /// Criteria by which a backend is selected.
 #[derive(Debug, Clone, Copy)]
 pub struct SelectionCriteria<'a> {
-    /// The service.
+    /// Service that the backend must belong to.
     pub service: &'a ServiceName,
     /// Versions that may receive the request.
     pub versions: &'a AllowedVersions,
@@ -154,16 +154,16 @@
     pub kind: RequestKind<'a>,
 }
 
-/// A selected backend.
+/// Identity and address of a selected backend.
 #[derive(Debug, Clone)]
 pub struct PickedBackend {
-    /// Its id.
+    /// Engine id of the backend.
     pub id: EngineId,
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// Its service.
+    /// Service of the backend.
     pub service: ServiceName,
-    /// Its version.
+    /// Version of the backend.
     pub version: ServiceVersion,
 }
 
--- a/crates/ingress/src/choice.rs
+++ b/crates/ingress/src/choice.rs
@@ -24,7 +24,7 @@
 /// A backend that may be selected, with what is known of its load and health.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its id.
+    /// Engine id of the backend.
     pub id: &'a EngineId,
     /// Estimated number of requests at the backend.
     pub requests: f64,
--- a/crates/ingress/src/connections.rs
+++ b/crates/ingress/src/connections.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("cannot connect to {address}: {reason}")]
 pub struct ConnectError {
-    /// The address.
+    /// Address of the backend.
     pub address: SocketAddr,
     /// The error of the operating system.
     pub reason: String,
--- a/crates/ingress/src/deadline.rs
+++ b/crates/ingress/src/deadline.rs
@@ -14,7 +14,7 @@
 /// Receive time and deadlines of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestDeadlines {
-    /// When it was received.
+    /// When the request was received.
     pub received: Instant,
     /// Deadline of the complete response.
     pub end: Instant,
--- a/crates/ingress/src/load.rs
+++ b/crates/ingress/src/load.rs
@@ -35,7 +35,7 @@
 }
 
 impl LoadEstimate {
-    /// Records a report.
+    /// Records a load report of the backend.
     pub fn record(&mut self, report: LoadReport, now: Instant) {
         self.last_report = Some(ReceivedReport { report, at: now, own_in_flight: self.in_flight });
     }
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -12,15 +12,15 @@
 pub struct IngressRequest {
     /// Id of the request; each attempt of a caller has its own.
     pub id: String,
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: Method,
     /// Path and query, unchanged.
     pub uri: Uri,
-    /// Requested host.
+    /// Host that the request is addressed to.
     pub host: String,
     /// Headers to forward to the backend.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
     /// When the last byte was read.
     pub received: Instant,
--- a/crates/ingress/src/routes.rs
+++ b/crates/ingress/src/routes.rs
@@ -10,9 +10,9 @@
 /// A route with its name.
 #[derive(Debug, Clone)]
 pub struct NamedRoute {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// Its definition in the bundle.
+    /// Definition of the route in the bundle.
     pub route: HttpRoute,
 }
 
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -87,7 +87,7 @@
 }
 
 impl Ingress {
-    /// Serves a turn.
+    /// Serves a turn of a chained session.
     pub(crate) async fn serve_turn(
         &self,
         request: &IngressRequest,
--- a/crates/ingress/src/versions.rs
+++ b/crates/ingress/src/versions.rs
@@ -7,11 +7,11 @@
 /// Versions that may receive one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AllowedVersions {
-    /// All versions.
+    /// All versions of the service.
     All,
-    /// Only this one.
+    /// Only this version.
     Only(ServiceVersion),
-    /// All versions except this one.
+    /// All versions of the service except this one.
     AllBut(ServiceVersion),
 }
 
--- a/crates/ingress/tests/support/mod.rs
+++ b/crates/ingress/tests/support/mod.rs
@@ -222,7 +222,7 @@
     Bundle { version: BundleVersion(1), http: Some(http), ..Bundle::default() }
 }
 
-/// A request without a turn.
+/// A tool call request, without a turn.
 pub fn call(path: &str, id: &str) -> IngressRequest {
     IngressRequest {
         id: id.to_owned(),
