--- a/crates/engine/tests/support/model_server.rs
+++ b/crates/engine/tests/support/model_server.rs
@@ -157,7 +157,7 @@
 ) -> Response {
     let request = echo(&headers, "x-hooklug-request");
     let identity = current_identity(&inner);
-    let mut response_headers = BTreeMap::from([
+    let mut echoed = BTreeMap::from([
         ("x-hooklug-request", request.clone()),
         ("x-hooklug-engine", identity.clone()),
         ("content-type", "application/x-ndjson".to_owned()),
@@ -167,8 +167,8 @@
     let kind = words.next().unwrap_or_default().to_owned();
     let count: u64 = words.next().and_then(|w| w.parse().ok()).unwrap_or(0);
     if kind == "refuse" || echo(&headers, "x-hooklug-expect") != identity {
-        response_headers.insert("x-hooklug-refused", "draining".to_owned());
-        return respond(StatusCode::SERVICE_UNAVAILABLE, &response_headers, Body::empty());
+        echoed.insert("x-hooklug-refused", "draining".to_owned());
+        return respond(StatusCode::SERVICE_UNAVAILABLE, &echoed, Body::empty());
     }
     let accepted = GenerationRequest {
         turn: body["turn"].as_str().unwrap_or_default().to_owned(),
@@ -178,14 +178,10 @@
     inner.requests.lock().unwrap().push(accepted.clone());
     match kind.as_str() {
         "fail" => {
-            return respond(StatusCode::INTERNAL_SERVER_ERROR, &response_headers, Body::empty());
-        }
-        "not-echoed" => {
-            drop(response_headers.insert("x-hooklug-request", "r-of-another".to_owned()))
-        }
-        "another" => {
-            drop(response_headers.insert("x-hooklug-engine", "advisor/model-9/1".to_owned()))
+            return respond(StatusCode::INTERNAL_SERVER_ERROR, &echoed, Body::empty());
         }
+        "not-echoed" => drop(echoed.insert("x-hooklug-request", "r-of-another".to_owned())),
+        "another" => drop(echoed.insert("x-hooklug-engine", "advisor/model-9/1".to_owned())),
         _ => {}
     }
     let limit = accepted.max_tokens;
@@ -195,7 +191,7 @@
     let stream = futures::stream::unfold(source, async |mut source| {
         source.recv().await.map(|item| (item, source))
     });
-    respond(StatusCode::OK, &response_headers, Body::from_stream(stream))
+    respond(StatusCode::OK, &echoed, Body::from_stream(stream))
 }
 
 async fn send_lines(
