--- a/crates/ingress/tests/server.rs
+++ b/crates/ingress/tests/server.rs
@@ -14,7 +14,8 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-/// Grace period, long enough for a busy machine; the test itself needs only a part of it.
+/// Grace period, long enough that a busy machine refuses requests in time; all requests end long
+/// before.
 const GRACE: Duration = Duration::from_secs(5);
 
 /// Handler that holds requests for `/held` until released and answers others at once.
@@ -46,9 +47,9 @@
 
 /// Sends a request on a new connection and returns the complete response text.
 async fn send_request(address: std::net::SocketAddr, path: &str) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
+    let mut stream = TcpStream::connect(address).await.expect("the server listens");
     let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    stream.write_all(request.as_bytes()).await.expect("it reads");
+    stream.write_all(request.as_bytes()).await.expect("the server reads");
     let mut response = String::new();
     stream.read_to_string(&mut response).await.expect("a complete response");
     response
@@ -56,8 +57,8 @@
 
 #[tokio::test]
 async fn a_request_that_comes_late_after_the_stop_is_refused_and_one_that_runs_is_answered() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to loopback");
+    let address = listener.local_addr().expect("a bound address");
     let (handler, stop) = (Arc::new(HoldingHandler::default()), CancellationToken::new());
     let serving = tokio::spawn(serve(listener, handler.clone(), stop.clone(), GRACE));
     let held = tokio::spawn(async move { send_request(address, "/held").await });
--- a/crates/ingress/tests/support/fake_backend.rs
+++ b/crates/ingress/tests/support/fake_backend.rs
@@ -59,8 +59,8 @@
 
 impl FakeBackend {
     pub async fn start(name: &str, script: &[Behaviour]) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to loopback");
+        let address = listener.local_addr().expect("a bound address");
         let state =
             BackendState { script: script.iter().cloned().collect(), ..BackendState::default() };
         let state = Arc::new(Mutex::new(state));
