--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Engines, their model servers and shared state in one process.
+//! Engines, model servers and in-memory state in one process.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the helpers")]
 
 pub mod model_server;
 pub mod stalled;
@@ -22,8 +22,8 @@
 pub use streams::*;
 pub use world::*;
 
-/// Far enough that a passing test never meets it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of the tests, long enough that a passing test never reaches it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn service() -> ServiceName {
     ServiceName::new("advisor").unwrap()
@@ -48,16 +48,16 @@
     shard_of(key.program.as_str())
 }
 
-pub fn soon() -> Instant {
-    Instant::now() + PATIENCE
+pub fn test_deadline() -> Instant {
+    Instant::now() + TEST_TIMEOUT
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds.
 pub async fn eventually(what: &str, condition: impl AsyncFn() -> bool) {
     let waiting = async {
         while !condition().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "not in time: {what}");
+    assert!(tokio::time::timeout(TEST_TIMEOUT, waiting).await.is_ok(), "timed out: {what}");
 }
--- a/crates/engine/tests/support/streams.rs
+++ b/crates/engine/tests/support/streams.rs
@@ -1,11 +1,11 @@
-//! Turns and joins as a gateway asks for them, and what their streams say.
+//! Turn and join requests as a gateway sends them, and readers of their streams.
 
 use hooklug_protocol::engine::{EngineRefusal, Join, JoinItem, RunTurn, TurnItem};
 use hooklug_rpc::ItemStream;
 use hooklug_state::shard::{Event, EventBody, SessionRecord};
 use hooklug_types::{EventSeq, SessionPlace, TenantId, TokenCount};
 
-use super::{PATIENCE, turn};
+use super::{TEST_TIMEOUT, turn};
 
 pub fn place(record: &SessionRecord) -> SessionPlace {
     SessionPlace {
@@ -30,7 +30,7 @@
     }
 }
 
-/// What a turn's stream said.
+/// The items of a turn's stream.
 #[derive(Debug, Default)]
 pub struct TurnOutcome {
     pub accepted: bool,
@@ -60,7 +60,7 @@
 }
 
 pub async fn next_item(stream: &mut ItemStream<TurnItem>) -> Option<TurnItem> {
-    let next = tokio::time::timeout(PATIENCE, stream.next());
+    let next = tokio::time::timeout(TEST_TIMEOUT, stream.next());
     next.await.expect("an item in time").ok().flatten()
 }
 
@@ -76,7 +76,7 @@
     outcome
 }
 
-/// Reads a turn's stream until it holds so many events.
+/// Reads a turn's stream until it has returned `count` events.
 pub async fn read_events(stream: &mut ItemStream<TurnItem>, count: usize) -> Vec<Event> {
     let mut events = Vec::new();
     while events.len() < count {
@@ -90,7 +90,7 @@
 }
 
 pub async fn next_join(stream: &mut ItemStream<JoinItem>) -> Option<JoinItem> {
-    let next = tokio::time::timeout(PATIENCE, stream.next());
+    let next = tokio::time::timeout(TEST_TIMEOUT, stream.next());
     next.await.expect("an item in time").ok().flatten()
 }
 
--- a/crates/engine/tests/support/world.rs
+++ b/crates/engine/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Shared state with the engines on it, driven as a gateway drives them.
+//! Engines on shared in-memory state, with the requests of a gateway.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,11 +25,11 @@
 use super::model_server::ModelServer;
 use super::running::{identity, settings};
 use super::{
-    EngineOptions, PATIENCE, RunningEngine, TurnOutcome, bundle, group, installed, key, place,
-    read_turn, service, soon,
+    EngineOptions, RunningEngine, TEST_TIMEOUT, TurnOutcome, bundle, group, installed, key, place,
+    read_turn, service, test_deadline,
 };
 
-/// Shared state, and a gateway's client.
+/// In-memory state and the RPC client of a gateway.
 #[derive(Clone)]
 pub struct World {
     pub state: MemoryState,
@@ -46,7 +46,7 @@
         Self { state, client: RpcClient::new(gateway) }
     }
 
-    /// Starts an engine beside a model server and waits until it is ready.
+    /// Starts an engine that uses a model server and waits until it is ready.
     pub async fn engine(&self, model: &ModelServer, options: EngineOptions) -> RunningEngine {
         let bundle = bundle(1, &[(options.version, VersionState::Sound)]);
         let state: Arc<dyn StateAccess> = Arc::new(self.state.clone());
@@ -93,11 +93,12 @@
             token_budget: TokenCount(budget),
             end_time,
         });
-        let reply = self.state.execute_shard(shard_of(program), &command, soon()).await.unwrap();
+        let reply =
+            self.state.execute_shard(shard_of(program), &command, test_deadline()).await.unwrap();
         assert!(matches!(reply, ShardReply::Program(_)), "{reply:?}");
     }
 
-    /// A program with much budget and time, and an open session of it.
+    /// Creates a program with a large budget and a late end time, and opens a session of it.
     pub async fn session(&self, engine: &RunningEngine, program: &str) -> SessionPlace {
         let end = UnixMillis::now().plus(Duration::from_secs(3_600));
         self.put_program(program, 1_000_000, end).await;
@@ -131,7 +132,7 @@
         self.call(engine, &request).await.map(|record| place(&record))
     }
 
-    /// Takes a session over as soon as its former owner's lease allows it.
+    /// Takes a session over as soon as its previous owner's lease has expired.
     pub async fn take_when_free(
         &self,
         engine: &RunningEngine,
@@ -148,7 +149,7 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, taking).await.expect("taken in time")
+        tokio::time::timeout(TEST_TIMEOUT, taking).await.expect("taken over in time")
     }
 
     pub async fn call<R, T>(&self, engine: &RunningEngine, request: &R) -> Result<T, EngineRefusal>
@@ -156,7 +157,7 @@
         R: Request<Reply = EngineReply<T>>,
         T: serde::Serialize + serde::de::DeserializeOwned + Send + 'static,
     {
-        self.client.call(engine.address, request, soon()).await.unwrap().result
+        self.client.call(engine.address, request, test_deadline()).await.unwrap().result
     }
 
     pub async fn stream<R: StreamRequest>(
@@ -164,7 +165,7 @@
         engine: &RunningEngine,
         request: &R,
     ) -> ItemStream<R::Item> {
-        self.client.open(engine.address, request, soon()).await.unwrap()
+        self.client.open(engine.address, request, test_deadline()).await.unwrap()
     }
 
     pub async fn close(
@@ -172,7 +173,7 @@
         engine: &RunningEngine,
         place: &SessionPlace,
     ) -> Result<SessionRecord, EngineRefusal> {
-        let deadline = UnixMillis::now().plus(PATIENCE);
+        let deadline = UnixMillis::now().plus(TEST_TIMEOUT);
         self.call(engine, &CloseSession { place: place.clone(), deadline }).await
     }
 
@@ -184,7 +185,7 @@
 
     pub async fn history(&self, key: &SessionKey) -> Vec<Event> {
         let query = ShardQuery::Events { key: key.clone(), after: EventSeq(0), limit: 100_000 };
-        match self.state.query_shard(group(key), &query, soon()).await.unwrap() {
+        match self.state.query_shard(group(key), &query, test_deadline()).await.unwrap() {
             ShardAnswer::Events { events, more: false } => events,
             other => panic!("{other:?}"),
         }
@@ -192,7 +193,7 @@
 
     pub async fn record(&self, key: &SessionKey) -> SessionRecord {
         let query = ShardQuery::Session(key.clone());
-        match self.state.query_shard(group(key), &query, soon()).await.unwrap() {
+        match self.state.query_shard(group(key), &query, test_deadline()).await.unwrap() {
             ShardAnswer::Session(Some(record)) => record,
             other => panic!("{other:?}"),
         }
