--- a/crates/protocol/src/backends.rs
+++ b/crates/protocol/src/backends.rs
@@ -1,4 +1,4 @@
-//! Gateways to a core: the back ends that the platform lists.
+//! Messages from gateways to cores: watching the platform's list of backends.
 
 use std::net::SocketAddr;
 
@@ -8,43 +8,43 @@
 use crate::control::NodeAddress;
 use crate::{Method, StreamRequest};
 
-/// A back end as the platform's list names it. The list lags, and may name dead or reused addresses.
+/// A backend in the platform's list. The list lags, and may contain addresses that have failed or been reused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBackend {
-    /// Its id; a restart has another one.
+    /// Backend id; a restarted backend has a new id.
     pub id: EngineId,
-    /// Service that it serves.
+    /// Service that the backend serves.
     pub service: ServiceName,
-    /// Version that it runs.
+    /// Version that the backend runs.
     pub version: ServiceVersion,
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: ZoneName,
-    /// Requests that it runs at once.
+    /// Number of requests that the backend can run concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the backend is draining, that is, accepts no new work.
     pub draining: bool,
 }
 
-/// Follows the platform's list.
+/// Subscribes to the platform's list of backends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchBackends {
-    /// Who follows.
+    /// The subscribing node.
     pub from: NodeAddress,
 }
 
-/// An item of the list's stream: first the whole, then changes. One comes with each reading of the list, so that
-/// a follower knows how fresh its copy is.
+/// An item of the backend list stream: first the full list, then changes. One item is sent each time the list is
+/// read, so that a subscriber knows how fresh its copy is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendsItem {
-    /// The whole list.
+    /// The full list.
     Whole(Vec<ListedBackend>),
-    /// What differs from the item before.
+    /// Differences from the previous item.
     Changes {
-        /// Back ends that came or changed.
+        /// Backends that were added or changed.
         changed: Vec<ListedBackend>,
-        /// Back ends that left.
+        /// Backends that were removed.
         gone: Vec<EngineId>,
     },
 }
--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/control.rs
@@ -1,4 +1,4 @@
-//! Every node to a core: discovery, heartbeats, the cluster view and bundle sections.
+//! Messages from nodes to cores: discovery, heartbeats, the cluster view and bundle sections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,27 +14,28 @@
 use crate::member_map::{MemberMap, SharedMember};
 use crate::{Method, Request, StreamRequest};
 
-/// Asks any process which others it knows. The answer names it, the stores and cores, and a few others.
+/// Asks a process for the nodes that it knows. The reply lists that process, the stores and cores, and a few
+/// other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Discover {
-    /// The asking node, so that it is known in turn.
+    /// The requesting node, so that the recipient learns its address.
     pub from: NodeAddress,
 }
 
-/// A process and where it listens.
+/// A node's identity and addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAddress {
-    /// Its node id.
+    /// Node id.
     pub node: NodeId,
-    /// Its run.
+    /// Run of the node's process.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Role of the node.
     pub role: NodeRole,
-    /// Its rpc address.
+    /// RPC address.
     pub rpc: SocketAddr,
-    /// Its HTTP address.
+    /// HTTP address.
     pub http: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
 }
 
@@ -43,122 +44,123 @@
     const METHOD: Method = Method::Discover;
 }
 
-/// A node that lives, as cores tell it.
+/// A node in the cluster view, as reported by cores.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Who and where.
+    /// The node's identity and addresses.
     pub address: NodeAddress,
-    /// What the core leader thinks of it.
+    /// Health of the node, as judged by the core leader.
     pub health: MemberHealth,
-    /// Bundle version that it has in force.
+    /// Bundle version installed at the node.
     pub bundle: BundleVersion,
-    /// For session-host engines.
+    /// Engine details; set for session-host engines.
     pub engine: Option<HostedEngine>,
 }
 
-/// What the core leader thinks of a node.
+/// Health of a node, as judged by the core leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberHealth {
-    /// Heard of in time.
+    /// Heartbeats arrive in time.
     Alive,
-    /// Not heard of for a while.
+    /// Heartbeats are overdue.
     Suspect,
-    /// Given up; leaves the view soon.
+    /// The node is considered failed and is about to be removed from the view.
     Dead,
 }
 
-/// What a session-host engine tells of itself.
+/// Details that a session-host engine reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostedEngine {
-    /// Its engine id (one a process).
+    /// Engine id (one per process).
     pub engine: EngineId,
-    /// Service that it serves.
+    /// Service that the engine serves.
     pub service: ServiceName,
-    /// Version that it runs.
+    /// Version that the engine runs.
     pub version: ServiceVersion,
-    /// Whether it can take work: lease fresh, model server answering.
+    /// Whether the engine can accept work: its lease is valid and its model server responds.
     pub ready: bool,
-    /// Whether it takes no new sessions.
+    /// Whether the engine is draining, that is, accepts no new sessions.
     pub draining: bool,
-    /// Turns that it can run at once.
+    /// Number of turns that the engine can run concurrently.
     pub slots: u32,
 }
 
-/// An application engine, joined from the platform's list and its own word.
+/// An application engine; combines its entry in the platform's list with its own report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplicationEngine {
-    /// Its engine id, as it tells itself.
+    /// Engine id, as reported by the engine.
     pub engine: EngineId,
-    /// Its run, as it tells itself.
+    /// Run of the engine's process, as reported by the engine.
     pub incarnation: Incarnation,
-    /// Service that it serves, as it tells itself.
+    /// Service that the engine serves, as reported by the engine.
     pub service: ServiceName,
-    /// Version that it runs.
+    /// Version that the engine runs.
     pub version: ServiceVersion,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Its zone, from the platform's list.
+    /// Zone of the engine, from the platform's list.
     pub zone: ZoneName,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining, that is, accepts no new work.
     pub draining: bool,
-    /// Whether its last probe was answered well.
+    /// Whether the last probe of the engine succeeded.
     pub healthy: bool,
 }
 
-/// The whole cluster as a core sees it. Its parts are shared by all copies that did not change them.
+/// The state of the entire cluster, as seen by a core. Copies share the parts that none of them changed.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// Grows with every change, across cores (higher half: fencing epoch of the core leader).
+    /// Revision of the view; grows with every change, also when the core leader changes (the upper half is the
+    /// fencing epoch of the core leader).
     pub revision: Revision,
-    /// Nodes by id.
+    /// Nodes, by id.
     pub members: MemberMap,
-    /// Application engines by id.
+    /// Application engines, by id.
     pub engines: CopyOnWrite<BTreeMap<EngineId, ApplicationEngine>>,
-    /// Stores, placements, core leader, newest bundle's record.
+    /// Stores, placements, the core leader and the record of the newest bundle.
     pub meta: CopyOnWrite<MetaState>,
 }
 
-/// Something that changed in the view.
+/// A change of the cluster view.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ViewChange {
-    /// A node came or changed.
+    /// A node was added or changed.
     Member(SharedMember),
-    /// Nodes of which only the installed bundle changed; a bundle change makes one of these, not a `Member` a node.
+    /// Only the installed bundle of these nodes changed; one such item replaces a `Member` item per node.
     Installed {
-        /// The version that they have in force now.
+        /// The bundle version that is now installed.
         bundle: BundleVersion,
-        /// The nodes.
+        /// The nodes that installed it.
         nodes: Vec<NodeId>,
     },
-    /// A node left.
+    /// A node was removed.
     MemberGone(NodeId),
-    /// An application engine came or changed.
+    /// An application engine was added or changed.
     Engine(ApplicationEngine),
-    /// An application engine left.
+    /// An application engine was removed.
     EngineGone(EngineId),
-    /// Something in the meta state changed.
+    /// The meta state changed.
     Meta(CopyOnWrite<MetaState>),
 }
 
-/// Follows the view.
+/// Subscribes to the cluster view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchView {
-    /// Who follows.
+    /// The subscribing node.
     pub from: NodeAddress,
 }
 
-/// An item of the view's stream: first the whole, then batched changes.
+/// An item of the cluster view stream: first the full view, then batches of changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ViewItem {
-    /// The whole view.
+    /// The full view.
     Whole(Box<ClusterView>),
-    /// Changes that lead to a revision.
+    /// Changes from one revision to a later one.
     Changes {
-        /// The revision before.
+        /// The revision before the changes.
         from: Revision,
-        /// The revision after.
+        /// The revision after the changes.
         to: Revision,
-        /// What changed.
+        /// The changes, in order.
         changes: Vec<ViewChange>,
     },
 }
@@ -168,53 +170,53 @@
     const METHOD: Method = Method::WatchView;
 }
 
-/// A node lives; once a second.
+/// Heartbeat of a node, sent once a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who and where.
+    /// The node's identity and addresses.
     pub from: NodeAddress,
-    /// Bundle version that it has in force.
+    /// Bundle version installed at the node.
     pub bundle: BundleVersion,
-    /// For session-host engines.
+    /// Engine details; set for session-host engines.
     pub engine: Option<HostedEngine>,
-    /// For session-host engines: their load.
+    /// Load of the engine; set for session-host engines.
     pub load: Option<EngineLoad>,
-    /// For gateways: statistics of watched versions since the last heartbeat that was answered.
+    /// Statistics of the versions under observation since the last acknowledged heartbeat; sent by gateways.
     pub statistics: Vec<VersionStatistics>,
-    /// For session-host engines: how their slots are used, by group.
+    /// Slot usage by window group; sent by session-host engines.
     pub slot_uses: Vec<SlotUse>,
 }
 
-/// How one engine's slots are used by one group's turns. Left out for groups without slots kept and turns.
+/// Slot usage of one window group at one engine. Omitted for groups that have neither reserved slots nor turns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUse {
-    /// The group; `None` for turns of no group.
+    /// The window group; `None` for turns without a group.
     pub group: Option<WindowGroup>,
-    /// Slots that open windows keep for it here.
+    /// Slots that open windows reserve for the group at this engine.
     pub reserved: u32,
-    /// Its turns that run.
+    /// Running turns of the group.
     pub running: u32,
 }
 
-/// How a service's slots are used by one group's turns, over all engines, for operators.
+/// Slot usage of one window group of a service, summed over all engines; shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSlotUse {
     /// The service.
     pub service: ServiceName,
-    /// The group; `None` for turns of no group.
+    /// The window group; `None` for turns without a group.
     pub group: Option<WindowGroup>,
-    /// Engines that told of the group.
+    /// Number of engines that reported the group.
     pub engines: u32,
-    /// Slots that open windows keep for it.
+    /// Slots that open windows reserve for the group.
     pub reserved: u32,
-    /// Its turns that run.
+    /// Running turns of the group.
     pub used: u32,
-    /// Those of them beyond what the engine that runs them keeps for the group: in slots that nobody keeps, or
-    /// that are lent by other groups.
+    /// Running turns of the group beyond its reservation at the engine that runs them: in unreserved slots or in
+    /// slots reserved for other groups.
     pub borrowed: u32,
 }
 
-/// Asks the core leader how slots are used, for operators.
+/// Asks the core leader for the slot usage of all services, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUseFigures;
 
@@ -223,14 +225,14 @@
     const METHOD: Method = Method::SlotUseFigures;
 }
 
-/// Answer to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The core's newest revision.
+    /// The core's latest view revision.
     pub revision: Revision,
-    /// The newest bundle that the core knows, when the sender has an older one in force.
+    /// The newest bundle that the core knows, if the sender has an older one installed.
     pub bundle: Option<BundleRecord>,
-    /// Where the core leader is, if this core is not it.
+    /// Address of the core leader, if this core is not the leader.
     pub leader: Option<SocketAddr>,
 }
 
@@ -239,10 +241,11 @@
     const METHOD: Method = Method::Heartbeat;
 }
 
-/// Upper bounds of latency buckets, in milliseconds: powers of two from 1 ms; the last bucket is open.
+/// Number of latency buckets. Their upper bounds are powers of two from 1 ms; the last bucket has no upper bound.
 pub const LATENCY_BUCKETS: usize = 20;
 
-/// What a gateway saw of one version on one route in one interval. Adds up over gateways.
+/// Request statistics of one version on one route, collected by a gateway in one interval. Statistics of several
+/// gateways can be added up.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionStatistics {
     /// The service.
@@ -251,15 +254,15 @@
     pub version: ServiceVersion,
     /// The route.
     pub route: RouteName,
-    /// Requests that ended well.
+    /// Number of successful requests.
     pub successes: u64,
-    /// Requests that ended badly by the back end's fault.
+    /// Number of requests that failed because of the backend.
     pub failures: u64,
-    /// Requests by latency (for sessions: time to first token): bucket `i` counts those below `2^i` ms.
+    /// Number of requests by latency (for sessions, time to first token): bucket `i` counts those below `2^i` ms.
     pub latency: [u64; LATENCY_BUCKETS],
 }
 
-/// Fetches a bundle section by digest from a core or store, or any node that has it.
+/// Fetches a bundle section by its digest from a core, a store, or any other node that has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchSection {
     /// Digest of the section.
@@ -271,10 +274,10 @@
     const METHOD: Method = Method::FetchSection;
 }
 
-/// A gateway's own evidence of clear harm, told to the core leader.
+/// Reports a clear regression of a version, observed by a gateway, to the core leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportHarm {
-    /// What was found.
+    /// The regression and its evidence.
     pub harm: HarmReport,
 }
 
@@ -283,7 +286,7 @@
     const METHOD: Method = Method::ReportHarm;
 }
 
-/// Asks the core leader what gateways saw of each version over the last minute, for operators.
+/// Asks the core leader for the statistics of each version over the last minute, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionFigures;
 
@@ -292,49 +295,49 @@
     const METHOD: Method = Method::VersionFigures;
 }
 
-/// What a probe of an engine's address found.
+/// The result of probing an engine's address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeFinding {
-    /// An application engine answered.
+    /// An application engine responded.
     Engine(ProbedEngine),
-    /// Something else answered, such as a model server.
+    /// Some other server responded, such as a model server.
     Other,
-    /// Nobody listens there.
+    /// The connection was refused.
     Refused,
-    /// No whole answer came in time.
+    /// No complete response arrived in time.
     NoAnswer,
 }
 
-/// An application engine, as it tells itself.
+/// An application engine, as described in its probe response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbedEngine {
-    /// Its engine id.
+    /// Engine id.
     pub engine: EngineId,
-    /// Its run.
+    /// Run of the engine's process.
     pub incarnation: Incarnation,
-    /// Its service.
+    /// Service that the engine serves.
     pub service: ServiceName,
-    /// Its version.
+    /// Version that the engine runs.
     pub version: ServiceVersion,
-    /// Whether it can take work.
+    /// Whether the engine can accept work.
     pub ready: bool,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining, that is, accepts no new work.
     pub draining: bool,
 }
 
-/// The outcome of one probe.
+/// A probed address and the result of its probe.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeOutcome {
-    /// The address asked.
+    /// The probed address.
     pub address: SocketAddr,
-    /// What was found there.
+    /// The result of the probe.
     pub finding: ProbeFinding,
 }
 
-/// A core tells the core leader what its share of the probes found.
+/// Reports the results of a core's share of the probes to the core leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportProbes {
-    /// The outcomes of one round.
+    /// The results of one round of probes.
     pub outcomes: Vec<ProbeOutcome>,
 }
 
--- a/crates/protocol/src/copy_on_write.rs
+++ b/crates/protocol/src/copy_on_write.rs
@@ -1,18 +1,18 @@
-//! Values that copies share until one of them is changed.
+//! Copy-on-write values for large state that is cloned often.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A value behind a shared pointer (ours). Cloning copies the pointer; the first change after a clone copies
-/// the value. On the wire it is the value itself.
+/// A value behind a shared pointer. Cloning copies the pointer; the first mutation after a clone copies the value.
+/// Serializes as the value itself.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CopyOnWrite<T>(Arc<T>);
 
 impl<T> CopyOnWrite<T> {
-    /// Whether both are the very same copy; then they are equal without a look at the value.
+    /// Whether both share the same allocation, and are therefore equal without comparing the values.
     #[must_use]
     pub fn is_same_copy(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,4 +1,4 @@
-//! Gateway to session-host engine.
+//! Messages from gateways to session-host engines.
 
 use hooklug_state::shard::{Event, SessionRecord, ShardRefusal, TurnRecord};
 use hooklug_types::{
@@ -9,73 +9,73 @@
 
 use crate::{Method, Request, StreamRequest};
 
-/// Every engine reply carries its load, so that gateways learn of a drain at once.
+/// A reply of an engine. Every reply carries the engine's load, so that gateways learn of a drain immediately.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReply<T> {
     /// The engine's load.
     pub load: EngineLoad,
-    /// What it answers.
+    /// The result of the request.
     pub result: Result<T, EngineRefusal>,
 }
 
-/// Why an engine did not do what was asked. None of these claims that anything ran or did not run,
-/// but `Ledger`, which carries a committed refusal.
+/// The reason why an engine refused a request. Only `Ledger` carries a committed refusal; the others do not say
+/// whether anything has run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum EngineRefusal {
-    /// Another engine, or none, owns the session.
-    #[error("not the owner")]
+    /// Another engine, or no engine, owns the session.
+    #[error("this engine does not own the session")]
     NotOwner {
-        /// The session as its shard recorded it, if known.
+        /// The session's record in its shard, if known.
         record: Option<Box<SessionRecord>>,
     },
-    /// This process is another run of the engine.
-    #[error("another incarnation")]
+    /// The request is meant for another run of this engine.
+    #[error("the request names another incarnation; {running} is running")]
     WrongIncarnation {
-        /// The one that runs.
+        /// The incarnation that is running.
         running: EngineIncarnation,
     },
-    /// Takes no new sessions.
-    #[error("draining")]
+    /// The engine is draining and accepts no new sessions.
+    #[error("the engine is draining")]
     Draining,
-    /// Its version is not one that may get new sessions, or it is not ready.
-    #[error("not ready: {reason}")]
+    /// The engine is not ready, or its version may not receive new sessions.
+    #[error("the engine is not ready: {reason}")]
     NotReady {
-        /// Why.
+        /// What the engine is waiting for, or why its version is excluded.
         reason: String,
     },
-    /// The queue is full, or the work can no longer finish in time.
-    #[error("overloaded")]
+    /// The queue is full, or the turn can no longer finish in time.
+    #[error("the engine is overloaded; retry after {retry_after_ms} ms")]
     Overloaded {
-        /// When to come back, in milliseconds.
+        /// Delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The shard refused.
+    /// The shard refused the command.
     #[error("{0}")]
     Ledger(ShardRefusal),
-    /// The shard could not be reached in time; claims nothing.
-    #[error("the shard cannot be reached")]
+    /// The shard could not be reached in time; the command may or may not have been applied.
+    #[error("the session's shard is unreachable")]
     StoreUnavailable,
-    /// The engine's lease has run out.
-    #[error("the engine's lease has run out")]
+    /// The engine's lease has expired.
+    #[error("the engine's lease has expired")]
     LeaseLost,
-    /// The deadline passed before the work was begun.
+    /// The deadline passed before the work was started.
     #[error("deadline exceeded")]
     DeadlineExceeded,
-    /// The session is handed over; ask its next owner.
-    #[error("session is being handed over")]
+    /// The session is being handed over; the request must be sent to its next owner.
+    #[error("the session is being handed over")]
     HandedOver,
 }
 
-/// Asks an engine to open a session; it writes the ownership itself.
+/// Asks an engine to open a session. The engine records its ownership in the shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenSession {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// The run of the engine that is meant.
+    /// The engine incarnation that the request is meant for.
     pub engine: EngineIncarnation,
-    /// Service that it runs on.
+    /// Service that the session runs on.
     pub service: ServiceName,
-    /// Shared prefix of its prompt.
+    /// Shared prompt prefix of the session.
     pub prefix: Option<PrefixId>,
 }
 
@@ -84,14 +84,15 @@
     const METHOD: Method = Method::OpenSession;
 }
 
-/// Asks an engine to take a session whose owner is gone. The gateway has seen to the old lease's expiry.
+/// Asks an engine to take over a session whose owner has failed. The gateway has already had the owner's lease
+/// expired.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeSession {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// The run of the engine that is meant.
+    /// The engine incarnation that the request is meant for.
     pub engine: EngineIncarnation,
-    /// Epoch that the gateway has seen.
+    /// The session's epoch as last seen by the gateway.
     pub expected_epoch: SessionEpoch,
 }
 
@@ -100,28 +101,28 @@
     const METHOD: Method = Method::TakeSession;
 }
 
-/// Runs a turn and follows its stream. A resend of the same turn attaches to it.
+/// Runs a turn and streams its events. A resend of the same turn attaches to the running one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTurn {
-    /// Where the gateway believes that the session is.
+    /// Location of the session, as known to the gateway.
     pub place: SessionPlace,
     /// The turn.
     pub turn: TurnId,
-    /// The turn that it follows.
+    /// The preceding turn.
     pub after: Option<TurnId>,
-    /// The new input.
+    /// Input of the turn.
     pub input: String,
-    /// Tokens that it may stream.
+    /// Maximum number of tokens to generate.
     pub max_tokens: TokenCount,
-    /// For fairness.
+    /// Tenant, for fair queueing.
     pub tenant: TenantId,
-    /// For windows.
+    /// Window group, for reserved slots.
     pub group: Option<WindowGroup>,
-    /// Whether it may use the urgent reserve.
+    /// Whether the turn may use the slots reserved for urgent turns.
     pub urgent: bool,
-    /// Time left until its deadline, in milliseconds.
+    /// Time left until the turn's deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Place of the last event that the caller already has; 0 for none.
+    /// Sequence number of the last event that the caller already has; 0 for none.
     pub last_seen: EventSeq,
 }
 
@@ -130,11 +131,11 @@
     const METHOD: Method = Method::RunTurn;
 }
 
-/// An item of a turn's stream. The last one is a `TurnEnded` event or a refusal; a stream that ends
-/// otherwise was cut and is resumable.
+/// An item of a turn's stream. The last item is a `TurnEnded` event or a refusal; a stream that ends in any other
+/// way was interrupted and can be resumed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnItem {
-    /// The turn is committed; first item of a stream that is not refused.
+    /// The turn is committed; the first item unless the turn is refused.
     Accepted {
         /// The turn as recorded.
         turn: TurnRecord,
@@ -143,21 +144,21 @@
     },
     /// A committed event of the turn.
     Event(Event),
-    /// Refused.
+    /// The turn was refused.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: EngineRefusal,
         /// The engine's load.
         load: EngineLoad,
     },
 }
 
-/// Joins a session: one `Sync`, then the common stream.
+/// Joins a session: a `Sync` item, then all events of the session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Join {
-    /// Where the gateway believes that the session is.
+    /// Location of the session, as known to the gateway.
     pub place: SessionPlace,
-    /// Place of the last event that the client already has; `None` asks for a full sync.
+    /// Sequence number of the last event that the client already has; `None` requests a full sync.
     pub last_seen: Option<EventSeq>,
 }
 
@@ -166,26 +167,26 @@
     const METHOD: Method = Method::Join;
 }
 
-/// An item of a session's common stream.
+/// An item of a session's event stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinItem {
-    /// The whole history up to here; first item unless `last_seen` was given.
+    /// The full history so far; the first item unless `last_seen` was given.
     Sync {
-        /// The session as recorded.
+        /// The session's record.
         record: Box<SessionRecord>,
-        /// All its events so far, in order.
+        /// All events of the session so far, in order.
         history: Vec<Event>,
     },
     /// The next event.
     Event(Event),
-    /// Refused, or the session left this engine: look its owner up again.
+    /// The request was refused, or the session has left this engine and its owner must be looked up again.
     Refused(EngineRefusal),
 }
 
-/// Aborts the open turn.
+/// Aborts the open turn of a session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AbortTurn {
-    /// Where the gateway believes that the session is.
+    /// Location of the session, as known to the gateway.
     pub place: SessionPlace,
     /// The turn.
     pub turn: TurnId,
@@ -196,12 +197,12 @@
     const METHOD: Method = Method::AbortTurn;
 }
 
-/// Tells the loop the result of a tool call. The same call id again changes nothing.
+/// Delivers the result of a tool call to its session. Idempotent by call id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToolResult {
-    /// Where the gateway believes that the session is.
+    /// Location of the session, as known to the gateway.
     pub place: SessionPlace,
-    /// The call, as the program named it.
+    /// The call id, chosen by the program.
     pub call: String,
     /// The result, as JSON text.
     pub result: String,
@@ -215,9 +216,9 @@
 /// Closes a session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseSession {
-    /// Where the gateway believes that the session is.
+    /// Location of the session, as known to the gateway.
     pub place: SessionPlace,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: UnixMillis,
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! Every message between hooklug processes, in one place, so that both ends compile against one contract.
+//! All messages between hooklug processes, shared so that both ends compile against the same definitions.
 //!
-//! Frames are postcard; these types therefore carry no serde tags, flattening or skipped fields.
+//! Frames are encoded with postcard, so these types use no serde tags, flattening or skipped fields.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/protocol/src/member_map.rs
+++ b/crates/protocol/src/member_map.rs
@@ -9,32 +9,32 @@
 use crate::control::Member;
 use crate::copy_on_write::CopyOnWrite;
 
-/// A member that views share.
+/// A member shared between views.
 pub type SharedMember = CopyOnWrite<Member>;
 
-/// Nodes by id (ours). A clone is one pointer; a change after a clone copies a pointer a node, not the nodes.
+/// Nodes by id. A clone copies one pointer; a change after a clone copies one pointer per node, not the nodes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MemberMap(CopyOnWrite<BTreeMap<NodeId, SharedMember>>);
 
 impl MemberMap {
-    /// A node, if it is known.
+    /// Returns a node, if it is known.
     #[must_use]
     pub fn get(&self, node: &NodeId) -> Option<&Member> {
         self.0.get(node).map(|member| &**member)
     }
 
-    /// A node to be changed, if it is known.
+    /// Returns a mutable reference to a node, if it is known.
     pub fn get_mut(&mut self, node: &NodeId) -> Option<&mut Member> {
         self.0.get_mut(node).map(|member| &mut **member)
     }
 
-    /// Puts a node in, in place of what was known of it.
+    /// Inserts a node, replacing its previous entry.
     pub fn insert(&mut self, node: NodeId, member: impl Into<SharedMember>) {
         self.0.insert(node, member.into());
     }
 
-    /// Takes a node out.
+    /// Removes a node.
     pub fn remove(&mut self, node: &NodeId) {
         self.0.remove(node);
     }
@@ -45,40 +45,40 @@
         self.0.contains_key(node)
     }
 
-    /// How many nodes are known.
+    /// Returns the number of nodes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether no node is known.
+    /// Whether the map is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Ids, in order.
+    /// Iterates over the node ids, in order.
     pub fn keys(&self) -> impl Iterator<Item = &NodeId> {
         self.0.keys()
     }
 
-    /// Nodes, by id.
+    /// Iterates over the nodes, in order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &Member> + Clone {
         self.0.values().map(|member| &**member)
     }
 
-    /// Nodes to be changed; each is copied.
+    /// Iterates mutably over the nodes. Each node that another view shares is copied.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Member> {
         self.0.values_mut().map(|member| &mut **member)
     }
 
-    /// Ids and nodes, in order of ids.
+    /// Iterates over ids and nodes, in order of the ids.
     pub fn iter(&self) -> impl Iterator<Item = (&NodeId, &SharedMember)> {
         self.0.iter()
     }
 
-    /// Nodes that are not in an earlier map, or not as they are there. Costs a look at two pointers for
-    /// each node that both maps share.
+    /// Iterates over the nodes that were added or changed since an earlier map. For a node that both maps share, this
+    /// costs one comparison of pointers.
     pub fn changed_since<'a>(
         &'a self,
         earlier: &'a Self,
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Nodes of an earlier map that are not in this one.
+    /// Iterates over the nodes of an earlier map that are not in this one.
     pub fn gone_since<'a>(&'a self, earlier: &'a Self) -> impl Iterator<Item = NodeId> + 'a {
         let all = (!self.0.is_same_copy(&earlier.0)).then_some(&earlier.0);
         let ids = all.into_iter().flat_map(|all| all.keys());
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -1,8 +1,8 @@
-//! Typed requests: each names its method and reply.
+//! Typed requests: each defines its method and its reply type.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Which handler a frame is for.
+/// The RPC method of a frame, which selects its handler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Method {
     /// `control::Discover`.
@@ -45,7 +45,7 @@
     GroupStatus,
     /// `store::ChangeReplicas`.
     ChangeReplicas,
-    /// For tests of the transport.
+    /// Used by tests of the transport only.
     Echo,
     /// `control::VersionFigures`.
     VersionFigures,
@@ -59,16 +59,16 @@
 
 /// A request with one reply.
 pub trait Request: Serialize + DeserializeOwned + Send + Sync + 'static {
-    /// Its reply.
+    /// Type of the reply.
     type Reply: Serialize + DeserializeOwned + Send + 'static;
-    /// Its method.
+    /// RPC method of the request.
     const METHOD: Method;
 }
 
-/// A request that is answered by a stream of items.
+/// A request whose reply is a stream of items.
 pub trait StreamRequest: Serialize + DeserializeOwned + Send + Sync + 'static {
-    /// One item.
+    /// Type of the stream's items.
     type Item: Serialize + DeserializeOwned + Send + 'static;
-    /// Its method.
+    /// RPC method of the request.
     const METHOD: Method;
 }
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -1,4 +1,4 @@
-//! To and between stores.
+//! Messages to stores and between stores.
 
 use std::net::SocketAddr;
 
@@ -10,46 +10,45 @@
 
 use crate::{Method, Request};
 
-/// Why a store did not answer. None of these says whether a command was or will be applied.
+/// The reason why a store did not execute a request. None of these says whether a command was or will be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum StoreFault {
-    /// This replica does not lead the group.
-    #[error("not the leader")]
+    /// This replica is not the leader of the group.
+    #[error("this replica is not the leader of the group")]
     NotLeader {
-        /// Who does, as far as it knows.
+        /// Address of the leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// It holds no replica of the group.
-    #[error("no replica of the group here")]
+    /// This store holds no replica of the group.
+    #[error("this store holds no replica of the group")]
     NoReplica {
-        /// Stores that do, as far as it knows.
+        /// Addresses of stores that hold a replica, if known.
         replicas: Vec<SocketAddr>,
     },
-    /// The command's entry was lost or leadership changed before it was known to be committed.
-    #[error("not known to be committed")]
+    /// The command's entry was lost, or leadership changed, before the entry was known to be committed.
+    #[error("the command is not known to be committed")]
     Uncertain,
-    /// Too much is waiting.
-    #[error("busy")]
+    /// Too many requests of the group are pending.
+    #[error("too many requests of the group are pending")]
     Busy,
-    /// The disk failed; this store acknowledges nothing any more.
-    #[error("the disk failed: {reason}")]
+    /// The store's disk failed; the store no longer acknowledges any request.
+    #[error("the store's disk failed: {reason}")]
     DiskFailed {
-        /// The system's words.
+        /// The error reported by the operating system.
         reason: String,
     },
     /// The cluster is not formed yet.
     #[error("the cluster is not formed yet")]
     NotFormed,
-    /// The request does not decode, is not the caller's to make, or does not fit the group; sending it
-    /// again does not help.
-    #[error("refused: {reason}")]
+    /// The request does not decode, is not allowed for the caller, or does not fit the group; a retry does not help.
+    #[error("the store refused the request: {reason}")]
     Refused {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// Applies a command of a group's state machine.
+/// Applies a command to a group's state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execute {
     /// The group.
@@ -63,7 +62,7 @@
     const METHOD: Method = Method::Execute;
 }
 
-/// A linearizable read.
+/// A linearizable read of a group's state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
     /// The group.
@@ -77,43 +76,43 @@
     const METHOD: Method = Method::Query;
 }
 
-/// Whose lease to end.
+/// The lease to expire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseSubject {
-    /// A session-host engine's; in the shard of its engine id.
+    /// The lease of a session-host engine, in the shard of its engine id.
     Engine(EngineIncarnation),
-    /// The core leader's, under this epoch; in the meta group.
+    /// The core leader's lease under this epoch, in the meta group.
     CoreLeader(FencingEpoch),
-    /// The same, when the asking core's own former run holds it at the same address: that run has ended, so there is
-    /// nothing to wait for.
+    /// The core leader's lease, held by the requesting core's own former run at the same address. That run has
+    /// ended, so the lease can be expired without waiting.
     FormerRun {
-        /// Its epoch.
+        /// The epoch of the lease.
         epoch: FencingEpoch,
-        /// The asking core's rpc address.
+        /// RPC address of the requesting core.
         address: SocketAddr,
     },
 }
 
-/// Asks a group's leader to end a lease. Judged by its monotonic clock alone.
+/// Asks a group's leader to expire a lease. The leader decides by its own monotonic clock alone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpireLease {
-    /// The group that holds it.
+    /// The group that holds the lease.
     pub group: GroupId,
-    /// Whose.
+    /// The lease.
     pub subject: LeaseSubject,
 }
 
-/// What came of it.
+/// The outcome of [`ExpireLease`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseVerdict {
-    /// Expired, for ever; committed.
+    /// The lease is expired permanently; the expiry is committed.
     Expired,
-    /// Still held; ask again after this many milliseconds.
+    /// The lease is still held; the request can be repeated after `left_ms`.
     Held {
-        /// Time left, with the margin.
+        /// Remaining time in milliseconds, including the safety margin.
         left_ms: u64,
     },
-    /// No such lease was ever granted: it holds nothing. Committed as expired.
+    /// No such lease was ever granted. It is committed as expired.
     Unknown,
 }
 
@@ -122,12 +121,12 @@
     const METHOD: Method = Method::ExpireLease;
 }
 
-/// Raft messages of many groups between two stores, in one frame.
+/// Raft messages of several groups from one store to another, in one frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RaftBatch {
-    /// Node id that the sender means; a store with another id drops the batch.
+    /// Node id of the intended recipient; a store with another id drops the batch.
     pub to: NodeId,
-    /// Messages by group.
+    /// The messages, each with its group.
     pub messages: Vec<(GroupId, Message)>,
 }
 
@@ -136,31 +135,31 @@
     const METHOD: Method = Method::RaftBatch;
 }
 
-/// A piece of a group's snapshot.
+/// A chunk of a group's snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// Node id that the sender means.
+    /// Node id of the intended recipient.
     pub to: NodeId,
-    /// The leader.
+    /// Node id of the leader.
     pub from: NodeId,
-    /// Its term.
+    /// Term of the leader.
     pub term: u64,
     /// The group.
     pub group: GroupId,
-    /// What the snapshot covers.
+    /// Log position and members that the snapshot covers.
     pub meta: SnapshotMeta,
-    /// Place of this piece.
+    /// Byte offset of this chunk.
     pub offset: u64,
-    /// The piece.
+    /// Bytes of the chunk.
     pub data: Vec<u8>,
-    /// Digest of the whole; set on the last piece.
+    /// Digest of the complete snapshot; set on the last chunk.
     pub whole: Option<Digest>,
 }
 
-/// The offset that the receiver expects next; 0 asks to start again.
+/// Reply to a snapshot chunk: the progress of the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotProgress {
-    /// Bytes held.
+    /// Offset that the receiver expects next; 0 means that the transfer must start over.
     pub next_offset: u64,
 }
 
@@ -169,48 +168,50 @@
     const METHOD: Method = Method::SnapshotChunk;
 }
 
-/// How a cluster is to begin. All its stores sync it before any of them acts on it.
+/// The plan by which a new cluster is formed. All its stores sync the plan to disk before any of them acts on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormationPlan {
-    /// The new cluster's id.
+    /// Id of the new cluster.
     pub cluster: u64,
-    /// The store that collects the promises and alone may decide.
+    /// The store that collects the promises; only this store may decide on the plan.
     pub coordinator: NodeId,
-    /// The stores that form it.
+    /// The stores that form the cluster.
     pub stores: Vec<StoreRecord>,
-    /// Where the replicas of each group begin.
+    /// Initial placement of each group's replicas.
     pub placements: Vec<(GroupId, GroupPlacement)>,
 }
 
-/// First start: what a store has and knows. Formed stores send it too, to learn each other's addresses.
+/// Sent between stores during formation, with the sender's state. Stores of a formed cluster send it too, to learn
+/// each other's addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormationOffer {
-    /// The asking store.
+    /// Node id of the sender.
     pub node: NodeId,
-    /// Its rpc address.
+    /// RPC address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the store.
     pub zone: ZoneName,
-    /// Cluster id that it has promised to another coordinator: asks whether that plan still stands.
+    /// Cluster id that the sender has promised to another coordinator; asks whether that plan is still valid.
     pub propose: Option<u64>,
-    /// Plan that it proposes: set by the store with the lowest node id once `expect_stores` see each other.
+    /// Proposed plan; set by the store with the lowest node id once `expect_stores` stores see each other.
     pub plan: Option<FormationPlan>,
 }
 
-/// Answer to a formation offer.
+/// Reply to a formation offer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormationReply {
-    /// The answering store.
+    /// Node id of the replying store.
     pub node: NodeId,
-    /// Its rpc address.
+    /// RPC address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the store.
     pub zone: ZoneName,
-    /// Cluster that it is a member of; 0 while its disk is empty.
+    /// Cluster that the store is a member of; 0 while its disk is empty.
     pub cluster: u64,
-    /// Whether it has synced the proposed plan, or, asked for a promised one, whether that still stands.
+    /// Whether the store has synced the proposed plan or, if asked about a promised plan, whether that plan is still
+    /// valid.
     pub accepted: bool,
-    /// Other empty stores that it has heard of.
+    /// Addresses of other empty stores that the store knows.
     pub heard: Vec<SocketAddr>,
 }
 
@@ -219,47 +220,48 @@
     const METHOD: Method = Method::FormationOffer;
 }
 
-/// Asks a store for its replicas.
+/// Asks a store for the status of its replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus;
 
-/// One replica as its store sees it.
+/// Status of one replica, as seen by its store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// The group.
     pub group: GroupId,
-    /// What the replica is.
+    /// Raft role of the replica.
     pub role: Role,
-    /// Its term.
+    /// Current term of the replica.
     pub term: u64,
-    /// Who leads.
+    /// The group's leader, if known.
     pub leader: Option<NodeId>,
-    /// Messages of leaders that it has taken since it was opened: whether it has heard anything between two looks.
+    /// Number of messages accepted from leaders since the replica was opened. Comparing two readings shows whether
+    /// the replica is in contact with a leader.
     pub leader_messages: u64,
     /// Highest committed index.
     pub commit: u64,
     /// Highest applied index.
     pub applied: u64,
-    /// Last index of its log.
+    /// Last index of the replica's log.
     pub last_index: u64,
-    /// Members as of the applied entries; a change that is not committed yet does not show.
+    /// Members according to the applied entries; uncommitted changes are not included.
     pub conf: ConfState,
-    /// Newest members in its log, committed or not.
+    /// Members according to the latest configuration in the log, committed or not.
     pub newest_conf: ConfState,
-    /// At the leader: highest index that each member is known to hold, and whether it answered lately.
+    /// Replication progress of each member; filled by the leader only.
     pub progress: Vec<MemberProgress>,
 }
 
-/// How far a member of a group is, as its leader sees it.
+/// Replication progress of a group member, as seen by the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberProgress {
     /// The member.
     pub node: NodeId,
-    /// Highest index that it is known to hold.
+    /// Highest index that the member is known to hold.
     pub matched: u64,
-    /// Whether it answered within the last election time.
+    /// Whether the member responded within the last election timeout.
     pub active: bool,
-    /// How the leader sends to it.
+    /// Replication state, which determines how the leader sends to the member.
     pub state: ProgressState,
 }
 
@@ -268,14 +270,14 @@
     const METHOD: Method = Method::GroupStatus;
 }
 
-/// One membership change of a group, asked by the core leader.
+/// Requests one membership change of a group; sent by the core leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeReplicas {
     /// The group.
     pub group: GroupId,
     /// The change.
     pub change: ConfChange,
-    /// Epoch of the core leader; checked against the meta group's newest that the store knows.
+    /// Epoch of the core leader; checked against the newest epoch of the meta group that the store knows.
     pub epoch: FencingEpoch,
 }
 
--- a/crates/types/src/counters.rs
+++ b/crates/types/src/counters.rs
@@ -1,4 +1,4 @@
-//! Numbers that only grow, one type per meaning.
+//! Monotonic counters and other numeric types, one newtype per meaning.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The next value.
+            /// Returns the next value.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -30,30 +30,31 @@
 }
 
 counters! {
-    /// Ownership epoch of a session; grows with every change of owner and fences the former owner's writes.
+    /// Ownership epoch of a session; incremented at every change of owner, which fences the former owner's writes.
     SessionEpoch,
-    /// Epoch of the core leader; every controller write carries it and an older one is refused.
+    /// Epoch of the core leader; every controller write carries it, and writes with an older epoch are refused.
     FencingEpoch,
-    /// One run of a process; a restart has a higher one (microseconds since 1970 at its start).
+    /// One run of a process: its start time in microseconds since 1970, so that a restart has a higher value.
     Incarnation,
-    /// A node; drawn at random, kept in the data folder where there is one, else anew at each start.
+    /// Node id, chosen at random; persisted in the data folder if the node has one, otherwise new at each start.
     NodeId,
-    /// Count of renewals of one lease; an expiry names the one that it judged.
+    /// Number of renewals of a lease; an expiry command names the renewal that it was based on.
     Renewal,
-    /// Revision of the cluster view that a core hands out.
+    /// Revision of the cluster view that a core serves.
     Revision,
     /// Version number of a bundle.
     BundleVersion,
-    /// Place of an event in its session's stream; the first is 1, 0 means "before all".
+    /// Sequence number of an event in its session's stream; the first is 1, and 0 stands for "before the first".
     EventSeq,
     /// A number of tokens.
     TokenCount,
-    /// Milliseconds since 1970. Used for records and end times, never to compare clocks of machines for safety.
+    /// Wall-clock time in milliseconds since 1970, for records and end times. Safety never depends on comparing
+    /// clocks of different machines.
     UnixMillis,
 }
 
 impl UnixMillis {
-    /// The wall clock now.
+    /// Reads the wall clock.
     #[must_use]
     pub fn now() -> Self {
         let since =
@@ -61,19 +62,19 @@
         Self(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// This instant moved on by a span.
+    /// Returns the time `span` later.
     #[must_use]
     pub fn plus(self, span: std::time::Duration) -> Self {
         Self(self.0.saturating_add(u64::try_from(span.as_millis()).unwrap_or(u64::MAX)))
     }
 
-    /// This instant moved on by milliseconds.
+    /// Returns the time `millis` milliseconds later.
     #[must_use]
     pub fn plus_millis(self, millis: u64) -> Self {
         Self(self.0.saturating_add(millis))
     }
 
-    /// The span until a later instant, zero when it has passed.
+    /// Returns the duration until `later`, or zero if `later` is in the past.
     #[must_use]
     pub fn until(self, later: Self) -> std::time::Duration {
         std::time::Duration::from_millis(later.0.saturating_sub(self.0))
@@ -81,7 +82,7 @@
 }
 
 impl Incarnation {
-    /// The incarnation of a process that starts now.
+    /// Returns the incarnation of a process that starts now.
     #[must_use]
     pub fn at_start() -> Self {
         let since =
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,16 +1,16 @@
-//! Text identifiers chosen by callers and operators, one type per noun.
+//! Text identifiers chosen by callers and operators, one type per kind of object.
 //!
-//! Separate types keep a turn from ever being looked up by a call's name.
+//! Separate types prevent mistakes such as looking up a turn by a call id.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted identifier, in bytes (ours).
+/// Maximum length of an identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 96;
 
-/// Why a text is no identifier.
+/// The reason why a text is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
     /// The text is empty.
@@ -22,7 +22,7 @@
         /// Length found, in bytes.
         found: usize,
     },
-    /// The text holds a character outside `A-Z a-z 0-9 . _ - :`.
+    /// The text contains a character outside `A-Z a-z 0-9 . _ - :`.
     #[error("holds {found:?}; allowed are letters, digits, '.', '_', '-' and ':'")]
     BadCharacter {
         /// The first character that is not allowed.
@@ -52,16 +52,16 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Checks the text and makes it an identifier.
+            /// Validates the text and creates an identifier.
             ///
             /// # Errors
-            /// [`IdError`] names what is wrong with the text.
+            /// [`IdError`] if the text is empty, too long or contains a character that is not allowed.
             pub fn new(text: impl AsRef<str>) -> Result<Self, IdError> {
                 check(text.as_ref())?;
                 Ok(Self(text.as_ref().into()))
             }
 
-            /// The identifier as text.
+            /// Returns the identifier as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -103,38 +103,38 @@
 }
 
 text_ids! {
-    /// An agent program: the shard key; all its sessions, turns and calls live in one shard.
+    /// An agent program. Its id is the shard key: all its sessions, turns and calls are stored in one shard.
     ProgramId,
-    /// A session of a program: one line of turns with one owner.
+    /// A session of a program: a sequence of turns with a single owner.
     SessionId,
-    /// One turn of a session, named by the caller, so that a resend is recognised.
+    /// One turn of a session. The caller chooses the id, so that a resend is recognised.
     TurnId,
-    /// One tool call of a program, named by the caller.
+    /// One tool call of a program. The caller chooses the id.
     CallId,
-    /// One gateway's claim to dispatch a call; drawn at random by the gateway.
+    /// One attempt by a gateway to dispatch a call. The gateway chooses the id at random.
     CallAttempt,
-    /// The customer that a program belongs to.
+    /// The tenant that a program belongs to.
     TenantId,
-    /// A service of the bundle: engines of one kind behind one name.
+    /// A service defined in the bundle: a set of engines of the same kind.
     ServiceName,
     /// A released version of a service.
     ServiceVersion,
-    /// A model that a model service runs.
+    /// A model served by a model service.
     ModelName,
-    /// A route of the bundle.
+    /// A route defined in the bundle.
     RouteName,
-    /// A failure domain inside a region.
+    /// A failure domain within a region.
     ZoneName,
-    /// A set of zones close to each other.
+    /// A set of zones that are close to each other.
     RegionName,
     /// A group of programs that a window reserves slots for.
     WindowGroup,
-    /// A window of the bundle.
+    /// A window defined in the bundle.
     WindowName,
-    /// A shared prompt prefix that a model server may hold in its cache.
+    /// A shared prompt prefix that a model server may have cached.
     PrefixId,
     /// An operator who signs bundles.
     OperatorName,
-    /// A back-end instance (session-host engine, model server or application engine) as the platform names it.
+    /// A backend instance (session-host engine, model server or application engine), as named by the platform.
     EngineId,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers, counters and outcomes that every hooklug crate shares.
+//! Identifiers, counters and outcome types shared by all hooklug crates.
 //!
-//! They live apart from any behaviour so that two crates never need each other only for a name.
+//! The crate contains no logic of its own, so that crates can share these types without depending on each other.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/types/src/load.rs
+++ b/crates/types/src/load.rs
@@ -1,22 +1,23 @@
-//! Load that a session-host engine tells on its replies.
+//! Load that a session-host engine reports in its replies.
 
 use serde::{Deserialize, Serialize};
 
 use crate::BundleVersion;
 
-/// An engine's load; travels on every reply, never by broadcast (design note: load is derived from routed streams).
+/// Load of an engine; attached to every reply and never broadcast (design note: load is derived from routed
+/// streams).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Turns that the engine can run at once.
+    /// Number of turns that the engine can run concurrently.
     pub slots: u32,
-    /// Turns running now.
+    /// Number of running turns.
     pub running: u32,
-    /// Turns waiting for a slot.
+    /// Number of turns waiting for a slot.
     pub queued: u32,
-    /// Sessions held.
+    /// Number of sessions that the engine owns.
     pub sessions: u32,
-    /// Whether the engine takes no new sessions.
+    /// Whether the engine is draining, that is, accepts no new sessions.
     pub draining: bool,
-    /// Bundle version in force at the engine.
+    /// Bundle version installed at the engine.
     pub bundle: BundleVersion,
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,22 +1,22 @@
-//! How turns and calls end.
+//! Outcomes of turns and tool calls.
 //!
-//! These types travel in postcard frames, so they carry no serde tags; the HTTP layer shapes its own JSON.
+//! These types are encoded with postcard, so they have no serde tags; the HTTP layer defines its own JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// Why a turn is over. Every stream of a turn ends with exactly one of these.
+/// The reason why a turn ended. Every turn stream ends with exactly one of these.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// The model's answer is whole.
+    /// The model's response is complete.
     Finished,
-    /// The answer was cut short; what was committed stands.
+    /// The response was truncated; the events committed so far remain valid.
     Interrupted,
     /// A caller aborted the turn.
     Aborted,
     /// The model server refused or failed.
     Failed {
-        /// What failed.
+        /// The cause of the failure.
         code: FailureCode,
     },
 }
@@ -25,35 +25,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureCode {
-    /// The back end refused the work without running it.
+    /// The backend refused the request without running it.
     Refused,
-    /// The back end answered with an error.
+    /// The backend responded with an error.
     BackendError,
-    /// The back end could not be reached before any byte was written.
+    /// The connection to the backend failed before any byte was written.
     Unreachable,
-    /// The answer was not the expected back end's own, or not whole.
+    /// The response was incomplete or did not come from the expected backend.
     InvalidAnswer,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The token budget was reached within this turn.
+    /// The program's token budget ran out during this turn.
     BudgetSpent,
     /// The program's end time passed.
     ProgramEnded,
 }
 
-/// How a call that may not be repeated ended, as its shard recorded it.
+/// The outcome of a non-repeatable call, as recorded in its shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// The back end answered; the answer is whole and its own.
+    /// The expected backend sent a complete response.
     Answered {
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// Body of the answer.
+        /// Body of the response.
         body: Vec<u8>,
     },
-    /// It may or may not have run; only the back end's look-up can tell.
+    /// The call may or may not have run; only a lookup at the backend can tell.
     Unknown,
-    /// It did not run and never will: sealed before any dispatch.
+    /// The call was sealed before it was dispatched: it has not run and will not run.
     NotRun,
 }
--- a/crates/types/src/place.rs
+++ b/crates/types/src/place.rs
@@ -1,4 +1,4 @@
-//! Who holds what: node roles, engine incarnations and the place of a session.
+//! Node roles, engine incarnations, session keys and session locations.
 
 use std::fmt;
 
@@ -6,17 +6,17 @@
 
 use crate::{EngineId, Incarnation, ProgramId, SessionEpoch, SessionId};
 
-/// What a hooklug process does.
+/// The role of a hooklug process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NodeRole {
-    /// Takes callers' requests and routes them.
+    /// Accepts callers' requests and routes them.
     Gateway,
-    /// Hosts sessions beside a model server.
+    /// Hosts sessions, next to a model server.
     Engine,
     /// Runs the controllers.
     Core,
-    /// Keeps the replicated state on its disk.
+    /// Stores the replicated state on its disk.
     Store,
 }
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// One run of one session-host engine: the holder of a lease and the owner of sessions.
+/// One run of a session-host engine process; it holds a lease and owns sessions.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineIncarnation {
     /// The engine's name.
     pub engine: EngineId,
-    /// The run of its process.
+    /// The run of the engine's process.
     pub incarnation: Incarnation,
 }
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// A session's full name: sessions are named inside their program.
+/// The fully qualified id of a session: session ids are unique only within their program.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionKey {
-    /// The program, which is the shard key.
+    /// The program; its id is the shard key.
     pub program: ProgramId,
-    /// The session inside it.
+    /// The session within the program.
     pub session: SessionId,
 }
 
@@ -61,13 +61,13 @@
     }
 }
 
-/// Where a session lives, as its shard recorded it.
+/// The owner and epoch of a session, as recorded in its shard.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SessionPlace {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Its owner.
+    /// The engine that owns the session.
     pub owner: EngineIncarnation,
-    /// The epoch that the owner holds it under.
+    /// The epoch under which the owner holds the session.
     pub epoch: SessionEpoch,
 }
--- a/crates/types/src/shard.rs
+++ b/crates/types/src/shard.rs
@@ -1,16 +1,16 @@
-//! The map from keys to replicated groups.
+//! Replicated groups and the mapping from keys to shards.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Number of shard groups (ours: 16). Fixed for the life of a cluster.
+/// Number of shard groups. Fixed for the lifetime of a cluster.
 pub const SHARD_COUNT: u32 = 16;
 
-/// The group that holds members, bundles, roll-outs and the shard map.
+/// The group that holds members, bundles, rollouts and the shard map.
 pub const META_GROUP: GroupId = GroupId(0);
 
-/// A replicated group; 0 is `meta`, 1..=[`SHARD_COUNT`] are the shards.
+/// Id of a replicated group: 0 is `meta`, 1..=[`SHARD_COUNT`] are the shards.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,7 +18,7 @@
 pub struct GroupId(pub u32);
 
 impl GroupId {
-    /// All groups of a cluster, `meta` first.
+    /// Returns all groups of a cluster, `meta` first.
     pub fn all() -> impl Iterator<Item = GroupId> {
         (0..=SHARD_COUNT).map(GroupId)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// The shard group of a key: a program id, or an engine id for leases.
+/// Returns the shard group of a key, which is a program id, or an engine id for leases.
 #[must_use]
 pub fn shard_of(key: &str) -> GroupId {
     let hash = blake3::hash(key.as_bytes());
@@ -46,7 +46,7 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of some bytes.
+    /// Computes the digest of `bytes`.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
