--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -1,65 +1,67 @@
-//! What replication needs of a state machine.
+//! The interface between replication and the state machines.
 
 use hooklug_types::Digest;
 
-/// Why bytes from a log or a snapshot could not be used.
+/// Error of a state machine that cannot use bytes from a log, a query or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MachineError {
-    /// The bytes do not decode; the replica must stop, since it can no longer agree with the others.
+    /// The bytes do not decode. For a log entry or a snapshot, the replica must stop, since its state would diverge
+    /// from the other replicas.
     #[error("cannot decode {what}: {reason}")]
     Decode {
-        /// What was decoded.
+        /// The kind of value that was being decoded.
         what: &'static str,
-        /// The decoder's words.
+        /// The decoder's error message.
         reason: String,
     },
 }
 
-/// A copy of a state that gives the state's snapshot when called, in any thread. Making it is cheap, as it shares
-/// what the machine does not change any more.
+/// A point-in-time copy of a state machine's state. Calling it, on any thread, encodes the snapshot. Creating it is
+/// cheap, because it shares data with the machine copy-on-write.
 pub type FrozenState = Box<dyn FnOnce() -> Vec<u8> + Send>;
 
-/// A deterministic state machine over encoded commands. No I/O, no clock, no randomness.
+/// A deterministic state machine over encoded commands, without I/O, clock or randomness.
 pub trait StateMachine: Send + 'static {
     /// Applies one encoded command and returns the encoded reply.
     ///
     /// # Errors
-    /// Only when the command does not decode; a refusal is a reply.
+    /// Only if the command does not decode; a refusal is a reply.
     fn apply(&mut self, command: &[u8]) -> Result<Vec<u8>, MachineError>;
 
-    /// Answers one encoded query from the state as it is; the caller sees to linearizability.
+    /// Answers one encoded query from the current state. The caller is responsible for linearizability.
     ///
     /// # Errors
-    /// Only when the query does not decode.
+    /// Only if the query does not decode.
     fn query(&self, query: &[u8]) -> Result<Vec<u8>, MachineError>;
 
-    /// The whole state, encoded.
+    /// Returns the encoded state.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// The state as it is now, to be encoded elsewhere: the bytes are those of [`StateMachine::snapshot`].
+    /// Returns a copy of the current state that can be encoded on another thread. The encoded bytes are those that
+    /// [`StateMachine::snapshot`] would return now.
     fn freeze(&self) -> FrozenState;
 
-    /// Replaces the state by a snapshot.
+    /// Replaces the state with a snapshot.
     ///
     /// # Errors
-    /// When the snapshot does not decode; the state is then unchanged.
+    /// If the snapshot does not decode; the state is then unchanged.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), MachineError>;
 
-    /// Digest of the state; equal on all replicas after the same commands.
+    /// Returns the digest of the state, which is equal on all replicas after the same commands.
     fn digest(&self) -> Digest;
 }
 
-/// Encodes a command, query, reply or answer of a state machine.
+/// Encodes a command, a query or a reply of a state machine.
 #[must_use]
 pub fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Plain data into a growing buffer: the encoder has no way to fail.
+    // Encoding plain data into a growable buffer cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes a value that was encoded with [`encode`].
 ///
 /// # Errors
-/// When the bytes are something else.
+/// If the bytes do not decode as a `T`.
 pub fn decode<T: serde::de::DeserializeOwned>(
     what: &'static str,
     bytes: &[u8],
--- a/crates/state/src/meta/archive.rs
+++ b/crates/state/src/meta/archive.rs
@@ -1,4 +1,4 @@
-//! The last bundles. Versions share sections of the same digest.
+//! Storage of recent bundle versions, which share sections with the same digest.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,37 +9,38 @@
 
 use super::record::BundleRecord;
 
-/// Versions whose records are kept (ours).
+/// Number of versions whose records are retained.
 pub const KEPT_VERSIONS: usize = 512;
 
-/// Bytes that the content of older versions takes at most (ours). The newest version is kept whatever its size.
+/// Maximum size in bytes of the retained content of older versions. The newest version is retained whatever its
+/// size.
 pub const KEPT_BYTES: usize = 2 << 20;
 
-/// Bytes of a digest in a record's table of sections, with what the table adds.
+/// Size in bytes of a digest in a record's section table, with the overhead of the table entry.
 const TABLE_ENTRY_BYTES: usize = 40;
 
-/// A section's bytes and how many kept versions hold it.
+/// A section's bytes and the number of retained versions that contain it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct SharedSection {
     bytes: Arc<Vec<u8>>,
     holders: u32,
 }
 
-/// Records of the last [`KEPT_VERSIONS`] bundles, and the whole content of as many of them as [`KEPT_BYTES`] hold. Of older
-/// ones only the routes are kept: whether a tool could ever not be repeated must stay known. A copy shares records and
-/// sections.
+/// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit into
+/// [`KEPT_BYTES`]. Of the older ones only the routes are retained, since it must remain known whether a tool was
+/// ever non-repeatable. Clones share records and sections.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct BundleArchive {
     records: BTreeMap<BundleVersion, Arc<BundleRecord>>,
     sections: BTreeMap<Digest, SharedSection>,
-    /// The oldest version whose content is whole.
+    /// The oldest version whose full content is retained.
     whole_from: BundleVersion,
-    /// Bytes of all sections and of the records' tables.
+    /// Size in bytes of all sections and section tables.
     bytes: usize,
 }
 
 impl BundleArchive {
-    /// Adds a version, then drops the oldest content and records beyond their bounds.
+    /// Adds a version, then drops the oldest content and the oldest records that exceed the limits.
     pub(super) fn add(&mut self, record: BundleRecord, sections: BTreeMap<String, Vec<u8>>) {
         let newest_bytes: usize = sections.values().map(Vec::len).sum();
         self.bytes += table_bytes(&record);
@@ -65,7 +66,8 @@
         self.sections.insert(digest, SharedSection { bytes: bytes.into(), holders: 1 });
     }
 
-    /// Drops the content of the oldest version that has it whole, but for the routes; false when only the newest is left.
+    /// Drops the content, except for the routes, of the oldest version with full content. Returns false if that is the
+    /// newest version, which is retained.
     fn drop_oldest_content(&mut self) -> bool {
         let mut whole = self.records.range(self.whole_from..).map(|(version, _)| *version);
         let (Some(oldest), Some(next)) = (whole.next(), whole.next()) else { return false };
@@ -88,12 +90,12 @@
         }
     }
 
-    /// The record of a version.
+    /// Returns the record of a version.
     pub(super) fn record(&self, version: BundleVersion) -> Option<&BundleRecord> {
         self.records.get(&version).map(AsRef::as_ref)
     }
 
-    /// A version's content, while it is kept.
+    /// Returns a version's content, if it is retained.
     pub(super) fn bundle(&self, version: BundleVersion) -> Option<Bundle> {
         let record = self.records.get(&version).filter(|_| version >= self.whole_from)?;
         let sections = record
@@ -105,24 +107,24 @@
         hooklug_bundle::from_sections(header, &sections).ok()
     }
 
-    /// A version's record and canonical bytes, while its content is kept.
+    /// Returns a version's record and canonical bytes, if its content is retained.
     pub(super) fn bytes(&self, version: BundleVersion) -> Option<(BundleRecord, Vec<u8>)> {
         let bundle = self.bundle(version)?;
         Some((self.record(version)?.clone(), hooklug_bundle::canonical_bytes(&bundle)))
     }
 
-    /// A section's bytes.
+    /// Returns a section's bytes.
     pub(super) fn section(&self, digest: &Digest) -> Option<Vec<u8>> {
         self.sections.get(digest).map(|s| s.bytes.to_vec())
     }
 
-    /// The last records, newest first.
+    /// Returns up to `limit` records, newest first.
     pub(super) fn newest_records(&self, limit: u32) -> Vec<BundleRecord> {
         self.records.values().rev().take(limit as usize).map(|r| r.as_ref().clone()).collect()
     }
 }
 
-/// Bytes that a section's name and digest take in a record.
+/// Returns the size in bytes of a section's entry in a record's section table.
 fn entry_bytes(name: &str) -> usize {
     TABLE_ENTRY_BYTES + name.len()
 }
--- a/crates/state/src/meta/bundles.rs
+++ b/crates/state/src/meta/bundles.rs
@@ -1,4 +1,4 @@
-//! Committing bundles: one line of versions, each built on the newest.
+//! Commits bundles. The versions form a single sequence in which each is based on the previous one.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use super::record::{BundleOrigin, BundleRecord};
 
 impl MetaMachine {
-    /// Commits a bundle. The same version with the same content again gets the same record.
+    /// Commits a bundle. A resubmission of the same version and content returns the existing record.
     pub(super) fn submit_bundle(&mut self, submit: SubmitBundle) -> Outcome {
         let digest = submit.content.digest();
         if let Some(committed) = self.state.archive.record(submit.version) {
@@ -31,7 +31,7 @@
         Ok(MetaReply::Bundle(record))
     }
 
-    /// The bundle that a submission stands for; its base is the newest.
+    /// Decodes and checks the submitted bundle, whose base must be the newest version.
     fn submitted(&self, submit: &SubmitBundle) -> Result<Bundle, MetaRefusal> {
         if submit.version <= submit.base {
             return Err(invalid("version: must be higher than the base".to_owned()));
@@ -41,18 +41,20 @@
             BundleContent::Changes { digest, sections } => {
                 let bundle = self.newest_with(submit, sections)?;
                 if hooklug_bundle::digest(&bundle) != *digest {
-                    return Err(invalid("the changes do not give the digest".to_owned()));
+                    return Err(invalid(
+                        "the changed sections do not match the bundle digest".to_owned(),
+                    ));
                 }
                 bundle
             }
         };
         if bundle.version != submit.version || bundle.base != submit.base {
-            return Err(invalid("version, base: differ from the submission's".to_owned()));
+            return Err(invalid("version, base: differ from those of the submission".to_owned()));
         }
         Ok(bundle)
     }
 
-    /// The newest bundle with other sections in place of some.
+    /// Returns the newest bundle with some of its sections replaced or removed.
     fn newest_with(
         &self,
         submit: &SubmitBundle,
@@ -65,12 +67,12 @@
             .map_err(|error| invalid(error.to_string()))
     }
 
-    /// The newest committed version; 0 before the first.
+    /// Returns the newest committed version, or 0 before the first.
     pub(super) fn newest_version(&self) -> BundleVersion {
         self.state.meta.bundle.as_ref().map(|b| b.version).unwrap_or_default()
     }
 
-    /// Makes a bundle the newest.
+    /// Stores a bundle as the newest version.
     pub(super) fn commit_bundle(&mut self, bundle: &Bundle, origin: BundleOrigin) -> BundleRecord {
         let sections = hooklug_bundle::sections(bundle);
         let digests =
@@ -89,12 +91,12 @@
     }
 }
 
-/// Reads canonical bytes.
+/// Decodes a bundle from its canonical bytes, and refuses bytes that are not canonical.
 fn whole(bytes: &[u8]) -> Result<Bundle, MetaRefusal> {
     let bundle = hooklug_bundle::decode(bytes).map_err(|error| invalid(error.to_string()))?;
     match hooklug_bundle::canonical_bytes(&bundle) == bytes {
         true => Ok(bundle),
-        false => Err(invalid("the bytes are not canonical".to_owned())),
+        false => Err(invalid("the bundle's encoding is not canonical".to_owned())),
     }
 }
 
--- a/crates/state/src/meta/command.rs
+++ b/crates/state/src/meta/command.rs
@@ -1,4 +1,4 @@
-//! Commands and reads of the meta group.
+//! Commands and queries of the meta group.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,36 +15,36 @@
 };
 use super::rollouts::RolloutPhase;
 
-/// A bundle that operators submit. Checked and its signatures verified by the node that forwards it,
-/// and checked again by the machine as far as versions go.
+/// A bundle submitted by operators. The node that forwards it validates the bundle and verifies its signatures;
+/// the state machine checks the versions again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitBundle {
-    /// Its version.
+    /// Version of the bundle.
     pub version: BundleVersion,
-    /// The version that it was built on; must be the newest committed one.
+    /// The version that the bundle is based on; must be the newest committed version.
     pub base: BundleVersion,
-    /// What it says.
+    /// Content of the bundle.
     pub content: BundleContent,
     /// Operators whose signatures were verified.
     pub signed_by: Vec<OperatorName>,
 }
 
-/// What a submitted bundle says.
+/// Content of a submitted bundle: complete, or relative to its base.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BundleContent {
-    /// Canonical bytes (`hooklug_bundle` makes them).
+    /// The complete bundle as canonical bytes, encoded by `hooklug_bundle`.
     Whole(Vec<u8>),
-    /// What differs from the bundle that it was built on.
+    /// The sections that differ from the base version.
     Changes {
-        /// Digest of the canonical bytes of the whole.
+        /// Digest of the canonical bytes of the complete bundle.
         digest: Digest,
-        /// Sections with other bytes; `None` for those that are gone.
+        /// New bytes of changed sections, by name; `None` for removed sections.
         sections: BTreeMap<String, Option<Vec<u8>>>,
     },
 }
 
 impl BundleContent {
-    /// Digest of the canonical bytes of the whole.
+    /// Returns the digest of the canonical bytes of the complete bundle.
     #[must_use]
     pub fn digest(&self) -> Digest {
         match self {
@@ -55,7 +55,8 @@
 }
 
 impl SubmitBundle {
-    /// Submits a bundle; when the sender holds the record of the one that it was built on, only what differs.
+    /// Creates a submission of a bundle. It carries only the changed sections if `held` is the record of the bundle's
+    /// base version.
     #[must_use]
     pub fn new(bundle: &Bundle, held: Option<&BundleRecord>, signed_by: Vec<OperatorName>) -> Self {
         let held = held.filter(|record| record.version == bundle.base);
@@ -82,106 +83,107 @@
 /// A command of the meta group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MetaCommand {
-    /// First command of a cluster: its id, stores and first placements.
+    /// Forms the cluster; the first command of the group.
     Form {
-        /// The cluster id.
+        /// Id of the cluster.
         cluster: u64,
-        /// The stores that form it.
+        /// The stores that form the cluster.
         stores: Vec<StoreRecord>,
-        /// Placement of each group.
+        /// Initial placement of each group.
         placements: Vec<(GroupId, GroupPlacement)>,
     },
-    /// A store tells its address and run; a new one is added as active, a removed one refused.
+    /// Registers a store's address and run. A new store is added as active; a removed one is refused.
     RegisterStore(StoreRecord),
-    /// Changes what a store is to the cluster.
+    /// Changes the membership state of a store.
     SetStoreState {
         /// Epoch of the core leader.
         epoch: FencingEpoch,
         /// The store.
         node: NodeId,
-        /// Its new state.
+        /// New state of the store.
         state: StoreState,
     },
-    /// Changes a group's wanted placement.
+    /// Changes the desired placement of a group.
     SetPlacement {
         /// Epoch of the core leader.
         epoch: FencingEpoch,
         /// The group.
         group: GroupId,
-        /// What the sender saw; refused when it has changed.
+        /// The placement that the sender read; the command is refused if it has changed.
         expected: GroupPlacement,
         /// The new placement.
         placement: GroupPlacement,
     },
-    /// Takes the core leadership; refused while another's lease has not been expired.
+    /// Acquires the core leadership; refused until the lease of any other leader has been expired.
     AcquireLeadership {
-        /// The core.
+        /// Node id of the core.
         core: NodeId,
-        /// The run of its process.
+        /// The run of the core's process.
         incarnation: Incarnation,
-        /// Address of its rpc port.
+        /// RPC address of the core.
         address: SocketAddr,
-        /// Epoch that it saw last (0 for none); refused when it has moved.
+        /// The last epoch that the core has seen (0 for none); the command is refused if the epoch has changed.
         seen: FencingEpoch,
     },
     /// Renews the core leader's lease.
     RenewLeadership {
-        /// Its epoch.
+        /// Epoch of the lease.
         epoch: FencingEpoch,
     },
-    /// Ends the core leader's lease, if no renewal came after the one named. Proposed only by the group's leader.
+    /// Expires the core leader's lease, unless it was renewed after the given renewal. Proposed only by the group's
+    /// leader.
     ExpireLeadership {
-        /// The epoch that was judged.
+        /// Epoch of the lease.
         epoch: FencingEpoch,
-        /// The renewal that was judged.
+        /// The last renewal that the decision is based on.
         renewal: Renewal,
     },
     /// Commits a bundle.
     SubmitBundle(SubmitBundle),
-    /// Marks a version as rolled back, in a new bundle built on the newest.
+    /// Marks a service version as rolled back, in a new bundle based on the newest.
     RollBack {
         /// Epoch of the core leader.
         epoch: FencingEpoch,
-        /// What was found.
+        /// The regression that caused the rollback.
         harm: HarmReport,
     },
-    /// Moves the group's clock on. Proposed only by the group's leader.
+    /// Advances the group's clock. Proposed only by the group's leader.
     AdvanceClock {
         /// The new time.
         now: UnixMillis,
     },
-    /// An operator orders that a service's requests move to a version.
+    /// Starts a rollout: an operator moves a service's requests to a version.
     BeginRollout {
         /// The service.
         service: ServiceName,
-        /// The version.
+        /// The target version.
         target: ServiceVersion,
-        /// Time in which it should be settled, in milliseconds.
+        /// Time within which the rollout should be complete, in milliseconds.
         duration_ms: u64,
     },
-    /// Moves a roll-out on.
+    /// Moves a rollout to another phase.
     MoveRollout {
         /// Epoch of the core leader.
         epoch: FencingEpoch,
         /// The service.
         service: ServiceName,
-        /// Number of the order that was judged.
+        /// Number of the rollout that the decision is based on.
         number: u64,
-        /// How far it is now.
+        /// New phase of the rollout.
         phase: RolloutPhase,
     },
-    /// A store tells the name that operators know its machine by.
+    /// Records the name by which operators refer to a store's machine.
     NameStore {
         /// The store.
         node: NodeId,
-        /// The name.
+        /// Name of the machine.
         name: String,
     },
-    /// An operator asks for a store to be emptied; refused when too few would be left.
+    /// Starts to drain a store's replicas, requested by an operator; refused if too few active stores would remain.
     RetireStore {
         /// The store.
         node: NodeId,
-        /// Stores that must be left.
+        /// Number of active stores that must remain.
         least_left: u32,
     },
 }
@@ -189,82 +191,82 @@
 /// Reply to a [`MetaCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MetaReply {
-    /// Done.
+    /// The command was applied; it returns no data.
     Done,
-    /// The core leader, after the command.
+    /// The core leader after the command.
     Leader(CoreLeader),
-    /// The bundle, as committed (now or before).
+    /// Record of the committed bundle, whether this command or an earlier one committed it.
     Bundle(BundleRecord),
-    /// Refused; nothing changed.
+    /// The command was refused and changed nothing.
     Refused(MetaRefusal),
 }
 
-/// Why a meta command was refused.
+/// The reason why a meta command was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum MetaRefusal {
-    /// The cluster exists already.
-    #[error("the cluster is formed already, its id is {cluster}")]
+    /// The cluster has already been formed.
+    #[error("the cluster is already formed with id {cluster}")]
     Formed {
-        /// Its id.
+        /// Id of the cluster.
         cluster: u64,
     },
-    /// The cluster does not exist yet.
+    /// The cluster has not been formed yet.
     #[error("the cluster is not formed yet")]
     NotFormed,
-    /// The sender's fencing epoch is not in force.
+    /// The sender's fencing epoch is not the current one.
     #[error("another core leads under epoch {current}")]
     StaleFencing {
-        /// The epoch in force.
+        /// The current epoch.
         current: FencingEpoch,
     },
-    /// Another core's lease has not been expired.
-    #[error("another core leads")]
+    /// The lease of another core has not been expired.
+    #[error("another core holds the leadership")]
     LeaderAlive {
-        /// It.
+        /// The current leader.
         leader: CoreLeader,
     },
-    /// The lease was renewed since.
-    #[error("the leadership was renewed since")]
+    /// The lease was renewed after the renewal that the command names.
+    #[error("the core leader's lease has been renewed in the meantime")]
     Renewed,
-    /// No such store, or it was removed.
+    /// The store does not exist, or it was removed.
     #[error("no such store")]
     NoStore,
-    /// The placement is not what the sender saw.
+    /// The placement differs from the one that the sender read.
     #[error("the placement has changed")]
     PlacementChanged,
-    /// The same version was committed with other content.
-    #[error("bundle {version} is committed with other content")]
+    /// The same version was already committed with different content.
+    #[error("bundle {version} is already committed with different content")]
     VersionTaken {
         /// The version.
         version: BundleVersion,
-        /// Digest of the committed one.
+        /// Digest of the committed bundle.
         digest: Digest,
     },
     /// The base is not the newest version.
     #[error("the base is not the newest version, {newest}")]
     StaleBase {
-        /// The newest.
+        /// The newest version.
         newest: BundleVersion,
     },
     /// The version is not higher than the base, or the bytes do not decode.
     #[error("the bundle is invalid: {reason}")]
     InvalidBundle {
-        /// What is wrong.
+        /// What is invalid.
         reason: String,
     },
-    /// No such roll-out, or a later order took its place.
-    #[error("no such roll-out")]
+    /// The rollout does not exist, or a later one has replaced it.
+    #[error("no such rollout")]
     NoRollout,
-    /// Too few stores would be left.
-    #[error("too few stores would be left: {left}")]
+    /// Too few active stores would remain.
+    #[error("too few active stores would remain: {left}")]
     TooFewStores {
-        /// How many.
+        /// Number of active stores that would remain.
         left: usize,
     },
-    /// Nothing to roll back: the version is not sound, or it is the only sound one.
+    /// There is nothing to roll back: the version is not in state `Sound`, or it is the only one that is.
     #[error("nothing to roll back: {reason}")]
     NothingToRollBack {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
@@ -272,29 +274,30 @@
 /// A linearizable read of the meta group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MetaQuery {
-    /// All but the bundles' bytes.
+    /// The full state, without the content of bundles.
     State,
-    /// The newest bundle's record.
+    /// The record of the newest bundle.
     NewestBundle,
-    /// A bundle's canonical bytes; `None` for the newest. The last 512 versions are kept.
+    /// A bundle's record and canonical bytes; `None` stands for the newest version. The records of the last 512
+    /// versions are retained, and the content of as many of them as fit.
     BundleBytes(Option<BundleVersion>),
-    /// One section's bytes by digest, for nodes that hold the others.
+    /// The bytes of one section, by digest, for nodes that already have the other sections.
     Section(Digest),
-    /// Records of the last so many bundles, newest first.
+    /// The records of the given number of latest bundles, newest first.
     History(u32),
 }
 
 /// Answer to a [`MetaQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MetaAnswer {
-    /// The state.
+    /// The full state, without the content of bundles.
     State(Box<MetaState>),
-    /// The newest bundle.
+    /// Record of the newest bundle, if there is one.
     NewestBundle(Option<BundleRecord>),
-    /// Bytes of a bundle, with its record.
+    /// Record and canonical bytes of a bundle, if its content is retained.
     BundleBytes(Option<(BundleRecord, Vec<u8>)>),
-    /// Bytes of a section.
+    /// Bytes of a section, if it is retained.
     Section(Option<Vec<u8>>),
-    /// Records.
+    /// Records of the latest bundles, newest first.
     History(Vec<BundleRecord>),
 }
--- a/crates/state/src/meta/formation.rs
+++ b/crates/state/src/meta/formation.rs
@@ -1,4 +1,4 @@
-//! How a cluster comes to be: once, with one id.
+//! Formation of the cluster, which happens once and assigns the cluster id.
 
 use hooklug_types::GroupId;
 
--- a/crates/state/src/meta/leadership.rs
+++ b/crates/state/src/meta/leadership.rs
@@ -1,4 +1,4 @@
-//! The core leader's lease. Each leadership has a fencing epoch of its own.
+//! The core leader's lease. Each leadership has its own fencing epoch.
 
 use hooklug_types::{FencingEpoch, Renewal};
 
@@ -7,7 +7,8 @@
 use super::record::CoreLeader;
 
 impl MetaMachine {
-    /// Takes the leadership once the former lease has expired. A leader that asks again keeps its own.
+    /// Grants the leadership to a candidate if the former lease has expired. A repeated request of the current leader
+    /// returns its existing leadership.
     pub(super) fn acquire_leadership(
         &mut self,
         candidate: CoreLeader,
@@ -30,7 +31,7 @@
         Ok(MetaReply::Leader(candidate))
     }
 
-    /// Renews the lease that has this epoch; an expired one stays expired.
+    /// Renews the lease with this epoch. An expired lease stays expired.
     pub(super) fn renew_leadership(&mut self, epoch: FencingEpoch) -> Outcome {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Ends the lease that has this epoch, unless it was renewed after the renewal that was judged.
+    /// Expires the lease with this epoch, unless it was renewed after the renewal that the decision is based on.
     pub(super) fn expire_leadership(&mut self, epoch: FencingEpoch, judged: Renewal) -> Outcome {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
--- a/crates/state/src/meta/machine.rs
+++ b/crates/state/src/meta/machine.rs
@@ -1,4 +1,4 @@
-//! The meta group's state machine: the state, the dispatch of commands and reads, and snapshots.
+//! The state machine of the meta group: state, dispatch of commands and queries, and snapshots.
 
 use hooklug_types::{Digest, FencingEpoch, Renewal, UnixMillis};
 use serde::{Deserialize, Serialize};
@@ -8,10 +8,10 @@
 use super::record::{CoreLeader, MetaState};
 use crate::{FrozenState, MachineError, StateMachine, decode, encode};
 
-/// What a command comes to: a reply, or a refusal.
+/// The result of a command.
 pub(super) type Outcome = Result<MetaReply, MetaRefusal>;
 
-/// All of the meta group's state; what a snapshot holds.
+/// The full state of the meta group, which is also the content of a snapshot.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct FullState {
     pub clock: UnixMillis,
@@ -19,20 +19,20 @@
     pub archive: BundleArchive,
 }
 
-/// The state machine of the meta group (design section 3).
+/// The state machine of the meta group (design document, section 3).
 #[derive(Debug, Clone, Default)]
 pub struct MetaMachine {
     pub(super) state: FullState,
 }
 
 impl MetaMachine {
-    /// A cluster that is not formed yet.
+    /// Creates the state of a cluster that is not formed yet.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies a command; each is idempotent by its key.
+    /// Applies a command. Each command is idempotent by its key.
     pub fn apply_command(&mut self, command: MetaCommand) -> MetaReply {
         self.apply_formed(command).unwrap_or_else(MetaReply::Refused)
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Answers a read from the state as it is.
+    /// Answers a query from the current state.
     #[must_use]
     pub fn answer(&self, query: &MetaQuery) -> MetaAnswer {
         let archive = &self.state.archive;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The group's clock.
+    /// Returns the group's clock.
     #[must_use]
     pub fn clock(&self) -> UnixMillis {
         self.state.clock
@@ -114,7 +114,7 @@
         MetaReply::Done
     }
 
-    /// Whether a controller's write may pass: its epoch is in force and its lease has not expired.
+    /// Accepts a controller's write only if it carries the current epoch and the leader's lease has not expired.
     fn check_fencing(&self, epoch: FencingEpoch) -> Result<(), MetaRefusal> {
         match &self.state.meta.leader {
             Some(leader) if leader.epoch == epoch && !leader.expired => Ok(()),
--- a/crates/state/src/meta/mod.rs
+++ b/crates/state/src/meta/mod.rs
@@ -1,4 +1,4 @@
-//! The meta group: cluster id, stores, shard map, bundles, roll-outs and the core leader's lease.
+//! The meta group: cluster id, stores, shard map, bundles, rollouts and the core leader's lease.
 
 mod archive;
 mod bundles;
--- a/crates/state/src/meta/placement.rs
+++ b/crates/state/src/meta/placement.rs
@@ -1,4 +1,4 @@
-//! Wanted placement of each group's replicas.
+//! Desired placement of each group's replicas.
 
 use hooklug_types::GroupId;
 
@@ -7,7 +7,7 @@
 use super::record::GroupPlacement;
 
 impl MetaMachine {
-    /// Changes a group's placement, if it is still what the sender saw.
+    /// Changes a group's placement, if it is still the one that the sender read.
     pub(super) fn set_placement(
         &mut self,
         group: GroupId,
--- a/crates/state/src/meta/record.rs
+++ b/crates/state/src/meta/record.rs
@@ -11,127 +11,127 @@
 
 use super::rollouts::RolloutRecord;
 
-/// What a store is to the cluster.
+/// Membership state of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreState {
-    /// Holds replicas, may get more.
+    /// Holds replicas and may receive more.
     Active,
-    /// Is being emptied; gets no more.
+    /// Is being drained: its replicas are moved away and it receives no new ones.
     Retiring,
-    /// Emptied or lost; its node id never comes back.
+    /// Drained or lost; its node id is never used again.
     Removed,
 }
 
-/// A store machine. Its node id lives in its data folder: an empty disk is a new store.
+/// A store machine. Its node id is stored in its data folder, so a machine with an empty disk is a new store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRecord {
-    /// Its node id.
+    /// Node id of the store.
     pub node: NodeId,
-    /// The run of its process that registered last.
+    /// The latest run of the store's process that registered.
     pub incarnation: Incarnation,
-    /// Address of its rpc port.
+    /// RPC address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the store.
     pub zone: ZoneName,
-    /// What it is to the cluster.
+    /// Membership state of the store.
     pub state: StoreState,
 }
 
-/// Where a group's replicas should be; the replicas themselves follow by membership changes.
+/// Desired placement of a group's replicas. The actual replicas follow through membership changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupPlacement {
-    /// Voters: three in three zones where there are so many.
+    /// Voters: three, in three zones if there are that many.
     pub voters: Vec<NodeId>,
-    /// Learners, kept up to date to replace a lost voter.
+    /// Learners, which are kept up to date so that they can replace a lost voter.
     pub learners: Vec<NodeId>,
 }
 
-/// The core leader: one lease, one fencing epoch.
+/// A core leadership: one lease with one fencing epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreLeader {
-    /// The core's node id.
+    /// Node id of the core.
     pub core: NodeId,
-    /// The run of its process.
+    /// The run of the core's process.
     pub incarnation: Incarnation,
-    /// Address of its rpc port.
+    /// RPC address.
     pub address: SocketAddr,
-    /// Epoch that its writes carry.
+    /// Fencing epoch that the leader's writes carry.
     pub epoch: FencingEpoch,
-    /// Renewals under this epoch.
+    /// Number of renewals under this epoch.
     pub renewal: Renewal,
     /// Whether the lease has expired.
     pub expired: bool,
 }
 
-/// Who made a bundle.
+/// The origin of a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BundleOrigin {
-    /// Operators, who signed it.
+    /// Submitted and signed by these operators.
     Operators(Vec<OperatorName>),
-    /// The system, after harm.
+    /// Created by the system to roll back a version after a regression.
     Rollback(HarmReport),
 }
 
 /// A committed bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleRecord {
-    /// Its version.
+    /// Version of the bundle.
     pub version: BundleVersion,
-    /// The version that it was built on.
+    /// The version that the bundle is based on.
     pub base: BundleVersion,
-    /// Digest of its canonical bytes.
+    /// Digest of the bundle's canonical bytes.
     pub digest: Digest,
-    /// Digest of each section, by the section's name.
+    /// Digest of each section, by section name.
     pub sections: BTreeMap<String, Digest>,
-    /// Who made it.
+    /// Origin of the bundle.
     pub origin: BundleOrigin,
-    /// When it was committed, by the group's clock.
+    /// Commit time, by the group's clock.
     pub committed: UnixMillis,
 }
 
-/// Why a version was rolled back, with the figures that showed it.
+/// A regression of a service version, with the measurements that show it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HarmReport {
     /// The service.
     pub service: ServiceName,
-    /// The harmful version.
+    /// The version with the regression.
     pub version: ServiceVersion,
-    /// The route on which it showed; `None` when it could not be reached at all.
+    /// The affected route; `None` if the version could not be reached at all.
     pub route: Option<RouteName>,
-    /// The figures, in words for operators.
+    /// Description of the measurements, for operators.
     pub reason: String,
 }
 
-/// One roll-back that the system made.
+/// A rollback made by the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RollbackRecord {
-    /// The bundle version that carries it.
+    /// The bundle version that contains the rollback.
     pub bundle: BundleVersion,
-    /// Why.
+    /// The regression that caused the rollback.
     pub harm: HarmReport,
-    /// When, by the group's clock.
+    /// Commit time, by the group's clock.
     pub committed: UnixMillis,
 }
 
-/// What nodes need of the meta group, without the bundles' bytes.
+/// The part of the meta group's state that nodes read: everything except the content of bundles.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetaState {
     /// Cluster id; 0 before the cluster is formed.
     pub cluster: u64,
     /// Store machines.
     pub stores: Vec<StoreRecord>,
-    /// Wanted placement of each group.
+    /// Desired placement of each group.
     pub placements: BTreeMap<GroupId, GroupPlacement>,
-    /// The core leader, present or last.
+    /// The current or latest core leader.
     pub leader: Option<CoreLeader>,
-    /// The newest committed bundle.
+    /// Record of the newest committed bundle.
     pub bundle: Option<BundleRecord>,
-    /// Roll-backs that the system made, newest last, at most the last 64.
+    /// The last rollbacks made by the system, at most 64, newest last.
     pub rollbacks: Vec<RollbackRecord>,
-    /// Stores by the name that operators know their machines by.
+    /// Node ids of stores, by the name that operators use for their machines.
     pub store_names: BTreeMap<String, NodeId>,
-    /// The last roll-out that was ordered of each service.
+    /// The latest rollout of each service.
     pub rollouts: BTreeMap<ServiceName, RolloutRecord>,
-    /// Number of the last order.
+    /// Number of the latest rollout.
     pub last_rollout: u64,
 }
--- a/crates/state/src/meta/rollback.rs
+++ b/crates/state/src/meta/rollback.rs
@@ -1,4 +1,4 @@
-//! Taking a harmful version out of force, as a new bundle built on the newest.
+//! Rolls back a harmful version, through a new bundle based on the newest.
 
 use hooklug_bundle::{Bundle, VersionState};
 
@@ -6,11 +6,11 @@
 use super::machine::{MetaMachine, Outcome};
 use super::record::{BundleOrigin, HarmReport, RollbackRecord};
 
-/// Roll-backs remembered in the state (ours).
+/// Number of rollbacks retained in the state.
 pub const KEPT_ROLLBACKS: usize = 64;
 
 impl MetaMachine {
-    /// Marks a version as rolled back. Asked again while it is, replies with the bundle that did it.
+    /// Marks a version as rolled back. If it already is, replies with the bundle that rolled it back.
     pub(super) fn roll_back(&mut self, harm: HarmReport) -> Outcome {
         let newest = self.newest_version();
         let Some(mut bundle) = self.state.archive.bundle(newest) else {
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs that operators order by service and version: asked for, on trial, shifted, and settled.
+//! Rollouts of service versions, started by operators, and their phases: trial, shifted, and completed or rolled
+//! back.
 
 use hooklug_types::{ServiceName, ServiceVersion, UnixMillis};
 use serde::{Deserialize, Serialize};
@@ -6,51 +7,51 @@
 use super::command::{MetaRefusal, MetaReply};
 use super::machine::{MetaMachine, Outcome};
 
-/// Time in which the same order again is the same roll-out, though it may be settled already, in milliseconds (ours:
-/// an operator whose acknowledgement was lost asks again within seconds).
+/// Time in milliseconds within which a repeated request is the same rollout, even if that has already ended. An
+/// operator whose acknowledgement was lost retries within seconds.
 const SAME_ORDER_MS: u64 = 15_000;
 
-/// How far a roll-out is.
+/// Phase of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// A share of new requests goes to the target, in thousandths.
+    /// A share of the new requests goes to the target version.
     Trial {
-        /// The share.
+        /// The share, in thousandths.
         share_permille: u32,
     },
-    /// All new requests go to the target; older engines end what they run.
+    /// All new requests go to the target version; older engines finish their running work.
     Shifted,
-    /// The target is the service's version; older engines may go.
+    /// The rollout is complete; engines of older versions may be removed.
     Completed,
-    /// The target was found harmful and gets nothing.
+    /// The target version was found harmful and receives no requests.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether nothing more will change.
+    /// Whether this phase is final.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 }
 
-/// A roll-out of one service.
+/// A rollout of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// Number of the order, over all services.
+    /// Number of the rollout, unique over all services.
     pub number: u64,
-    /// The version that it moves to.
+    /// The target version.
     pub target: ServiceVersion,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// When it was ordered, by the group's clock.
+    /// Start time, by the group's clock.
     pub begun: UnixMillis,
-    /// When it should be settled.
+    /// Time by which the rollout should be complete.
     pub due: UnixMillis,
 }
 
 impl RolloutRecord {
-    /// Whether only a share of requests goes to the target.
+    /// Whether the rollout is in its trial phase.
     #[must_use]
     pub fn is_on_trial(&self) -> bool {
         matches!(self.phase, RolloutPhase::Trial { .. })
@@ -58,7 +59,7 @@
 }
 
 impl MetaMachine {
-    /// Takes an order. The same order again changes nothing.
+    /// Starts a rollout. A repeated request changes nothing.
     pub(super) fn begin_rollout(
         &mut self,
         service: ServiceName,
@@ -85,7 +86,7 @@
         Ok(MetaReply::Done)
     }
 
-    /// Moves a roll-out on; a settled one stays as it is.
+    /// Moves a rollout to another phase. A final phase does not change.
     pub(super) fn move_rollout(
         &mut self,
         service: &ServiceName,
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -1,4 +1,4 @@
-//! Store machines of the cluster.
+//! The store machines of the cluster.
 
 use hooklug_types::NodeId;
 
@@ -7,8 +7,7 @@
 use super::record::{StoreRecord, StoreState};
 
 impl MetaMachine {
-    /// Records a store's address and run. A removed store's id never comes back, and an older run
-    /// does not replace a newer one.
+    /// Registers a store's address and run. A removed store is refused, and an older run does not replace a newer one.
     pub(super) fn register_store(&mut self, store: StoreRecord) -> Outcome {
         let stores = &mut self.state.meta.stores;
         match stores.binary_search_by_key(&store.node, |s| s.node) {
@@ -21,13 +20,13 @@
         Ok(MetaReply::Done)
     }
 
-    /// Notes the name of a store's machine; a machine with an empty disk is a new store under the same name.
+    /// Records the name of a store's machine. After its disk was emptied, the same name refers to a new store.
     pub(super) fn name_store(&mut self, node: NodeId, name: String) -> MetaReply {
         self.state.meta.store_names.insert(name, node);
         MetaReply::Done
     }
 
-    /// Begins to empty a store at an operator's word. Asked again it changes nothing.
+    /// Starts to drain a store's replicas. A repeated request changes nothing.
     pub(super) fn retire_store(&mut self, node: NodeId, least_left: u32) -> Outcome {
         let stores = &mut self.state.meta.stores;
         let left = stores.iter().filter(|s| s.state == StoreState::Active && s.node != node);
@@ -43,7 +42,7 @@
         Ok(MetaReply::Done)
     }
 
-    /// Changes what a store is to the cluster; removal is for ever.
+    /// Changes the membership state of a store. Removal is permanent.
     pub(super) fn set_store_state(&mut self, node: NodeId, state: StoreState) -> Outcome {
         let stores = &mut self.state.meta.stores;
         let store = stores.iter_mut().find(|s| s.node == node).ok_or(MetaRefusal::NoStore)?;
@@ -56,9 +55,10 @@
 }
 
 impl StoreRecord {
-    fn renew(&mut self, told: Self) {
-        if told.incarnation >= self.incarnation {
-            *self = Self { state: self.state, ..told };
+    /// Applies a registration, unless it is from an older run of the store's process.
+    fn update(&mut self, registered: Self) {
+        if registered.incarnation >= self.incarnation {
+            *self = Self { state: self.state, ..registered };
         }
     }
 }
--- a/crates/state/src/shard/calls.rs
+++ b/crates/state/src/shard/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: one attempt holds a call, and only an unbegun one can be sealed.
+//! Non-repeatable calls: one attempt holds a call, and only a call that was never claimed can be sealed.
 
 use hooklug_types::{CallAttempt, CallId, CallOutcome, Digest, ProgramId, UnixMillis};
 
@@ -8,8 +8,8 @@
 use super::query::CallRecord;
 
 impl ShardMachine {
-    /// Claims a call. The first attempt is granted, and the same one again while the call has no
-    /// outcome; a call with an outcome is replied as it is.
+    /// Claims a call for an attempt. The first attempt is granted, and so are its resends until the call has an
+    /// outcome; after that, the reply is the call's record.
     pub(super) fn begin_call(&mut self, begin: BeginCall) -> Outcome {
         let program = self.program_mut(&begin.program)?;
         let Some(entry) = program.calls.get(&begin.call) else {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Records a call's outcome for the attempt that holds it. The first answer stays; `Unknown`
-    /// gives way to it. `NotRun` is refused: only sealing a call that never began can claim that.
+    /// Records the outcome of a call for the attempt that holds it. A response replaces `Unknown`; after that, the
+    /// outcome does not change. `NotRun` is refused, since it can only be established by sealing an unclaimed call.
     pub(super) fn finish_call(
         &mut self,
         program: &ProgramId,
@@ -60,7 +60,7 @@
         self.set_outcome(program, call, outcome)
     }
 
-    /// Seals a call that never began: it will not run.
+    /// Seals a call that was never claimed, so that it will not run.
     pub(super) fn seal_call(
         &mut self,
         program: &ProgramId,
--- a/crates/state/src/shard/chains.rs
+++ b/crates/state/src/shard/chains.rs
@@ -1,9 +1,10 @@
-//! Chained sessions: a turn may go on from any kept turn, of any session, so the turns of a program form a tree.
+//! Chained sessions: a turn may continue from any retained turn of any session, so the turns of a program form a
+//! tree.
 //!
-//! What the ordinary sessions of this shard promise event by event is promised here turn by turn: a turn's most
-//! tokens are reserved before it runs, and it counts as kept only once its whole output is committed under the
-//! epoch that it was begun with. The host that begins a turn owns the session from then on; the epoch that moves
-//! with each beginning fences every earlier turn of the session.
+//! Ordinary sessions commit every event; chained sessions commit whole turns. The maximum number of tokens of a turn
+//! is reserved before the turn runs, and the turn is retained only if its complete output is committed under the
+//! epoch under which it was started. The host that starts a turn owns the session from then on. Each start
+//! increments the epoch, which fences all earlier turns of the session.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,29 +18,29 @@
 use super::expiry::ExpiryItem;
 use super::machine::{Outcome, ShardMachine};
 
-/// All chained programs of a shard. A copy shares the programs.
+/// All chained programs of a shard. Clones share the programs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct ChainedPrograms {
     programs: BTreeMap<ProgramId, Arc<ChainedProgram>>,
-    /// Which program keeps a turn, for turns that go on from another program's.
+    /// The program that retains each turn, for turns that continue from a turn of another program.
     keepers: BTreeMap<TurnId, ProgramId>,
 }
 
-/// One program: its ledger, its sessions' owners, its open and its ended turns. Its maps are sorted vectors: most hold
-/// a few entries, where a node of a B-tree has room for eleven.
+/// One program: its token ledger, the owners of its sessions, its open turns and its ended turns. The maps are
+/// sorted vectors, because most have only a few entries, while a B-tree node allocates space for eleven.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct ChainedProgram {
-    /// Tokens given to the caller by ended turns.
+    /// Tokens that ended turns streamed to the caller.
     spent: TokenCount,
     sessions: LiteMap<SessionId, Ownership>,
     open: LiteMap<TurnId, OpenTurn>,
     ended: LiteMap<TurnId, EndedTurn>,
-    /// When it is forgotten, unless it is used again.
+    /// Time at which the program is deleted, unless it is used again.
     forgotten_at: UnixMillis,
     keep_ms: u64,
 }
 
-/// Who holds a session.
+/// Owner and epoch of a session.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Ownership {
     owner: NodeId,
@@ -52,7 +53,7 @@
     session: SessionId,
     epoch: SessionEpoch,
     reserved: TokenCount,
-    /// From here on it cannot run any more.
+    /// Time limit; the turn cannot be running after it.
     ends_by: UnixMillis,
     after: Option<TurnId>,
     input: Option<Bytes>,
@@ -62,13 +63,13 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct EndedTurn {
     after: Option<TurnId>,
-    /// Its input and output; `None` when it is not kept.
+    /// Input and output of the turn; `None` if they are not retained.
     text: Option<Bytes>,
 }
 
 impl ChainedProgram {
-    /// Whether a turn may begin. The sum of what is spent and reserved stays below the budget before each
-    /// beginning, so that all turns together overdraw it by less than the most of one.
+    /// Checks whether another turn may start. It may only while the sum of spent and reserved tokens is below the
+    /// budget, so that all turns together exceed the budget by less than the maximum of one turn.
     fn check_budget(&self, budget: TokenCount, now: UnixMillis) -> Result<(), ShardRefusal> {
         let (over, running): (Vec<_>, Vec<_>) = self.open.values().partition(|t| t.ends_by <= now);
         let sum = |turns: &[&OpenTurn]| turns.iter().map(|turn| turn.reserved.0).sum::<u64>();
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// The history up to and with a turn; `None` when it is not kept.
+    /// Returns the history up to and including a turn; `None` if it is not retained.
     fn history(&self, turn: &TurnId) -> Option<Bytes> {
         let mut texts = vec![self.kept(turn)?];
         let mut earlier = self.ended[turn].after.as_ref();
@@ -106,7 +107,7 @@
         self.sessions.get(&open.session).is_some_and(|s| s.epoch == open.epoch)
     }
 
-    /// Moves the session to the host that begins a turn, under a new epoch.
+    /// Makes the host that starts a turn the owner of the session, under a new epoch.
     fn take_session(
         &mut self,
         session: &SessionId,
@@ -120,12 +121,12 @@
 }
 
 impl ChainedPrograms {
-    /// The history up to and with a kept turn of any program here.
+    /// Returns the history up to and including a retained turn of any program in this shard.
     pub(super) fn history(&self, turn: &TurnId) -> Option<Bytes> {
         self.programs.get(self.keepers.get(turn)?)?.history(turn)
     }
 
-    /// Ends a turn. Asked again it changes nothing.
+    /// Ends a turn. A repeated request changes nothing.
     pub(super) fn end_turn(&mut self, end: EndTurn, now: UnixMillis) -> Outcome {
         let program = self.programs.get_mut(&end.key.program).ok_or(ShardRefusal::NoProgram)?;
         let program = Arc::make_mut(program);
@@ -166,13 +167,13 @@
 }
 
 impl ShardMachine {
-    /// Begins a turn. The same turn again gets the same epoch, as long as no later one has begun.
+    /// Starts a turn. A resend of the same turn returns the same epoch, unless a later turn has started.
     pub(super) fn start_turn(&mut self, start: StartTurn) -> Outcome {
         let (now, floor) = (self.state.clock, self.state.epoch_floor);
         let key = start.key.program.clone();
         let chained = &mut self.state.chained;
         let is_new = !chained.programs.contains_key(&key);
-        // A refusal must not leave an empty program behind.
+        // Insert a new program only after success, so that a refusal leaves no empty program behind.
         let mut fresh = ChainedProgram::default();
         let program = match chained.programs.get_mut(&key) {
             Some(program) => Arc::make_mut(program),
@@ -187,7 +188,7 @@
         Ok(ShardReply::Started(started))
     }
 
-    /// Forgets a program that has not been used since its expiry was scheduled.
+    /// Deletes a program that has not been used since its expiry was scheduled, and reschedules the expiry otherwise.
     pub(super) fn forget_chained_program(&mut self, id: ProgramId) {
         let Some(program) = self.state.chained.programs.get(&id) else { return };
         if program.forgotten_at > self.state.clock {
@@ -245,7 +246,8 @@
     Ok(StartedTurn { epoch, history })
 }
 
-/// The history that a turn goes on from, if its host asks for it; the turn named must be kept either way.
+/// Returns the history that a turn continues from, if its host requests it. The turn named by `after` must be
+/// retained in either case.
 fn wanted_history(
     program: &ChainedProgram,
     start: &StartTurn,
--- a/crates/state/src/shard/command.rs
+++ b/crates/state/src/shard/command.rs
@@ -1,4 +1,4 @@
-//! Commands of a shard and their replies (design section 3).
+//! Commands of a shard and their replies (design document, section 3).
 
 use bytes::Bytes;
 use hooklug_types::{
@@ -11,136 +11,136 @@
 use super::event::EventBody;
 use super::query::{CallRecord, LeaseRecord, ProgramRecord, SessionRecord, TurnRecord};
 
-/// A program, as its caller declares it.
+/// Declares a program.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutProgram {
-    /// Its id.
+    /// Id of the program.
     pub program: ProgramId,
-    /// Whose it is.
+    /// Tenant that the program belongs to.
     pub tenant: TenantId,
-    /// Group for windows, from the tenant's entry.
+    /// Window group, from the tenant's entry in the bundle.
     pub group: Option<WindowGroup>,
-    /// Tokens that it may stream in all.
+    /// Total number of tokens that the program may stream.
     pub token_budget: TokenCount,
-    /// When it has to be over.
+    /// Time by which the program must end.
     pub end_time: UnixMillis,
 }
 
-/// Opens a session at an owner, unless it is open already.
+/// Opens a session at an owner, unless it is already open.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenSession {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// The engine that asks for it.
+    /// The engine that requests the session and becomes its owner.
     pub owner: EngineIncarnation,
-    /// Service that it runs on.
+    /// Service that the session runs on.
     pub service: ServiceName,
-    /// Version of the owner.
+    /// Service version that the owner runs.
     pub version: ServiceVersion,
-    /// Shared prefix of its prompt.
+    /// Shared prompt prefix of the session.
     pub prefix: Option<PrefixId>,
 }
 
-/// Takes a session over from an expired, or no, owner.
+/// Takes over a session whose owner's lease has expired, or that has no owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeSession {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Epoch that the taker has seen; refused when it has moved.
+    /// The session's epoch as last seen by the new owner; the command is refused if it has changed.
     pub expected_epoch: SessionEpoch,
-    /// The taker.
+    /// The engine that takes over the session.
     pub new_owner: EngineIncarnation,
-    /// Version of the taker.
+    /// Service version that the new owner runs.
     pub version: ServiceVersion,
 }
 
-/// Begins a turn and reserves budget for it.
+/// Starts a turn and reserves tokens of the program's budget for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginTurn {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Epoch of the asking owner.
+    /// Epoch under which the requesting owner holds the session.
     pub epoch: SessionEpoch,
     /// The turn.
     pub turn: TurnId,
-    /// The turn that it follows; must be the head.
+    /// The preceding turn; must be the session's head.
     pub after: Option<TurnId>,
-    /// Digest of the turn's content (input and limits), to tell a resend from another turn.
+    /// Digest of the turn's content (input and limits), to distinguish a resend from a different turn.
     pub digest: Digest,
-    /// The new input.
+    /// Input of the turn.
     pub input: String,
-    /// Tokens that it may stream.
+    /// Maximum number of tokens that the turn may stream.
     pub max_tokens: TokenCount,
 }
 
 /// Ends the open turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishTurn {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Epoch of the asking owner.
+    /// Epoch under which the requesting owner holds the session.
     pub epoch: SessionEpoch,
     /// The turn.
     pub turn: TurnId,
-    /// Why it is over.
+    /// The reason why the turn ended.
     pub reason: EndReason,
 }
 
-/// Claims the one dispatch of a call that may not be repeated.
+/// Claims the single dispatch of a non-repeatable call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginCall {
     /// The program.
     pub program: ProgramId,
     /// The call.
     pub call: CallId,
-    /// The claim; the same attempt asked again is granted again.
+    /// The attempt that claims the call; a resend of the same attempt is granted again.
     pub attempt: CallAttempt,
     /// Digest of the call's content.
     pub digest: Digest,
-    /// Route that it goes by.
+    /// Route of the call.
     pub route: RouteName,
 }
 
-/// Begins a turn of a chained session. The program and the session are opened by their first turn, the asking host
-/// becomes the session's owner, and the budget is reserved: one command, so one sync.
+/// Starts a turn of a chained session. The first turn also creates the program and the session. The requesting host
+/// becomes the session's owner and the budget is reserved, all in one command and therefore one disk sync.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartTurn {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// The turn; each attempt of a caller has an id of its own.
+    /// The turn; each attempt of a caller has its own id.
     pub turn: TurnId,
-    /// The session host that asks, and owns the session from here on.
+    /// The requesting session host, which becomes the owner of the session.
     pub host: NodeId,
-    /// The kept turn that it goes on from.
+    /// The retained turn that this turn continues from.
     pub after: Option<TurnId>,
-    /// Tokens that all turns of the program may generate; `None` without a limit.
+    /// Total number of tokens that all turns of the program may generate; `None` for no limit.
     pub token_budget: Option<TokenCount>,
-    /// The most that this turn generates; reserved until it ends.
+    /// Maximum number of tokens that this turn generates; reserved until it ends.
     pub max_tokens: TokenCount,
-    /// The new input, on routes that keep turns.
+    /// Input of the turn, on routes that retain turns.
     pub input: Option<Bytes>,
-    /// Whether the reply should carry the history up to `after`.
+    /// Whether the reply should include the history up to `after`.
     pub wants_history: bool,
-    /// The history up to `after`, when another program keeps that turn.
+    /// The history up to `after`, if another program retains that turn.
     pub imported: Option<Bytes>,
-    /// Time after which the turn cannot run any more, in milliseconds from the commit.
+    /// Time limit of the turn, in milliseconds from the commit; the turn cannot be running after it.
     pub time_limit_ms: u64,
-    /// How long the program and its turns are kept after its last use, in milliseconds.
+    /// Retention time of the program and its turns after the last use, in milliseconds.
     pub keep_ms: u64,
 }
 
-/// Ends a turn that [`StartTurn`] began.
+/// Ends a turn that was started with [`StartTurn`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndTurn {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
     /// The turn.
     pub turn: TurnId,
-    /// Epoch that the turn was begun under.
+    /// Epoch under which the turn was started.
     pub epoch: SessionEpoch,
-    /// Tokens that were given to the caller.
+    /// Number of tokens that were streamed to the caller.
     pub tokens: TokenCount,
-    /// The whole output, for a turn to be kept; `None` for one that was cut or whose route keeps nothing.
+    /// The complete output, if the turn is to be retained; `None` if it was interrupted or its route retains no turns.
     pub output: Option<Bytes>,
 }
 
@@ -149,58 +149,58 @@
 pub enum ShardCommand {
     /// Declares a program. Reply: `Program`.
     PutProgram(PutProgram),
-    /// Opens a session; replies with it as it stands when another owner holds it. Reply: `Session`.
+    /// Opens a session. If another owner holds it, replies with the unchanged session. Reply: `Session`.
     OpenSession(OpenSession),
-    /// Takes a session over. Refused while the recorded owner's lease is not known to be expired:
-    /// the taker proves it with `ExpireLease` in the lease's shard first (leases live in another shard).
-    /// Reply: `Session`.
+    /// Takes over a session. The sender must first have had the owner's lease expired with `ExpireLease` in the
+    /// lease's shard, which may be a different one. Reply: `Session`.
     TakeSession(TakeSession),
-    /// Begins a turn. Reply: `Turn`.
+    /// Starts a turn. Reply: `Turn`.
     BeginTurn(BeginTurn),
     /// Appends events of the open turn, or tool results between turns. Reply: `Appended`.
     AppendEvents {
-        /// Which session.
+        /// The session.
         key: SessionKey,
-        /// Epoch of the asking owner.
+        /// Epoch under which the requesting owner holds the session.
         epoch: SessionEpoch,
         /// The open turn; `None` only for tool results between turns.
         turn: Option<TurnId>,
-        /// Place of the first; must be the session's next one (or wholly repeat what is there).
+        /// Sequence number of the first event. It must be the session's next one, unless all events are already
+        /// committed with the same content.
         first_seq: EventSeq,
-        /// The events' bodies.
+        /// Bodies of the events.
         bodies: Vec<EventBody>,
     },
-    /// Ends the open turn and settles its reservation. Reply: `Turn`, with the ended turn as `existing`.
+    /// Ends the open turn and settles its reservation. Reply: `Turn`, with the ended turn in `existing`.
     FinishTurn(FinishTurn),
-    /// Gives a session up between turns; the next message takes it elsewhere. Reply: `Session`.
+    /// Releases ownership of a session between turns, so that another engine can acquire it. Reply: `Session`.
     HandOver {
-        /// Which session.
+        /// The session.
         key: SessionKey,
-        /// Epoch of the asking owner.
+        /// Epoch under which the requesting owner holds the session.
         epoch: SessionEpoch,
     },
-    /// Closes a session between turns; its link is removed, its history kept. Reply: `Session`.
+    /// Closes a session between turns. Its owner is removed; its history is retained. Reply: `Session`.
     CloseSession {
-        /// Which session.
+        /// The session.
         key: SessionKey,
-        /// Epoch of the asking owner.
+        /// Epoch under which the requesting owner holds the session.
         epoch: SessionEpoch,
     },
-    /// Claims a call's dispatch. Reply: `CallGranted`, or `Call` when it has an outcome already.
+    /// Claims the dispatch of a call. Reply: `CallGranted`, or `Call` if it already has an outcome.
     BeginCall(BeginCall),
-    /// Records a call's outcome. Reply: `Call`.
+    /// Records the outcome of a call. Reply: `Call`.
     FinishCall {
         /// The program.
         program: ProgramId,
         /// The call.
         call: CallId,
-        /// The claim that dispatched it.
+        /// The attempt that dispatched the call.
         attempt: CallAttempt,
-        /// How it ended; `Unknown` may later be replaced by `Answered` by the same attempt.
+        /// The outcome. The same attempt may later replace `Unknown` with `Answered`.
         outcome: CallOutcome,
     },
-    /// Seals a call as never to run; the only source of "not run". Refused as held once it was begun,
-    /// also when it has an outcome. Reply: `Call`.
+    /// Seals a call so that it will never run; the only source of the outcome `NotRun`. Refused with `CallHeld` once
+    /// the call was claimed, even if it has an outcome. Reply: `Call`.
     SealCall {
         /// The program.
         program: ProgramId,
@@ -211,46 +211,48 @@
     },
     /// Renews an engine's lease, or starts it. Reply: `Lease`.
     RenewLease {
-        /// Whose.
+        /// The holder of the lease.
         holder: EngineIncarnation,
     },
-    /// Ends a lease, if no renewal came after the one named. Proposed only by the group's leader. Reply: `Lease`.
+    /// Expires a lease, unless it was renewed after the given renewal. Proposed only by the group's leader.
+    /// Reply: `Lease`.
     ExpireLease {
-        /// Whose.
+        /// The holder of the lease.
         holder: EngineIncarnation,
-        /// The renewal that was judged.
+        /// The last renewal that the decision is based on.
         renewal: Renewal,
     },
-    /// Moves the group's clock on; expires what is past its keep time. Proposed only by the group's leader.
+    /// Advances the group's clock and deletes items whose retention time is over. Proposed only by the group's
+    /// leader.
     AdvanceClock {
-        /// The new time; an earlier one than the present changes nothing.
+        /// The new time; a time before the current one changes nothing.
         now: UnixMillis,
     },
-    /// Several commands in one log entry; replied to one by one.
+    /// Several commands in one log entry, each with its own reply.
     Batch(Vec<ShardCommand>),
-    /// Begins a turn of a chained session. Reply: `Started`.
+    /// Starts a turn of a chained session. Reply: `Started`.
     StartTurn(StartTurn),
     /// Ends a turn of a chained session and settles its reservation. Reply: `Done`.
     EndTurn(EndTurn),
 }
 
-/// A turn of a chained session that may run.
+/// Reply to [`StartTurn`]: the turn may run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartedTurn {
-    /// Epoch of the session; its end must name it.
+    /// Epoch of the session; the turn's [`EndTurn`] must carry it.
     pub epoch: SessionEpoch,
-    /// The history up to the turn that it goes on from, when asked for.
+    /// The history that the turn continues from, if requested.
     pub history: Option<Bytes>,
 }
 
-/// What a begun turn may do.
+/// Reply to the start or the end of a turn, with the tokens that it may stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnGrant {
-    /// Tokens reserved: `min(max_tokens, left)`.
+    /// Number of reserved tokens: the smaller of `max_tokens` and the unreserved rest of the budget.
     pub reserved: TokenCount,
-    /// Place of its `TurnStarted` event.
+    /// Sequence number of the turn's `TurnStarted` event.
     pub started: EventSeq,
-    /// Whether the turn existed already (a resend).
+    /// The turn's record, if the turn already existed (a resend) or has ended.
     pub existing: Option<TurnRecord>,
 }
 
@@ -259,124 +261,124 @@
 pub enum ShardReply {
     /// The program, as recorded.
     Program(ProgramRecord),
-    /// The session, as recorded: names the owner and epoch.
+    /// The session, as recorded, with its owner and epoch.
     Session(SessionRecord),
-    /// The turn may run, or exists.
+    /// The turn may run, or it already exists.
     Turn(TurnGrant),
-    /// Events are committed; the next place in the stream.
+    /// The events are committed.
     Appended {
-        /// Place of the next event.
+        /// Sequence number of the next event.
         next_seq: EventSeq,
     },
-    /// The call is granted to this attempt: dispatch it once.
+    /// The call is granted to this attempt, which may dispatch it once.
     CallGranted,
     /// The call, as recorded.
     Call(CallRecord),
     /// The lease, as recorded.
     Lease(LeaseRecord),
-    /// Done; nothing to tell.
+    /// The command was applied; it returns no data.
     Done,
-    /// Refused; nothing changed but, where said so, the record of the refusal.
+    /// The command was refused. Nothing changed, except that some refusals are recorded.
     Refused(ShardRefusal),
-    /// Replies to a batch, in its order.
+    /// The replies to the commands of a batch, in order.
     Batch(Vec<ShardReply>),
     /// The turn of a chained session may run.
     Started(StartedTurn),
 }
 
-/// Why a command was refused.
+/// The reason why a shard command was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum ShardRefusal {
-    /// No such program.
+    /// The program does not exist.
     #[error("no such program")]
     NoProgram,
-    /// The program exists with other values.
-    #[error("program exists with other values")]
+    /// The program was declared with different values.
+    #[error("the program exists with different values")]
     ProgramDiffers,
-    /// No such session.
+    /// The session does not exist.
     #[error("no such session")]
     NoSession,
     /// The session is closed.
-    #[error("session is closed")]
+    #[error("the session is closed")]
     SessionClosed,
-    /// Another epoch is in force.
-    #[error("another owner or epoch holds the session")]
+    /// The session is held under another epoch.
+    #[error("the session is held by another owner or under another epoch")]
     StaleEpoch {
-        /// The session as it is.
+        /// The current record of the session.
         record: Box<SessionRecord>,
     },
-    /// `after` does not name the head; `head` is what it should name.
-    #[error("the turn does not follow the head")]
+    /// `after` is not the session's head.
+    #[error("the turn does not follow the session's last turn")]
     NotHead {
-        /// The head; `None` when there is no turn yet.
+        /// The session's head; `None` if it has no turn yet.
         head: Option<TurnId>,
-        /// Whether the turn named as earlier exists at all (or its keep time is over).
+        /// Whether the turn named by `after` is an ended turn within its retention time; true if `after` is `None`.
         after_known: bool,
     },
     /// Another turn of the session is open.
-    #[error("another turn is open")]
+    #[error("another turn of the session is open: {turn}")]
     TurnOpen {
         /// The open turn.
         turn: TurnId,
     },
-    /// The turn id was used with other content.
-    #[error("the turn exists with other content")]
+    /// The turn id was already used with different content.
+    #[error("the turn exists with different content")]
     TurnDiffers,
-    /// No such turn, or it is not the open one.
+    /// The turn does not exist, or it is not open.
     #[error("no such open turn")]
     NoOpenTurn,
-    /// The budget is spent. Final, and recorded under the turn id.
-    #[error("token budget is spent")]
+    /// The token budget is used up. Final, and recorded under the turn id.
+    #[error("the token budget is spent")]
     BudgetSpent,
-    /// Other turns hold what is left; try again. Not recorded.
-    #[error("what is left of the token budget is reserved by other turns")]
+    /// The rest of the token budget is reserved by other turns. Not recorded; the request may be retried.
+    #[error("the rest of the token budget is reserved by other turns")]
     BudgetReserved,
     /// The program's end time has passed. Final, and recorded under the turn id.
     #[error("the program's end time has passed")]
     ProgramEnded,
-    /// Events do not follow the last one.
-    #[error("events leave a gap or differ from what is there")]
+    /// The events do not continue the stream.
+    #[error("the events leave a gap in the stream or conflict with committed events")]
     Gap {
-        /// The place expected next.
+        /// The sequence number that the shard expects next.
         next_seq: EventSeq,
     },
-    /// The turn's reservation does not cover these tokens.
-    #[error("the turn's reservation is used up")]
+    /// The events contain more tokens than the turn has reserved.
+    #[error("the events exceed the turn's token reservation; {left} tokens are left")]
     ReservationExceeded {
-        /// Tokens that are left of it.
+        /// Remaining tokens of the reservation.
         left: TokenCount,
     },
     /// Another attempt holds the call.
     #[error("another attempt holds the call")]
     CallHeld {
-        /// The call as it is.
+        /// The current record of the call.
         record: Box<CallRecord>,
     },
-    /// The call id was used with other content.
-    #[error("the call exists with other content")]
+    /// The call id was already used with different content.
+    #[error("the call exists with different content")]
     CallDiffers,
-    /// No such call.
+    /// The call does not exist.
     #[error("no such call")]
     NoCall,
-    /// The lease has expired, for ever.
+    /// The lease has expired, which is permanent.
     #[error("the lease has expired")]
     LeaseExpired,
-    /// A renewal came after the one that was judged.
-    #[error("the lease was renewed since")]
+    /// The lease was renewed after the renewal that the command names.
+    #[error("the lease has been renewed in the meantime")]
     LeaseRenewed,
-    /// The turn to go on from is not kept in this shard.
-    #[error("no such turn is kept")]
+    /// The turn to continue from is not retained in this shard.
+    #[error("the turn to continue from is not retained in this shard")]
     UnknownTurn,
-    /// A later turn of the session was begun; this one can no longer be kept.
-    #[error("a later turn of the session has begun")]
+    /// A later turn of the session has started, so this one can no longer be retained.
+    #[error("a later turn of the session has started")]
     Superseded,
 }
 
-/// Keys used by the leader's lease timers.
+/// Key of an engine lease in the leader's lease timers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseKey {
     /// The engine.
     pub engine: EngineId,
-    /// The run of its process.
+    /// The run of the engine's process.
     pub incarnation: Incarnation,
 }
--- a/crates/state/src/shard/event.rs
+++ b/crates/state/src/shard/event.rs
@@ -1,57 +1,57 @@
-//! Events of a session's stream. One sequence a session; a turn's stream is the part that names it.
+//! Events of a session. Each session has one stream; a turn's stream is the subset of events that carry its id.
 
 use hooklug_types::{EndReason, EventSeq, TokenCount, TurnId};
 use serde::{Deserialize, Serialize};
 
-/// One committed event. Released to clients only after its commit.
+/// A committed event. Events are released to clients only after their commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its place in the session's stream, without gaps, from 1.
+    /// Sequence number in the session's stream; starts at 1 and has no gaps.
     pub seq: EventSeq,
-    /// The turn it belongs to; `None` for events between turns.
+    /// The turn that the event belongs to; `None` for events between turns.
     pub turn: Option<TurnId>,
-    /// What happened.
+    /// Content of the event.
     pub body: EventBody,
 }
 
-/// What an event says.
+/// Content of an event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EventBody {
-    /// A turn began with this input. Written by `BeginTurn` itself.
+    /// A turn started. Written by `BeginTurn`.
     TurnStarted {
-        /// The turn that it follows; `None` for the first.
+        /// The preceding turn; `None` for the first.
         after: Option<TurnId>,
-        /// The new input.
+        /// Input of the turn.
         input: String,
     },
-    /// The model produced text.
+    /// The model generated text.
     Tokens {
         /// The text.
         text: String,
-        /// Tokens in it; these settle the budget.
+        /// Number of tokens in the text, which is charged to the budget.
         count: TokenCount,
     },
-    /// The model asks the program to make a tool call.
+    /// The model requests a tool call from the program.
     ToolRequested {
         /// Name of the tool.
         tool: String,
         /// Its arguments, as JSON text.
         arguments: String,
     },
-    /// A program told the result of a tool call.
+    /// The program delivered the result of a tool call.
     ToolResult {
-        /// The call's id, as the program named it.
+        /// The call id, chosen by the program.
         call: String,
         /// The result, as JSON text.
         result: String,
     },
-    /// The turn is over. Written by `FinishTurn`, or by `TakeSession` when it seals an open turn.
+    /// The turn ended. Written by `FinishTurn`, or by `TakeSession` when it seals an open turn.
     TurnEnded {
-        /// Why.
+        /// The reason why the turn ended.
         reason: EndReason,
-        /// Tokens of the turn's committed events.
+        /// Number of tokens in the turn's committed events.
         tokens: TokenCount,
     },
-    /// The session is closed; nothing follows.
+    /// The session was closed. This is its last event.
     Closed,
 }
--- a/crates/state/src/shard/event_log.rs
+++ b/crates/state/src/shard/event_log.rs
@@ -1,4 +1,5 @@
-//! The stream of one session, behind a small type so that old bodies can move out of memory later.
+//! The event stream of one session. The type hides how events are stored, so that old bodies can be moved out of
+//! memory later.
 
 use std::sync::Arc;
 
@@ -7,38 +8,38 @@
 
 use super::event::{Event, EventBody};
 
-/// Events of one chunk (ours): what a write after a frozen copy was taken may have to copy.
+/// Number of events per chunk. A write after a frozen copy was taken may have to copy one chunk.
 const CHUNK_EVENTS: usize = 256;
 
-/// The committed events of one session, without gaps, from 1. A copy shares all full chunks.
+/// The committed events of one session, numbered from 1 without gaps. Clones share all full chunks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventLog {
     /// Full chunks, oldest first.
     full: Vec<Arc<[Event]>>,
-    /// The newest events, fewer than a chunk.
+    /// The newest events, which do not fill a chunk yet.
     newest: Vec<Event>,
 }
 
 impl EventLog {
-    /// How many events there are.
+    /// Returns the number of events.
     #[must_use]
     pub fn len(&self) -> usize {
         self.full.len() * CHUNK_EVENTS + self.newest.len()
     }
 
-    /// Whether there are none.
+    /// Whether the log is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Place of the next event.
+    /// Returns the sequence number of the next event.
     #[must_use]
     pub fn next_seq(&self) -> EventSeq {
         EventSeq(self.len() as u64 + 1)
     }
 
-    /// Adds an event at the end and returns its place.
+    /// Appends an event and returns its sequence number.
     pub fn push(&mut self, turn: Option<TurnId>, body: EventBody) -> EventSeq {
         let seq = self.next_seq();
         self.newest.push(Event { seq, turn, body });
@@ -48,7 +49,7 @@
         seq
     }
 
-    /// Events after a place, in order.
+    /// Iterates over the events after a sequence number, in order.
     pub fn after(&self, seq: EventSeq) -> impl Iterator<Item = &Event> {
         let known = usize::try_from(seq.0).unwrap_or(usize::MAX);
         let (chunks, events) = (known / CHUNK_EVENTS, known % CHUNK_EVENTS);
@@ -58,7 +59,7 @@
         full.chain(newest).skip(events)
     }
 
-    /// Whether these bodies stand, for this turn, from `first_seq` on.
+    /// Whether the log already contains these bodies, for this turn, from `first_seq` on.
     #[must_use]
     pub fn repeats(
         &self,
--- a/crates/state/src/shard/events.rs
+++ b/crates/state/src/shard/events.rs
@@ -1,4 +1,4 @@
-//! Appending to a session's stream and reading from it.
+//! Appends events to a session's stream and reads them.
 
 use hooklug_types::{EventSeq, SessionEpoch, SessionKey, TokenCount, TurnId};
 
@@ -7,11 +7,12 @@
 use super::machine::{Outcome, SessionEntry, ShardMachine};
 use super::query::ShardAnswer;
 
-/// Bytes of event texts after which an answer is cut, with `more` set (ours); it holds at least one event.
+/// Maximum size in bytes of the event texts in one reply; a reply that is truncated sets `more`. A single event may
+/// exceed it.
 const ANSWER_BYTES: usize = 1 << 20;
 
 impl ShardMachine {
-    /// Appends events of the open turn, or tool results between turns: all of them or none.
+    /// Appends events of the open turn, or tool results between turns. Either all events are appended or none.
     pub(super) fn append_events(
         &mut self,
         key: &SessionKey,
@@ -30,7 +31,7 @@
         Ok(ShardReply::Appended { next_seq: session.record.next_seq })
     }
 
-    /// Events of a session after a place.
+    /// Reads the events of a session after a sequence number.
     pub(super) fn answer_events(
         &self,
         key: &SessionKey,
@@ -56,8 +57,8 @@
 }
 
 impl SessionEntry {
-    /// Whether an append changes nothing: it repeats what stands, or only brings results of calls
-    /// whose results stand already.
+    /// Whether an append has no effect, because its events are already committed or it contains only results of calls
+    /// that already have a result.
     fn has_all(&self, first_seq: EventSeq, turn: Option<&TurnId>, bodies: &[EventBody]) -> bool {
         bodies.iter().all(|body| self.has_result(body)) || self.log.repeats(first_seq, turn, bodies)
     }
@@ -83,7 +84,7 @@
         self.check_reservation(turn, bodies)
     }
 
-    /// A turn's events need the turn open; between turns only tool results may come.
+    /// Checks that a turn's events are for the open turn, and that events between turns are tool results.
     fn check_kinds(&self, turn: Option<&TurnId>, bodies: &[EventBody]) -> Result<(), ShardRefusal> {
         let allowed = match turn {
             Some(_) => bodies.iter().all(EventBody::may_be_appended),
@@ -123,7 +124,7 @@
     }
 }
 
-/// Tokens of some events; a sum beyond the type's range counts as its largest value.
+/// Returns the number of tokens in some events; the sum saturates.
 fn total_tokens(bodies: &[EventBody]) -> TokenCount {
     let counts = bodies.iter().map(|body| match body {
         EventBody::Tokens { count, .. } => count.0,
@@ -133,7 +134,7 @@
 }
 
 impl EventBody {
-    /// Whether an owner may append it; the others are written by the commands that they record.
+    /// Whether an owner may append this kind of event. The other kinds are written by the commands that they record.
     fn may_be_appended(&self) -> bool {
         matches!(self, Self::Tokens { .. } | Self::ToolRequested { .. } | Self::ToolResult { .. })
     }
--- a/crates/state/src/shard/expiry.rs
+++ b/crates/state/src/shard/expiry.rs
@@ -1,4 +1,4 @@
-//! The group's clock and what it makes forgotten, a bounded number of items a step.
+//! The group's clock and the deletion of expired items, at most a fixed number of them per step of the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,42 +9,42 @@
 use super::command::ShardReply;
 use super::machine::ShardMachine;
 
-/// Time whose items share one part of the queue, in milliseconds (ours): what a write after a frozen copy
-/// was taken may have to copy.
+/// Time span of one slot of the expiry queue, in milliseconds. A write after a frozen copy was taken may have to
+/// copy one slot.
 const SLOT_MILLIS: u64 = 60_000;
 
-/// Items forgotten in one step of the clock at most (ours); the others wait for the next step.
+/// Maximum number of items that are deleted in one step of the clock; the others wait for the next step.
 pub const ITEMS_PER_STEP: usize = 256;
 
-/// Something that is forgotten when its keep time is over.
+/// An item that is deleted when its retention time is over.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) enum ExpiryItem {
-    /// An ended or refused turn; its events stay with the session, as the next turns' context.
+    /// The record of an ended or refused turn. Its events remain in the session as the context of later turns.
     Turn(SessionKey, TurnId),
     /// A call with an outcome.
     Call(ProgramId, CallId),
-    /// A closed session with its stream.
+    /// A closed session with its event stream.
     Session(SessionKey),
-    /// A program past its end, with all that is left of it.
+    /// A program past its end time, with its remaining sessions and calls.
     Program(ProgramId),
-    /// A chained program that has not been used for its keep time.
+    /// A chained program that has not been used during its retention time.
     ChainedProgram(ProgramId),
 }
 
-/// What is forgotten and when, in order. A copy shares its slots.
+/// Items to delete, ordered by the time at which they expire. Clones share the slots.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct ExpiryQueue {
     slots: BTreeMap<u64, Arc<BTreeSet<(UnixMillis, ExpiryItem)>>>,
 }
 
 impl ExpiryQueue {
-    /// Adds an item that is due at `at`.
+    /// Adds an item that expires at `at`.
     pub(super) fn insert(&mut self, at: UnixMillis, item: ExpiryItem) {
         let slot = self.slots.entry(at.0 / SLOT_MILLIS).or_default();
         Arc::make_mut(slot).insert((at, item));
     }
 
-    /// Takes an item out again.
+    /// Removes an item before it expires.
     pub(super) fn remove(&mut self, at: UnixMillis, item: ExpiryItem) {
         let number = at.0 / SLOT_MILLIS;
         let Some(slot) = self.slots.get_mut(&number) else { return };
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes the first item that is due.
+    /// Removes and returns the first item that has expired.
     fn pop_due(&mut self, now: UnixMillis) -> Option<ExpiryItem> {
         let mut slot = self.slots.first_entry()?;
         slot.get().first().filter(|(at, _)| *at <= now)?;
@@ -68,7 +68,7 @@
 }
 
 impl ShardMachine {
-    /// Moves the clock on, never back, and forgets what is due.
+    /// Advances the clock and deletes expired items. The clock never goes back.
     pub(super) fn advance_clock(&mut self, now: UnixMillis) -> ShardReply {
         if now > self.state.clock {
             self.state.clock = now;
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Forgets a program once its end and everything that ended in it lie the keep time back. Turns
-    /// that are still open then have no owner left that could end them in time: they are sealed first.
+    /// Deletes a program once the retention time has passed since its end time and since anything last ended in it.
+    /// Turns that are still open at that time no longer have an owner that could end them, so they are sealed first.
     fn forget_program(&mut self, program: ProgramId) {
         self.seal_turns_of(&program);
         let Some(entry) = self.state.programs.get(&program) else { return };
@@ -127,7 +127,7 @@
             .map(|s| s.record.key.clone())
             .collect();
         for key in open {
-            // The session was just seen with an open turn, so sealing can't be refused.
+            // The session exists and has an open turn, so sealing cannot be refused.
             let _ = self.seal_open_turn(&key);
         }
     }
--- a/crates/state/src/shard/leases.rs
+++ b/crates/state/src/shard/leases.rs
@@ -1,4 +1,4 @@
-//! Engine leases. The machine holds counts of renewals only; time is the group leader's affair.
+//! Engine leases. The state machine only counts renewals; the group's leader measures time.
 
 use hooklug_types::{EngineIncarnation, Renewal};
 
@@ -7,7 +7,7 @@
 use super::query::LeaseRecord;
 
 impl ShardMachine {
-    /// Renews a lease, or starts it. An expired one stays expired.
+    /// Renews a lease, or starts it. An expired lease stays expired.
     pub(super) fn renew_lease(&mut self, holder: EngineIncarnation) -> Outcome {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
@@ -21,8 +21,8 @@
         Ok(ShardReply::Lease(lease.clone()))
     }
 
-    /// Ends a lease unless it was renewed after the renewal that was judged. One that was never
-    /// granted is recorded as expired, so that its holder can't start it afterwards.
+    /// Expires a lease, unless it was renewed after the renewal that the decision is based on. A lease that was never
+    /// granted is recorded as expired, so that its holder cannot start it afterwards.
     pub(super) fn expire_lease(&mut self, holder: EngineIncarnation, judged: Renewal) -> Outcome {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
--- a/crates/state/src/shard/machine.rs
+++ b/crates/state/src/shard/machine.rs
@@ -1,4 +1,4 @@
-//! The shard's state machine: the state, the dispatch of commands and reads, and snapshots.
+//! The state machine of a shard: state, dispatch of commands and queries, and snapshots.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,54 +19,55 @@
 };
 use crate::{FrozenState, MachineError, StateMachine, decode, encode};
 
-/// What a command comes to: a reply, or a refusal.
+/// The result of a command.
 pub(super) type Outcome = Result<ShardReply, ShardRefusal>;
 
-/// A program with all that lives under its key.
+/// A program with its sessions and calls.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct ProgramEntry {
     pub record: ProgramRecord,
     pub sessions: BTreeMap<SessionId, Arc<SessionEntry>>,
     pub calls: BTreeMap<CallId, CallEntry>,
-    /// When something of it last ended, by the group's clock; it is forgotten no sooner than the keep time later.
+    /// Time at which a turn, call or session of the program last ended, by the group's clock. The program is retained
+    /// for at least the retention time after it.
     pub last_ended: UnixMillis,
 }
 
-/// A session with its turns and stream.
+/// A session with its turns and its event stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct SessionEntry {
     pub record: SessionRecord,
     pub turns: BTreeMap<TurnId, TurnRecord>,
     pub log: EventLog,
-    /// Calls whose results are in the stream.
+    /// Ids of calls whose results are in the stream.
     pub tool_results: BTreeSet<String>,
 }
 
-/// A call and when it is forgotten.
+/// A call and the time at which it is deleted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct CallEntry {
     pub record: CallRecord,
     pub expires: Option<UnixMillis>,
 }
 
-/// All of a shard's state; what a snapshot holds. A copy shares programs, sessions, full chunks of events and
-/// parts of the expiry queue; the machine copies one of them when it first writes to it afterwards.
+/// The full state of a shard, which is also the content of a snapshot. Clones share programs, sessions, full chunks
+/// of events and slots of the expiry queue; the machine copies such a part when it first writes to it after a clone.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct ShardState {
     pub clock: UnixMillis,
     pub programs: BTreeMap<ProgramId, Arc<ProgramEntry>>,
-    /// Expired leases stay: expiry is for ever.
+    /// Engine leases, including expired ones, since expiry is permanent.
     pub leases: BTreeMap<EngineIncarnation, LeaseRecord>,
     pub expiry: ExpiryQueue,
-    /// Highest epoch of any forgotten session: one that is opened anew never repeats an epoch.
+    /// Highest epoch of any deleted session, so that a session that is opened again never reuses an epoch.
     pub epoch_floor: SessionEpoch,
-    /// Programs whose sessions are chains of kept turns.
+    /// Programs with chained sessions.
     pub chained: ChainedPrograms,
 }
 
-/// The state machine of one shard (design section 3).
+/// The state machine of one shard (design document, section 3).
 ///
-/// The keep time must be the same on all replicas of a cluster, since it decides what expires.
+/// The retention time must be the same on all replicas of a cluster, since it determines what expires.
 #[derive(Debug, Clone)]
 pub struct ShardMachine {
     pub(super) keep: Duration,
@@ -74,14 +75,14 @@
 }
 
 impl ShardMachine {
-    /// An empty shard that keeps finished turns, finished calls, closed sessions and ended programs
-    /// for at least `keep`.
+    /// Creates an empty shard that retains finished turns, finished calls, closed sessions and ended programs for at
+    /// least `retention`.
     #[must_use]
     pub fn new(keep: Duration) -> Self {
         Self { keep, state: ShardState::default() }
     }
 
-    /// Applies a command; each is idempotent by its key.
+    /// Applies a command. Each command is idempotent by its key.
     pub fn apply_command(&mut self, command: ShardCommand) -> ShardReply {
         if let ShardCommand::Batch(commands) = command {
             return ShardReply::Batch(
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Answers a read from the state as it is.
+    /// Answers a query from the current state.
     #[must_use]
     pub fn answer(&self, query: &ShardQuery) -> ShardAnswer {
         match query {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The group's clock.
+    /// Returns the group's clock.
     #[must_use]
     pub fn clock(&self) -> UnixMillis {
         self.state.clock
@@ -159,7 +160,7 @@
         self.state.programs.get(&key.program)?.sessions.get(&key.session).map(AsRef::as_ref)
     }
 
-    /// The program that a command names.
+    /// Returns the program, or the refusal if it does not exist.
     pub(super) fn program_mut(
         &mut self,
         program: &ProgramId,
@@ -167,7 +168,7 @@
         self.state.programs.get_mut(program).map(Arc::make_mut).ok_or(ShardRefusal::NoProgram)
     }
 
-    /// The session that a command names.
+    /// Returns the session, or the refusal if it does not exist.
     pub(super) fn session_mut(
         &mut self,
         key: &SessionKey,
@@ -175,19 +176,19 @@
         self.program_mut(&key.program)?.session_mut(&key.session)
     }
 
-    /// Marks an item to be forgotten at `at`.
+    /// Schedules the deletion of an item at `at`.
     pub(super) fn schedule(&mut self, at: UnixMillis, item: ExpiryItem) {
         self.state.expiry.insert(at, item);
     }
 
-    /// When something that ends now is forgotten.
+    /// Returns the end of the retention time of an item that ends now.
     pub(super) fn keep_until(&self) -> UnixMillis {
         self.state.clock.plus(self.keep)
     }
 }
 
 impl ProgramEntry {
-    /// The session that a command names.
+    /// Returns the session, or the refusal if it does not exist.
     pub(super) fn session_mut(
         &mut self,
         session: &SessionId,
--- a/crates/state/src/shard/mod.rs
+++ b/crates/state/src/shard/mod.rs
@@ -1,4 +1,4 @@
-//! The shard: programs with their budgets, sessions, turns, calls and engine leases.
+//! The state of a shard: programs with their budgets, sessions, turns, calls and engine leases.
 
 mod calls;
 mod chains;
--- a/crates/state/src/shard/programs.rs
+++ b/crates/state/src/shard/programs.rs
@@ -1,4 +1,4 @@
-//! Programs and their ledgers: what is spent, what is reserved, what is left.
+//! Programs and their token ledgers: the budget with its spent and reserved parts.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use super::query::ProgramRecord;
 
 impl ShardMachine {
-    /// Declares a program. The window group is no part of its identity: it follows from the tenant's
-    /// entry, which may change between a request and its resend; the first one stays.
+    /// Declares a program. The window group is not compared in a resend, because it comes from the tenant's entry, which
+    /// may change between a request and its resend; the first value is retained.
     pub(super) fn put_program(&mut self, put: PutProgram) -> ShardReply {
         if let Some(entry) = self.state.programs.get(&put.program) {
             return match entry.record.is_declared_by(&put) {
@@ -48,10 +48,10 @@
             && self.end_time == put.end_time
     }
 
-    /// Reserves up to `wanted` tokens for a turn that begins at `now`.
+    /// Reserves up to `requested` tokens for a turn that starts at `now`.
     ///
     /// # Errors
-    /// `ProgramEnded` and `BudgetSpent` are final; `BudgetReserved` may pass.
+    /// `ProgramEnded` and `BudgetSpent` are final; `BudgetReserved` is temporary.
     pub(super) fn reserve(
         &mut self,
         wanted: TokenCount,
@@ -73,7 +73,7 @@
         Ok(granted)
     }
 
-    /// Gives a reservation back and books the tokens that were streamed under it.
+    /// Releases a reservation and adds the tokens that were streamed under it to the spent tokens.
     pub(super) fn settle(&mut self, reserved: TokenCount, streamed: TokenCount) {
         self.reserved.0 = self.reserved.0.saturating_sub(reserved.0);
         self.spent.0 = self.spent.0.saturating_add(streamed.0);
--- a/crates/state/src/shard/query.rs
+++ b/crates/state/src/shard/query.rs
@@ -1,4 +1,4 @@
-//! Reads of a shard and the records that they return.
+//! Queries of a shard and the records that they return.
 
 use bytes::Bytes;
 use hooklug_types::{
@@ -11,108 +11,108 @@
 use super::command::ShardRefusal;
 use super::event::Event;
 
-/// A program and its ledger.
+/// A program and its token ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramRecord {
-    /// Its id.
+    /// Id of the program.
     pub program: ProgramId,
-    /// Whose it is.
+    /// Tenant that the program belongs to.
     pub tenant: TenantId,
-    /// Group for windows.
+    /// Window group of the program.
     pub group: Option<WindowGroup>,
-    /// Tokens that it may stream in all.
+    /// Total number of tokens that the program may stream.
     pub token_budget: TokenCount,
-    /// Tokens streamed by ended turns.
+    /// Number of tokens streamed by ended turns.
     pub spent: TokenCount,
-    /// Tokens held by open turns.
+    /// Number of tokens reserved by open turns.
     pub reserved: TokenCount,
-    /// When it has to be over.
+    /// Time by which the program must end.
     pub end_time: UnixMillis,
 }
 
-/// A session: its owner, head and stream.
+/// A session, without its events.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Its owner; `None` after a hand-over or when closed.
+    /// The owner; `None` after a hand-over or once the session is closed.
     pub owner: Option<EngineIncarnation>,
-    /// Epoch of the ownership, also after the owner has gone.
+    /// Epoch of the current or last ownership.
     pub epoch: SessionEpoch,
-    /// Service that it runs on.
+    /// Service that the session runs on.
     pub service: ServiceName,
-    /// Version of its (last) owner.
+    /// Service version that the current or last owner runs.
     pub version: ServiceVersion,
-    /// Shared prefix of its prompt.
+    /// Shared prompt prefix of the session.
     pub prefix: Option<PrefixId>,
-    /// The last ended turn; a new turn must follow it.
+    /// The last ended turn, which a new turn must follow.
     pub head: Option<TurnId>,
     /// The open turn.
     pub open_turn: Option<TurnId>,
-    /// Place of the next event.
+    /// Sequence number of the next event.
     pub next_seq: EventSeq,
-    /// Whether it is closed.
+    /// Whether the session is closed.
     pub closed: bool,
 }
 
-/// How far a turn is.
+/// State of a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnState {
-    /// Running.
+    /// The turn is running.
     Open,
-    /// Over.
+    /// The turn has ended.
     Ended {
-        /// Why.
+        /// The reason why the turn ended.
         reason: EndReason,
-        /// Place of its `TurnEnded` event.
+        /// Sequence number of the turn's `TurnEnded` event.
         last_seq: EventSeq,
     },
-    /// Refused, for ever.
+    /// The turn was refused; this is final.
     Refused(ShardRefusal),
 }
 
-/// A turn.
+/// A turn, as recorded in its shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
-    /// The turn.
+    /// Id of the turn.
     pub turn: TurnId,
-    /// The turn that it follows.
+    /// The preceding turn.
     pub after: Option<TurnId>,
-    /// Digest of its content.
+    /// Digest of the turn's content.
     pub digest: Digest,
-    /// Place of its `TurnStarted` event; 0 when refused.
+    /// Sequence number of the turn's `TurnStarted` event; 0 for a refused turn.
     pub started: EventSeq,
-    /// Tokens reserved.
+    /// Number of reserved tokens.
     pub reserved: TokenCount,
-    /// Tokens of its committed events.
+    /// Number of tokens in the turn's committed events.
     pub tokens: TokenCount,
-    /// How far it is.
+    /// State of the turn.
     pub state: TurnState,
 }
 
-/// A call that may not be repeated.
+/// A non-repeatable call, as recorded in its shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
-    /// Digest of its content.
+    /// Digest of the call's content.
     pub digest: Digest,
-    /// Route that it goes by; `None` when it was sealed before any dispatch.
+    /// Route of the call; `None` if it was sealed before any dispatch.
     pub route: Option<RouteName>,
-    /// The attempt that holds it; `None` when sealed.
+    /// The attempt that holds the call; `None` if it was sealed.
     pub attempt: Option<CallAttempt>,
-    /// How it ended; `None` while it may be running.
+    /// Outcome of the call; `None` while it may be running.
     pub outcome: Option<CallOutcome>,
 }
 
 /// An engine's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Whose.
+    /// The holder of the lease.
     pub holder: EngineIncarnation,
-    /// Renewals so far.
+    /// Number of renewals so far.
     pub renewal: Renewal,
-    /// Whether it has expired, which is for ever.
+    /// Whether the lease has expired, which is permanent.
     pub expired: bool,
 }
 
@@ -125,18 +125,18 @@
     Session(SessionKey),
     /// A turn of a session.
     Turn {
-        /// Which session.
+        /// The session.
         key: SessionKey,
         /// The turn.
         turn: TurnId,
     },
-    /// Events after a place, at most so many.
+    /// Events of a session after a sequence number.
     Events {
-        /// Which session.
+        /// The session.
         key: SessionKey,
-        /// Place of the last one already known; 0 for none.
+        /// Sequence number of the last event that the reader already has; 0 for none.
         after: EventSeq,
-        /// At most so many (a bound of the reply's size applies too).
+        /// Maximum number of events; the size of the reply is limited as well.
         limit: u32,
     },
     /// A call.
@@ -148,20 +148,20 @@
     },
     /// A lease.
     Lease(EngineIncarnation),
-    /// Open sessions of this shard, for operators; in key order, after a key.
+    /// Open sessions of this shard in key order, for operators.
     OpenSessions {
-        /// Last one already known.
+        /// Key of the last session that the reader already has.
         after: Option<SessionKey>,
-        /// At most so many.
+        /// Maximum number of sessions.
         limit: u32,
     },
     /// The group's clock.
     Clock,
-    /// The history up to and with a kept turn of a chained session, whichever program keeps it.
+    /// The history up to and including a retained turn of a chained session, whichever program retains it.
     History(TurnId),
 }
 
-/// Answer to a [`ShardQuery`]; `None` means that there is no such record.
+/// Answer to a [`ShardQuery`]; `None` means that the record does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardAnswer {
     /// A program.
@@ -170,11 +170,11 @@
     Session(Option<SessionRecord>),
     /// A turn.
     Turn(Option<TurnRecord>),
-    /// Events, in order; `more` when the limit cut them.
+    /// Events of a session, in order.
     Events {
         /// The events.
         events: Vec<Event>,
-        /// Whether more are there.
+        /// Whether there are more events than the reply contains.
         more: bool,
     },
     /// A call.
--- a/crates/state/src/shard/sessions.rs
+++ b/crates/state/src/shard/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: opening, take-over, hand-over and closing. The epoch fences every former owner.
+//! Sessions: open, takeover, hand-over and close. The epoch fences every former owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -13,7 +13,8 @@
 use super::query::SessionRecord;
 
 impl ShardMachine {
-    /// Opens a session at an owner. The first writer wins; one without an owner is taken.
+    /// Opens a session at an owner. If the session exists, it keeps its owner; if it has none, the requesting engine
+    /// becomes the owner.
     pub(super) fn open_session(&mut self, open: OpenSession) -> Outcome {
         let first_epoch = self.state.epoch_floor.next();
         let program = self.program_mut(&open.key.program)?;
@@ -34,8 +35,8 @@
         Ok(ShardReply::Session(session.record.clone()))
     }
 
-    /// Takes a session over; an open turn is sealed `interrupted`. That the former owner's lease has
-    /// expired is the taker's word: the lease lives in another shard, where its expiry is committed.
+    /// Takes over a session and ends its open turn as `Interrupted`. This does not check that the former owner's lease
+    /// has expired: the lease may be in another shard, and the sender must have had its expiry committed there.
     pub(super) fn take_session(&mut self, take: TakeSession) -> Outcome {
         let session = self.session_mut(&take.key)?;
         let record = &session.record;
@@ -58,7 +59,7 @@
         Ok(ShardReply::Session(session.record.clone()))
     }
 
-    /// Ends a session's open turn, if there is one, as `interrupted`.
+    /// Ends a session's open turn, if there is one, as `Interrupted`.
     pub(super) fn seal_open_turn(&mut self, key: &SessionKey) -> Result<(), ShardRefusal> {
         let session = self.session_mut(key)?;
         match session.record.open_turn.clone() {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Gives a session up between turns.
+    /// Releases ownership of a session between turns.
     pub(super) fn hand_over(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
         let session = self.session_mut(key)?;
         let record = &mut session.record;
@@ -90,7 +91,7 @@
         Ok(ShardReply::Session(record.clone()))
     }
 
-    /// Closes a session between turns. Closed is closed, whoever asks again.
+    /// Closes a session between turns. Closing a closed session succeeds under any epoch.
     pub(super) fn close_session(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
         let clock = self.state.clock;
         let forgotten = self.keep_until();
@@ -114,7 +115,7 @@
         Ok(ShardReply::Session(record))
     }
 
-    /// Sessions that are not closed, in key order, after a key.
+    /// Returns up to `limit` sessions that are not closed, in key order, after the given key.
     pub(super) fn open_sessions(
         &self,
         after: Option<&SessionKey>,
@@ -151,7 +152,7 @@
         Self { record, turns: BTreeMap::new(), log, tool_results: BTreeSet::new() }
     }
 
-    /// Adds an event to the stream and returns its place.
+    /// Appends an event to the stream and returns its sequence number.
     pub(super) fn push_event(
         &mut self,
         turn: Option<hooklug_types::TurnId>,
@@ -162,7 +163,7 @@
         seq
     }
 
-    /// Whether a write under this epoch may pass: the session has an owner, and under this epoch.
+    /// Accepts a write only if the session is owned, or was closed, under this epoch.
     pub(super) fn check_epoch(&self, epoch: SessionEpoch) -> Result<(), ShardRefusal> {
         let owned = self.record.owner.is_some() || self.record.closed;
         if owned && self.record.epoch == epoch { Ok(()) } else { Err(self.record.stale()) }
--- a/crates/state/src/shard/turns.rs
+++ b/crates/state/src/shard/turns.rs
@@ -1,4 +1,4 @@
-//! Turns: each follows the head, holds a reservation while it is open, and ends once.
+//! Turns of a session. Each follows the session's head, holds a token reservation while it is open, and ends once.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::query::{TurnRecord, TurnState};
 
 impl ShardMachine {
-    /// Begins a turn and reserves budget for it; a resend finds the turn, or the recorded refusal.
+    /// Starts a turn and reserves tokens for it. A resend returns the existing turn or the recorded refusal.
     pub(super) fn begin_turn(&mut self, begin: BeginTurn) -> Outcome {
         let clock = self.state.clock;
         let program = self.program_mut(&begin.key.program)?;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Ends the open turn. Asked again, replies with the turn as it ended first.
+    /// Ends the open turn. A repeated request returns the turn as it first ended.
     pub(super) fn finish_turn(&mut self, finish: &FinishTurn) -> Outcome {
         let session = self.session_mut(&finish.key)?;
         session.check_epoch(finish.epoch)?;
