--- a/crates/state/src/meta/archive.rs
+++ b/crates/state/src/meta/archive.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct SharedSection {
     bytes: Arc<Vec<u8>>,
-    holders: u32,
+    ref_count: u32,
 }
 
 /// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit into
@@ -34,7 +34,7 @@
     records: BTreeMap<BundleVersion, Arc<BundleRecord>>,
     sections: BTreeMap<Digest, SharedSection>,
     /// The oldest version whose full content is retained.
-    whole_from: BundleVersion,
+    complete_from: BundleVersion,
     /// Size in bytes of all sections and section tables.
     bytes: usize,
 }
@@ -45,46 +45,46 @@
         let newest_bytes: usize = sections.values().map(Vec::len).sum();
         self.bytes += table_bytes(&record);
         for bytes in sections.into_values() {
-            self.hold(bytes);
+            self.retain_section(bytes);
         }
         self.records.insert(record.version, record.into());
         while self.bytes > newest_bytes + KEPT_BYTES && self.drop_oldest_content() {}
         while self.records.len() > KEPT_VERSIONS {
             let Some((_, oldest)) = self.records.pop_first() else { break };
             self.bytes -= table_bytes(&oldest);
-            oldest.sections.values().for_each(|digest| self.release(digest));
+            oldest.sections.values().for_each(|digest| self.release_section(digest));
         }
     }
 
-    fn hold(&mut self, bytes: Vec<u8>) {
+    fn retain_section(&mut self, bytes: Vec<u8>) {
         let digest = Digest::of(&bytes);
         if let Some(shared) = self.sections.get_mut(&digest) {
-            shared.holders += 1;
+            shared.ref_count += 1;
             return;
         }
         self.bytes += bytes.len();
-        self.sections.insert(digest, SharedSection { bytes: bytes.into(), holders: 1 });
+        self.sections.insert(digest, SharedSection { bytes: bytes.into(), ref_count: 1 });
     }
 
     /// Drops the content, except for the routes, of the oldest version with full content. Returns false if that is the
     /// newest version, which is retained.
     fn drop_oldest_content(&mut self) -> bool {
-        let mut whole = self.records.range(self.whole_from..).map(|(version, _)| *version);
-        let (Some(oldest), Some(next)) = (whole.next(), whole.next()) else { return false };
-        self.whole_from = next;
+        let mut complete = self.records.range(self.complete_from..).map(|(version, _)| *version);
+        let (Some(oldest), Some(next)) = (complete.next(), complete.next()) else { return false };
+        self.complete_from = next;
         let Some(record) = self.records.get_mut(&oldest) else { return false };
         let record = Arc::make_mut(record);
         let mut dropped = std::mem::take(&mut record.sections);
         record.sections.extend(dropped.remove_entry(ROUTES_SECTION));
         self.bytes -= dropped.keys().map(|name| entry_bytes(name)).sum::<usize>();
-        dropped.values().for_each(|digest| self.release(digest));
+        dropped.values().for_each(|digest| self.release_section(digest));
         true
     }
 
-    fn release(&mut self, digest: &Digest) {
+    fn release_section(&mut self, digest: &Digest) {
         let Some(shared) = self.sections.get_mut(digest) else { return };
-        shared.holders -= 1;
-        if shared.holders == 0 {
+        shared.ref_count -= 1;
+        if shared.ref_count == 0 {
             self.bytes -= shared.bytes.len();
             self.sections.remove(digest);
         }
@@ -97,7 +97,7 @@
 
     /// Returns a version's content, if it is retained.
     pub(super) fn bundle(&self, version: BundleVersion) -> Option<Bundle> {
-        let record = self.records.get(&version).filter(|_| version >= self.whole_from)?;
+        let record = self.records.get(&version).filter(|_| version >= self.complete_from)?;
         let sections = record
             .sections
             .iter()
--- a/crates/state/src/meta/bundles.rs
+++ b/crates/state/src/meta/bundles.rs
@@ -26,22 +26,22 @@
         if submit.base != newest {
             return Err(MetaRefusal::StaleBase { newest });
         }
-        let bundle = self.submitted(&submit)?;
+        let bundle = self.submitted_bundle(&submit)?;
         let record = self.commit_bundle(&bundle, BundleOrigin::Operators(submit.signed_by));
         Ok(MetaReply::Bundle(record))
     }
 
     /// Decodes and checks the submitted bundle, whose base must be the newest version.
-    fn submitted(&self, submit: &SubmitBundle) -> Result<Bundle, MetaRefusal> {
+    fn submitted_bundle(&self, submit: &SubmitBundle) -> Result<Bundle, MetaRefusal> {
         if submit.version <= submit.base {
-            return Err(invalid("version: must be higher than the base".to_owned()));
+            return Err(invalid_bundle("version: must be higher than the base".to_owned()));
         }
         let bundle = match &submit.content {
-            BundleContent::Whole(bytes) => whole(bytes)?,
+            BundleContent::Whole(bytes) => decode_canonical(bytes)?,
             BundleContent::Changes { digest, sections } => {
-                let bundle = self.newest_with(submit, sections)?;
+                let bundle = self.newest_with_changes(submit, sections)?;
                 if hooklug_bundle::digest(&bundle) != *digest {
-                    return Err(invalid(
+                    return Err(invalid_bundle(
                         "the changed sections do not match the bundle digest".to_owned(),
                     ));
                 }
@@ -49,13 +49,15 @@
             }
         };
         if bundle.version != submit.version || bundle.base != submit.base {
-            return Err(invalid("version, base: differ from those of the submission".to_owned()));
+            return Err(invalid_bundle(
+                "version, base: differ from those of the submission".to_owned(),
+            ));
         }
         Ok(bundle)
     }
 
     /// Returns the newest bundle with some of its sections replaced or removed.
-    fn newest_with(
+    fn newest_with_changes(
         &self,
         submit: &SubmitBundle,
         sections: &BTreeMap<String, Option<Vec<u8>>>,
@@ -64,7 +66,7 @@
         let header = BundleHeader { version: submit.version, base: submit.base };
         let changed = sections.iter().map(|(name, bytes)| (name.as_str(), bytes.as_deref()));
         hooklug_bundle::with_sections(&newest, header, changed)
-            .map_err(|error| invalid(error.to_string()))
+            .map_err(|error| invalid_bundle(error.to_string()))
     }
 
     /// Returns the newest committed version, or 0 before the first.
@@ -92,14 +94,15 @@
 }
 
 /// Decodes a bundle from its canonical bytes, and refuses bytes that are not canonical.
-fn whole(bytes: &[u8]) -> Result<Bundle, MetaRefusal> {
-    let bundle = hooklug_bundle::decode(bytes).map_err(|error| invalid(error.to_string()))?;
+fn decode_canonical(bytes: &[u8]) -> Result<Bundle, MetaRefusal> {
+    let bundle =
+        hooklug_bundle::decode(bytes).map_err(|error| invalid_bundle(error.to_string()))?;
     match hooklug_bundle::canonical_bytes(&bundle) == bytes {
         true => Ok(bundle),
-        false => Err(invalid("the bundle's encoding is not canonical".to_owned())),
+        false => Err(invalid_bundle("the bundle's encoding is not canonical".to_owned())),
     }
 }
 
-fn invalid(reason: String) -> MetaRefusal {
+fn invalid_bundle(reason: String) -> MetaRefusal {
     MetaRefusal::InvalidBundle { reason }
 }
--- a/crates/state/src/meta/command.rs
+++ b/crates/state/src/meta/command.rs
@@ -61,22 +61,23 @@
     pub fn new(bundle: &Bundle, held: Option<&BundleRecord>, signed_by: Vec<OperatorName>) -> Self {
         let held = held.filter(|record| record.version == bundle.base);
         let content = match held {
-            Some(held) => changes(bundle, &held.sections),
+            Some(held) => changed_content(bundle, &held.sections),
             None => BundleContent::Whole(hooklug_bundle::canonical_bytes(bundle)),
         };
         Self { version: bundle.version, base: bundle.base, content, signed_by }
     }
 }
 
-fn changes(bundle: &Bundle, held: &BTreeMap<String, Digest>) -> BundleContent {
+fn changed_content(bundle: &Bundle, held: &BTreeMap<String, Digest>) -> BundleContent {
     let sections = hooklug_bundle::sections(bundle);
-    let gone = held.keys().filter(|name| !sections.contains_key(*name));
-    let gone: Vec<(String, Option<Vec<u8>>)> = gone.map(|name| (name.clone(), None)).collect();
+    let removed = held.keys().filter(|name| !sections.contains_key(*name));
+    let removed: Vec<(String, Option<Vec<u8>>)> =
+        removed.map(|name| (name.clone(), None)).collect();
     let differs = |(name, bytes): &(String, Vec<u8>)| held.get(name) != Some(&Digest::of(bytes));
     let changed = sections.into_iter().filter(differs).map(|(name, bytes)| (name, Some(bytes)));
     BundleContent::Changes {
         digest: hooklug_bundle::digest(bundle),
-        sections: changed.chain(gone).collect(),
+        sections: changed.chain(removed).collect(),
     }
 }
 
--- a/crates/state/src/meta/leadership.rs
+++ b/crates/state/src/meta/leadership.rs
@@ -44,11 +44,11 @@
     }
 
     /// Expires the lease with this epoch, unless it was renewed after the renewal that the decision is based on.
-    pub(super) fn expire_leadership(&mut self, epoch: FencingEpoch, judged: Renewal) -> Outcome {
+    pub(super) fn expire_leadership(&mut self, epoch: FencingEpoch, observed: Renewal) -> Outcome {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
             Some(leader) if leader.epoch == epoch => {
-                if !leader.expired && leader.renewal != judged {
+                if !leader.expired && leader.renewal != observed {
                     return Err(MetaRefusal::Renewed);
                 }
                 leader.expired = true;
--- a/crates/state/src/meta/machine.rs
+++ b/crates/state/src/meta/machine.rs
@@ -34,10 +34,10 @@
 
     /// Applies a command. Each command is idempotent by its key.
     pub fn apply_command(&mut self, command: MetaCommand) -> MetaReply {
-        self.apply_formed(command).unwrap_or_else(MetaReply::Refused)
+        self.dispatch(command).unwrap_or_else(MetaReply::Refused)
     }
 
-    fn apply_formed(&mut self, command: MetaCommand) -> Outcome {
+    fn dispatch(&mut self, command: MetaCommand) -> Outcome {
         match command {
             MetaCommand::Form { cluster, stores, placements } => {
                 self.form(cluster, stores, placements)
--- a/crates/state/src/meta/rollback.rs
+++ b/crates/state/src/meta/rollback.rs
@@ -14,16 +14,16 @@
     pub(super) fn roll_back(&mut self, harm: HarmReport) -> Outcome {
         let newest = self.newest_version();
         let Some(mut bundle) = self.state.archive.bundle(newest) else {
-            return Err(nothing("there is no bundle"));
+            return Err(nothing_to_roll_back("no bundle has been committed"));
         };
-        if let Some(done) = self.rolled_back_already(&bundle, &harm) {
-            return Ok(done);
+        if let Some(existing) = self.existing_rollback(&bundle, &harm) {
+            return Ok(existing);
         }
         mark_rolled_back(&mut bundle, &harm)?;
         bundle.base = newest;
         bundle.version = newest.next();
         let record = self.commit_bundle(&bundle, BundleOrigin::Rollback(harm.clone()));
-        self.remember_rollback(RollbackRecord {
+        self.record_rollback(RollbackRecord {
             bundle: record.version,
             harm,
             committed: record.committed,
@@ -31,7 +31,7 @@
         Ok(MetaReply::Bundle(record))
     }
 
-    fn rolled_back_already(&self, bundle: &Bundle, harm: &HarmReport) -> Option<MetaReply> {
+    fn existing_rollback(&self, bundle: &Bundle, harm: &HarmReport) -> Option<MetaReply> {
         let service = bundle.services.get(&harm.service)?;
         let marked = service
             .versions
@@ -43,7 +43,7 @@
         self.state.archive.record(record.bundle).cloned().map(MetaReply::Bundle)
     }
 
-    fn remember_rollback(&mut self, record: RollbackRecord) {
+    fn record_rollback(&mut self, record: RollbackRecord) {
         let rollbacks = &mut self.state.meta.rollbacks;
         rollbacks.push(record);
         let surplus = rollbacks.len().saturating_sub(KEPT_ROLLBACKS);
@@ -52,21 +52,23 @@
 }
 
 fn mark_rolled_back(bundle: &mut Bundle, harm: &HarmReport) -> Result<(), MetaRefusal> {
-    let service =
-        bundle.services.get_mut(&harm.service).ok_or_else(|| nothing("no such service"))?;
+    let service = bundle
+        .services
+        .get_mut(&harm.service)
+        .ok_or_else(|| nothing_to_roll_back("no such service"))?;
     let sound = service.versions.iter().filter(|v| v.state == VersionState::Sound).count();
     let entry = service
         .versions
         .iter_mut()
         .find(|v| v.version == harm.version && v.state == VersionState::Sound)
-        .ok_or_else(|| nothing("the version is not in force"))?;
+        .ok_or_else(|| nothing_to_roll_back("the version is not a sound version of the service"))?;
     if sound < 2 {
-        return Err(nothing("it is the only sound version"));
+        return Err(nothing_to_roll_back("the version is the only sound version of the service"));
     }
     entry.state = VersionState::RolledBack;
     Ok(())
 }
 
-fn nothing(reason: &str) -> MetaRefusal {
+fn nothing_to_roll_back(reason: &str) -> MetaRefusal {
     MetaRefusal::NothingToRollBack { reason: reason.to_owned() }
 }
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -9,7 +9,7 @@
 
 /// Time in milliseconds within which a repeated request is the same rollout, even if that has already ended. An
 /// operator whose acknowledgement was lost retries within seconds.
-const SAME_ORDER_MS: u64 = 15_000;
+const RESEND_WINDOW_MS: u64 = 15_000;
 
 /// Phase of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,9 +68,9 @@
     ) -> Outcome {
         let clock = self.state.clock;
         let meta = &mut self.state.meta;
-        if let Some(known) = meta.rollouts.get(&service) {
-            let recent = clock.0 < known.begun.0.saturating_add(SAME_ORDER_MS);
-            if known.target == target && (recent || !known.phase.is_final()) {
+        if let Some(existing) = meta.rollouts.get(&service) {
+            let recent = clock.0 < existing.begun.0.saturating_add(RESEND_WINDOW_MS);
+            if existing.target == target && (recent || !existing.phase.is_final()) {
                 return Ok(MetaReply::Done);
             }
         }
@@ -93,12 +93,12 @@
         number: u64,
         phase: RolloutPhase,
     ) -> Outcome {
-        let known = self.state.meta.rollouts.get_mut(service);
-        let Some(known) = known.filter(|known| known.number == number) else {
+        let existing = self.state.meta.rollouts.get_mut(service);
+        let Some(existing) = existing.filter(|existing| existing.number == number) else {
             return Err(MetaRefusal::NoRollout);
         };
-        if !known.phase.is_final() {
-            known.phase = phase;
+        if !existing.phase.is_final() {
+            existing.phase = phase;
         }
         Ok(MetaReply::Done)
     }
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -11,11 +11,11 @@
     pub(super) fn register_store(&mut self, store: StoreRecord) -> Outcome {
         let stores = &mut self.state.meta.stores;
         match stores.binary_search_by_key(&store.node, |s| s.node) {
-            Err(place) => stores.insert(place, StoreRecord { state: StoreState::Active, ..store }),
-            Ok(place) if stores[place].state == StoreState::Removed => {
+            Err(index) => stores.insert(index, StoreRecord { state: StoreState::Active, ..store }),
+            Ok(index) if stores[index].state == StoreState::Removed => {
                 return Err(MetaRefusal::NoStore);
             }
-            Ok(place) => stores[place].renew(store),
+            Ok(index) => stores[index].update(store),
         }
         Ok(MetaReply::Done)
     }
--- a/crates/state/src/shard/calls.rs
+++ b/crates/state/src/shard/calls.rs
@@ -32,7 +32,7 @@
         }
         match record.attempt == Some(begin.attempt) {
             true => Ok(ShardReply::CallGranted),
-            false => Err(record.held()),
+            false => Err(record.held_refusal()),
         }
     }
 
@@ -48,7 +48,7 @@
         let entry = self.program_mut(program)?.calls.get(call).ok_or(ShardRefusal::NoCall)?;
         let holds = entry.record.attempt.as_ref() == Some(attempt);
         if !holds || outcome == CallOutcome::NotRun {
-            return Err(entry.record.held());
+            return Err(entry.record.held_refusal());
         }
         let replaces = match (&entry.record.outcome, &outcome) {
             (None, _) | (Some(CallOutcome::Unknown), CallOutcome::Answered { .. }) => true,
@@ -72,7 +72,7 @@
             let record = &entry.record;
             return match (record.digest == digest, &record.attempt) {
                 (false, _) => Err(ShardRefusal::CallDiffers),
-                (true, Some(_)) => Err(record.held()),
+                (true, Some(_)) => Err(record.held_refusal()),
                 (true, None) => Ok(ShardReply::Call(record.clone())),
             };
         }
@@ -84,7 +84,7 @@
 
     fn set_outcome(&mut self, program: &ProgramId, call: &CallId, outcome: CallOutcome) -> Outcome {
         let clock = self.state.clock;
-        let expires = self.keep_until();
+        let expires = self.retention_end();
         let entry = self.program_mut(program)?;
         entry.last_ended = clock;
         let held = entry.calls.get_mut(call).ok_or(ShardRefusal::NoCall)?;
@@ -106,12 +106,12 @@
         if let Some(former) = former {
             self.state.expiry.remove(former, item.clone());
         }
-        self.schedule(expires, item);
+        self.schedule_expiry(expires, item);
     }
 }
 
 impl CallRecord {
-    fn held(&self) -> ShardRefusal {
+    fn held_refusal(&self) -> ShardRefusal {
         ShardRefusal::CallHeld { record: Box::new(self.clone()) }
     }
 }
--- a/crates/state/src/shard/chains.rs
+++ b/crates/state/src/shard/chains.rs
@@ -1,7 +1,7 @@
 //! Chained sessions: a turn may continue from any retained turn of any session, so the turns of a program form a
 //! tree.
 //!
-//! Ordinary sessions commit every event; chained sessions commit whole turns. The maximum number of tokens of a turn
+//! Ordinary sessions commit every event; chained sessions commit only complete turns. The maximum number of tokens of a turn
 //! is reserved before the turn runs, and the turn is retained only if its complete output is committed under the
 //! epoch under which it was started. The host that starts a turn owns the session from then on. Each start
 //! increments the epoch, which fences all earlier turns of the session.
@@ -23,7 +23,7 @@
 pub(super) struct ChainedPrograms {
     programs: BTreeMap<ProgramId, Arc<ChainedProgram>>,
     /// The program that retains each turn, for turns that continue from a turn of another program.
-    keepers: BTreeMap<TurnId, ProgramId>,
+    turn_programs: BTreeMap<TurnId, ProgramId>,
 }
 
 /// One program: its token ledger, the owners of its sessions, its open turns and its ended turns. The maps are
@@ -36,7 +36,7 @@
     open: LiteMap<TurnId, OpenTurn>,
     ended: LiteMap<TurnId, EndedTurn>,
     /// Time at which the program is deleted, unless it is used again.
-    forgotten_at: UnixMillis,
+    expires_at: UnixMillis,
     keep_ms: u64,
 }
 
@@ -54,7 +54,7 @@
     epoch: SessionEpoch,
     reserved: TokenCount,
     /// Time limit; the turn cannot be running after it.
-    ends_by: UnixMillis,
+    deadline: UnixMillis,
     after: Option<TurnId>,
     input: Option<Bytes>,
 }
@@ -71,9 +71,10 @@
     /// Checks whether another turn may start. It may only while the sum of spent and reserved tokens is below the
     /// budget, so that all turns together exceed the budget by less than the maximum of one turn.
     fn check_budget(&self, budget: TokenCount, now: UnixMillis) -> Result<(), ShardRefusal> {
-        let (over, running): (Vec<_>, Vec<_>) = self.open.values().partition(|t| t.ends_by <= now);
+        let (timed_out, running): (Vec<_>, Vec<_>) =
+            self.open.values().partition(|t| t.deadline <= now);
         let sum = |turns: &[&OpenTurn]| turns.iter().map(|turn| turn.reserved.0).sum::<u64>();
-        let spent = self.spent.0.saturating_add(sum(&over));
+        let spent = self.spent.0.saturating_add(sum(&timed_out));
         if spent >= budget.0 {
             return Err(ShardRefusal::BudgetSpent);
         }
@@ -85,21 +86,21 @@
 
     /// Returns the history up to and including a turn; `None` if it is not retained.
     fn history(&self, turn: &TurnId) -> Option<Bytes> {
-        let mut texts = vec![self.kept(turn)?];
+        let mut texts = vec![self.retained_text(turn)?];
         let mut earlier = self.ended[turn].after.as_ref();
         while let Some(id) = earlier {
-            texts.push(self.kept(id)?);
+            texts.push(self.retained_text(id)?);
             earlier = self.ended[id].after.as_ref();
         }
         if let [only] = texts.as_slice() {
             return Some((*only).clone());
         }
-        let mut whole = BytesMut::with_capacity(texts.iter().map(|text| text.len()).sum());
-        texts.iter().rev().for_each(|text| whole.extend_from_slice(text));
-        Some(whole.freeze())
+        let mut buffer = BytesMut::with_capacity(texts.iter().map(|text| text.len()).sum());
+        texts.iter().rev().for_each(|text| buffer.extend_from_slice(text));
+        Some(buffer.freeze())
     }
 
-    fn kept(&self, turn: &TurnId) -> Option<&Bytes> {
+    fn retained_text(&self, turn: &TurnId) -> Option<&Bytes> {
         self.ended.get(turn)?.text.as_ref()
     }
 
@@ -108,7 +109,7 @@
     }
 
     /// Makes the host that starts a turn the owner of the session, under a new epoch.
-    fn take_session(
+    fn change_owner(
         &mut self,
         session: &SessionId,
         host: NodeId,
@@ -123,7 +124,7 @@
 impl ChainedPrograms {
     /// Returns the history up to and including a retained turn of any program in this shard.
     pub(super) fn history(&self, turn: &TurnId) -> Option<Bytes> {
-        self.programs.get(self.keepers.get(turn)?)?.history(turn)
+        self.programs.get(self.turn_programs.get(turn)?)?.history(turn)
     }
 
     /// Ends a turn. A repeated request changes nothing.
@@ -141,29 +142,29 @@
             program.open = LiteMap::new();
         }
         program.spent.0 = program.spent.0.saturating_add(end.tokens.0);
-        program.forgotten_at = program.forgotten_at.max(now.plus_millis(program.keep_ms));
+        program.expires_at = program.expires_at.max(now.plus_millis(program.keep_ms));
         let current = program.is_current(&open) && open.epoch == end.epoch;
-        let whole = current && end.output.is_some();
+        let complete = current && end.output.is_some();
         let text = match (open.input, &end.output) {
-            (Some(input), Some(output)) if whole => Some(joined(&input, output)),
+            (Some(input), Some(output)) if complete => Some(concat(&input, output)),
             _ => None,
         };
         if text.is_some() {
-            self.keepers.insert(end.turn.clone(), end.key.program);
+            self.turn_programs.insert(end.turn.clone(), end.key.program);
         }
         program.ended.insert(end.turn, EndedTurn { after: open.after, text });
-        match whole || end.output.is_none() {
+        match complete || end.output.is_none() {
             true => Ok(ShardReply::Done),
             false => Err(ShardRefusal::Superseded),
         }
     }
 }
 
-fn joined(first: &[u8], second: &[u8]) -> Bytes {
-    let mut whole = BytesMut::with_capacity(first.len() + second.len());
-    whole.extend_from_slice(first);
-    whole.extend_from_slice(second);
-    whole.freeze()
+fn concat(first: &[u8], second: &[u8]) -> Bytes {
+    let mut buffer = BytesMut::with_capacity(first.len() + second.len());
+    buffer.extend_from_slice(first);
+    buffer.extend_from_slice(second);
+    buffer.freeze()
 }
 
 impl ShardMachine {
@@ -174,39 +175,39 @@
         let chained = &mut self.state.chained;
         let is_new = !chained.programs.contains_key(&key);
         // Insert a new program only after success, so that a refusal leaves no empty program behind.
-        let mut fresh = ChainedProgram::default();
+        let mut new_program = ChainedProgram::default();
         let program = match chained.programs.get_mut(&key) {
             Some(program) => Arc::make_mut(program),
-            None => &mut fresh,
+            None => &mut new_program,
         };
-        let started = begin(program, start, now, floor)?;
-        let forgotten_at = program.forgotten_at;
+        let started = start_in_program(program, start, now, floor)?;
+        let expires_at = program.expires_at;
         if is_new {
-            chained.programs.insert(key.clone(), fresh.into());
-            self.schedule(forgotten_at, ExpiryItem::ChainedProgram(key));
+            chained.programs.insert(key.clone(), new_program.into());
+            self.schedule_expiry(expires_at, ExpiryItem::ChainedProgram(key));
         }
         Ok(ShardReply::Started(started))
     }
 
     /// Deletes a program that has not been used since its expiry was scheduled, and reschedules the expiry otherwise.
-    pub(super) fn forget_chained_program(&mut self, id: ProgramId) {
+    pub(super) fn expire_chained_program(&mut self, id: ProgramId) {
         let Some(program) = self.state.chained.programs.get(&id) else { return };
-        if program.forgotten_at > self.state.clock {
-            self.schedule(program.forgotten_at, ExpiryItem::ChainedProgram(id));
+        if program.expires_at > self.state.clock {
+            self.schedule_expiry(program.expires_at, ExpiryItem::ChainedProgram(id));
             return;
         }
         let Some(program) = self.state.chained.programs.remove(&id) else { return };
         let highest = program.sessions.values().map(|session| session.epoch).max();
         self.state.epoch_floor = self.state.epoch_floor.max(highest.unwrap_or_default());
         for turn in program.ended.keys() {
-            if self.state.chained.keepers.get(turn) == Some(&id) {
-                self.state.chained.keepers.remove(turn);
+            if self.state.chained.turn_programs.get(turn) == Some(&id) {
+                self.state.chained.turn_programs.remove(turn);
             }
         }
     }
 }
 
-fn begin(
+fn start_in_program(
     program: &mut ChainedProgram,
     start: StartTurn,
     now: UnixMillis,
@@ -220,25 +221,25 @@
         if !program.is_current(open) {
             return Err(ShardRefusal::Superseded);
         }
-        return Ok(StartedTurn { epoch, history: wanted_history(program, &start)? });
+        return Ok(StartedTurn { epoch, history: requested_history(program, &start)? });
     }
     if let (Some(after), Some(imported)) = (&start.after, &start.imported) {
         let import = || EndedTurn { after: None, text: Some(imported.clone()) };
         program.ended.entry(after.clone()).or_insert_with(import);
     }
-    let history = wanted_history(program, &start)?;
+    let history = requested_history(program, &start)?;
     if let Some(budget) = start.token_budget {
         program.check_budget(budget, now)?;
     }
-    let epoch = program.take_session(&start.key.session, start.host, floor);
+    let epoch = program.change_owner(&start.key.session, start.host, floor);
     program.keep_ms = program.keep_ms.max(start.keep_ms);
-    program.forgotten_at =
-        program.forgotten_at.max(now.plus_millis(program.keep_ms + start.time_limit_ms));
+    program.expires_at =
+        program.expires_at.max(now.plus_millis(program.keep_ms + start.time_limit_ms));
     let open = OpenTurn {
         session: start.key.session,
         epoch,
         reserved: start.max_tokens,
-        ends_by: now.plus_millis(start.time_limit_ms),
+        deadline: now.plus_millis(start.time_limit_ms),
         after: start.after,
         input: start.input,
     };
@@ -248,13 +249,13 @@
 
 /// Returns the history that a turn continues from, if its host requests it. The turn named by `after` must be
 /// retained in either case.
-fn wanted_history(
+fn requested_history(
     program: &ChainedProgram,
     start: &StartTurn,
 ) -> Result<Option<Bytes>, ShardRefusal> {
     let Some(after) = &start.after else { return Ok(None) };
     if !start.wants_history {
-        return program.kept(after).map(|_| None).ok_or(ShardRefusal::UnknownTurn);
+        return program.retained_text(after).map(|_| None).ok_or(ShardRefusal::UnknownTurn);
     }
     program.history(after).map(Some).ok_or(ShardRefusal::UnknownTurn)
 }
--- a/crates/state/src/shard/event_log.rs
+++ b/crates/state/src/shard/event_log.rs
@@ -51,8 +51,8 @@
 
     /// Iterates over the events after a sequence number, in order.
     pub fn after(&self, seq: EventSeq) -> impl Iterator<Item = &Event> {
-        let known = usize::try_from(seq.0).unwrap_or(usize::MAX);
-        let (chunks, events) = (known / CHUNK_EVENTS, known % CHUNK_EVENTS);
+        let offset = usize::try_from(seq.0).unwrap_or(usize::MAX);
+        let (chunks, events) = (offset / CHUNK_EVENTS, offset % CHUNK_EVENTS);
         let full = self.full.get(chunks..).unwrap_or_default().iter().flat_map(|c| c.iter());
         let is_within = chunks <= self.full.len();
         let newest = if is_within { self.newest.as_slice() } else { &[] };
@@ -61,16 +61,16 @@
 
     /// Whether the log already contains these bodies, for this turn, from `first_seq` on.
     #[must_use]
-    pub fn repeats(
+    pub fn contains_at(
         &self,
         first_seq: EventSeq,
         turn: Option<&TurnId>,
         bodies: &[EventBody],
     ) -> bool {
         let Some(before) = first_seq.0.checked_sub(1) else { return false };
-        let mut there = self.after(EventSeq(before));
+        let mut existing = self.after(EventSeq(before));
         bodies.iter().all(|body| {
-            there.next().is_some_and(|event| event.turn.as_ref() == turn && event.body == *body)
+            existing.next().is_some_and(|event| event.turn.as_ref() == turn && event.body == *body)
         })
     }
 }
--- a/crates/state/src/shard/events.rs
+++ b/crates/state/src/shard/events.rs
@@ -9,7 +9,7 @@
 
 /// Maximum size in bytes of the event texts in one reply; a reply that is truncated sets `more`. A single event may
 /// exceed it.
-const ANSWER_BYTES: usize = 1 << 20;
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
 impl ShardMachine {
     /// Appends events of the open turn, or tool results between turns. Either all events are appended or none.
@@ -23,7 +23,7 @@
     ) -> Outcome {
         let session = self.session_mut(key)?;
         session.check_epoch(epoch)?;
-        if session.has_all(first_seq, turn, &bodies) {
+        if session.is_already_applied(first_seq, turn, &bodies) {
             return Ok(ShardReply::Appended { next_seq: session.record.next_seq });
         }
         session.check_append(turn, first_seq, &bodies)?;
@@ -45,13 +45,13 @@
         };
         for event in session.log.after(after).take(limit as usize) {
             bytes += event.body.text_bytes();
-            if bytes > ANSWER_BYTES && !events.is_empty() {
+            if bytes > MAX_REPLY_BYTES && !events.is_empty() {
                 break;
             }
             events.push(event.clone());
         }
-        let known = after.0.saturating_add(events.len() as u64);
-        let more = known < session.log.len() as u64;
+        let last_read = after.0.saturating_add(events.len() as u64);
+        let more = last_read < session.log.len() as u64;
         ShardAnswer::Events { events, more }
     }
 }
@@ -59,11 +59,17 @@
 impl SessionEntry {
     /// Whether an append has no effect, because its events are already committed or it contains only results of calls
     /// that already have a result.
-    fn has_all(&self, first_seq: EventSeq, turn: Option<&TurnId>, bodies: &[EventBody]) -> bool {
-        bodies.iter().all(|body| self.has_result(body)) || self.log.repeats(first_seq, turn, bodies)
+    fn is_already_applied(
+        &self,
+        first_seq: EventSeq,
+        turn: Option<&TurnId>,
+        bodies: &[EventBody],
+    ) -> bool {
+        bodies.iter().all(|body| self.has_tool_result(body))
+            || self.log.contains_at(first_seq, turn, bodies)
     }
 
-    fn has_result(&self, body: &EventBody) -> bool {
+    fn has_tool_result(&self, body: &EventBody) -> bool {
         matches!(body, EventBody::ToolResult { call, .. } if self.tool_results.contains(call))
     }
 
@@ -77,8 +83,8 @@
             return Err(ShardRefusal::SessionClosed);
         }
         self.check_kinds(turn, bodies)?;
-        let brings_known_result = bodies.iter().any(|body| self.has_result(body));
-        if first_seq != self.record.next_seq || brings_known_result {
+        let has_duplicate_result = bodies.iter().any(|body| self.has_tool_result(body));
+        if first_seq != self.record.next_seq || has_duplicate_result {
             return Err(ShardRefusal::Gap { next_seq: self.record.next_seq });
         }
         self.check_reservation(turn, bodies)
@@ -87,7 +93,7 @@
     /// Checks that a turn's events are for the open turn, and that events between turns are tool results.
     fn check_kinds(&self, turn: Option<&TurnId>, bodies: &[EventBody]) -> Result<(), ShardRefusal> {
         let allowed = match turn {
-            Some(_) => bodies.iter().all(EventBody::may_be_appended),
+            Some(_) => bodies.iter().all(EventBody::is_appendable),
             None => bodies.iter().all(|body| matches!(body, EventBody::ToolResult { .. })),
         };
         match (turn, &self.record.open_turn) {
@@ -135,7 +141,7 @@
 
 impl EventBody {
     /// Whether an owner may append this kind of event. The other kinds are written by the commands that they record.
-    fn may_be_appended(&self) -> bool {
+    fn is_appendable(&self) -> bool {
         matches!(self, Self::Tokens { .. } | Self::ToolRequested { .. } | Self::ToolResult { .. })
     }
 
--- a/crates/state/src/shard/expiry.rs
+++ b/crates/state/src/shard/expiry.rs
@@ -74,13 +74,13 @@
             self.state.clock = now;
             for _ in 0..ITEMS_PER_STEP {
                 let Some(item) = self.state.expiry.pop_due(now) else { break };
-                self.forget(item);
+                self.expire_item(item);
             }
         }
         ShardReply::Done
     }
 
-    fn forget(&mut self, item: ExpiryItem) {
+    fn expire_item(&mut self, item: ExpiryItem) {
         match item {
             ExpiryItem::Turn(key, turn) => {
                 if let Ok(session) = self.session_mut(&key) {
@@ -98,19 +98,19 @@
                     self.state.epoch_floor = self.state.epoch_floor.max(session.record.epoch);
                 }
             }
-            ExpiryItem::Program(program) => self.forget_program(program),
-            ExpiryItem::ChainedProgram(program) => self.forget_chained_program(program),
+            ExpiryItem::Program(program) => self.expire_program(program),
+            ExpiryItem::ChainedProgram(program) => self.expire_chained_program(program),
         }
     }
 
     /// Deletes a program once the retention time has passed since its end time and since anything last ended in it.
     /// Turns that are still open at that time no longer have an owner that could end them, so they are sealed first.
-    fn forget_program(&mut self, program: ProgramId) {
-        self.seal_turns_of(&program);
+    fn expire_program(&mut self, program: ProgramId) {
+        self.seal_open_turns_of(&program);
         let Some(entry) = self.state.programs.get(&program) else { return };
-        let due = entry.last_ended.max(entry.record.end_time).plus(self.keep);
+        let due = entry.last_ended.max(entry.record.end_time).plus(self.retention);
         if due > self.state.clock {
-            self.schedule(due, ExpiryItem::Program(program));
+            self.schedule_expiry(due, ExpiryItem::Program(program));
             return;
         }
         let highest = entry.sessions.values().map(|s| s.record.epoch).max();
@@ -118,7 +118,7 @@
         self.state.programs.remove(&program);
     }
 
-    fn seal_turns_of(&mut self, program: &ProgramId) {
+    fn seal_open_turns_of(&mut self, program: &ProgramId) {
         let Some(entry) = self.state.programs.get(program) else { return };
         let open: Vec<SessionKey> = entry
             .sessions
--- a/crates/state/src/shard/leases.rs
+++ b/crates/state/src/shard/leases.rs
@@ -23,13 +23,13 @@
 
     /// Expires a lease, unless it was renewed after the renewal that the decision is based on. A lease that was never
     /// granted is recorded as expired, so that its holder cannot start it afterwards.
-    pub(super) fn expire_lease(&mut self, holder: EngineIncarnation, judged: Renewal) -> Outcome {
+    pub(super) fn expire_lease(&mut self, holder: EngineIncarnation, observed: Renewal) -> Outcome {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
-            renewal: judged,
+            renewal: observed,
             expired: true,
         });
-        if !lease.expired && lease.renewal != judged {
+        if !lease.expired && lease.renewal != observed {
             return Err(ShardRefusal::LeaseRenewed);
         }
         lease.expired = true;
--- a/crates/state/src/shard/machine.rs
+++ b/crates/state/src/shard/machine.rs
@@ -70,7 +70,7 @@
 /// The retention time must be the same on all replicas of a cluster, since it determines what expires.
 #[derive(Debug, Clone)]
 pub struct ShardMachine {
-    pub(super) keep: Duration,
+    pub(super) retention: Duration,
     pub(super) state: ShardState,
 }
 
@@ -78,8 +78,8 @@
     /// Creates an empty shard that retains finished turns, finished calls, closed sessions and ended programs for at
     /// least `retention`.
     #[must_use]
-    pub fn new(keep: Duration) -> Self {
-        Self { keep, state: ShardState::default() }
+    pub fn new(retention: Duration) -> Self {
+        Self { retention, state: ShardState::default() }
     }
 
     /// Applies a command. Each command is idempotent by its key.
@@ -177,13 +177,13 @@
     }
 
     /// Schedules the deletion of an item at `at`.
-    pub(super) fn schedule(&mut self, at: UnixMillis, item: ExpiryItem) {
+    pub(super) fn schedule_expiry(&mut self, at: UnixMillis, item: ExpiryItem) {
         self.state.expiry.insert(at, item);
     }
 
     /// Returns the end of the retention time of an item that ends now.
-    pub(super) fn keep_until(&self) -> UnixMillis {
-        self.state.clock.plus(self.keep)
+    pub(super) fn retention_end(&self) -> UnixMillis {
+        self.state.clock.plus(self.retention)
     }
 }
 
--- a/crates/state/src/shard/programs.rs
+++ b/crates/state/src/shard/programs.rs
@@ -14,7 +14,7 @@
     /// may change between a request and its resend; the first value is retained.
     pub(super) fn put_program(&mut self, put: PutProgram) -> ShardReply {
         if let Some(entry) = self.state.programs.get(&put.program) {
-            return match entry.record.is_declared_by(&put) {
+            return match entry.record.matches_declaration(&put) {
                 true => ShardReply::Program(entry.record.clone()),
                 false => ShardReply::Refused(ShardRefusal::ProgramDiffers),
             };
@@ -28,8 +28,8 @@
             reserved: TokenCount(0),
             end_time: put.end_time,
         };
-        let forgotten = self.state.clock.max(put.end_time).plus(self.keep);
-        self.schedule(forgotten, ExpiryItem::Program(put.program.clone()));
+        let expires_at = self.state.clock.max(put.end_time).plus(self.retention);
+        self.schedule_expiry(expires_at, ExpiryItem::Program(put.program.clone()));
         let entry = ProgramEntry {
             record: record.clone(),
             sessions: BTreeMap::new(),
@@ -42,7 +42,7 @@
 }
 
 impl ProgramRecord {
-    fn is_declared_by(&self, put: &PutProgram) -> bool {
+    fn matches_declaration(&self, put: &PutProgram) -> bool {
         self.tenant == put.tenant
             && self.token_budget == put.token_budget
             && self.end_time == put.end_time
@@ -54,7 +54,7 @@
     /// `ProgramEnded` and `BudgetSpent` are final; `BudgetReserved` is temporary.
     pub(super) fn reserve(
         &mut self,
-        wanted: TokenCount,
+        requested: TokenCount,
         now: UnixMillis,
     ) -> Result<TokenCount, ShardRefusal> {
         if now >= self.end_time {
@@ -68,7 +68,7 @@
         if free == 0 {
             return Err(ShardRefusal::BudgetReserved);
         }
-        let granted = TokenCount(wanted.0.min(free));
+        let granted = TokenCount(requested.0.min(free));
         self.reserved.0 += granted.0;
         Ok(granted)
     }
--- a/crates/state/src/shard/sessions.rs
+++ b/crates/state/src/shard/sessions.rs
@@ -19,7 +19,7 @@
         let first_epoch = self.state.epoch_floor.next();
         let program = self.program_mut(&open.key.program)?;
         let Ok(session) = program.session_mut(&open.key.session) else {
-            let entry = SessionEntry::opened(open, first_epoch);
+            let entry = SessionEntry::new(open, first_epoch);
             let record = entry.record.clone();
             program.sessions.insert(record.key.session.clone(), entry.into());
             return Ok(ShardReply::Session(record));
@@ -40,16 +40,16 @@
     pub(super) fn take_session(&mut self, take: TakeSession) -> Outcome {
         let session = self.session_mut(&take.key)?;
         let record = &session.record;
-        let taken_already = record.epoch == take.expected_epoch.next()
+        let already_taken = record.epoch == take.expected_epoch.next()
             && record.owner.as_ref() == Some(&take.new_owner);
-        if taken_already {
+        if already_taken {
             return Ok(ShardReply::Session(record.clone()));
         }
         if record.closed {
             return Err(ShardRefusal::SessionClosed);
         }
         if record.epoch != take.expected_epoch {
-            return Err(record.stale());
+            return Err(record.stale_epoch());
         }
         self.seal_open_turn(&take.key)?;
         let session = self.session_mut(&take.key)?;
@@ -75,13 +75,13 @@
         if record.closed {
             return Err(ShardRefusal::SessionClosed);
         }
-        let given_up_already =
+        let already_released =
             record.owner.is_none() && (record.epoch == epoch || record.epoch == epoch.next());
-        if given_up_already {
+        if already_released {
             return Ok(ShardReply::Session(record.clone()));
         }
         if record.epoch != epoch {
-            return Err(record.stale());
+            return Err(record.stale_epoch());
         }
         if let Some(turn) = record.open_turn.clone() {
             return Err(ShardRefusal::TurnOpen { turn });
@@ -94,14 +94,14 @@
     /// Closes a session between turns. Closing a closed session succeeds under any epoch.
     pub(super) fn close_session(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
         let clock = self.state.clock;
-        let forgotten = self.keep_until();
+        let expires_at = self.retention_end();
         let program = self.program_mut(&key.program)?;
         let session = program.session_mut(&key.session)?;
         if session.record.closed {
             return Ok(ShardReply::Session(session.record.clone()));
         }
         if session.record.epoch != epoch {
-            return Err(session.record.stale());
+            return Err(session.record.stale_epoch());
         }
         if let Some(turn) = session.record.open_turn.clone() {
             return Err(ShardRefusal::TurnOpen { turn });
@@ -111,7 +111,7 @@
         session.record.closed = true;
         let record = session.record.clone();
         program.last_ended = clock;
-        self.schedule(forgotten, ExpiryItem::Session(key.clone()));
+        self.schedule_expiry(expires_at, ExpiryItem::Session(key.clone()));
         Ok(ShardReply::Session(record))
     }
 
@@ -135,7 +135,7 @@
 }
 
 impl SessionEntry {
-    fn opened(open: OpenSession, epoch: SessionEpoch) -> Self {
+    fn new(open: OpenSession, epoch: SessionEpoch) -> Self {
         let log = EventLog::default();
         let record = SessionRecord {
             key: open.key,
@@ -166,12 +166,12 @@
     /// Accepts a write only if the session is owned, or was closed, under this epoch.
     pub(super) fn check_epoch(&self, epoch: SessionEpoch) -> Result<(), ShardRefusal> {
         let owned = self.record.owner.is_some() || self.record.closed;
-        if owned && self.record.epoch == epoch { Ok(()) } else { Err(self.record.stale()) }
+        if owned && self.record.epoch == epoch { Ok(()) } else { Err(self.record.stale_epoch()) }
     }
 }
 
 impl SessionRecord {
-    pub(super) fn stale(&self) -> ShardRefusal {
+    pub(super) fn stale_epoch(&self) -> ShardRefusal {
         ShardRefusal::StaleEpoch { record: Box::new(self.clone()) }
     }
 }
--- a/crates/state/src/shard/turns.rs
+++ b/crates/state/src/shard/turns.rs
@@ -30,7 +30,7 @@
                 session.record_refused(&begin, refusal.clone());
                 *last_ended = clock;
                 let item = ExpiryItem::Turn(begin.key, begin.turn);
-                self.schedule(self.keep_until(), item);
+                self.schedule_expiry(self.retention_end(), item);
                 Err(refusal)
             }
         }
@@ -42,11 +42,11 @@
         session.check_epoch(finish.epoch)?;
         if session.record.open_turn.as_ref() == Some(&finish.turn) {
             let ended = self.end_turn(&finish.key, &finish.turn, finish.reason.clone())?;
-            return Ok(ShardReply::Turn(ended.grant_existing()));
+            return Ok(ShardReply::Turn(ended.existing_grant()));
         }
         match session.turns.get(&finish.turn) {
             Some(turn) if matches!(turn.state, TurnState::Ended { .. }) => {
-                Ok(ShardReply::Turn(turn.grant_existing()))
+                Ok(ShardReply::Turn(turn.existing_grant()))
             }
             _ => Err(ShardRefusal::NoOpenTurn),
         }
@@ -60,13 +60,13 @@
         reason: EndReason,
     ) -> Result<TurnRecord, ShardRefusal> {
         let clock = self.state.clock;
-        let forgotten = self.keep_until();
+        let expires_at = self.retention_end();
         let program = self.program_mut(&key.program)?;
         let session = program.session_mut(&key.session)?;
         let ended = session.end_turn(turn, reason)?;
         program.record.settle(ended.reserved, ended.tokens);
         program.last_ended = clock;
-        self.schedule(forgotten, ExpiryItem::Turn(key.clone(), turn.clone()));
+        self.schedule_expiry(expires_at, ExpiryItem::Turn(key.clone(), turn.clone()));
         Ok(ended)
     }
 }
@@ -81,13 +81,13 @@
             return Err(ShardRefusal::TurnOpen { turn });
         }
         if begin.after != record.head {
-            let after_known = begin.after.as_ref().is_none_or(|turn| self.knows_ended(turn));
+            let after_known = begin.after.as_ref().is_none_or(|turn| self.has_ended_turn(turn));
             return Err(ShardRefusal::NotHead { head: record.head.clone(), after_known });
         }
         Ok(())
     }
 
-    fn knows_ended(&self, turn: &TurnId) -> bool {
+    fn has_ended_turn(&self, turn: &TurnId) -> bool {
         self.turns.get(turn).is_some_and(|t| matches!(t.state, TurnState::Ended { .. }))
     }
 
@@ -141,12 +141,12 @@
         match &self.state {
             TurnState::Refused(refusal) => Err(refusal.clone()),
             TurnState::Open | TurnState::Ended { .. } => {
-                Ok(ShardReply::Turn(self.grant_existing()))
+                Ok(ShardReply::Turn(self.existing_grant()))
             }
         }
     }
 
-    fn grant_existing(&self) -> TurnGrant {
+    fn existing_grant(&self) -> TurnGrant {
         TurnGrant { reserved: self.reserved, started: self.started, existing: Some(self.clone()) }
     }
 }
--- a/crates/state/tests/frozen.rs
+++ b/crates/state/tests/frozen.rs
@@ -70,7 +70,7 @@
         prop_assert_eq!(found, (after + 1..=count).collect::<Vec<_>>());
         prop_assert_eq!(log.next_seq(), EventSeq(count + 1));
         let last = [tokens(count.saturating_sub(1))];
-        prop_assert_eq!(log.repeats(EventSeq(count), None, &last), count > 0);
-        prop_assert!(!log.repeats(EventSeq(count + 1), None, &last));
+        prop_assert_eq!(log.contains_at(EventSeq(count), None, &last), count > 0);
+        prop_assert!(!log.contains_at(EventSeq(count + 1), None, &last));
     }
 }
