--- a/crates/session/src/attach.rs
+++ b/crates/session/src/attach.rs
@@ -1,4 +1,4 @@
-//! Resends and resumes: clients attach to turns that are committed.
+//! Resends and resumes: attaches clients to turns that are already committed.
 
 use hooklug_state::shard::{EventBody, ShardRefusal, TurnRecord, TurnState};
 use hooklug_types::EventSeq;
@@ -9,16 +9,16 @@
 use crate::phase::Phase;
 use crate::session::Session;
 
-/// A resend whose turn's record is being read.
+/// A resend that waits for its turn's record to be read from the shard.
 #[derive(Debug, Clone)]
-pub(crate) struct LookedUp {
+pub(crate) struct PendingLookup {
     pub(crate) client: ClientId,
     request: TurnRequest,
     last_seen: EventSeq,
 }
 
 impl Session {
-    /// Lets a client follow a turn that is committed.
+    /// Subscribes a client to a committed turn, if the request matches the turn's record.
     pub(crate) fn attach(
         &mut self,
         client: ClientId,
@@ -31,10 +31,10 @@
             refuse(client, refusal, &mut self.effects);
             return;
         }
-        self.follow(client, known.clone(), last_seen);
+        self.subscribe(client, known.clone(), last_seen);
     }
 
-    pub(crate) fn follow(&mut self, client: ClientId, record: TurnRecord, last_seen: EventSeq) {
+    pub(crate) fn subscribe(&mut self, client: ClientId, record: TurnRecord, last_seen: EventSeq) {
         let turn = record.turn.clone();
         let ended = matches!(record.state, TurnState::Ended { .. });
         self.effects.push(Effect::Send { client, item: ClientItem::Accepted(record) });
@@ -46,21 +46,21 @@
         if ended {
             self.effects.push(Effect::EndClient { client });
         } else {
-            self.clients.follow_turn(client, turn, last_sent);
+            self.clients.subscribe_to_turn(client, turn, last_sent);
         }
     }
 
     pub(crate) fn look_up(&mut self, client: ClientId, request: TurnRequest, last_seen: EventSeq) {
         let look_up = LookUpId(self.new_id());
         let turn = request.turn.clone();
-        self.look_ups.insert(look_up, LookedUp { client, request, last_seen });
+        self.lookups.insert(look_up, PendingLookup { client, request, last_seen });
         self.effects.push(Effect::LookUpTurn { look_up, turn });
     }
 
-    pub(crate) fn turn_looked_up(&mut self, look_up: LookUpId, record: Option<TurnRecord>) {
-        let Some(waiting) = self.look_ups.remove(&look_up) else { return };
+    pub(crate) fn lookup_finished(&mut self, look_up: LookUpId, record: Option<TurnRecord>) {
+        let Some(waiting) = self.lookups.remove(&look_up) else { return };
         let turn = waiting.request.turn.clone();
-        // Past its keep time the shard has forgotten it, while this loop still holds its events.
+        // After the retention time the shard has deleted the record, while this loop still has the events.
         let Some(record) = record.or_else(|| self.record_from_history(&waiting.request)) else {
             refuse(waiting.client, SessionRefusal::TryAgain, &mut self.effects);
             return;
@@ -73,17 +73,17 @@
             self.attach(waiting.client, &record, &waiting.request, waiting.last_seen);
             return;
         }
-        self.history.keep_record(record.clone());
+        self.history.insert_record(record.clone());
         self.attach(waiting.client, &record, &waiting.request, waiting.last_seen);
     }
 
-    pub(crate) fn look_up_failed(&mut self, look_up: LookUpId) {
-        if let Some(waiting) = self.look_ups.remove(&look_up) {
+    pub(crate) fn lookup_failed(&mut self, look_up: LookUpId) {
+        if let Some(waiting) = self.lookups.remove(&look_up) {
             refuse(waiting.client, SessionRefusal::TryAgain, &mut self.effects);
         }
     }
 
-    /// A record made of the loop's own events; `None` when the request differs from them.
+    /// Reconstructs a turn's record from the loop's own events; `None` if they do not match the request.
     fn record_from_history(&self, request: &TurnRequest) -> Option<TurnRecord> {
         let events = self.history.of_turn(&request.turn, EventSeq(0));
         let (first, last) = (events.first()?, events.last()?);
--- a/crates/session/src/broken_rules.rs
+++ b/crates/session/src/broken_rules.rs
@@ -1,5 +1,5 @@
-//! A rule broken on purpose, so that tests of whole fleets can show that it is noticed. Compiled with the
-//! feature `broken-rules` only, which no product is built with.
+//! A deliberate violation of the release rule, with which fleet tests verify that violations are detected. Compiled
+//! only with the feature `broken-rules`, which is never enabled in a product build.
 
 use hooklug_state::shard::{Event, ShardCommand};
 use hooklug_types::EventSeq;
@@ -7,14 +7,14 @@
 use crate::session::{PendingEvent, Session};
 
 impl Session {
-    /// Shows events to clients before their append is committed.
+    /// Sends events to clients before their append is committed.
     pub(crate) fn release_uncommitted(&mut self, command: &ShardCommand, events: &[PendingEvent]) {
         let ShardCommand::AppendEvents { turn, first_seq, .. } = command else { return };
-        let places = (first_seq.0..).map(EventSeq);
-        let shown: Vec<Event> = places
+        let seqs = (first_seq.0..).map(EventSeq);
+        let released: Vec<Event> = seqs
             .zip(events)
             .map(|(seq, pending)| Event { seq, turn: turn.clone(), body: pending.body.clone() })
             .collect();
-        self.clients.release(&shown, &mut self.effects);
+        self.clients.release(&released, &mut self.effects);
     }
 }
--- a/crates/session/src/clients.rs
+++ b/crates/session/src/clients.rs
@@ -1,4 +1,4 @@
-//! Connected clients and what each has been sent.
+//! The connected clients of a session and the last event sent to each.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 use crate::effect::{ClientItem, Effect, SessionRefusal};
 use crate::message::ClientId;
 
-/// What a client follows.
+/// The events that a client is subscribed to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Follows {
+enum Subscription {
     /// All events of the session.
     Session,
     /// Events of one turn.
@@ -19,11 +19,11 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Client {
-    follows: Follows,
+    subscription: Subscription,
     last_sent: EventSeq,
 }
 
-/// The clients of one session.
+/// The connected clients of one session.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct Clients {
     connected: BTreeMap<ClientId, Client>,
@@ -38,25 +38,31 @@
         self.connected.remove(&client);
     }
 
-    pub(crate) fn follow_session(&mut self, client: ClientId, last_sent: EventSeq) {
-        self.connected.insert(client, Client { follows: Follows::Session, last_sent });
+    pub(crate) fn subscribe_to_session(&mut self, client: ClientId, last_sent: EventSeq) {
+        self.connected.insert(client, Client { subscription: Subscription::Session, last_sent });
     }
 
-    pub(crate) fn follow_turn(&mut self, client: ClientId, turn: TurnId, last_sent: EventSeq) {
-        self.connected.insert(client, Client { follows: Follows::Turn(turn), last_sent });
+    pub(crate) fn subscribe_to_turn(
+        &mut self,
+        client: ClientId,
+        turn: TurnId,
+        last_sent: EventSeq,
+    ) {
+        self.connected.insert(client, Client { subscription: Subscription::Turn(turn), last_sent });
     }
 
-    /// Sends committed events to all whom they concern; ends streams that are complete.
+    /// Sends committed events to the clients subscribed to them, and ends streams that are complete.
     pub(crate) fn release(&mut self, events: &[Event], effects: &mut Vec<Effect>) {
         let mut complete = Vec::new();
         for (&id, client) in &mut self.connected {
-            let wanted: Vec<Event> = events.iter().filter(|e| client.wants(e)).cloned().collect();
-            let Some(last) = wanted.last() else { continue };
+            let due: Vec<Event> =
+                events.iter().filter(|e| client.should_receive(e)).cloned().collect();
+            let Some(last) = due.last() else { continue };
             client.last_sent = last.seq;
-            if client.is_complete_with(last) {
+            if client.is_last_event(last) {
                 complete.push(id);
             }
-            effects.push(Effect::Send { client: id, item: ClientItem::Events(wanted) });
+            effects.push(Effect::Send { client: id, item: ClientItem::Events(due) });
         }
         for client in complete {
             self.connected.remove(&client);
@@ -64,7 +70,7 @@
         }
     }
 
-    /// Tells all clients that nothing more comes from here.
+    /// Sends a refusal to all clients and ends their streams.
     pub(crate) fn refuse_all(&mut self, refusal: &SessionRefusal, effects: &mut Vec<Effect>) {
         for client in std::mem::take(&mut self.connected).into_keys() {
             refuse(client, refusal.clone(), effects);
@@ -73,23 +79,23 @@
 }
 
 impl Client {
-    fn wants(&self, event: &Event) -> bool {
-        let followed = match &self.follows {
-            Follows::Session => true,
-            Follows::Turn(turn) => event.turn.as_ref() == Some(turn),
+    fn should_receive(&self, event: &Event) -> bool {
+        let subscribed = match &self.subscription {
+            Subscription::Session => true,
+            Subscription::Turn(turn) => event.turn.as_ref() == Some(turn),
         };
-        followed && event.seq > self.last_sent
+        subscribed && event.seq > self.last_sent
     }
 
-    fn is_complete_with(&self, event: &Event) -> bool {
-        match self.follows {
-            Follows::Session => matches!(event.body, EventBody::Closed),
-            Follows::Turn(_) => matches!(event.body, EventBody::TurnEnded { .. }),
+    fn is_last_event(&self, event: &Event) -> bool {
+        match self.subscription {
+            Subscription::Session => matches!(event.body, EventBody::Closed),
+            Subscription::Turn(_) => matches!(event.body, EventBody::TurnEnded { .. }),
         }
     }
 }
 
-/// Tells one client that nothing (more) comes from here.
+/// Sends a refusal to one client and ends its stream.
 pub(crate) fn refuse(client: ClientId, refusal: SessionRefusal, effects: &mut Vec<Effect>) {
     effects.push(Effect::Send { client, item: ClientItem::Refused(refusal) });
     effects.push(Effect::EndClient { client });
--- a/crates/session/src/commit.rs
+++ b/crates/session/src/commit.rs
@@ -1,5 +1,5 @@
-//! Commits: one in flight a session, the next carries all that has gathered since. Events are
-//! released only here, after the shard has answered.
+//! Commits of a session. One commit is in flight at a time; the next one carries all events that were queued
+//! meanwhile. Events are released to clients only here, after the shard has replied.
 
 use std::time::Instant;
 
@@ -9,20 +9,20 @@
 };
 use hooklug_types::{EndReason, EventSeq, TokenCount, TurnId};
 
-use crate::effect::{Answer, Effect, Ending, SessionRefusal};
+use crate::effect::{Answer, Effect, ExitReason, SessionRefusal};
 use crate::message::{CommitId, ReplyId};
 use crate::phase::Phase;
 use crate::session::{PendingEvent, Session};
 
-/// Bytes of event texts after which an append is closed (ours); it holds at least one event.
-const APPEND_BYTES: usize = 256 << 10;
+/// Maximum size in bytes of the event texts in one append. A single event may exceed it.
+const MAX_APPEND_BYTES: usize = 256 << 10;
 
-/// A commit whose answer is awaited.
+/// A commit that waits for the shard's reply.
 #[derive(Debug, Clone)]
 pub(crate) struct InFlight {
     commit: CommitId,
     command: ShardCommand,
-    /// For appends: the events, with those who wait for them.
+    /// The events of an append, with the requests that wait for them; empty for other commands.
     events: Vec<PendingEvent>,
 }
 
@@ -37,8 +37,8 @@
 }
 
 impl Session {
-    /// Sends the next commit if none is in flight and something waits for one.
-    pub(crate) fn advance(&mut self) {
+    /// Sends the next commit, if none is in flight and there is something to commit.
+    pub(crate) fn send_next_commit(&mut self) {
         if self.in_flight.is_some() {
             return;
         }
@@ -52,7 +52,7 @@
 
     fn next_command(&mut self) -> Option<(ShardCommand, Vec<PendingEvent>)> {
         if !self.pending.is_empty() {
-            let events = self.take_append();
+            let events = self.take_append_batch();
             return Some((self.append_command(&events), events));
         }
         let (key, epoch) = (self.record.key.clone(), self.record.epoch);
@@ -82,12 +82,12 @@
         Some((command, Vec::new()))
     }
 
-    fn take_append(&mut self) -> Vec<PendingEvent> {
+    fn take_append_batch(&mut self) -> Vec<PendingEvent> {
         let mut bytes = 0;
         let mut taken = Vec::new();
         while let Some(next) = self.pending.front() {
             bytes += text_bytes(&next.body);
-            if bytes > APPEND_BYTES && !taken.is_empty() {
+            if bytes > MAX_APPEND_BYTES && !taken.is_empty() {
                 break;
             }
             taken.extend(self.pending.pop_front());
@@ -114,15 +114,15 @@
         matches!(command, Some(ShardCommand::BeginTurn(_)))
     }
 
-    /// The answer was lost: the same again, which changes nothing if it was applied.
-    pub(crate) fn commit_again(&mut self, commit: CommitId) {
+    /// Resends a commit whose reply was lost. Commands are idempotent, so this is safe if it was already applied.
+    pub(crate) fn resend_commit(&mut self, commit: CommitId) {
         if let Some(in_flight) = self.in_flight.as_ref().filter(|f| f.commit == commit) {
             let command = in_flight.command.clone();
             self.effects.push(Effect::Commit { commit, command });
         }
     }
 
-    pub(crate) fn committed(&mut self, commit: CommitId, reply: ShardReply, now: Instant) {
+    pub(crate) fn commit_replied(&mut self, commit: CommitId, reply: ShardReply, now: Instant) {
         if self.in_flight.as_ref().is_none_or(|f| f.commit != commit) {
             return;
         }
@@ -131,26 +131,26 @@
             ShardReply::Refused(refusal) => self.commit_refused(in_flight, refusal),
             reply => self.commit_applied(in_flight, reply),
         }
-        self.note_unconnected(now);
+        self.update_unconnected_since(now);
     }
 
     fn commit_refused(&mut self, in_flight: InFlight, refusal: ShardRefusal) {
         let handed_over = matches!(in_flight.command, ShardCommand::HandOver { .. });
         let begin = matches!(in_flight.command, ShardCommand::BeginTurn(_));
-        let fits = begin && self.begin_refusal_fits(&refusal);
-        // Put back, so that those who wait are told by `end`.
-        self.in_flight = (!fits).then_some(in_flight);
+        let is_expected = begin && self.is_expected_begin_refusal(&refusal);
+        // Put back, so that `end` replies to the waiting requests.
+        self.in_flight = (!is_expected).then_some(in_flight);
         match refusal {
-            ShardRefusal::StaleEpoch { .. } if handed_over => self.end(Ending::HandedOver),
-            ShardRefusal::StaleEpoch { record } => self.end(Ending::NotOwner(Some(record))),
-            refusal if fits => self.drop_starting(&SessionRefusal::Ledger(refusal)),
-            ShardRefusal::SessionClosed => self.end(Ending::Closed),
-            _ => self.end(Ending::OutOfStep),
+            ShardRefusal::StaleEpoch { .. } if handed_over => self.end(ExitReason::HandedOver),
+            ShardRefusal::StaleEpoch { record } => self.end(ExitReason::NotOwner(Some(record))),
+            refusal if is_expected => self.refuse_starting_turn(&SessionRefusal::Ledger(refusal)),
+            ShardRefusal::SessionClosed => self.end(ExitReason::Closed),
+            _ => self.end(ExitReason::OutOfSync),
         }
     }
 
-    /// Whether a refusal of `BeginTurn` agrees with what this loop knows of the session.
-    fn begin_refusal_fits(&self, refusal: &ShardRefusal) -> bool {
+    /// Whether a refusal of `BeginTurn` is consistent with this loop's copy of the session.
+    fn is_expected_begin_refusal(&self, refusal: &ShardRefusal) -> bool {
         match refusal {
             ShardRefusal::NotHead { head, .. } => *head == self.record.head,
             ShardRefusal::TurnDiffers
@@ -162,7 +162,7 @@
     }
 
     fn commit_applied(&mut self, in_flight: InFlight, reply: ShardReply) {
-        let fits = match (&in_flight.command, reply) {
+        let is_expected = match (&in_flight.command, reply) {
             (ShardCommand::BeginTurn(_), ShardReply::Turn(grant)) => self.begin_applied(grant),
             (
                 ShardCommand::AppendEvents { turn, first_seq, .. },
@@ -178,34 +178,34 @@
                 self.close_applied(record)
             }
             (ShardCommand::HandOver { .. }, ShardReply::Session(_) | ShardReply::Done) => {
-                self.end(Ending::HandedOver);
+                self.end(ExitReason::HandedOver);
                 true
             }
             _ => false,
         };
-        if !fits {
-            // Put back, so that those who wait are told by `end`.
+        if !is_expected {
+            // Put back, so that `end` replies to the waiting requests.
             self.in_flight = Some(in_flight);
-            self.end(Ending::OutOfStep);
+            self.end(ExitReason::OutOfSync);
         }
     }
 
     fn begin_applied(&mut self, grant: TurnGrant) -> bool {
         match grant.existing {
             Some(known) if matches!(known.state, TurnState::Ended { .. }) => {
-                let in_history = self.history.knows(&known.turn);
+                let in_history = self.history.contains_turn(&known.turn);
                 if in_history {
-                    self.turn_found(known);
+                    self.turn_already_ended(known);
                 }
                 in_history
             }
-            // Open already: an earlier sending of this very command was applied.
+            // Either newly started, or already open because an earlier send of this command was applied.
             _ => {
-                let fits = grant.started == self.record.next_seq;
-                if fits {
-                    self.turn_begun(&grant);
+                let is_expected = grant.started == self.record.next_seq;
+                if is_expected {
+                    self.turn_started(&grant);
                 }
-                fits
+                is_expected
             }
         }
     }
@@ -225,9 +225,9 @@
         if let Phase::Open(open) = &mut self.phase {
             open.record.tokens.0 += token_sum(&released).0;
         }
-        // Without the rule they were shown already.
+        // With the feature, `release_uncommitted` has already sent the events.
         #[cfg(feature = "broken-rules")]
-        self.keep(released);
+        self.store_events(released);
         #[cfg(not(feature = "broken-rules"))]
         self.release(released);
         for (reply, seq) in replies {
@@ -241,7 +241,7 @@
         if last_seq != self.record.next_seq || ended.turn != *turn {
             return false;
         }
-        let event = ended_event(turn, last_seq, reason, ended.tokens);
+        let event = turn_ended_event(turn, last_seq, reason, ended.tokens);
         self.turn_ended(&ended, event);
         true
     }
@@ -259,17 +259,17 @@
         for reply in self.closing.take().unwrap_or_default() {
             self.reply(reply, Ok(Answer::Closed(Box::new(self.record.clone()))));
         }
-        self.end(Ending::Closed);
+        self.end(ExitReason::Closed);
         true
     }
 
-    /// Adds committed events to the history and sends them to all whom they concern.
+    /// Adds committed events to the history and sends them to the subscribed clients.
     pub(crate) fn release(&mut self, events: Vec<Event>) {
         self.clients.release(&events, &mut self.effects);
-        self.keep(events);
+        self.store_events(events);
     }
 
-    fn keep(&mut self, events: Vec<Event>) {
+    fn store_events(&mut self, events: Vec<Event>) {
         for event in events {
             self.record.next_seq = event.seq.next();
             self.history.push(event);
@@ -277,7 +277,7 @@
     }
 }
 
-fn ended_event(turn: &TurnId, seq: EventSeq, reason: EndReason, tokens: TokenCount) -> Event {
+fn turn_ended_event(turn: &TurnId, seq: EventSeq, reason: EndReason, tokens: TokenCount) -> Event {
     Event { seq, turn: Some(turn.clone()), body: EventBody::TurnEnded { reason, tokens } }
 }
 
--- a/crates/session/src/effect.rs
+++ b/crates/session/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a session's loop wants done.
+//! Effects: the actions that a session's loop returns for its driver to carry out.
 
 use std::time::{Duration, Instant};
 
@@ -7,183 +7,183 @@
 
 use crate::message::{ClientId, CommitId, GenerationId, LookUpId, ReplyId, SlotTicket};
 
-/// Something to be done outside the loop.
+/// An action for the driver of the loop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Have a command applied by the session's shard; answer with `Committed` or `CommitUncertain`.
+    /// Commit a command in the session's shard; the driver replies with `Committed` or `CommitUncertain`.
     Commit {
-        /// Which commit; the same again when its answer was lost.
+        /// Id of the commit; a resend has the same id.
         commit: CommitId,
         /// The command.
         command: ShardCommand,
     },
-    /// Ask admission for a slot; answer with `SlotGranted` or `SlotRefused`.
+    /// Request a slot from admission; the driver replies with `SlotGranted` or `SlotRefused`.
     RequestSlot {
-        /// The wish.
+        /// The slot request.
         ticket: SlotTicket,
-        /// For whom.
+        /// Admission parameters of the turn.
         request: SlotRequest,
     },
-    /// Give a slot, or the wish for one, back.
+    /// Release a slot, or cancel a pending slot request.
     ReleaseSlot {
-        /// The wish.
+        /// The slot request.
         ticket: SlotTicket,
     },
-    /// Start a generation; its output comes back as `Model` messages.
+    /// Start a generation; the driver delivers its output in `Model` messages.
     StartGeneration {
-        /// Which.
+        /// Id of the generation.
         generation: GenerationId,
-        /// What to ask the model server.
+        /// The request to the model server.
         request: Box<GenerationRequest>,
     },
     /// Stop a generation.
     StopGeneration {
-        /// Which.
+        /// Id of the generation.
         generation: GenerationId,
     },
-    /// Read a turn's record from the shard; answer with `TurnLookedUp` or `LookUpFailed`.
+    /// Read a turn's record from the shard; the driver replies with `TurnLookedUp` or `LookUpFailed`.
     LookUpTurn {
-        /// Which look-up.
+        /// Id of the lookup.
         look_up: LookUpId,
         /// The turn.
         turn: TurnId,
     },
-    /// Send something to a client. When its buffer is full, cut it and tell the loop with `Leave`.
+    /// Send an item to a client. If the client's buffer is full, the driver disconnects the client and sends `Leave`.
     Send {
         /// The client.
         client: ClientId,
-        /// What.
+        /// The item.
         item: ClientItem,
     },
-    /// The client's stream is over.
+    /// End a client's stream.
     EndClient {
         /// The client.
         client: ClientId,
     },
-    /// Answer somebody who waits.
+    /// Reply to a waiting request.
     Reply {
-        /// Who.
+        /// Id of the request.
         reply: ReplyId,
-        /// The answer.
+        /// The reply.
         answer: Result<Answer, SessionRefusal>,
     },
-    /// The loop is over; nothing follows but refusals.
-    Ended(Ending),
+    /// The loop has ended; afterwards it only refuses messages.
+    Ended(ExitReason),
 }
 
-/// A wish for a slot.
+/// Admission parameters of a turn that needs a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// For fairness.
+    /// Tenant, for fair queueing.
     pub tenant: TenantId,
-    /// For windows.
+    /// Window group, for reserved slots.
     pub group: Option<WindowGroup>,
-    /// Whether it may use the urgent reserve.
+    /// Whether the turn may use the slots reserved for urgent turns.
     pub urgent: bool,
-    /// When the turn has to be over.
+    /// Deadline of the turn.
     pub deadline: Instant,
 }
 
-/// What the model server is asked.
+/// A request to the model server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GenerationRequest {
-    /// Which session; key of the model server's cache.
+    /// The session; also the key of the model server's cache.
     pub key: SessionKey,
     /// The turn.
     pub turn: TurnId,
-    /// Shared prefix of the session's prompt.
+    /// Shared prompt prefix of the session.
     pub prefix: Option<PrefixId>,
-    /// The whole history before the turn.
+    /// The full history before the turn.
     pub history: Vec<Event>,
-    /// The new input.
+    /// Input of the turn.
     pub input: String,
-    /// Tokens reserved for the turn.
+    /// Number of tokens reserved for the turn.
     pub max_tokens: TokenCount,
-    /// When the turn has to be over.
+    /// Deadline of the turn.
     pub deadline: Instant,
 }
 
 /// An item of a client's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientItem {
-    /// The whole history so far.
+    /// The full history so far.
     Sync {
-        /// The session.
+        /// The session's record.
         record: Box<SessionRecord>,
-        /// Its events.
+        /// All events of the session.
         history: Vec<Event>,
     },
-    /// The turn that the client follows.
+    /// The record of the turn that the client is subscribed to.
     Accepted(TurnRecord),
     /// Committed events, in order.
     Events(Vec<Event>),
-    /// Nothing (more) comes from here.
+    /// The request or the subscription was refused; the last item of the stream.
     Refused(SessionRefusal),
 }
 
-/// The answer to a request that has one.
+/// The reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// The turn, as recorded.
     Turn(TurnRecord),
-    /// Place of the tool result in the stream.
+    /// Sequence number of the tool result in the session's stream.
     ToolResult(EventSeq),
     /// The closed session.
     Closed(Box<SessionRecord>),
 }
 
-/// Why the loop does not do what was asked.
+/// The reason why the loop refused a request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SessionRefusal {
-    /// The shard refused.
+    /// The shard refused the command.
     #[error("{0}")]
     Ledger(ShardRefusal),
     /// Another engine owns the session.
-    #[error("not the owner")]
+    #[error("this engine does not own the session")]
     NotOwner {
-        /// The record that shows it, if known.
+        /// The session's record that names the owner, if known.
         record: Option<Box<SessionRecord>>,
     },
-    /// The engine's lease has run out.
-    #[error("the lease has run out")]
+    /// The engine's lease has expired.
+    #[error("the engine's lease has expired")]
     LeaseLost,
-    /// The session is being given up or closed.
-    #[error("session is being given up")]
+    /// The session is being handed over or closed.
+    #[error("the session is being handed over or closed")]
     HandedOver,
-    /// No slot.
-    #[error("overloaded")]
+    /// Admission refused a slot.
+    #[error("the engine is overloaded")]
     Overloaded {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// The deadline passed before the turn began.
+    /// The deadline passed before the turn started.
     #[error("deadline exceeded")]
     DeadlineExceeded,
-    /// The loop does not know the turn; only the shard can tell.
-    #[error("the loop does not know the turn")]
+    /// The turn is not known to the loop; the shard may still have a record of it.
+    #[error("the session's engine does not know the turn")]
     UnknownTurn,
-    /// The shard could not be asked, or its answer does not fit the loop's copy; try again.
-    #[error("try again")]
+    /// The shard was unreachable, or its reply contradicts the loop's copy of the session; the request may be retried.
+    #[error("the session's state could not be determined; retry the request")]
     TryAgain,
 }
 
-/// Why a loop is over.
+/// The reason why a loop ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ending {
-    /// The session is closed.
+pub enum ExitReason {
+    /// The session was closed.
     Closed,
-    /// The session was given up between turns.
+    /// The session was handed over between turns.
     HandedOver,
     /// Another engine owns the session.
     NotOwner(Option<Box<SessionRecord>>),
-    /// The lease has run out.
+    /// The engine's lease has expired.
     LeaseLost,
-    /// The shard's answer does not fit the loop's copy, which has to be loaded anew.
-    OutOfStep,
+    /// The shard's reply contradicts the loop's copy of the session, which must be loaded again.
+    OutOfSync,
 }
 
-impl Ending {
-    /// What clients and waiting callers are told.
+impl ExitReason {
+    /// Returns the refusal that is sent to clients and waiting requests.
     #[must_use]
     pub fn refusal(&self) -> SessionRefusal {
         match self {
@@ -191,7 +191,7 @@
             Self::HandedOver => SessionRefusal::HandedOver,
             Self::NotOwner(record) => SessionRefusal::NotOwner { record: record.clone() },
             Self::LeaseLost => SessionRefusal::LeaseLost,
-            Self::OutOfStep => SessionRefusal::TryAgain,
+            Self::OutOfSync => SessionRefusal::TryAgain,
         }
     }
 }
--- a/crates/session/src/generation.rs
+++ b/crates/session/src/generation.rs
@@ -1,4 +1,4 @@
-//! The model's part of a turn: starting it, and taking what it says.
+//! The generation of a turn: starts the model and handles its output.
 
 use hooklug_state::shard::EventBody;
 use hooklug_types::{EndReason, FailureCode, TokenCount};
@@ -43,7 +43,7 @@
             }
             ModelEvent::Tool { tool, arguments } => EventBody::ToolRequested { tool, arguments },
             ModelEvent::End(end) => {
-                // The generation is over by itself: nothing to stop.
+                // The generation has ended, so there is nothing to stop.
                 open.generation = None;
                 let reason = match end {
                     ModelEnd::Stop => EndReason::Finished,
--- a/crates/session/src/history.rs
+++ b/crates/session/src/history.rs
@@ -1,24 +1,24 @@
-//! The committed events of a session, and what follows from them.
+//! The committed events of a session, with indexes by turn and tool call.
 
 use std::collections::BTreeMap;
 
 use hooklug_state::shard::{Event, EventBody, TurnRecord};
 use hooklug_types::{EventSeq, TurnId};
 
-/// Where a turn's events lie.
+/// The range of a turn's events in the session's stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct TurnSpan {
     started: EventSeq,
     ended: Option<EventSeq>,
 }
 
-/// Committed events, in order, without gaps from 1.
+/// Committed events in order, numbered from 1 without gaps.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct History {
     events: Vec<Event>,
     spans: BTreeMap<TurnId, TurnSpan>,
     tool_results: BTreeMap<String, EventSeq>,
-    /// Records of turns that this loop has seen begin or looked up.
+    /// Records of turns that this loop ran or looked up.
     records: BTreeMap<TurnId, TurnRecord>,
 }
 
@@ -53,19 +53,19 @@
         &self.events
     }
 
-    /// Events after a place.
+    /// Returns the events after a sequence number.
     pub(crate) fn after(&self, seq: EventSeq) -> &[Event] {
         let from = self.events.partition_point(|e| e.seq <= seq);
         &self.events[from..]
     }
 
-    /// Events before a place.
+    /// Returns the events before a sequence number.
     pub(crate) fn before(&self, seq: EventSeq) -> &[Event] {
         let to = self.events.partition_point(|e| e.seq < seq);
         &self.events[..to]
     }
 
-    /// Events of a turn after a place.
+    /// Returns the events of a turn after a sequence number.
     pub(crate) fn of_turn(&self, turn: &TurnId, after: EventSeq) -> Vec<Event> {
         let Some(span) = self.spans.get(turn) else { return Vec::new() };
         let within = |e: &&Event| {
@@ -75,7 +75,7 @@
         self.after(from).iter().filter(within).cloned().collect()
     }
 
-    pub(crate) fn knows(&self, turn: &TurnId) -> bool {
+    pub(crate) fn contains_turn(&self, turn: &TurnId) -> bool {
         self.spans.contains_key(turn)
     }
 
@@ -87,7 +87,7 @@
         self.records.get(turn)
     }
 
-    pub(crate) fn keep_record(&mut self, record: TurnRecord) {
+    pub(crate) fn insert_record(&mut self, record: TurnRecord) {
         self.records.insert(record.turn.clone(), record);
     }
 }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,10 +1,10 @@
-//! The ordered loop of one session (write-up, "Correctness"): typed messages in, effects out.
+//! The event loop of a session (write-up, "Correctness"): typed messages in, effects out.
 //!
-//! A [`Session`] keeps the committed history of one session and the clients connected to it. It
-//! takes one [`Message`] at a time, never waits, and returns [`Effect`]s for its caller to carry
-//! out. Slow work (commits, generation, waiting for a slot) runs outside and comes back as messages.
-//! No event reaches a client before its commit is known, and once the loop learns that it may not
-//! own the session any more it releases nothing for ever.
+//! A [`Session`] holds the committed history of one session and the clients connected to it. It handles one
+//! [`Message`] at a time, never blocks, and returns [`Effect`]s for its driver to carry out. Slow work (commits,
+//! generation, waiting for a slot) runs outside the loop, and its results arrive as messages. No event is sent to a
+//! client before its commit is known, and once the loop learns that it may no longer own the session, it never
+//! releases another event.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -23,7 +23,7 @@
 mod turn;
 
 pub use effect::{
-    Answer, ClientItem, Effect, Ending, GenerationRequest, SessionRefusal, SlotRequest,
+    Answer, ClientItem, Effect, ExitReason, GenerationRequest, SessionRefusal, SlotRequest,
 };
 pub use message::{
     ClientId, CommitId, GenerationId, LookUpId, Message, ModelEnd, ModelEvent, ReplyId,
--- a/crates/session/src/message.rs
+++ b/crates/session/src/message.rs
@@ -1,4 +1,4 @@
-//! What a session's loop is told.
+//! Messages to a session's loop.
 
 use std::time::{Duration, Instant};
 
@@ -14,190 +14,190 @@
 }
 
 loop_ids! {
-    /// A connected client; chosen by the caller of the loop, never used twice.
+    /// Id of a connected client; chosen by the loop's driver and never reused.
     ClientId,
-    /// Somebody who waits for one answer; chosen by the caller of the loop, never used twice.
+    /// Id of a request that waits for a reply; chosen by the loop's driver and never reused.
     ReplyId,
-    /// One commit; chosen by the loop.
+    /// Id of a commit; chosen by the loop.
     CommitId,
-    /// One run of the model; chosen by the loop.
+    /// Id of a generation, that is, one run of the model; chosen by the loop.
     GenerationId,
-    /// One wish for a slot; chosen by the loop.
+    /// Id of a slot request; chosen by the loop.
     SlotTicket,
-    /// One look-up of a turn's record; chosen by the loop.
+    /// Id of a lookup of a turn's record; chosen by the loop.
     LookUpId,
 }
 
-/// A turn as its caller asks for it.
+/// A request to run a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct TurnRequest {
     /// The turn.
     pub turn: TurnId,
-    /// The turn that it follows.
+    /// The preceding turn.
     pub after: Option<TurnId>,
-    /// The new input.
+    /// Input of the turn.
     pub input: String,
-    /// Tokens that it may stream.
+    /// Maximum number of tokens that the turn may stream.
     pub max_tokens: TokenCount,
-    /// Digest of its content, to tell a resend from another turn.
+    /// Digest of the turn's content, to distinguish a resend from a different turn.
     pub digest: Digest,
-    /// For fairness between tenants.
+    /// Tenant, for fair queueing.
     pub tenant: TenantId,
-    /// For windows.
+    /// Window group, for reserved slots.
     pub group: Option<WindowGroup>,
-    /// Whether it may use the urgent reserve.
+    /// Whether the turn may use the slots reserved for urgent turns.
     pub urgent: bool,
-    /// When it has to be over.
+    /// Deadline of the turn.
     pub deadline: Instant,
 }
 
-/// What the model server said in one generation.
+/// Output of the model server in a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ModelEvent {
-    /// Text.
+    /// Generated text.
     Text {
         /// The text.
         text: String,
-        /// Tokens in it.
+        /// Number of tokens in the text.
         tokens: TokenCount,
     },
-    /// A wish for a tool call.
+    /// A request for a tool call.
     Tool {
         /// Name of the tool.
         tool: String,
         /// Its arguments, as JSON text.
         arguments: String,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End(ModelEnd),
-    /// The generation failed before any output, in a way that is known.
+    /// The generation failed before any output, for a known reason.
     Failed(FailureCode),
-    /// The answer was cut short, crossed or garbled; what came before it is sound.
+    /// The response was truncated, corrupted, or continued with data of another request; earlier output is valid.
     Cut,
 }
 
-/// How a model server ended a whole answer.
+/// The reason why the model server ended a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ModelEnd {
-    /// The model was done.
+    /// The model finished.
     Stop,
     /// The token limit was reached.
     Length,
-    /// The model failed.
+    /// The model reported an error.
     Error,
 }
 
-/// Why a turn got no slot.
+/// The reason why a turn was refused a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SlotRefusal {
-    /// The queue is full or the turn can no longer end in time.
+    /// The queue is full, or the turn can no longer finish in time.
     Overloaded {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// The deadline passed while it waited.
+    /// The deadline passed while the turn was queued.
     DeadlineExceeded,
 }
 
 /// A message to a session's loop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// A client joins the common stream.
+    /// A client subscribes to all events of the session.
     Join {
         /// The client.
         client: ClientId,
-        /// Place of the last event that it has; `None` asks for a full sync.
+        /// Sequence number of the last event that the client has; `None` requests a full sync.
         last_seen: Option<EventSeq>,
     },
-    /// A client has gone, or was cut because it is too slow.
+    /// A client has disconnected, or was disconnected because it is too slow.
     Leave {
         /// The client.
         client: ClientId,
     },
-    /// A client asks for a turn, or again for one that exists, and follows its stream.
+    /// A client requests a new or existing turn and subscribes to its events.
     RunTurn {
         /// The client.
         client: ClientId,
         /// The turn.
         request: TurnRequest,
-        /// Place of the last event that it has; 0 for none.
+        /// Sequence number of the last event that the client has; 0 for none.
         last_seen: EventSeq,
     },
-    /// The turn's record, from a linearizable read; asked for by `LookUpTurn`.
+    /// Result of `LookUpTurn`: the turn's record, from a linearizable read.
     TurnLookedUp {
-        /// Which look-up.
+        /// Id of the lookup.
         look_up: LookUpId,
-        /// The record; `None` when there is none (any more).
+        /// The record; `None` if the shard has none, or no longer has one.
         record: Option<TurnRecord>,
     },
-    /// The record could not be read.
+    /// Result of `LookUpTurn`: the record could not be read.
     LookUpFailed {
-        /// Which look-up.
+        /// Id of the lookup.
         look_up: LookUpId,
     },
-    /// A slot is free for the waiting turn.
+    /// Admission granted a slot to the waiting turn.
     SlotGranted {
-        /// The wish.
+        /// The slot request.
         ticket: SlotTicket,
     },
-    /// The waiting turn gets no slot.
+    /// Admission refused a slot to the waiting turn.
     SlotRefused {
-        /// The wish.
+        /// The slot request.
         ticket: SlotTicket,
-        /// Why.
+        /// The reason.
         refusal: SlotRefusal,
     },
-    /// The result of a tool call.
+    /// Delivers the result of a tool call.
     ToolResult {
-        /// Who waits.
+        /// Id of the request, for the reply.
         reply: ReplyId,
-        /// The call, as the program named it.
+        /// The call id, chosen by the program.
         call: String,
         /// The result, as JSON text.
         result: String,
     },
     /// Aborts a turn.
     Abort {
-        /// Who waits.
+        /// Id of the request, for the reply.
         reply: ReplyId,
         /// The turn.
         turn: TurnId,
     },
-    /// Closes the session, after aborting its open turn.
+    /// Aborts the open turn, if there is one, and closes the session.
     Close {
-        /// Who waits.
+        /// Id of the request, for the reply.
         reply: ReplyId,
     },
-    /// Gives the session up at the end of the open turn.
+    /// Hands the session over after the open turn has ended.
     HandOver,
-    /// Ends the open turn as interrupted, now.
+    /// Ends the open turn immediately, as interrupted.
     Interrupt,
-    /// The model server said something.
+    /// Output of a generation.
     Model {
-        /// In which generation.
+        /// Id of the generation.
         generation: GenerationId,
-        /// What.
+        /// The output.
         event: ModelEvent,
     },
-    /// The shard answered a commit.
+    /// The shard replied to a commit.
     Committed {
-        /// Which.
+        /// Id of the commit.
         commit: CommitId,
-        /// The answer.
+        /// The shard's reply.
         reply: ShardReply,
     },
-    /// A commit's answer was lost; it may have been applied.
+    /// The reply to a commit was lost; the commit may have been applied.
     CommitUncertain {
-        /// Which.
+        /// Id of the commit.
         commit: CommitId,
     },
     /// The shard's record shows another owner or epoch.
     OwnerChanged {
-        /// The record.
+        /// The session's record.
         record: Box<SessionRecord>,
     },
-    /// The engine's lease has run out.
+    /// The engine's lease has expired.
     LeaseLost,
-    /// Time has passed; see [`Session::next_wake`](crate::Session::next_wake).
+    /// Checks deadlines; due at [`Session::next_wake`](crate::Session::next_wake).
     Tick,
 }
--- a/crates/session/src/phase.rs
+++ b/crates/session/src/phase.rs
@@ -1,4 +1,4 @@
-//! Where a session is in its line of turns, and what is known of the turn that it is at.
+//! The phase of a session (between turns, or in a turn that is starting or open) and the state of its current turn.
 
 use std::time::Instant;
 
@@ -8,53 +8,50 @@
 use crate::history::History;
 use crate::message::{ClientId, GenerationId, ReplyId, SlotTicket, TurnRequest};
 
-/// Where the session is in its line of turns.
+/// The phase of a session.
 #[derive(Debug, Clone)]
 pub(crate) enum Phase {
     /// Between turns.
     Idle,
-    /// A turn was asked for and is not committed yet.
+    /// A turn was requested but is not committed yet.
     Starting(Box<StartingTurn>),
-    /// A turn is committed and not over.
+    /// A turn is committed and has not ended.
     Open(Box<OpenTurn>),
 }
 
-/// A turn that is not committed yet.
+/// A requested turn that is not committed yet.
 #[derive(Debug, Clone)]
 pub(crate) struct StartingTurn {
     pub(crate) request: TurnRequest,
     pub(crate) clients: Vec<(ClientId, EventSeq)>,
-    /// Its slot, or the wish for one.
+    /// The turn's slot, or its pending slot request.
     pub(crate) ticket: Option<SlotTicket>,
-    /// Whether it may be committed.
+    /// Whether the turn may be committed.
     pub(crate) ready: bool,
-    /// Who asked to abort it meanwhile.
+    /// Abort requests that arrived before the turn was committed.
     pub(crate) aborts: Vec<ReplyId>,
 }
 
-/// A committed turn that is not over.
+/// A committed turn that has not ended.
 #[derive(Debug, Clone)]
 pub(crate) struct OpenTurn {
     pub(crate) record: TurnRecord,
-    /// Tokens that its caller asked for; more than reserved when the budget cut it.
+    /// Number of tokens that the caller requested; more than `record.reserved` if the budget limited the reservation.
     max_tokens: TokenCount,
     pub(crate) deadline: Instant,
     pub(crate) ticket: Option<SlotTicket>,
     pub(crate) generation: Option<GenerationId>,
-    /// Tokens generated, committed or not.
+    /// Number of generated tokens, committed or not.
     pub(crate) generated: TokenCount,
-    /// Why it is over, once it is; committed after all its events.
+    /// The reason why the turn ended, once it has; committed after all its events.
     pub(crate) ending: Option<EndReason>,
     pub(crate) replies: Vec<ReplyId>,
 }
 
 impl Phase {
-    /// A turn that is open in the record was left by an earlier loop of this engine: it has no generation any more.
-    pub(crate) fn left_by_earlier_loop(
-        record: &SessionRecord,
-        history: &History,
-        now: Instant,
-    ) -> Self {
+    /// Creates the phase of a newly loaded session. A turn that is open in the record was started by an earlier loop of
+    /// this engine and no longer has a generation, so it is ended as interrupted.
+    pub(crate) fn from_record(record: &SessionRecord, history: &History, now: Instant) -> Self {
         let Some(turn) = record.open_turn.clone() else { return Self::Idle };
         let started = history.of_turn(&turn, EventSeq(0)).first().map(|e| e.seq);
         let record = TurnRecord {
@@ -71,13 +68,13 @@
         Self::Open(Box::new(open))
     }
 
-    pub(crate) fn forget_client(&mut self, client: ClientId) {
+    pub(crate) fn remove_client(&mut self, client: ClientId) {
         if let Self::Starting(starting) = self {
             starting.clients.retain(|(c, _)| *c != client);
         }
     }
 
-    /// Whether a turn waits for its slot that nobody wants any more.
+    /// Whether a turn is waiting for its slot although all its clients have left.
     pub(crate) fn is_abandoned(&self) -> bool {
         matches!(self, Self::Starting(s) if s.clients.is_empty() && !s.ready)
     }
@@ -109,13 +106,14 @@
         }
     }
 
-    fn cut_by_budget(&self) -> bool {
+    fn is_limited_by_budget(&self) -> bool {
         self.record.reserved < self.max_tokens
     }
 
-    /// The end of a turn whose reservation is reached: by the budget, if that cut the reservation.
+    /// Returns the end reason of a turn that has used up its reservation: `BudgetSpent` if the budget limited the
+    /// reservation, otherwise `otherwise`.
     pub(crate) fn reason_at_limit(&self, otherwise: EndReason) -> EndReason {
-        if self.cut_by_budget() {
+        if self.is_limited_by_budget() {
             EndReason::Failed { code: FailureCode::BudgetSpent }
         } else {
             otherwise
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -1,4 +1,4 @@
-//! The loop itself: its state, and which part handles which message.
+//! The state of a session's loop and the dispatch of its messages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -6,50 +6,50 @@
 use hooklug_state::shard::{Event, EventBody, SessionRecord};
 use hooklug_types::{EventSeq, SessionEpoch, SessionKey};
 
-use crate::attach::LookedUp;
+use crate::attach::PendingLookup;
 use crate::clients::Clients;
 use crate::commit::InFlight;
-use crate::effect::{Answer, ClientItem, Effect, Ending, SessionRefusal};
+use crate::effect::{Answer, ClientItem, Effect, ExitReason, SessionRefusal};
 use crate::history::History;
 use crate::message::{ClientId, LookUpId, Message, ReplyId};
 use crate::phase::Phase;
 
-/// A session as it was read from its shard after ownership was committed.
+/// A session as read from its shard after this engine's ownership was committed.
 #[derive(Debug, Clone)]
 pub struct LoadedSession {
-    /// Its record; names this engine as the owner.
+    /// The session's record, which names this engine as the owner.
     pub record: SessionRecord,
-    /// All its events before `record.next_seq`.
+    /// All events of the session before `record.next_seq`.
     pub history: Vec<Event>,
-    /// When its program has to be over, on this process's clock.
+    /// End time of the session's program, on this process's clock.
     pub program_end: Instant,
 }
 
-/// Values that a loop is run with.
+/// Configuration of a session's loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionConfig {
-    /// How long a session without clients is kept open.
+    /// Time after which a session without clients is closed.
     pub unconnected_keep: Duration,
 }
 
-/// When a message is handled.
+/// The current time and the validity of the engine's lease, at which a message is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Moment {
-    /// Now.
+    /// The current time.
     pub now: Instant,
-    /// Until when the engine's lease is certainly held; from then on the loop releases nothing.
+    /// Time until which the engine certainly holds its lease; after it, the loop releases no events.
     pub lease_until: Instant,
 }
 
-/// An event that waits for its commit.
+/// An event that is not committed yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PendingEvent {
     pub(crate) body: EventBody,
-    /// Who waits for its place.
+    /// Requests that wait for the event's sequence number.
     pub(crate) replies: Vec<ReplyId>,
 }
 
-/// One session's ordered loop.
+/// The event loop of one session.
 #[derive(Debug, Clone)]
 pub struct Session {
     pub(crate) config: SessionConfig,
@@ -60,22 +60,22 @@
     pub(crate) phase: Phase,
     pub(crate) pending: VecDeque<PendingEvent>,
     pub(crate) in_flight: Option<InFlight>,
-    pub(crate) look_ups: BTreeMap<LookUpId, LookedUp>,
+    pub(crate) lookups: BTreeMap<LookUpId, PendingLookup>,
     pub(crate) closing: Option<Vec<ReplyId>>,
     pub(crate) handing_over: bool,
     pub(crate) unconnected_since: Option<Instant>,
-    pub(crate) ending: Option<Ending>,
+    pub(crate) exit_reason: Option<ExitReason>,
     pub(crate) last_id: u64,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Session {
-    /// A loop for a session that this engine owns. Send it a `Tick` first: a turn that was left open
-    /// by an earlier loop of this engine is then ended as interrupted.
+    /// Creates the loop of a session that this engine owns. The first message must be a `Tick`, which ends a turn that
+    /// an earlier loop of this engine left open as interrupted.
     #[must_use]
     pub fn new(loaded: LoadedSession, config: SessionConfig, now: Instant) -> Self {
         let history = History::new(loaded.history);
-        let phase = Phase::left_by_earlier_loop(&loaded.record, &history, now);
+        let phase = Phase::from_record(&loaded.record, &history, now);
         Self {
             config,
             record: loaded.record,
@@ -85,64 +85,64 @@
             phase,
             pending: VecDeque::new(),
             in_flight: None,
-            look_ups: BTreeMap::new(),
+            lookups: BTreeMap::new(),
             closing: None,
             handing_over: false,
             unconnected_since: Some(now),
-            ending: None,
+            exit_reason: None,
             last_id: 0,
             effects: Vec::new(),
         }
     }
 
-    /// Handles one message; never waits.
+    /// Handles one message without blocking, and returns the resulting effects.
     pub fn handle(&mut self, message: Message, moment: Moment) -> Vec<Effect> {
-        if self.ending.is_none() && moment.now >= moment.lease_until {
-            self.end(Ending::LeaseLost);
+        if self.exit_reason.is_none() && moment.now >= moment.lease_until {
+            self.end(ExitReason::LeaseLost);
         }
-        match self.ending.clone() {
+        match self.exit_reason.clone() {
             Some(ending) => self.refuse_after_end(&message, &ending),
             None => self.dispatch(message, moment.now),
         }
-        if self.ending.is_none() {
-            self.advance();
+        if self.exit_reason.is_none() {
+            self.send_next_commit();
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// When the next `Tick` is due, if no other message comes first.
+    /// Returns the time at which the next `Tick` is due, if no other message arrives first.
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
-        if self.ending.is_some() {
+        if self.exit_reason.is_some() {
             return None;
         }
         let idle_end = self.unconnected_since.map(|since| since + self.config.unconnected_keep);
-        let idle_end = idle_end.filter(|_| self.may_close_unconnected());
-        [self.turn_end_time(), idle_end].into_iter().flatten().min()
+        let idle_end = idle_end.filter(|_| self.can_close_unconnected());
+        [self.turn_deadline(), idle_end].into_iter().flatten().min()
     }
 
-    /// Which session.
+    /// Returns the key of the session.
     #[must_use]
     pub fn key(&self) -> &SessionKey {
         &self.record.key
     }
 
-    /// Epoch that it is held under.
+    /// Returns the epoch under which the session is owned.
     #[must_use]
     pub fn epoch(&self) -> SessionEpoch {
         self.record.epoch
     }
 
-    /// The session as the loop's committed messages left it.
+    /// Returns the session's record as of the last commit.
     #[must_use]
     pub fn record(&self) -> &SessionRecord {
         &self.record
     }
 
-    /// Why the loop is over, once it is.
+    /// Returns the reason why the loop ended, once it has.
     #[must_use]
-    pub fn ending(&self) -> Option<&Ending> {
-        self.ending.as_ref()
+    pub fn ending(&self) -> Option<&ExitReason> {
+        self.exit_reason.as_ref()
     }
 
     fn dispatch(&mut self, message: Message, now: Instant) {
@@ -152,8 +152,8 @@
             Message::RunTurn { client, request, last_seen } => {
                 self.run_turn(client, request, last_seen, now);
             }
-            Message::TurnLookedUp { look_up, record } => self.turn_looked_up(look_up, record),
-            Message::LookUpFailed { look_up } => self.look_up_failed(look_up),
+            Message::TurnLookedUp { look_up, record } => self.lookup_finished(look_up, record),
+            Message::LookUpFailed { look_up } => self.lookup_failed(look_up),
             Message::SlotGranted { ticket } => self.slot_granted(ticket),
             Message::SlotRefused { ticket, refusal } => self.slot_refused(ticket, refusal),
             Message::ToolResult { reply, call, result } => self.tool_result(reply, call, result),
@@ -162,10 +162,10 @@
             Message::HandOver => self.hand_over(),
             Message::Interrupt => self.interrupt(),
             Message::Model { generation, event } => self.model_event(generation, event),
-            Message::Committed { commit, reply } => self.committed(commit, reply, now),
-            Message::CommitUncertain { commit } => self.commit_again(commit),
+            Message::Committed { commit, reply } => self.commit_replied(commit, reply, now),
+            Message::CommitUncertain { commit } => self.resend_commit(commit),
             Message::OwnerChanged { record } => self.owner_changed(record),
-            Message::LeaseLost => self.end(Ending::LeaseLost),
+            Message::LeaseLost => self.end(ExitReason::LeaseLost),
             Message::Tick => self.tick(now),
         }
     }
@@ -187,22 +187,22 @@
         }
         let last_committed = EventSeq(self.record.next_seq.0.saturating_sub(1));
         let last_sent = last_seen.unwrap_or_default().max(last_committed);
-        self.clients.follow_session(client, last_sent);
+        self.clients.subscribe_to_session(client, last_sent);
     }
 
     fn leave(&mut self, client: ClientId, now: Instant) {
         self.clients.remove(client);
-        self.phase.forget_client(client);
-        self.look_ups.retain(|_, l| l.client != client);
+        self.phase.remove_client(client);
+        self.lookups.retain(|_, l| l.client != client);
         if self.phase.is_abandoned() {
-            self.drop_starting(&SessionRefusal::TryAgain);
+            self.refuse_starting_turn(&SessionRefusal::TryAgain);
         }
-        self.note_unconnected(now);
+        self.update_unconnected_since(now);
     }
 
-    /// Starts the time without clients when nobody is connected (any more).
-    pub(crate) fn note_unconnected(&mut self, now: Instant) {
-        let waiting = self.phase.has_waiting_clients() || !self.look_ups.is_empty();
+    /// Starts the idle timer if no client is connected or waiting.
+    pub(crate) fn update_unconnected_since(&mut self, now: Instant) {
+        let waiting = self.phase.has_waiting_clients() || !self.lookups.is_empty();
         if self.clients.is_empty() && !waiting && self.unconnected_since.is_none() {
             self.unconnected_since = Some(now);
         }
@@ -225,7 +225,7 @@
         self.pending.push_back(PendingEvent { body, replies: vec![reply] });
     }
 
-    /// The result of a call that waits for its commit, sent or not.
+    /// Returns the uncommitted event with the result of a call, whether its commit is in flight or not.
     fn uncommitted_result(&mut self, call: &str) -> Option<&mut PendingEvent> {
         let is_result = |p: &&mut PendingEvent| matches!(&p.body, EventBody::ToolResult { call: c, .. } if c == call);
         let in_flight = self.in_flight.as_mut().map(InFlight::events_mut).unwrap_or_default();
@@ -234,18 +234,18 @@
 
     fn close(&mut self, reply: Option<ReplyId>) {
         self.closing.get_or_insert_default().extend(reply);
-        self.stop_turn_for_close();
+        self.abort_turn_for_close();
     }
 
     fn hand_over(&mut self) {
         self.handing_over = true;
-        self.give_up_starting_turn(&SessionRefusal::HandedOver);
+        self.cancel_starting_turn(&SessionRefusal::HandedOver);
     }
 
     fn owner_changed(&mut self, record: Box<SessionRecord>) {
         let still_ours = record.epoch == self.record.epoch && record.owner == self.record.owner;
         if !still_ours && record.epoch >= self.record.epoch {
-            self.end(Ending::NotOwner(Some(record)));
+            self.end(ExitReason::NotOwner(Some(record)));
         }
     }
 
@@ -253,21 +253,22 @@
         self.end_overdue_turn(now);
         let overdue =
             self.unconnected_since.is_some_and(|since| now >= since + self.config.unconnected_keep);
-        if overdue && self.may_close_unconnected() {
+        if overdue && self.can_close_unconnected() {
             self.close(None);
         }
     }
 
-    fn may_close_unconnected(&self) -> bool {
+    fn can_close_unconnected(&self) -> bool {
         matches!(self.phase, Phase::Idle) && self.pending.is_empty() && self.closing.is_none()
     }
 
-    /// Ends the loop: the model stops, clients and waiting callers are told, nothing is released any more.
-    pub(crate) fn end(&mut self, ending: Ending) {
+    /// Ends the loop: stops the generation and refuses all clients and waiting requests. No event is released
+    /// afterwards.
+    pub(crate) fn end(&mut self, ending: ExitReason) {
         let refusal = ending.refusal();
-        self.end_phase(&refusal);
+        self.end_current_turn(&refusal);
         self.clients.refuse_all(&refusal, &mut self.effects);
-        for (_, look_up) in std::mem::take(&mut self.look_ups) {
+        for (_, look_up) in std::mem::take(&mut self.lookups) {
             crate::clients::refuse(look_up.client, refusal.clone(), &mut self.effects);
         }
         let waiting = std::mem::take(&mut self.pending).into_iter().flat_map(|p| p.replies);
@@ -277,10 +278,10 @@
             self.reply(reply, Err(refusal.clone()));
         }
         self.effects.push(Effect::Ended(ending.clone()));
-        self.ending = Some(ending);
+        self.exit_reason = Some(ending);
     }
 
-    fn refuse_after_end(&mut self, message: &Message, ending: &Ending) {
+    fn refuse_after_end(&mut self, message: &Message, ending: &ExitReason) {
         let refusal = ending.refusal();
         match *message {
             Message::Join { client, .. } | Message::RunTurn { client, .. } => {
@@ -289,7 +290,7 @@
             Message::ToolResult { reply, .. } | Message::Abort { reply, .. } => {
                 self.reply(reply, Err(refusal));
             }
-            Message::Close { reply } if *ending == Ending::Closed => {
+            Message::Close { reply } if *ending == ExitReason::Closed => {
                 self.reply(reply, Ok(Answer::Closed(Box::new(self.record.clone()))));
             }
             Message::Close { reply } => self.reply(reply, Err(refusal)),
--- a/crates/session/src/turn.rs
+++ b/crates/session/src/turn.rs
@@ -1,4 +1,4 @@
-//! A turn's way through the loop: asked for, waiting for its slot, open, ending.
+//! The lifecycle of a turn in the loop: requested, waiting for a slot, open, ending.
 
 use std::time::Instant;
 
@@ -23,7 +23,7 @@
         match &mut self.phase {
             Phase::Open(open) if open.record.turn == request.turn => {
                 let known = open.record.clone();
-                // A turn left by an earlier loop has no digest here: ask the shard.
+                // The digest of a turn started by an earlier loop is unknown here, so read its record from the shard.
                 if known.digest == Digest([0; 32]) {
                     self.look_up(client, request, last_seen);
                 } else {
@@ -37,7 +37,7 @@
                     refuse(client, SessionRefusal::TryAgain, &mut self.effects);
                 }
             }
-            _ if self.history.knows(&request.turn) => {
+            _ if self.history.contains_turn(&request.turn) => {
                 match self.history.record(&request.turn).cloned() {
                     Some(known) => self.attach(client, &known, &request, last_seen),
                     None => self.look_up(client, request, last_seen),
@@ -45,7 +45,7 @@
             }
             _ => self.start_turn(client, request, last_seen, now),
         }
-        self.note_unconnected(now);
+        self.update_unconnected_since(now);
     }
 
     fn start_turn(
@@ -67,7 +67,7 @@
             refuse(client, refusal, &mut self.effects);
             return;
         }
-        // One that does not follow the head needs no slot: the shard refuses it.
+        // A turn that does not follow the head needs no slot, because the shard will refuse it.
         let needs_slot = request.after == self.record.head;
         let ticket = needs_slot.then(|| SlotTicket(self.new_id()));
         if let Some(ticket) = ticket {
@@ -97,9 +97,9 @@
     }
 
     pub(crate) fn slot_refused(&mut self, ticket: SlotTicket, refusal: SlotRefusal) {
-        let waits = matches!(&self.phase,
+        let is_waiting = matches!(&self.phase,
             Phase::Starting(s) if s.ticket == Some(ticket) && !s.ready);
-        if !waits {
+        if !is_waiting {
             return;
         }
         if let Phase::Starting(starting) = &mut self.phase {
@@ -109,19 +109,19 @@
             SlotRefusal::Overloaded { retry_after } => SessionRefusal::Overloaded { retry_after },
             SlotRefusal::DeadlineExceeded => SessionRefusal::DeadlineExceeded,
         };
-        self.drop_starting(&refusal);
+        self.refuse_starting_turn(&refusal);
     }
 
-    /// Gives up a turn that is not being committed yet.
-    pub(crate) fn give_up_starting_turn(&mut self, refusal: &SessionRefusal) {
-        let waits = matches!(&self.phase, Phase::Starting(_)) && !self.begin_is_in_flight();
-        if waits {
-            self.drop_starting(refusal);
+    /// Cancels the starting turn, unless its commit is already in flight.
+    pub(crate) fn cancel_starting_turn(&mut self, refusal: &SessionRefusal) {
+        let is_waiting = matches!(&self.phase, Phase::Starting(_)) && !self.begin_is_in_flight();
+        if is_waiting {
+            self.refuse_starting_turn(refusal);
         }
     }
 
-    /// Takes the starting turn out, if there is one; an open one stays.
-    fn take_starting(&mut self) -> Option<StartingTurn> {
+    /// Removes and returns the starting turn, if there is one. An open turn is left unchanged.
+    fn take_starting_turn(&mut self) -> Option<StartingTurn> {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Starting(starting) => Some(*starting),
             other => {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Takes the open turn out, if there is one; a starting one stays.
-    fn take_open(&mut self) -> Option<OpenTurn> {
+    /// Removes and returns the open turn, if there is one. A starting turn is left unchanged.
+    fn take_open_turn(&mut self) -> Option<OpenTurn> {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Open(open) => Some(*open),
             other => {
@@ -142,9 +142,9 @@
         }
     }
 
-    /// Leaves the starting turn and tells all who wait for it.
-    pub(crate) fn drop_starting(&mut self, refusal: &SessionRefusal) {
-        let Some(starting) = self.take_starting() else { return };
+    /// Removes the starting turn and refuses all clients and requests that wait for it.
+    pub(crate) fn refuse_starting_turn(&mut self, refusal: &SessionRefusal) {
+        let Some(starting) = self.take_starting_turn() else { return };
         if let Some(ticket) = starting.ticket {
             self.effects.push(Effect::ReleaseSlot { ticket });
         }
@@ -156,9 +156,9 @@
         }
     }
 
-    /// The shard has committed the starting turn.
-    pub(crate) fn turn_begun(&mut self, grant: &TurnGrant) {
-        let Some(starting) = self.take_starting() else { return };
+    /// Handles the commit of the starting turn: the turn is now open.
+    pub(crate) fn turn_started(&mut self, grant: &TurnGrant) {
+        let Some(starting) = self.take_starting_turn() else { return };
         let StartingTurn { request, clients, ticket, aborts, .. } = starting;
         let record = TurnRecord {
             turn: request.turn.clone(),
@@ -172,7 +172,7 @@
         self.record.open_turn = Some(request.turn.clone());
         let mut open = OpenTurn::new(record.clone(), request.max_tokens, request.deadline);
         open.ticket = ticket;
-        let unwanted = !aborts.is_empty() || self.closing.is_some();
+        let aborted = !aborts.is_empty() || self.closing.is_some();
         open.replies = aborts;
         self.phase = Phase::Open(Box::new(open));
         let body =
@@ -180,28 +180,28 @@
         let event = Event { seq: grant.started, turn: Some(request.turn.clone()), body };
         self.release(vec![event]);
         for (client, last_seen) in clients {
-            self.follow(client, record.clone(), last_seen);
+            self.subscribe(client, record.clone(), last_seen);
         }
-        if unwanted {
+        if aborted {
             self.end_turn(EndReason::Aborted);
         } else {
             self.start_generation(request);
         }
     }
 
-    /// The shard knew the starting turn already, and it is over.
-    pub(crate) fn turn_found(&mut self, known: TurnRecord) {
-        let Some(starting) = self.take_starting() else { return };
+    /// Handles a starting turn that turns out to have already ended according to the shard.
+    pub(crate) fn turn_already_ended(&mut self, known: TurnRecord) {
+        let Some(starting) = self.take_starting_turn() else { return };
         if let Some(ticket) = starting.ticket {
             self.effects.push(Effect::ReleaseSlot { ticket });
         }
         for (client, last_seen) in starting.clients {
-            self.follow(client, known.clone(), last_seen);
+            self.subscribe(client, known.clone(), last_seen);
         }
         for reply in starting.aborts {
             self.reply(reply, Ok(Answer::Turn(known.clone())));
         }
-        self.history.keep_record(known);
+        self.history.insert_record(known);
     }
 
     pub(crate) fn abort(&mut self, reply: ReplyId, turn: &TurnId) {
@@ -211,7 +211,7 @@
                 self.end_turn(EndReason::Aborted);
             }
             Phase::Starting(starting) if starting.request.turn == *turn => {
-                // It is begun without its slot and ended at once, so that the abort is on record.
+                // Start the turn without a slot and end it immediately, so that the abort is recorded.
                 starting.aborts.push(reply);
                 starting.ready = true;
                 if let Some(ticket) = starting.ticket.take() {
@@ -227,16 +227,16 @@
     }
 
     pub(crate) fn interrupt(&mut self) {
-        self.give_up_starting_turn(&SessionRefusal::HandedOver);
+        self.cancel_starting_turn(&SessionRefusal::HandedOver);
         self.end_turn(EndReason::Interrupted);
     }
 
-    pub(crate) fn stop_turn_for_close(&mut self) {
-        self.give_up_starting_turn(&SessionRefusal::HandedOver);
+    pub(crate) fn abort_turn_for_close(&mut self) {
+        self.cancel_starting_turn(&SessionRefusal::HandedOver);
         self.end_turn(EndReason::Aborted);
     }
 
-    /// Ends the open turn, unless it is ending already. Its events so far are committed first.
+    /// Ends the open turn, unless it is already ending. Its pending events are committed first.
     pub(crate) fn end_turn(&mut self, reason: EndReason) {
         let Phase::Open(open) = &mut self.phase else { return };
         if open.ending.is_some() {
@@ -251,19 +251,19 @@
         }
     }
 
-    /// The shard has committed the end of the open turn.
+    /// Handles the commit of the open turn's end.
     pub(crate) fn turn_ended(&mut self, ended: &TurnRecord, event: Event) {
-        let Some(open) = self.take_open() else { return };
+        let Some(open) = self.take_open_turn() else { return };
         self.record.open_turn = None;
         self.record.head = Some(ended.turn.clone());
-        self.history.keep_record(ended.clone());
+        self.history.insert_record(ended.clone());
         self.release(vec![event]);
         for reply in open.replies {
             self.reply(reply, Ok(Answer::Turn(ended.clone())));
         }
     }
 
-    pub(crate) fn turn_end_time(&self) -> Option<Instant> {
+    pub(crate) fn turn_deadline(&self) -> Option<Instant> {
         match &self.phase {
             Phase::Open(open) if open.ending.is_none() => Some(open.deadline.min(self.program_end)),
             _ => None,
@@ -271,7 +271,7 @@
     }
 
     pub(crate) fn end_overdue_turn(&mut self, now: Instant) {
-        if self.turn_end_time().is_none_or(|end| now < end) {
+        if self.turn_deadline().is_none_or(|end| now < end) {
             return;
         }
         let code = if now >= self.program_end {
@@ -282,11 +282,11 @@
         self.end_turn(EndReason::Failed { code });
     }
 
-    /// Leaves the phase because the loop ends.
-    pub(crate) fn end_phase(&mut self, refusal: &SessionRefusal) {
-        self.drop_starting(refusal);
+    /// Ends the current turn because the loop ends.
+    pub(crate) fn end_current_turn(&mut self, refusal: &SessionRefusal) {
+        self.refuse_starting_turn(refusal);
         self.end_turn(EndReason::Interrupted);
-        if let Some(open) = self.take_open() {
+        if let Some(open) = self.take_open_turn() {
             for reply in open.replies {
                 self.reply(reply, Err(refusal.clone()));
             }
--- a/crates/session/tests/session_loop.rs
+++ b/crates/session/tests/session_loop.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use hooklug_session::{
-    Answer, ClientId, ClientItem, CommitId, Effect, Ending, GenerationId, LoadedSession, Message,
-    ModelEnd, ModelEvent, Moment, ReplyId, Session, SessionConfig, SessionRefusal, SlotRefusal,
-    SlotTicket, TurnRequest,
+    Answer, ClientId, ClientItem, CommitId, Effect, ExitReason, GenerationId, LoadedSession,
+    Message, ModelEnd, ModelEvent, Moment, ReplyId, Session, SessionConfig, SessionRefusal,
+    SlotRefusal, SlotTicket, TurnRequest,
 };
 use hooklug_state::shard::{
     Event, EventBody, OpenSession, PutProgram, SessionRecord, ShardCommand, ShardMachine,
@@ -196,7 +196,7 @@
     let not_owner = SessionRefusal::NotOwner { record: Some(Box::new(record.clone())) };
     assert_eq!(refusals_in(&ended), std::slice::from_ref(&not_owner));
     assert!(ended.contains(&Effect::StopGeneration { generation }));
-    assert!(ended.contains(&Effect::Ended(Ending::NotOwner(Some(Box::new(record))))));
+    assert!(ended.contains(&Effect::Ended(ExitReason::NotOwner(Some(Box::new(record))))));
     // A late answer and whatever else comes releases nothing.
     let reply = bench.shard.apply_command(command);
     assert_eq!(bench.tell(Message::Committed { commit, reply }), []);
@@ -216,7 +216,7 @@
     assert_eq!(events_in(&ended), []);
     assert_eq!(refusals_in(&ended), [SessionRefusal::LeaseLost]);
     assert!(ended.contains(&Effect::StopGeneration { generation }));
-    assert_eq!(bench.session.ending(), Some(&Ending::LeaseLost));
+    assert_eq!(bench.session.ending(), Some(&ExitReason::LeaseLost));
 }
 
 #[test]
@@ -314,7 +314,7 @@
     bench.now = due;
     let closing = bench.tell(Message::Tick);
     let closed = bench.commit(&closing);
-    assert!(closed.contains(&Effect::Ended(Ending::Closed)));
+    assert!(closed.contains(&Effect::Ended(ExitReason::Closed)));
 }
 
 #[test]
@@ -328,5 +328,5 @@
     assert!(matches!(commit_in(&hand_over), Some((_, ShardCommand::HandOver { .. }))));
     let refused = bench.run(2, "t2", 10);
     assert_eq!(refusals_in(&refused), [SessionRefusal::HandedOver]);
-    assert!(bench.commit(&hand_over).contains(&Effect::Ended(Ending::HandedOver)));
+    assert!(bench.commit(&hand_over).contains(&Effect::Ended(ExitReason::HandedOver)));
 }
