--- a/crates/protocol/src/backends.rs
+++ b/crates/protocol/src/backends.rs
@@ -8,7 +8,8 @@
 use crate::control::NodeAddress;
 use crate::{Method, StreamRequest};
 
-/// A backend in the platform's list. The list lags, and may contain addresses that have failed or been reused.
+/// A backend in the platform's list. The list lags, and may contain addresses that have failed or
+/// been reused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBackend {
     /// Backend id; a restarted backend has a new id.
@@ -34,8 +35,8 @@
     pub from: NodeAddress,
 }
 
-/// An item of the backend list stream: first the full list, then changes. One item is sent each time the list is
-/// read, so that a subscriber knows how fresh its copy is.
+/// An item of the backend list stream: first the full list, then changes. One item is sent each
+/// time the list is read, so that a subscriber knows how fresh its copy is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendsItem {
     /// The full list.
--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/control.rs
@@ -14,8 +14,8 @@
 use crate::member_map::{MemberMap, SharedMember};
 use crate::{Method, Request, StreamRequest};
 
-/// Asks a process for the nodes that it knows. The reply lists that process, the stores and cores, and a few
-/// other nodes.
+/// Asks a process for the nodes that it knows. The reply lists that process, the stores and cores,
+/// and a few other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Discover {
     /// The requesting node, so that the recipient learns its address.
@@ -106,11 +106,12 @@
     pub healthy: bool,
 }
 
-/// The state of the entire cluster, as seen by a core. Copies share the parts that none of them changed.
+/// The state of the entire cluster, as seen by a core. Copies share the parts that none of them
+/// changed.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// Revision of the view; grows with every change, also when the core leader changes (the upper half is the
-    /// fencing epoch of the core leader).
+    /// Revision of the view; grows with every change, also when the core leader changes (the upper
+    /// half is the fencing epoch of the core leader).
     pub revision: Revision,
     /// Nodes, by id.
     pub members: MemberMap,
@@ -125,7 +126,8 @@
 pub enum ViewChange {
     /// A node was added or changed.
     Member(SharedMember),
-    /// Only the installed bundle of these nodes changed; one such item replaces a `Member` item per node.
+    /// Only the installed bundle of these nodes changed; one such item replaces a `Member` item per
+    /// node.
     Installed {
         /// The bundle version that is now installed.
         bundle: BundleVersion,
@@ -181,13 +183,15 @@
     pub engine: Option<HostedEngine>,
     /// Load of the engine; set for session-host engines.
     pub load: Option<EngineLoad>,
-    /// Statistics of the versions under observation since the last acknowledged heartbeat; sent by gateways.
+    /// Statistics of the versions under observation since the last acknowledged heartbeat; sent by
+    /// gateways.
     pub statistics: Vec<VersionStatistics>,
     /// Slot usage by window group; sent by session-host engines.
     pub slot_uses: Vec<SlotUse>,
 }
 
-/// Slot usage of one window group at one engine. Omitted for groups that have neither reserved slots nor turns.
+/// Slot usage of one window group at one engine. Omitted for groups that have neither reserved
+/// slots nor turns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUse {
     /// The window group; `None` for turns without a group.
@@ -211,8 +215,8 @@
     pub reserved: u32,
     /// Running turns of the group.
     pub used: u32,
-    /// Running turns of the group beyond its reservation at the engine that runs them: in unreserved slots or in
-    /// slots reserved for other groups.
+    /// Running turns of the group beyond its reservation at the engine that runs them: in
+    /// unreserved slots or in slots reserved for other groups.
     pub borrowed: u32,
 }
 
@@ -241,11 +245,12 @@
     const METHOD: Method = Method::Heartbeat;
 }
 
-/// Number of latency buckets. Their upper bounds are powers of two from 1 ms; the last bucket has no upper bound.
+/// Number of latency buckets. Their upper bounds are powers of two from 1 ms; the last bucket has
+/// no upper bound.
 pub const LATENCY_BUCKETS: usize = 20;
 
-/// Request statistics of one version on one route, collected by a gateway in one interval. Statistics of several
-/// gateways can be added up.
+/// Request statistics of one version on one route, collected by a gateway in one interval.
+/// Statistics of several gateways can be added up.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionStatistics {
     /// The service.
@@ -258,7 +263,8 @@
     pub successes: u64,
     /// Number of requests that failed because of the backend.
     pub failures: u64,
-    /// Number of requests by latency (for sessions, time to first token): bucket `i` counts those below `2^i` ms.
+    /// Number of requests by latency (for sessions, time to first token): bucket `i` counts those
+    /// below `2^i` ms.
     pub latency: [u64; LATENCY_BUCKETS],
 }
 
--- a/crates/protocol/src/copy_on_write.rs
+++ b/crates/protocol/src/copy_on_write.rs
@@ -5,14 +5,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A value behind a shared pointer. Cloning copies the pointer; the first mutation after a clone copies the value.
-/// Serializes as the value itself.
+/// A value behind a shared pointer. Cloning copies the pointer; the first mutation after a clone
+/// copies the value. Serializes as the value itself.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CopyOnWrite<T>(Arc<T>);
 
 impl<T> CopyOnWrite<T> {
-    /// Whether both share the same allocation, and are therefore equal without comparing the values.
+    /// Whether both share the same allocation, and are therefore equal without comparing the
+    /// values.
     #[must_use]
     pub fn is_same_copy(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -9,7 +9,8 @@
 
 use crate::{Method, Request, StreamRequest};
 
-/// A reply of an engine. Every reply carries the engine's load, so that gateways learn of a drain immediately.
+/// A reply of an engine. Every reply carries the engine's load, so that gateways learn of a drain
+/// immediately.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReply<T> {
     /// The engine's load.
@@ -18,8 +19,8 @@
     pub result: Result<T, EngineRefusal>,
 }
 
-/// The reason why an engine refused a request. Only `Ledger` carries a committed refusal; the others do not say
-/// whether anything has run.
+/// The reason why an engine refused a request. Only `Ledger` carries a committed refusal; the
+/// others do not say whether anything has run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum EngineRefusal {
     /// Another engine, or no engine, owns the session.
@@ -84,8 +85,8 @@
     const METHOD: Method = Method::OpenSession;
 }
 
-/// Asks an engine to take over a session whose owner has failed. The gateway has already had the owner's lease
-/// expired.
+/// Asks an engine to take over a session whose owner has failed. The gateway has already had the
+/// owner's lease expired.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeSession {
     /// The session.
@@ -131,8 +132,8 @@
     const METHOD: Method = Method::RunTurn;
 }
 
-/// An item of a turn's stream. The last item is a `TurnEnded` event or a refusal; a stream that ends in any other
-/// way was interrupted and can be resumed.
+/// An item of a turn's stream. The last item is a `TurnEnded` event or a refusal; a stream that
+/// ends in any other way was interrupted and can be resumed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TurnItem {
     /// The turn is committed; the first item unless the turn is refused.
@@ -179,7 +180,8 @@
     },
     /// The next event.
     Event(Event),
-    /// The request was refused, or the session has left this engine and its owner must be looked up again.
+    /// The request was refused, or the session has left this engine and its owner must be looked up
+    /// again.
     Refused(EngineRefusal),
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,8 @@
-//! All messages between hooklug processes, shared so that both ends compile against the same definitions.
+//! All messages between hooklug processes, shared so that both ends compile against the same
+//! definitions.
 //!
-//! Frames are encoded with postcard, so these types use no serde tags, flattening or skipped fields.
+//! Frames are encoded with postcard, so these types use no serde tags, flattening or skipped
+//! fields.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/protocol/src/member_map.rs
+++ b/crates/protocol/src/member_map.rs
@@ -12,7 +12,8 @@
 /// A member shared between views.
 pub type SharedMember = CopyOnWrite<Member>;
 
-/// Nodes by id. A clone copies one pointer; a change after a clone copies one pointer per node, not the nodes.
+/// Nodes by id. A clone copies one pointer; a change after a clone copies one pointer per node, not
+/// the nodes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MemberMap(CopyOnWrite<BTreeMap<NodeId, SharedMember>>);
@@ -77,8 +78,8 @@
         self.0.iter()
     }
 
-    /// Iterates over the nodes that were added or changed since an earlier map. For a node that both maps share, this
-    /// costs one comparison of pointers.
+    /// Iterates over the nodes that were added or changed since an earlier map. For a node that
+    /// both maps share, this costs one comparison of pointers.
     pub fn changed_since<'a>(
         &'a self,
         earlier: &'a Self,
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -10,7 +10,8 @@
 
 use crate::{Method, Request};
 
-/// The reason why a store did not execute a request. None of these says whether a command was or will be applied.
+/// The reason why a store did not execute a request. None of these says whether a command was or
+/// will be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum StoreFault {
     /// This replica is not the leader of the group.
@@ -25,7 +26,8 @@
         /// Addresses of stores that hold a replica, if known.
         replicas: Vec<SocketAddr>,
     },
-    /// The command's entry was lost, or leadership changed, before the entry was known to be committed.
+    /// The command's entry was lost, or leadership changed, before the entry was known to be
+    /// committed.
     #[error("the command is not known to be committed")]
     Uncertain,
     /// Too many requests of the group are pending.
@@ -40,7 +42,8 @@
     /// The cluster is not formed yet.
     #[error("the cluster is not formed yet")]
     NotFormed,
-    /// The request does not decode, is not allowed for the caller, or does not fit the group; a retry does not help.
+    /// The request does not decode, is not allowed for the caller, or does not fit the group; a
+    /// retry does not help.
     #[error("the store refused the request: {reason}")]
     Refused {
         /// The reason.
@@ -83,8 +86,8 @@
     Engine(EngineIncarnation),
     /// The core leader's lease under this epoch, in the meta group.
     CoreLeader(FencingEpoch),
-    /// The core leader's lease, held by the requesting core's own former run at the same address. That run has
-    /// ended, so the lease can be expired without waiting.
+    /// The core leader's lease, held by the requesting core's own former run at the same address.
+    /// That run has ended, so the lease can be expired without waiting.
     FormerRun {
         /// The epoch of the lease.
         epoch: FencingEpoch,
@@ -168,7 +171,8 @@
     const METHOD: Method = Method::SnapshotChunk;
 }
 
-/// The plan by which a new cluster is formed. All its stores sync the plan to disk before any of them acts on it.
+/// The plan by which a new cluster is formed. All its stores sync the plan to disk before any of
+/// them acts on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormationPlan {
     /// Id of the new cluster.
@@ -181,8 +185,8 @@
     pub placements: Vec<(GroupId, GroupPlacement)>,
 }
 
-/// Sent between stores during formation, with the sender's state. Stores of a formed cluster send it too, to learn
-/// each other's addresses.
+/// Sent between stores during formation, with the sender's state. Stores of a formed cluster send
+/// it too, to learn each other's addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormationOffer {
     /// Node id of the sender.
@@ -191,9 +195,11 @@
     pub address: SocketAddr,
     /// Zone of the store.
     pub zone: ZoneName,
-    /// Cluster id that the sender has promised to another coordinator; asks whether that plan is still valid.
+    /// Cluster id that the sender has promised to another coordinator; asks whether that plan is
+    /// still valid.
     pub propose: Option<u64>,
-    /// Proposed plan; set by the store with the lowest node id once `expect_stores` stores see each other.
+    /// Proposed plan; set by the store with the lowest node id once `expect_stores` stores see each
+    /// other.
     pub plan: Option<FormationPlan>,
 }
 
@@ -208,8 +214,8 @@
     pub zone: ZoneName,
     /// Cluster that the store is a member of; 0 while its disk is empty.
     pub cluster: u64,
-    /// Whether the store has synced the proposed plan or, if asked about a promised plan, whether that plan is still
-    /// valid.
+    /// Whether the store has synced the proposed plan or, if asked about a promised plan, whether
+    /// that plan is still valid.
     pub accepted: bool,
     /// Addresses of other empty stores that the store knows.
     pub heard: Vec<SocketAddr>,
@@ -235,8 +241,8 @@
     pub term: u64,
     /// The group's leader, if known.
     pub leader: Option<NodeId>,
-    /// Number of messages accepted from leaders since the replica was opened. Comparing two readings shows whether
-    /// the replica is in contact with a leader.
+    /// Number of messages accepted from leaders since the replica was opened. Comparing two
+    /// readings shows whether the replica is in contact with a leader.
     pub leader_messages: u64,
     /// Highest committed index.
     pub commit: u64,
@@ -277,7 +283,8 @@
     pub group: GroupId,
     /// The change.
     pub change: ConfChange,
-    /// Epoch of the core leader; checked against the newest epoch of the meta group that the store knows.
+    /// Epoch of the core leader; checked against the newest epoch of the meta group that the store
+    /// knows.
     pub epoch: FencingEpoch,
 }
 
--- a/crates/session/src/attach.rs
+++ b/crates/session/src/attach.rs
@@ -60,7 +60,8 @@
     pub(crate) fn lookup_finished(&mut self, look_up: LookUpId, record: Option<TurnRecord>) {
         let Some(waiting) = self.lookups.remove(&look_up) else { return };
         let turn = waiting.request.turn.clone();
-        // After the retention time the shard has deleted the record, while this loop still has the events.
+        // After the retention time the shard has deleted the record, while this loop still has the
+        // events.
         let Some(record) = record.or_else(|| self.record_from_history(&waiting.request)) else {
             refuse(waiting.client, SessionRefusal::TryAgain, &mut self.effects);
             return;
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Reconstructs a turn's record from the loop's own events; `None` if they do not match the request.
+    /// Reconstructs a turn's record from the loop's own events; `None` if they do not match the
+    /// request.
     fn record_from_history(&self, request: &TurnRequest) -> Option<TurnRecord> {
         let events = self.history.of_turn(&request.turn, EventSeq(0));
         let (first, last) = (events.first()?, events.last()?);
--- a/crates/session/src/broken_rules.rs
+++ b/crates/session/src/broken_rules.rs
@@ -1,5 +1,6 @@
-//! A deliberate violation of the release rule, with which fleet tests verify that violations are detected. Compiled
-//! only with the feature `broken-rules`, which is never enabled in a product build.
+//! A deliberate violation of the release rule, with which fleet tests verify that violations are
+//! detected. Compiled only with the feature `broken-rules`, which is never enabled in a product
+//! build.
 
 use hooklug_state::shard::{Event, ShardCommand};
 use hooklug_types::EventSeq;
--- a/crates/session/src/clients.rs
+++ b/crates/session/src/clients.rs
@@ -51,7 +51,8 @@
         self.connected.insert(client, Client { subscription: Subscription::Turn(turn), last_sent });
     }
 
-    /// Sends committed events to the clients subscribed to them, and ends streams that are complete.
+    /// Sends committed events to the clients subscribed to them, and ends streams that are
+    /// complete.
     pub(crate) fn release(&mut self, events: &[Event], effects: &mut Vec<Effect>) {
         let mut complete = Vec::new();
         for (&id, client) in &mut self.connected {
--- a/crates/session/src/commit.rs
+++ b/crates/session/src/commit.rs
@@ -1,5 +1,5 @@
-//! Commits of a session. One commit is in flight at a time; the next one carries all events that were queued
-//! meanwhile. Events are released to clients only here, after the shard has replied.
+//! Commits of a session. One commit is in flight at a time; the next one carries all events that
+//! were queued meanwhile. Events are released to clients only here, after the shard has replied.
 
 use std::time::Instant;
 
@@ -114,7 +114,8 @@
         matches!(command, Some(ShardCommand::BeginTurn(_)))
     }
 
-    /// Resends a commit whose reply was lost. Commands are idempotent, so this is safe if it was already applied.
+    /// Resends a commit whose reply was lost. Commands are idempotent, so this is safe if it was
+    /// already applied.
     pub(crate) fn resend_commit(&mut self, commit: CommitId) {
         if let Some(in_flight) = self.in_flight.as_ref().filter(|f| f.commit == commit) {
             let command = in_flight.command.clone();
@@ -199,7 +200,8 @@
                 }
                 in_history
             }
-            // Either newly started, or already open because an earlier send of this command was applied.
+            // Either newly started, or already open because an earlier send of this command was
+            // applied.
             _ => {
                 let is_expected = grant.started == self.record.next_seq;
                 if is_expected {
--- a/crates/session/src/effect.rs
+++ b/crates/session/src/effect.rs
@@ -10,7 +10,8 @@
 /// An action for the driver of the loop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Commit a command in the session's shard; the driver replies with `Committed` or `CommitUncertain`.
+    /// Commit a command in the session's shard; the driver replies with `Committed` or
+    /// `CommitUncertain`.
     Commit {
         /// Id of the commit; a resend has the same id.
         commit: CommitId,
@@ -41,14 +42,16 @@
         /// Id of the generation.
         generation: GenerationId,
     },
-    /// Read a turn's record from the shard; the driver replies with `TurnLookedUp` or `LookUpFailed`.
+    /// Read a turn's record from the shard; the driver replies with `TurnLookedUp` or
+    /// `LookUpFailed`.
     LookUpTurn {
         /// Id of the lookup.
         look_up: LookUpId,
         /// The turn.
         turn: TurnId,
     },
-    /// Send an item to a client. If the client's buffer is full, the driver disconnects the client and sends `Leave`.
+    /// Send an item to a client. If the client's buffer is full, the driver disconnects the client
+    /// and sends `Leave`.
     Send {
         /// The client.
         client: ClientId,
@@ -162,7 +165,8 @@
     /// The turn is not known to the loop; the shard may still have a record of it.
     #[error("the session's engine does not know the turn")]
     UnknownTurn,
-    /// The shard was unreachable, or its reply contradicts the loop's copy of the session; the request may be retried.
+    /// The shard was unreachable, or its reply contradicts the loop's copy of the session; the
+    /// request may be retried.
     #[error("the session's state could not be determined; retry the request")]
     TryAgain,
 }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,10 +1,10 @@
 //! The event loop of a session (write-up, "Correctness"): typed messages in, effects out.
 //!
-//! A [`Session`] holds the committed history of one session and the clients connected to it. It handles one
-//! [`Message`] at a time, never blocks, and returns [`Effect`]s for its driver to carry out. Slow work (commits,
-//! generation, waiting for a slot) runs outside the loop, and its results arrive as messages. No event is sent to a
-//! client before its commit is known, and once the loop learns that it may no longer own the session, it never
-//! releases another event.
+//! A [`Session`] holds the committed history of one session and the clients connected to it. It
+//! handles one [`Message`] at a time, never blocks, and returns [`Effect`]s for its driver to carry
+//! out. Slow work (commits, generation, waiting for a slot) runs outside the loop, and its results
+//! arrive as messages. No event is sent to a client before its commit is known, and once the loop
+//! learns that it may no longer own the session, it never releases another event.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/session/src/message.rs
+++ b/crates/session/src/message.rs
@@ -72,7 +72,8 @@
     End(ModelEnd),
     /// The generation failed before any output, for a known reason.
     Failed(FailureCode),
-    /// The response was truncated, corrupted, or continued with data of another request; earlier output is valid.
+    /// The response was truncated, corrupted, or continued with data of another request; earlier
+    /// output is valid.
     Cut,
 }
 
--- a/crates/session/src/phase.rs
+++ b/crates/session/src/phase.rs
@@ -1,4 +1,5 @@
-//! The phase of a session (between turns, or in a turn that is starting or open) and the state of its current turn.
+//! The phase of a session (between turns, or in a turn that is starting or open) and the state of
+//! its current turn.
 
 use std::time::Instant;
 
@@ -36,7 +37,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct OpenTurn {
     pub(crate) record: TurnRecord,
-    /// Number of tokens that the caller requested; more than `record.reserved` if the budget limited the reservation.
+    /// Number of tokens that the caller requested; more than `record.reserved` if the budget
+    /// limited the reservation.
     max_tokens: TokenCount,
     pub(crate) deadline: Instant,
     pub(crate) ticket: Option<SlotTicket>,
@@ -49,8 +51,9 @@
 }
 
 impl Phase {
-    /// Creates the phase of a newly loaded session. A turn that is open in the record was started by an earlier loop of
-    /// this engine and no longer has a generation, so it is ended as interrupted.
+    /// Creates the phase of a newly loaded session. A turn that is open in the record was started
+    /// by an earlier loop of this engine and no longer has a generation, so it is ended as
+    /// interrupted.
     pub(crate) fn from_record(record: &SessionRecord, history: &History, now: Instant) -> Self {
         let Some(turn) = record.open_turn.clone() else { return Self::Idle };
         let started = history.of_turn(&turn, EventSeq(0)).first().map(|e| e.seq);
@@ -110,8 +113,8 @@
         self.record.reserved < self.max_tokens
     }
 
-    /// Returns the end reason of a turn that has used up its reservation: `BudgetSpent` if the budget limited the
-    /// reservation, otherwise `otherwise`.
+    /// Returns the end reason of a turn that has used up its reservation: `BudgetSpent` if the
+    /// budget limited the reservation, otherwise `otherwise`.
     pub(crate) fn reason_at_limit(&self, otherwise: EndReason) -> EndReason {
         if self.is_limited_by_budget() {
             EndReason::Failed { code: FailureCode::BudgetSpent }
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -37,7 +37,8 @@
 pub struct Moment {
     /// The current time.
     pub now: Instant,
-    /// Time until which the engine certainly holds its lease; after it, the loop releases no events.
+    /// Time until which the engine certainly holds its lease; after it, the loop releases no
+    /// events.
     pub lease_until: Instant,
 }
 
@@ -70,8 +71,8 @@
 }
 
 impl Session {
-    /// Creates the loop of a session that this engine owns. The first message must be a `Tick`, which ends a turn that
-    /// an earlier loop of this engine left open as interrupted.
+    /// Creates the loop of a session that this engine owns. The first message must be a `Tick`,
+    /// which ends a turn that an earlier loop of this engine left open as interrupted.
     #[must_use]
     pub fn new(loaded: LoadedSession, config: SessionConfig, now: Instant) -> Self {
         let history = History::new(loaded.history);
@@ -225,7 +226,8 @@
         self.pending.push_back(PendingEvent { body, replies: vec![reply] });
     }
 
-    /// Returns the uncommitted event with the result of a call, whether its commit is in flight or not.
+    /// Returns the uncommitted event with the result of a call, whether its commit is in flight or
+    /// not.
     fn uncommitted_result(&mut self, call: &str) -> Option<&mut PendingEvent> {
         let is_result = |p: &&mut PendingEvent| matches!(&p.body, EventBody::ToolResult { call: c, .. } if c == call);
         let in_flight = self.in_flight.as_mut().map(InFlight::events_mut).unwrap_or_default();
@@ -262,8 +264,8 @@
         matches!(self.phase, Phase::Idle) && self.pending.is_empty() && self.closing.is_none()
     }
 
-    /// Ends the loop: stops the generation and refuses all clients and waiting requests. No event is released
-    /// afterwards.
+    /// Ends the loop: stops the generation and refuses all clients and waiting requests. No event
+    /// is released afterwards.
     pub(crate) fn end(&mut self, ending: ExitReason) {
         let refusal = ending.refusal();
         self.end_current_turn(&refusal);
--- a/crates/session/src/turn.rs
+++ b/crates/session/src/turn.rs
@@ -23,7 +23,8 @@
         match &mut self.phase {
             Phase::Open(open) if open.record.turn == request.turn => {
                 let known = open.record.clone();
-                // The digest of a turn started by an earlier loop is unknown here, so read its record from the shard.
+                // The digest of a turn started by an earlier loop is unknown here, so read its
+                // record from the shard.
                 if known.digest == Digest([0; 32]) {
                     self.look_up(client, request, last_seen);
                 } else {
@@ -211,7 +212,8 @@
                 self.end_turn(EndReason::Aborted);
             }
             Phase::Starting(starting) if starting.request.turn == *turn => {
-                // Start the turn without a slot and end it immediately, so that the abort is recorded.
+                // Start the turn without a slot and end it immediately, so that the abort is
+                // recorded.
                 starting.aborts.push(reply);
                 starting.ready = true;
                 if let Some(ticket) = starting.ticket.take() {
--- a/crates/session/tests/model_check/actions.rs
+++ b/crates/session/tests/model_check/actions.rs
@@ -1,69 +1,69 @@
-//! What may happen next in a state.
+//! The actions that are possible in a state of the model.
 
 use hooklug_session::GenerationId;
 use hooklug_types::EngineIncarnation;
 
 use crate::caller::Caller;
 use crate::engines::EngineModel;
-use crate::network::Wire;
+use crate::network::InTransit;
 use crate::world::World;
 
-/// Something that happens.
+/// A single step of the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// A message on its way arrives.
+    /// A message in transit arrives.
     Deliver(usize),
-    /// A request is lost; its sender learns nothing.
+    /// A request is lost; its sender learns only that the outcome is unknown.
     LoseRequest(usize),
-    /// A request is applied, its answer is lost.
+    /// A request is applied, but its reply is lost.
     LoseAnswer(usize),
-    /// A request is late: its sender gives up first, then it arrives.
+    /// A request is delayed: its sender times out before it arrives.
     Delay(usize),
-    /// A request or reply arrives and arrives again later.
+    /// A request or reply is duplicated: it arrives now and again later.
     Repeat(usize),
-    /// The model says the next thing in a generation.
-    Say(usize, GenerationId),
-    /// The model's answer is cut.
+    /// The model produces the next output of a generation.
+    Generate(usize, GenerationId),
+    /// The model's response is truncated.
     Cut(usize, GenerationId),
-    /// A generation that was stopped says one thing more.
-    SayLate(usize, GenerationId),
-    /// An engine's lease runs out by its own clock.
-    RunOut(usize),
-    /// An engine's loops learn that its lease has run out.
-    Notice(usize),
-    /// The shard expires the lease of an engine.
+    /// A stopped generation produces one more output.
+    GenerateLate(usize, GenerationId),
+    /// An engine's lease expires by the engine's own clock.
+    LeaseTimeout(usize),
+    /// An engine's loops learn that its lease has expired.
+    NotifyLeaseLost(usize),
+    /// The shard expires an engine's lease.
     Expire(usize),
-    /// An engine is asked to hand its sessions over.
+    /// An engine is asked to hand over its sessions.
     HandOver(usize),
-    /// A caller connects to the session's owner, or has an engine take the session.
+    /// A caller connects to the session's owner, or has an engine take over the session.
     Connect(usize, usize),
-    /// A caller's connection breaks; so many of the last pieces never arrived.
+    /// A caller's connection breaks; the given number of latest event batches is lost.
     Break(usize, usize),
 }
 
 impl World {
     pub fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for (place, wire) in self.wires.iter().enumerate() {
-            actions.push(Action::Deliver(place));
+        for (index, message) in self.in_transit.iter().enumerate() {
+            actions.push(Action::Deliver(index));
             if self.faults == 0 {
                 continue;
             }
-            match wire {
-                Wire::Request { .. } => actions.extend([
-                    Action::LoseRequest(place),
-                    Action::LoseAnswer(place),
-                    Action::Delay(place),
-                    Action::Repeat(place),
+            match message {
+                InTransit::Request { .. } => actions.extend([
+                    Action::LoseRequest(index),
+                    Action::LoseAnswer(index),
+                    Action::Delay(index),
+                    Action::Repeat(index),
                 ]),
-                Wire::Take { .. } => {
+                InTransit::Take { .. } => {
                     actions.extend([
-                        Action::LoseRequest(place),
-                        Action::LoseAnswer(place),
-                        Action::Delay(place),
+                        Action::LoseRequest(index),
+                        Action::LoseAnswer(index),
+                        Action::Delay(index),
                     ]);
                 }
-                Wire::Reply { .. } => actions.push(Action::Repeat(place)),
+                InTransit::Reply { .. } => actions.push(Action::Repeat(index)),
                 _ => {}
             }
         }
@@ -79,21 +79,21 @@
     fn engine_actions(&self, engine: usize, model: &EngineModel, actions: &mut Vec<Action>) {
         for generation in &model.generations {
             if !generation.stopped {
-                actions.push(Action::Say(engine, generation.id));
+                actions.push(Action::Generate(engine, generation.id));
                 if self.faults > 0 {
                     actions.push(Action::Cut(engine, generation.id));
                 }
             } else if self.faults > 0 {
-                actions.push(Action::SayLate(engine, generation.id));
+                actions.push(Action::GenerateLate(engine, generation.id));
             }
         }
-        if !model.run_out && self.lapses > 0 {
-            actions.push(Action::RunOut(engine));
+        if !model.lease_expired && self.lease_expiries > 0 {
+            actions.push(Action::LeaseTimeout(engine));
         }
-        if model.run_out && !model.loops.is_empty() {
-            actions.push(Action::Notice(engine));
+        if model.lease_expired && !model.loops.is_empty() {
+            actions.push(Action::NotifyLeaseLost(engine));
         }
-        if model.run_out && !self.has_expired(&model.name) {
+        if model.lease_expired && !self.has_expired(&model.name) {
             actions.push(Action::Expire(engine));
         }
         if self.hand_overs > 0 && !model.loops.is_empty() {
@@ -118,8 +118,8 @@
             return;
         }
         let record = self.record(&caller.session);
-        let is_moving = self.wires.iter().any(|w| match w {
-            Wire::Take { record, .. } | Wire::Load { record, .. } => {
+        let is_moving = self.in_transit.iter().any(|w| match w {
+            InTransit::Take { record, .. } | InTransit::Load { record, .. } => {
                 record.key.session == caller.session
             }
             _ => false,
@@ -127,7 +127,7 @@
         for engine in 0..self.engines.len() {
             let name = &self.engines[engine].name;
             let owns = record.owner.as_ref() == Some(name);
-            let may_take = !self.engines[engine].run_out
+            let may_take = !self.engines[engine].lease_expired
                 && record.owner.as_ref().is_none_or(|o| self.may_be_taken_from(o));
             if owns || (may_take && !is_moving) {
                 actions.push(Action::Connect(number, engine));
--- a/crates/session/tests/model_check/caller.rs
+++ b/crates/session/tests/model_check/caller.rs
@@ -1,4 +1,4 @@
-//! A caller behind its gateway: asks, reconnects, and checks all that it gets.
+//! A caller with its gateway: sends requests, reconnects, and checks everything that it receives.
 
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 use hooklug_types::{Digest, EventSeq, SessionId, TenantId, TokenCount};
 
 use crate::scenario::Step;
-use crate::world::{Checked, NOW, turn_id};
+use crate::world::{CheckResult, NOW, turn_id};
 
 #[derive(Debug, Clone)]
 pub struct Caller {
     pub session: SessionId,
     pub steps: Vec<Step>,
-    /// Engine that it is connected to, or waits for an answer from.
+    /// The engine that the caller is connected to or waits for.
     pub connected: Option<usize>,
-    /// Grows with every broken connection, so that what is late for an old one is told apart.
-    pub line: u64,
-    /// Events of the present step, by batch as they arrived.
+    /// Number of broken connections, which distinguishes late messages of earlier connections.
+    pub broken_connections: u64,
+    /// Events of the current step, in batches as they arrived.
     pub batches: Vec<Vec<Event>>,
-    /// The ledger when budget was refused as reserved; asked again only once it has changed.
+    /// The token ledger at the last `BudgetReserved` refusal; the caller retries only after the
+    /// ledger has changed.
     pub refused_at: Option<(u64, u64)>,
 }
 
@@ -29,14 +30,14 @@
             session: session.parse().expect("valid"),
             steps: steps.to_vec(),
             connected: None,
-            line: 0,
+            broken_connections: 0,
             batches: Vec::new(),
             refused_at: None,
         }
     }
 
     pub fn client(&self, number: usize) -> ClientId {
-        ClientId(self.line * 10 + number as u64)
+        ClientId(self.broken_connections * 10 + number as u64)
     }
 
     pub fn next_step(&mut self) {
@@ -49,7 +50,7 @@
         self.batches.iter().flatten().last().map(|e| e.seq)
     }
 
-    /// What the caller asks for now.
+    /// Returns the request of the caller's current step.
     pub fn message(&self, number: usize) -> Message {
         let client = self.client(number);
         match self.steps.first() {
@@ -71,18 +72,20 @@
         }
     }
 
-    /// Takes events that arrive and checks that none is missing, twice or out of its place.
-    pub fn take_events(&mut self, events: Vec<Event>, log: &[Event]) -> Checked {
-        let (turn, whole) = match self.steps.first() {
+    /// Receives events and checks that none is missing, duplicated or out of order.
+    pub fn receive_events(&mut self, events: Vec<Event>, log: &[Event]) -> CheckResult {
+        let (turn, whole_session) = match self.steps.first() {
             Some(Step::Turn(name)) => (turn_id(name), false),
             Some(Step::Join(name)) => (turn_id(name), true),
             _ => return Ok(()),
         };
         let seen = self.last_seen().unwrap_or_default();
-        let wanted = |e: &&Event| e.seq > seen && (whole || e.turn.as_ref() == Some(&turn));
-        let due: Vec<&Event> = log.iter().filter(wanted).take(events.len()).collect();
+        let is_due = |e: &&Event| e.seq > seen && (whole_session || e.turn.as_ref() == Some(&turn));
+        let due: Vec<&Event> = log.iter().filter(is_due).take(events.len()).collect();
         if due != events.iter().collect::<Vec<_>>() {
-            return Err(format!("lost, repeated or spliced: got {events:?}, due {due:?}"));
+            return Err(format!(
+                "lost, duplicated or reordered events: got {events:?}, due {due:?}"
+            ));
         }
         let is_over = events.iter().any(|e| {
             e.turn.as_ref() == Some(&turn) && matches!(e.body, EventBody::TurnEnded { .. })
@@ -97,7 +100,7 @@
     }
 }
 
-/// A turn's request; each turn follows the one with the number before.
+/// Builds the request of a turn; each turn follows the one with the preceding number.
 fn request(name: &str) -> TurnRequest {
     let number: u32 = name.trim_start_matches('t').parse().expect("t and a number");
     TurnRequest {
--- a/crates/session/tests/model_check/checks.rs
+++ b/crates/session/tests/model_check/checks.rs
@@ -1,38 +1,39 @@
-//! What must hold in every state.
+//! Invariants that must hold in every state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hooklug_state::shard::{Event, EventBody};
 use hooklug_types::{SessionId, TurnId};
 
-use crate::world::{Checked, World};
+use crate::world::{CheckResult, World};
 
 impl World {
-    /// Each turn's committed text is the beginning of what the model said, and each result stands once.
-    pub fn check_logs(&self) -> Checked {
+    /// Checks that each turn's committed text is a prefix of the model's output, and that a tool
+    /// result is recorded only once.
+    pub fn check_logs(&self) -> CheckResult {
         for session in self.sessions() {
             let log = self.log(session);
             let results = log.iter().filter(|e| matches!(e.body, EventBody::ToolResult { .. }));
             if results.count() > 1 {
-                return Err("a tool result stands twice".to_owned());
+                return Err("a tool result is recorded twice".to_owned());
             }
-            let mut said: BTreeMap<&TurnId, usize> = BTreeMap::new();
+            let mut generated: BTreeMap<&TurnId, usize> = BTreeMap::new();
             for event in &log {
                 let (EventBody::Tokens { text, .. }, Some(turn)) = (&event.body, &event.turn)
                 else {
                     continue;
                 };
-                let count = said.entry(turn).or_default();
+                let count = generated.entry(turn).or_default();
                 *count += 1;
                 if *text != format!("w{count}") {
-                    return Err(format!("not committed as the model said it: {event:?}"));
+                    return Err(format!("not committed as the model generated it: {event:?}"));
                 }
             }
         }
         Ok(())
     }
 
-    pub fn check_budget(&self) -> Checked {
+    pub fn check_budget(&self) -> CheckResult {
         let (spent, reserved) = self.ledger();
         let tokens = |e: &Event| match e.body {
             EventBody::Tokens { count, .. } => count.0,
--- a/crates/session/tests/model_check/effects.rs
+++ b/crates/session/tests/model_check/effects.rs
@@ -1,13 +1,13 @@
-//! Carries out what loops want done, and checks what callers get by it.
+//! Carries out the effects of session loops, and checks what callers receive.
 
 use hooklug_session::{Answer, ClientId, ClientItem, Effect, Message, ReplyId, SessionRefusal};
 use hooklug_state::shard::{Event, EventBody, ShardAnswer, ShardCommand, ShardQuery, ShardRefusal};
 use hooklug_types::{EventSeq, SessionId};
 
 use crate::engines::Generation;
-use crate::network::Wire;
+use crate::network::InTransit;
 use crate::scenario::Step;
-use crate::world::{Checked, World, key, turn_id};
+use crate::world::{CheckResult, World, key, turn_id};
 
 impl World {
     pub fn carry_out(
@@ -16,24 +16,30 @@
         instance: u8,
         session: &SessionId,
         effect: Effect,
-    ) -> Checked {
+    ) -> CheckResult {
         match effect {
             Effect::Commit { commit, command } => {
-                let command = self.perhaps_renumbered(command);
+                let command = self.maybe_renumber(command);
                 if self.rules.release_before_commit {
                     self.release_early(session, &command)?;
                 }
                 let session = session.clone();
-                self.wires.push(Wire::Request { engine, instance, session, commit, command });
+                self.in_transit.push(InTransit::Request {
+                    engine,
+                    instance,
+                    session,
+                    commit,
+                    command,
+                });
                 Ok(())
             }
             Effect::RequestSlot { ticket, .. } => {
-                self.tell(engine, session, Message::SlotGranted { ticket })
+                self.send(engine, session, Message::SlotGranted { ticket })
             }
             Effect::StartGeneration { generation, .. } => {
                 let session = session.clone();
                 let generation =
-                    Generation { id: generation, instance, session, said: 0, stopped: false };
+                    Generation { id: generation, instance, session, generated: 0, stopped: false };
                 self.engines[engine].generations.push(generation);
                 Ok(())
             }
@@ -47,7 +53,7 @@
             Effect::LookUpTurn { look_up, turn } => {
                 let query = ShardQuery::Turn { key: key(session), turn };
                 let ShardAnswer::Turn(record) = self.shard.answer(&query) else { return Ok(()) };
-                self.tell(engine, session, Message::TurnLookedUp { look_up, record })
+                self.send(engine, session, Message::TurnLookedUp { look_up, record })
             }
             Effect::Send { client, item } => self.receive(session, client, item),
             Effect::Reply { reply, answer } => self.answered(reply, answer),
@@ -61,7 +67,7 @@
         }
     }
 
-    pub fn perhaps_renumbered(&self, command: ShardCommand) -> ShardCommand {
+    pub fn maybe_renumber(&self, command: ShardCommand) -> ShardCommand {
         match command {
             ShardCommand::AppendEvents { key, epoch, turn, bodies, .. }
                 if self.rules.renumber_repeats =>
@@ -73,7 +79,7 @@
         }
     }
 
-    pub fn release_early(&mut self, session: &SessionId, command: &ShardCommand) -> Checked {
+    pub fn release_early(&mut self, session: &SessionId, command: &ShardCommand) -> CheckResult {
         let ShardCommand::AppendEvents { turn, first_seq, bodies, .. } = command else {
             return Ok(());
         };
@@ -91,12 +97,17 @@
         Ok(())
     }
 
-    /// The caller with a client or reply id, if the id is not of a connection that broke.
+    /// Returns the caller with a client or reply id, unless the id belongs to a broken connection.
     pub fn caller_of(&self, id: u64) -> Option<usize> {
         (0..self.callers.len()).find(|n| self.callers[*n].client(*n).0 == id)
     }
 
-    pub fn receive(&mut self, session: &SessionId, client: ClientId, item: ClientItem) -> Checked {
+    pub fn receive(
+        &mut self,
+        session: &SessionId,
+        client: ClientId,
+        item: ClientItem,
+    ) -> CheckResult {
         let events = match item {
             ClientItem::Events(events) => events,
             ClientItem::Sync { history, .. } => history,
@@ -110,12 +121,12 @@
             }
         }
         match self.caller_of(client.0) {
-            Some(number) => self.callers[number].take_events(events, &log),
+            Some(number) => self.callers[number].receive_events(events, &log),
             None => Ok(()),
         }
     }
 
-    pub fn refused(&mut self, client: ClientId, refusal: &SessionRefusal) -> Checked {
+    pub fn refused(&mut self, client: ClientId, refusal: &SessionRefusal) -> CheckResult {
         let Some(number) = self.caller_of(client.0) else { return Ok(()) };
         let (spent, reserved) = self.ledger();
         match refusal {
@@ -132,7 +143,11 @@
         }
     }
 
-    pub fn answered(&mut self, reply: ReplyId, answer: Result<Answer, SessionRefusal>) -> Checked {
+    pub fn answered(
+        &mut self,
+        reply: ReplyId,
+        answer: Result<Answer, SessionRefusal>,
+    ) -> CheckResult {
         let Some(number) = self.caller_of(reply.0) else { return Ok(()) };
         let session = self.callers[number].session.clone();
         let log = self.log(&session);
@@ -140,8 +155,8 @@
         caller.connected = None;
         match (caller.steps.first(), answer) {
             (Some(Step::Tool(name)), Ok(Answer::ToolResult(seq))) => {
-                let there = log.get(seq.0 as usize - 1).map(|e| &e.body);
-                if !matches!(there, Some(EventBody::ToolResult { call, .. }) if call == name) {
+                let body = log.get(seq.0 as usize - 1).map(|e| &e.body);
+                if !matches!(body, Some(EventBody::ToolResult { call, .. }) if call == name) {
                     return Err(format!("no result of {name} at {seq}"));
                 }
                 caller.next_step();
@@ -151,11 +166,12 @@
                     e.turn == Some(turn_id(name)) && matches!(e.body, EventBody::TurnEnded { .. })
                 });
                 if !ended || record.turn != turn_id(name) {
-                    return Err(format!("{name} is said to be over: {record:?}"));
+                    return Err(format!("{name} is reported as ended, but is not: {record:?}"));
                 }
                 caller.next_step();
             }
-            // The turn may not have been asked for yet: only the shard can tell, and the caller gives up.
+            // The turn may not have been requested yet, which only the shard knows; the caller
+            // gives up.
             (Some(Step::Abort(_)), Err(SessionRefusal::UnknownTurn)) => caller.next_step(),
             (_, Err(SessionRefusal::Ledger(refusal))) => {
                 return Err(format!("wrongly refused: {refusal:?}"));
--- a/crates/session/tests/model_check/engines.rs
+++ b/crates/session/tests/model_check/engines.rs
@@ -1,4 +1,4 @@
-//! The engines: their loops, their runs of the model, and the lease that lets them act.
+//! The engines of the model: their session loops, generations and leases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,25 +11,25 @@
     EngineIncarnation, EventSeq, Incarnation, SessionEpoch, SessionId, TokenCount,
 };
 
-use crate::world::{Checked, NOW, World};
+use crate::world::{CheckResult, NOW, World};
 
-/// A run of the model.
+/// A generation at an engine.
 #[derive(Debug, Clone)]
 pub struct Generation {
     pub id: GenerationId,
     pub instance: u8,
     pub session: SessionId,
-    pub said: u64,
+    pub generated: u64,
     pub stopped: bool,
 }
 
-/// An engine.
+/// A session-host engine.
 #[derive(Debug, Clone)]
 pub struct EngineModel {
     pub name: EngineIncarnation,
     pub loops: BTreeMap<SessionId, (u8, Session)>,
     pub generations: Vec<Generation>,
-    pub run_out: bool,
+    pub lease_expired: bool,
     pub last_instance: u8,
 }
 
@@ -42,19 +42,20 @@
             name,
             loops: BTreeMap::new(),
             generations: Vec::new(),
-            run_out: false,
+            lease_expired: false,
             last_instance: 0,
         }
     }
 }
 
 impl World {
-    /// Runs a loop for a session that the engine owns, if what it reads fits together.
+    /// Starts a loop for a session that the engine owns, if the record and the events that it reads
+    /// are consistent.
     pub fn load(&mut self, engine: usize, seen: &SessionRecord) {
         let model = &mut self.engines[engine];
         let session = seen.key.session.clone();
         let holds = model.loops.contains_key(&session);
-        if holds || model.run_out || seen.owner.as_ref() != Some(&model.name) || seen.closed {
+        if holds || model.lease_expired || seen.owner.as_ref() != Some(&model.name) || seen.closed {
             return;
         }
         let query = ShardQuery::Events { key: seen.key.clone(), after: EventSeq(0), limit: 1_000 };
@@ -71,29 +72,33 @@
         model.last_instance += 1;
         let running = Session::new(loaded, config, *NOW);
         model.loops.insert(session.clone(), (model.last_instance, running));
-        // Nobody is connected yet, so a first tick sends nothing to anyone.
-        let _ = self.tell(engine, &session, Message::Tick);
+        // No client is connected yet, so the first tick sends nothing.
+        let _ = self.send(engine, &session, Message::Tick);
     }
 
-    pub fn tell_all(&mut self, engine: usize, message: &Message) -> Checked {
+    pub fn send_to_all(&mut self, engine: usize, message: &Message) -> CheckResult {
         let sessions: Vec<_> = self.engines[engine].loops.keys().cloned().collect();
-        sessions.iter().try_for_each(|session| self.tell(engine, session, message.clone()))
+        sessions.iter().try_for_each(|session| self.send(engine, session, message.clone()))
     }
 
-    pub fn tell_instance(
+    pub fn send_to_instance(
         &mut self,
         engine: usize,
         session: &SessionId,
         instance: u8,
         message: Message,
-    ) -> Checked {
-        let there = self.engines[engine].loops.get(session).map(|(number, _)| *number);
-        if there == Some(instance) { self.tell(engine, session, message) } else { Ok(()) }
+    ) -> CheckResult {
+        let running_instance = self.engines[engine].loops.get(session).map(|(number, _)| *number);
+        if running_instance == Some(instance) {
+            self.send(engine, session, message)
+        } else {
+            Ok(())
+        }
     }
 
-    pub fn tell(&mut self, engine: usize, session: &SessionId, message: Message) -> Checked {
+    pub fn send(&mut self, engine: usize, session: &SessionId, message: Message) -> CheckResult {
         let model = &mut self.engines[engine];
-        let lease_until = if model.run_out { *NOW } else { *NOW + Duration::from_secs(1) };
+        let lease_until = if model.lease_expired { *NOW } else { *NOW + Duration::from_secs(1) };
         let Some((instance, running)) = model.loops.get_mut(session) else { return Ok(()) };
         let instance = *instance;
         let (epoch, before) = (running.epoch(), running.record().next_seq);
@@ -111,8 +116,14 @@
         Ok(())
     }
 
-    /// Only the owner releases events for the first time; what is released may be shown again by anyone.
-    fn check_is_owner(&self, engine: usize, session: &SessionId, epoch: SessionEpoch) -> Checked {
+    /// Checks that only the owner releases an event for the first time. Any engine may send
+    /// released events again.
+    fn check_is_owner(
+        &self,
+        engine: usize,
+        session: &SessionId,
+        epoch: SessionEpoch,
+    ) -> CheckResult {
         let record = self.record(session);
         let owner = &self.engines[engine].name;
         if record.owner.as_ref() == Some(owner) && record.epoch == epoch {
@@ -122,28 +133,33 @@
         }
     }
 
-    pub fn say(&mut self, engine: usize, id: GenerationId) -> Checked {
+    pub fn generate(&mut self, engine: usize, id: GenerationId) -> CheckResult {
         let tokens = self.tokens;
         let generations = &mut self.engines[engine].generations;
         let Some(generation) = generations.iter_mut().find(|g| g.id == id) else { return Ok(()) };
-        generation.said += 1;
-        let event = if generation.said <= tokens {
-            ModelEvent::Text { text: format!("w{}", generation.said), tokens: TokenCount(1) }
+        generation.generated += 1;
+        let event = if generation.generated <= tokens {
+            ModelEvent::Text { text: format!("w{}", generation.generated), tokens: TokenCount(1) }
         } else {
             ModelEvent::End(ModelEnd::Stop)
         };
         self.model_event(engine, id, event)
     }
 
-    pub fn model_event(&mut self, engine: usize, id: GenerationId, event: ModelEvent) -> Checked {
+    pub fn model_event(
+        &mut self,
+        engine: usize,
+        id: GenerationId,
+        event: ModelEvent,
+    ) -> CheckResult {
         let generations = &mut self.engines[engine].generations;
-        let Some(place) = generations.iter().position(|g| g.id == id) else { return Ok(()) };
-        let Generation { instance, session, stopped, .. } = generations[place].clone();
+        let Some(index) = generations.iter().position(|g| g.id == id) else { return Ok(()) };
+        let Generation { instance, session, stopped, .. } = generations[index].clone();
         let is_last = stopped || !matches!(event, ModelEvent::Text { .. });
         if is_last {
-            generations.remove(place);
+            generations.remove(index);
         }
         let message = Message::Model { generation: id, event };
-        self.tell_instance(engine, &session, instance, message)
+        self.send_to_instance(engine, &session, instance, message)
     }
 }
--- a/crates/session/tests/model_check/explore.rs
+++ b/crates/session/tests/model_check/explore.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search over all interleavings, with states told apart by a 128-bit hash.
+//! Breadth-first search over all interleavings. States are identified by a 128-bit hash.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use crate::world::World;
 
-/// A broken promise and the shortest way to it.
+/// A violated invariant and the shortest trace that leads to it.
 #[derive(Debug)]
 pub struct Violation {
     pub what: String,
@@ -21,15 +21,15 @@
     }
 }
 
-/// What a search came to.
+/// The result of a search.
 #[derive(Debug)]
 pub struct Explored {
     pub states: usize,
     pub transitions: usize,
-    /// States in which all callers have what they want.
+    /// Number of states in which all callers have completed their steps.
     pub finished: usize,
     /// Whether all reachable states were visited.
-    pub whole: bool,
+    pub complete: bool,
     pub violation: Option<Violation>,
 }
 
@@ -43,7 +43,7 @@
     transitions: usize,
 }
 
-pub fn explore(scenario: &Scenario, most: usize) -> Explored {
+pub fn explore(scenario: &Scenario, max_states: usize) -> Explored {
     let start = World::new(scenario);
     let mut search = Search {
         numbers: HashMap::from([(start.hash(), 0)]),
@@ -68,31 +68,32 @@
                 frontier.push_back((new, next));
             }
         }
-        if search.parents.len() > most {
+        if search.parents.len() > max_states {
             return search.outcome(false, None);
         }
     }
     let stuck = search.first_stuck();
     let violation = stuck.map(|state| {
-        search.violation("the callers can't come to their end any more".to_owned(), state, None)
+        search.violation("the callers can no longer complete their steps".to_owned(), state, None)
     });
     search.outcome(true, violation)
 }
 
 impl Search {
-    /// Notes a step; the number of the state that it leads to, if that is new.
+    /// Records a transition, and returns the number of the state that it leads to, if that state is
+    /// new.
     fn visit(&mut self, world: &World, from: u32, action: Action) -> Option<u32> {
-        let fresh = u32::try_from(self.parents.len()).expect("fewer states");
-        let number = *self.numbers.entry(world.hash()).or_insert(fresh);
-        if number == fresh {
+        let next_number = u32::try_from(self.parents.len()).expect("fewer states");
+        let number = *self.numbers.entry(world.hash()).or_insert(next_number);
+        if number == next_number {
             self.parents.push((from, Some(action)));
             self.sources.push(Vec::new());
         }
         self.sources[number as usize].push(from);
-        (number == fresh).then_some(fresh)
+        (number == next_number).then_some(next_number)
     }
 
-    /// The first state from which no finished state can be reached.
+    /// Returns the first state from which no finished state can be reached.
     fn first_stuck(&self) -> Option<u32> {
         let mut can_finish = vec![false; self.parents.len()];
         let mut reached = self.finished.clone();
@@ -116,12 +117,12 @@
         Violation { what, trace }
     }
 
-    fn outcome(self, whole: bool, violation: Option<Violation>) -> Explored {
+    fn outcome(self, complete: bool, violation: Option<Violation>) -> Explored {
         Explored {
             states: self.parents.len(),
             transitions: self.transitions,
             finished: self.finished.len(),
-            whole,
+            complete,
             violation,
         }
     }
--- a/crates/session/tests/model_check/main.rs
+++ b/crates/session/tests/model_check/main.rs
@@ -1,11 +1,11 @@
-//! An exhaustive search over small cases: session loops, the shard's state machine, two engines and
-//! two gateways, with messages lost, late, repeated and in any order.
+//! Exhaustive model check of small scenarios: session loops, the shard's state machine, two engines
+//! and two gateways, with messages that are lost, delayed, duplicated or reordered.
 //!
-//! Every reachable state is visited once. Checked at every step: an event reaches a caller only if it
-//! is committed as it stands, and for the first time only from the session's owner; no caller loses,
-//! gets twice or out of order any event of its turn; no program goes over its budget; no caller is told
-//! "budget spent", "no such turn" or the like wrongly. Checked at the end: from every state the
-//! callers can still come to the end of what they want.
+//! Every reachable state is visited once. Invariants checked at every step: an event reaches a
+//! caller only if it is committed with the same content, and for the first time only from the
+//! session's owner; no caller misses an event of its turn or receives one twice or out of order; no
+//! program exceeds its budget; no caller is wrongly refused with "budget spent", "no such turn" or
+//! the like. CheckResult at the end: from every state, the callers can still complete all their steps.
 
 mod actions;
 mod caller;
@@ -20,21 +20,22 @@
 use explore::explore;
 use scenario::{Rules, Scenario, Step};
 
-/// States beyond which a case is too large to be called searched.
-const MOST_STATES: usize = 1_500_000;
+/// Maximum number of states of a scenario; the search of a larger one is incomplete and fails the
+/// test.
+const MAX_STATES: usize = 1_500_000;
 
-fn holds(name: &str, scenario: &Scenario) {
-    let explored = explore(scenario, MOST_STATES);
+fn check(name: &str, scenario: &Scenario) {
+    let explored = explore(scenario, MAX_STATES);
     println!("{name}: {} states, {} transitions", explored.states, explored.transitions);
     if let Some(violation) = explored.violation {
         panic!("{name}: {violation}");
     }
-    assert!(explored.whole, "{name}: not searched to its end");
+    assert!(explored.complete, "{name}: the search is incomplete");
     assert!(explored.finished > 0, "{name}: no caller ever finishes");
 }
 
 fn is_reported(name: &str, scenario: &Scenario, expected: &str) {
-    let explored = explore(scenario, MOST_STATES);
+    let explored = explore(scenario, MAX_STATES);
     let violation = explored.violation.expect("the broken rule is reported");
     println!("{name}: reported after {} states: {violation}", explored.states);
     assert!(violation.what.contains(expected), "{name}: {violation}");
@@ -46,11 +47,11 @@
 
 #[test]
 fn a_takeover_with_a_fault() {
-    holds(
+    check(
         "takeover",
         &Scenario {
             callers: vec![("s1", turns(&["t1", "t2"]))],
-            lapses: 1,
+            lease_expiries: 1,
             faults: 1,
             budget: 3,
             ..Scenario::default()
@@ -61,13 +62,16 @@
 #[test]
 fn two_gateways_send_the_same_turn() {
     let callers = vec![("s1", turns(&["t1"])), ("s1", turns(&["t1"]))];
-    holds("resend", &Scenario { callers, lapses: 1, faults: 1, tokens: 1, ..Scenario::default() });
+    check(
+        "resend",
+        &Scenario { callers, lease_expiries: 1, faults: 1, tokens: 1, ..Scenario::default() },
+    );
 }
 
 #[test]
 fn a_hand_over_with_two_faults() {
     let callers = vec![("s1", turns(&["t1", "t2"]))];
-    holds(
+    check(
         "hand-over",
         &Scenario { callers, hand_overs: 1, faults: 2, tokens: 1, ..Scenario::default() },
     );
@@ -76,28 +80,31 @@
 #[test]
 fn two_sessions_share_a_budget() {
     let callers = vec![("s1", turns(&["t1"])), ("s2", turns(&["t1"]))];
-    holds("budget", &Scenario { callers, lapses: 1, budget: 3, ..Scenario::default() });
+    check("budget", &Scenario { callers, lease_expiries: 1, budget: 3, ..Scenario::default() });
 }
 
 #[test]
 fn tool_results_between_and_in_turns() {
     let callers = vec![("s1", turns(&["t1"])), ("s1", vec![Step::Tool("c1")])];
-    holds(
+    check(
         "tool results",
-        &Scenario { callers, lapses: 1, faults: 1, tokens: 1, ..Scenario::default() },
+        &Scenario { callers, lease_expiries: 1, faults: 1, tokens: 1, ..Scenario::default() },
     );
 }
 
 #[test]
 fn an_abort_from_another_gateway() {
     let callers = vec![("s1", turns(&["t1"])), ("s1", vec![Step::Abort("t1")])];
-    holds("abort", &Scenario { callers, hand_overs: 1, faults: 1, ..Scenario::default() });
+    check("abort", &Scenario { callers, hand_overs: 1, faults: 1, ..Scenario::default() });
 }
 
 #[test]
 fn a_joined_client_sees_the_common_stream() {
     let callers = vec![("s1", turns(&["t1"])), ("s1", vec![Step::Join("t1")])];
-    holds("join", &Scenario { callers, lapses: 1, faults: 1, tokens: 1, ..Scenario::default() });
+    check(
+        "join",
+        &Scenario { callers, lease_expiries: 1, faults: 1, tokens: 1, ..Scenario::default() },
+    );
 }
 
 #[test]
@@ -124,5 +131,5 @@
     let rules = Rules { renumber_repeats: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1"]))];
     let scenario = Scenario { callers, rules, faults: 1, ..Scenario::default() };
-    is_reported("append anew after a lost answer", &scenario, "as the model said it");
+    is_reported("append anew after a lost reply", &scenario, "as the model generated it");
 }
--- a/crates/session/tests/model_check/network.rs
+++ b/crates/session/tests/model_check/network.rs
@@ -1,14 +1,14 @@
-//! What is on its way between engines, the shard and callers, and its delivery.
+//! Messages in transit between engines, the shard and callers, and their delivery.
 
 use hooklug_session::{CommitId, Message};
 use hooklug_state::shard::{SessionRecord, ShardCommand, ShardReply, TakeSession};
 use hooklug_types::SessionId;
 
-use crate::world::{Checked, World};
+use crate::world::{CheckResult, World};
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wire {
+pub enum InTransit {
     Request {
         engine: usize,
         instance: u8,
@@ -29,7 +29,7 @@
         session: SessionId,
         commit: CommitId,
     },
-    /// Nobody waits for its answer any more.
+    /// A request whose sender no longer waits for the reply.
     Late {
         command: ShardCommand,
     },
@@ -49,42 +49,48 @@
 }
 
 impl World {
-    pub fn deliver(&mut self, wire: Wire) -> Checked {
-        match wire {
-            Wire::Request { engine, instance, ref session, commit, .. } => {
-                let reply = self.apply(&wire);
+    pub fn deliver(&mut self, message: InTransit) -> CheckResult {
+        match message {
+            InTransit::Request { engine, instance, ref session, commit, .. } => {
+                let reply = self.apply(&message);
                 let session = session.clone();
-                self.wires.push(Wire::Reply { engine, instance, session, commit, reply });
+                self.in_transit.push(InTransit::Reply { engine, instance, session, commit, reply });
                 Ok(())
             }
-            Wire::Reply { engine, instance, session, commit, reply } => {
-                self.tell_instance(engine, &session, instance, Message::Committed { commit, reply })
-            }
-            Wire::Uncertain { engine, instance, session, commit } => {
-                self.tell_instance(engine, &session, instance, Message::CommitUncertain { commit })
-            }
-            Wire::Late { .. } => {
-                self.apply(&wire);
+            InTransit::Reply { engine, instance, session, commit, reply } => self.send_to_instance(
+                engine,
+                &session,
+                instance,
+                Message::Committed { commit, reply },
+            ),
+            InTransit::Uncertain { engine, instance, session, commit } => self.send_to_instance(
+                engine,
+                &session,
+                instance,
+                Message::CommitUncertain { commit },
+            ),
+            InTransit::Late { .. } => {
+                self.apply(&message);
                 Ok(())
             }
-            Wire::Call { caller, engine, message } => self.arrive(caller, engine, message),
-            Wire::Take { engine, .. } => {
-                if let ShardReply::Session(record) = self.apply(&wire) {
-                    self.wires.push(Wire::Load { engine, record: Box::new(record) });
+            InTransit::Call { caller, engine, message } => self.arrive(caller, engine, message),
+            InTransit::Take { engine, .. } => {
+                if let ShardReply::Session(record) = self.apply(&message) {
+                    self.in_transit.push(InTransit::Load { engine, record: Box::new(record) });
                 }
                 Ok(())
             }
-            Wire::Load { engine, record } => {
+            InTransit::Load { engine, record } => {
                 self.load(engine, &record);
                 Ok(())
             }
         }
     }
 
-    pub fn command_of(&self, wire: &Wire) -> ShardCommand {
-        match wire {
-            Wire::Request { command, .. } | Wire::Late { command } => command.clone(),
-            Wire::Take { engine, record } => ShardCommand::TakeSession(TakeSession {
+    pub fn command_of(&self, message: &InTransit) -> ShardCommand {
+        match message {
+            InTransit::Request { command, .. } | InTransit::Late { command } => command.clone(),
+            InTransit::Take { engine, record } => ShardCommand::TakeSession(TakeSession {
                 key: record.key.clone(),
                 expected_epoch: record.epoch,
                 new_owner: self.engines[*engine].name.clone(),
@@ -94,15 +100,15 @@
         }
     }
 
-    pub fn apply(&mut self, wire: &Wire) -> ShardReply {
-        let command = self.command_of(wire);
+    pub fn apply(&mut self, message: &InTransit) -> ShardReply {
+        let command = self.command_of(message);
         self.shard.apply_command(command)
     }
 
-    /// The sender of a request learns that it may or may not have been applied.
-    pub fn give_up(&mut self, wire: &Wire) {
-        if let Wire::Request { engine, instance, session, commit, .. } = wire.clone() {
-            self.wires.push(Wire::Uncertain { engine, instance, session, commit });
+    /// Notifies the sender of a request that the request may or may not have been applied.
+    pub fn report_uncertain(&mut self, message: &InTransit) {
+        if let InTransit::Request { engine, instance, session, commit, .. } = message.clone() {
+            self.in_transit.push(InTransit::Uncertain { engine, instance, session, commit });
         }
     }
 
@@ -111,18 +117,19 @@
         let owns = record.owner.as_ref() == Some(&self.engines[engine].name);
         let holds = self.engines[engine].loops.contains_key(&record.key.session);
         if !owns {
-            self.wires.push(Wire::Take { engine, record: Box::new(record) });
-        } else if !holds && !self.engines[engine].run_out {
-            // An earlier answer was lost: the engine takes up what is its own.
+            self.in_transit.push(InTransit::Take { engine, record: Box::new(record) });
+        } else if !holds && !self.engines[engine].lease_expired {
+            // The engine owns the session, but the reply that granted it was lost: load the
+            // session.
             self.load(engine, &record);
         } else {
             let message = self.callers[number].message(number);
             self.callers[number].connected = Some(engine);
-            self.wires.push(Wire::Call { caller: number, engine, message });
+            self.in_transit.push(InTransit::Call { caller: number, engine, message });
         }
     }
 
-    pub fn arrive(&mut self, number: usize, engine: usize, message: Message) -> Checked {
+    pub fn arrive(&mut self, number: usize, engine: usize, message: Message) -> CheckResult {
         let session = self.callers[number].session.clone();
         let is_old = message != self.callers[number].message(number)
             || self.callers[number].connected != Some(engine);
@@ -136,22 +143,22 @@
             }
             _ => None,
         };
-        self.tell(engine, &session, message)?;
+        self.send(engine, &session, message)?;
         match left {
-            Some(client) => self.tell(engine, &session, Message::Leave { client }),
+            Some(client) => self.send(engine, &session, Message::Leave { client }),
             None => Ok(()),
         }
     }
 
-    pub fn break_connection(&mut self, number: usize, lost: usize) -> Checked {
+    pub fn break_connection(&mut self, number: usize, lost: usize) -> CheckResult {
         let client = self.callers[number].client(number);
         let session = self.callers[number].session.clone();
         let engine = self.callers[number].connected.take();
         let caller = &mut self.callers[number];
-        caller.line += 1;
+        caller.broken_connections += 1;
         caller.batches.truncate(caller.batches.len().saturating_sub(lost));
         match engine {
-            Some(engine) => self.tell(engine, &session, Message::Leave { client }),
+            Some(engine) => self.send(engine, &session, Message::Leave { client }),
             None => Ok(()),
         }
     }
--- a/crates/session/tests/model_check/scenario.rs
+++ b/crates/session/tests/model_check/scenario.rs
@@ -1,22 +1,24 @@
-//! What is searched: who wants what, what may go wrong, and which rules are broken on purpose.
+//! Scenarios to search: the callers' steps, the possible faults, and the rules that are
+//! deliberately broken.
 
-/// Rules broken on purpose, to see that the search reports it.
+/// Rules that are deliberately broken, to verify that the search reports it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Rules {
-    /// Events go to clients when their commit is sent.
+    /// Events are sent to clients when their commit is sent, not when it is acknowledged.
     pub release_before_commit: bool,
-    /// A session is taken although its owner's lease is held.
+    /// A session is taken over although its owner's lease has not expired.
     pub take_without_expiry: bool,
-    /// After a lost answer the events are appended anew, behind what may be there already.
+    /// After a lost reply, the events are appended with new sequence numbers, which duplicates them
+    /// if the first append was applied.
     pub renumber_repeats: bool,
 }
 
-/// One thing that a caller wants.
+/// A step of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Run a turn to its end.
     Turn(&'static str),
-    /// Tell the result of a tool call.
+    /// Deliver the result of a tool call.
     Tool(&'static str),
     /// Abort a turn that another caller runs.
     Abort(&'static str),
@@ -24,18 +26,18 @@
     Join(&'static str),
 }
 
-/// A small case.
+/// A scenario to search.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Each caller's session and what it wants, one after the other; each behind a gateway of its own.
+    /// Each caller's session and its steps in order; each caller has its own gateway.
     pub callers: Vec<(&'static str, Vec<Step>)>,
-    /// Leases that may run out.
-    pub lapses: u8,
-    /// Hand-overs that an engine may be asked for.
+    /// Number of leases that may expire.
+    pub lease_expiries: u8,
+    /// Number of hand-overs that may be requested of engines.
     pub hand_overs: u8,
-    /// Messages that may be lost, late or repeated, connections that may break.
+    /// Number of faults: messages that are lost, delayed or duplicated, and connections that break.
     pub faults: u8,
-    /// Tokens that the model says a turn.
+    /// Number of tokens that the model generates per turn.
     pub tokens: u64,
     /// Token budget of the program.
     pub budget: u64,
@@ -46,7 +48,7 @@
     fn default() -> Self {
         Self {
             callers: Vec::new(),
-            lapses: 0,
+            lease_expiries: 0,
             hand_overs: 0,
             faults: 0,
             tokens: 2,
--- a/crates/session/tests/model_check/world.rs
+++ b/crates/session/tests/model_check/world.rs
@@ -1,4 +1,5 @@
-//! Two engines, the shard, callers behind two gateways, and what is on its way between them.
+//! A state of the model: two engines, the shard, callers behind two gateways, and the messages in
+//! transit.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::LazyLock;
@@ -18,10 +19,10 @@
 use crate::actions::Action;
 use crate::caller::Caller;
 use crate::engines::EngineModel;
-use crate::network::Wire;
+use crate::network::InTransit;
 use crate::scenario::{Rules, Scenario};
 
-/// The one instant at which everything happens; a lease that has run out ends now.
+/// The single instant at which everything happens; an expired lease ends at this instant.
 pub static NOW: LazyLock<Instant> = LazyLock::new(Instant::now);
 
 #[derive(Debug, Clone)]
@@ -29,8 +30,8 @@
     pub shard: ShardMachine,
     pub engines: Vec<EngineModel>,
     pub callers: Vec<Caller>,
-    pub wires: Vec<Wire>,
-    pub lapses: u8,
+    pub in_transit: Vec<InTransit>,
+    pub lease_expiries: u8,
     pub hand_overs: u8,
     pub faults: u8,
     pub tokens: u64,
@@ -38,7 +39,7 @@
     pub rules: Rules,
 }
 
-pub type Checked = Result<(), String>;
+pub type CheckResult = Result<(), String>;
 
 fn program() -> ProgramId {
     ProgramId::new("p1").expect("valid")
@@ -68,8 +69,8 @@
             shard,
             engines,
             callers: callers.collect(),
-            wires: Vec::new(),
-            lapses: scenario.lapses,
+            in_transit: Vec::new(),
+            lease_expiries: scenario.lease_expiries,
             hand_overs: scenario.hand_overs,
             faults: scenario.faults,
             tokens: scenario.tokens,
@@ -80,12 +81,12 @@
         world
     }
 
-    /// Opens the callers' sessions, at the engines in turn.
+    /// Opens the callers' sessions, distributed over the engines.
     fn open_sessions(&mut self) {
         let mut sessions: Vec<SessionId> = self.callers.iter().map(|c| c.session.clone()).collect();
         sessions.dedup();
-        for (place, session) in sessions.iter().enumerate() {
-            let engine = place % self.engines.len();
+        for (index, session) in sessions.iter().enumerate() {
+            let engine = index % self.engines.len();
             let reply = self.shard.apply_command(ShardCommand::OpenSession(OpenSession {
                 key: key(session),
                 owner: self.engines[engine].name.clone(),
@@ -99,10 +100,14 @@
     }
 
     pub fn hash(&self) -> u128 {
-        let mut wires: Vec<String> = self.wires.iter().map(|w| format!("{w:?}")).collect();
-        wires.sort_unstable();
+        let mut in_transit: Vec<String> =
+            self.in_transit.iter().map(|w| format!("{w:?}")).collect();
+        in_transit.sort_unstable();
         let rest = (&self.engines, &self.callers);
-        let text = format!("{rest:?}{wires:?}{:?}", (self.lapses, self.hand_overs, self.faults));
+        let text = format!(
+            "{rest:?}{in_transit:?}{:?}",
+            (self.lease_expiries, self.hand_overs, self.faults)
+        );
         let mut halves = [0_u64; 2];
         for (salt, half) in halves.iter_mut().enumerate() {
             let mut hasher = DefaultHasher::new();
@@ -116,44 +121,46 @@
         self.callers.iter().all(|c| c.steps.is_empty())
     }
 
-    pub fn act(&mut self, action: &Action) -> Checked {
+    pub fn act(&mut self, action: &Action) -> CheckResult {
         match *action {
-            Action::Deliver(place) => {
-                let wire = self.wires.remove(place);
-                self.deliver(wire)?;
+            Action::Deliver(index) => {
+                let message = self.in_transit.remove(index);
+                self.deliver(message)?;
             }
-            Action::LoseRequest(place) => {
-                let wire = self.wires.remove(place);
-                self.give_up(&wire);
+            Action::LoseRequest(index) => {
+                let message = self.in_transit.remove(index);
+                self.report_uncertain(&message);
             }
-            Action::LoseAnswer(place) => {
-                let wire = self.wires.remove(place);
-                self.apply(&wire);
-                self.give_up(&wire);
+            Action::LoseAnswer(index) => {
+                let message = self.in_transit.remove(index);
+                self.apply(&message);
+                self.report_uncertain(&message);
             }
-            Action::Delay(place) => {
-                let wire = self.wires.remove(place);
-                self.give_up(&wire);
-                self.wires.push(Wire::Late { command: self.command_of(&wire) });
+            Action::Delay(index) => {
+                let message = self.in_transit.remove(index);
+                self.report_uncertain(&message);
+                self.in_transit.push(InTransit::Late { command: self.command_of(&message) });
             }
-            Action::Repeat(place) => {
-                let wire = self.wires[place].clone();
-                match &wire {
-                    Wire::Request { .. } => {
-                        let command = self.command_of(&wire);
-                        self.wires[place] = Wire::Late { command };
+            Action::Repeat(index) => {
+                let message = self.in_transit[index].clone();
+                match &message {
+                    InTransit::Request { .. } => {
+                        let command = self.command_of(&message);
+                        self.in_transit[index] = InTransit::Late { command };
                     }
-                    _ => self.wires[place] = wire.clone(),
+                    _ => self.in_transit[index] = message.clone(),
                 }
-                self.deliver(wire)?;
+                self.deliver(message)?;
+            }
+            Action::Generate(engine, id) | Action::GenerateLate(engine, id) => {
+                self.generate(engine, id)?
             }
-            Action::Say(engine, id) | Action::SayLate(engine, id) => self.say(engine, id)?,
             Action::Cut(engine, id) => self.model_event(engine, id, ModelEvent::Cut)?,
-            Action::RunOut(engine) => {
-                self.engines[engine].run_out = true;
-                self.lapses -= 1;
+            Action::LeaseTimeout(engine) => {
+                self.engines[engine].lease_expired = true;
+                self.lease_expiries -= 1;
             }
-            Action::Notice(engine) => self.tell_all(engine, &Message::LeaseLost)?,
+            Action::NotifyLeaseLost(engine) => self.send_to_all(engine, &Message::LeaseLost)?,
             Action::Expire(engine) => {
                 let holder = self.engines[engine].name.clone();
                 let renewal = Renewal(1);
@@ -161,7 +168,7 @@
             }
             Action::HandOver(engine) => {
                 self.hand_overs -= 1;
-                self.tell_all(engine, &Message::HandOver)?;
+                self.send_to_all(engine, &Message::HandOver)?;
             }
             Action::Connect(caller, engine) => self.connect(caller, engine),
             Action::Break(caller, lost) => self.break_connection(caller, lost)?,
@@ -173,7 +180,7 @@
                 | Action::Delay(_)
                 | Action::Repeat(_)
                 | Action::Cut(..)
-                | Action::SayLate(..)
+                | Action::GenerateLate(..)
                 | Action::Break(..)
         );
         if is_fault {
--- a/crates/session/tests/session_loop.rs
+++ b/crates/session/tests/session_loop.rs
@@ -1,4 +1,4 @@
-//! One loop, message by message.
+//! Tests of a single session loop, driven message by message.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
 const LEASE: Duration = Duration::from_secs(3);
 const KEEP: Duration = Duration::from_secs(600);
 
-struct Bench {
+struct Harness {
     shard: ShardMachine,
     session: Session,
     start: Instant,
@@ -49,7 +49,7 @@
     }
 }
 
-impl Bench {
+impl Harness {
     fn new(budget: u64) -> Self {
         let mut shard = ShardMachine::new(KEEP);
         shard.apply_command(ShardCommand::PutProgram(PutProgram {
@@ -74,26 +74,27 @@
         Self { shard, session, start, now: start, lease_until: start + LEASE * 1_000 }
     }
 
-    fn tell(&mut self, message: Message) -> Vec<Effect> {
+    fn send(&mut self, message: Message) -> Vec<Effect> {
         self.session.handle(message, Moment { now: self.now, lease_until: self.lease_until })
     }
 
     fn run(&mut self, client: u64, name: &str, max_tokens: u64) -> Vec<Effect> {
         let request = request(name, max_tokens, self.start + Duration::from_secs(60));
-        self.tell(Message::RunTurn { client: ClientId(client), request, last_seen: EventSeq(0) })
+        self.send(Message::RunTurn { client: ClientId(client), request, last_seen: EventSeq(0) })
     }
 
-    /// Applies the one commit among some effects and tells the loop.
+    /// Applies the commit contained in some effects to the shard and delivers the reply to the
+    /// loop.
     fn commit(&mut self, effects: &[Effect]) -> Vec<Effect> {
         let (commit, command) = commit_in(effects).expect("a commit");
         let reply = self.shard.apply_command(command);
-        self.tell(Message::Committed { commit, reply })
+        self.send(Message::Committed { commit, reply })
     }
 
-    /// Brings a turn to the point where its model runs.
+    /// Runs a turn up to the start of its generation.
     fn open_turn(&mut self, name: &str, max_tokens: u64) -> GenerationId {
         let asked = self.run(1, name, max_tokens);
-        let begin = self.tell(Message::SlotGranted { ticket: ticket_in(&asked) });
+        let begin = self.send(Message::SlotGranted { ticket: ticket_in(&asked) });
         let begun = self.commit(&begin);
         let generation = begun.iter().find_map(|e| match e {
             Effect::StartGeneration { generation, .. } => Some(*generation),
@@ -102,9 +103,9 @@
         generation.expect("a generation")
     }
 
-    fn say(&mut self, generation: GenerationId, text: &str) -> Vec<Effect> {
+    fn generate(&mut self, generation: GenerationId, text: &str) -> Vec<Effect> {
         let event = ModelEvent::Text { text: text.to_owned(), tokens: TokenCount(1) };
-        self.tell(Message::Model { generation, event })
+        self.send(Message::Model { generation, event })
     }
 }
 
@@ -120,7 +121,7 @@
         Effect::RequestSlot { ticket, .. } => Some(*ticket),
         _ => None,
     });
-    ticket.expect("a wish for a slot")
+    ticket.expect("a slot request")
 }
 
 fn events_in(effects: &[Effect]) -> Vec<Event> {
@@ -149,87 +150,87 @@
 
 #[test]
 fn events_wait_for_their_commit_and_the_next_commit_carries_all_that_gathered() {
-    let mut bench = Bench::new(100);
-    let generation = bench.open_turn("t1", 10);
-    let first = bench.say(generation, "a");
+    let mut harness = Harness::new(100);
+    let generation = harness.open_turn("t1", 10);
+    let first = harness.generate(generation, "a");
     assert_eq!(events_in(&first), []);
     for text in ["b", "c", "d"] {
-        let effects = bench.say(generation, text);
+        let effects = harness.generate(generation, text);
         assert!(commit_in(&effects).is_none(), "one in flight at a time");
         assert_eq!(events_in(&effects), []);
     }
-    let released = bench.commit(&first);
+    let released = harness.commit(&first);
     assert_eq!(texts(&events_in(&released)), ["a"]);
     let Some((_, ShardCommand::AppendEvents { bodies, .. })) = commit_in(&released) else {
         panic!("{released:?}")
     };
     assert_eq!(bodies.len(), 3);
-    let released = bench.commit(&released);
+    let released = harness.commit(&released);
     assert_eq!(texts(&events_in(&released)), ["b", "c", "d"]);
 }
 
 #[test]
 fn a_lost_answer_is_met_by_the_same_command() {
-    let mut bench = Bench::new(100);
-    let generation = bench.open_turn("t1", 10);
-    let sent = bench.say(generation, "a");
+    let mut harness = Harness::new(100);
+    let generation = harness.open_turn("t1", 10);
+    let sent = harness.generate(generation, "a");
     let (commit, command) = commit_in(&sent).unwrap();
-    bench.shard.apply_command(command);
-    let again = bench.tell(Message::CommitUncertain { commit });
+    harness.shard.apply_command(command);
+    let again = harness.send(Message::CommitUncertain { commit });
     assert_eq!(commit_in(&again), commit_in(&sent));
-    assert_eq!(texts(&events_in(&bench.commit(&again))), ["a"]);
+    assert_eq!(texts(&events_in(&harness.commit(&again))), ["a"]);
 }
 
 #[test]
 fn a_stale_epoch_ends_all_release_and_names_the_record() {
-    let mut bench = Bench::new(100);
-    let generation = bench.open_turn("t1", 10);
-    let sent = bench.say(generation, "a");
+    let mut harness = Harness::new(100);
+    let generation = harness.open_turn("t1", 10);
+    let sent = harness.generate(generation, "a");
     let (commit, command) = commit_in(&sent).unwrap();
     let record = SessionRecord {
         owner: Some(engine("e2")),
         epoch: SessionEpoch(9),
-        ..bench.session.record().clone()
+        ..harness.session.record().clone()
     };
     let refusal = ShardRefusal::StaleEpoch { record: Box::new(record.clone()) };
-    let ended = bench.tell(Message::Committed { commit, reply: ShardReply::Refused(refusal) });
+    let ended = harness.send(Message::Committed { commit, reply: ShardReply::Refused(refusal) });
     let not_owner = SessionRefusal::NotOwner { record: Some(Box::new(record.clone())) };
     assert_eq!(refusals_in(&ended), std::slice::from_ref(&not_owner));
     assert!(ended.contains(&Effect::StopGeneration { generation }));
     assert!(ended.contains(&Effect::Ended(ExitReason::NotOwner(Some(Box::new(record))))));
-    // A late answer and whatever else comes releases nothing.
-    let reply = bench.shard.apply_command(command);
-    assert_eq!(bench.tell(Message::Committed { commit, reply }), []);
-    assert_eq!(bench.say(generation, "b"), []);
-    assert_eq!(refusals_in(&bench.run(2, "t1", 10)), [not_owner]);
+    // Neither a late reply nor any other message releases events.
+    let reply = harness.shard.apply_command(command);
+    assert_eq!(harness.send(Message::Committed { commit, reply }), []);
+    assert_eq!(harness.generate(generation, "b"), []);
+    assert_eq!(refusals_in(&harness.run(2, "t1", 10)), [not_owner]);
 }
 
 #[test]
 fn a_lease_that_ran_out_stops_the_loop_before_the_message() {
-    let mut bench = Bench::new(100);
-    let generation = bench.open_turn("t1", 10);
-    let sent = bench.say(generation, "a");
+    let mut harness = Harness::new(100);
+    let generation = harness.open_turn("t1", 10);
+    let sent = harness.generate(generation, "a");
     let (commit, command) = commit_in(&sent).unwrap();
-    let reply = bench.shard.apply_command(command);
-    bench.now = bench.lease_until;
-    let ended = bench.tell(Message::Committed { commit, reply });
+    let reply = harness.shard.apply_command(command);
+    harness.now = harness.lease_until;
+    let ended = harness.send(Message::Committed { commit, reply });
     assert_eq!(events_in(&ended), []);
     assert_eq!(refusals_in(&ended), [SessionRefusal::LeaseLost]);
     assert!(ended.contains(&Effect::StopGeneration { generation }));
-    assert_eq!(bench.session.ending(), Some(&ExitReason::LeaseLost));
+    assert_eq!(harness.session.ending(), Some(&ExitReason::LeaseLost));
 }
 
 #[test]
 fn no_event_goes_beyond_the_reservation() {
-    let mut bench = Bench::new(2);
-    let generation = bench.open_turn("t1", 10);
-    let first = bench.say(generation, "a");
-    bench.say(generation, "b");
-    let over = bench.say(generation, "c");
+    let mut harness = Harness::new(2);
+    let generation = harness.open_turn("t1", 10);
+    let first = harness.generate(generation, "a");
+    harness.generate(generation, "b");
+    let over = harness.generate(generation, "c");
     assert!(over.contains(&Effect::StopGeneration { generation }));
-    let released = bench.commit(&first);
-    let finish = bench.commit(&released);
-    let ended = bench.commit(&finish);
+    let released = harness.commit(&first);
+    let finish = harness.commit(&released);
+    let ended = harness.commit(&finish);
     let reason = EndReason::Failed { code: FailureCode::BudgetSpent };
     let body = EventBody::TurnEnded { reason, tokens: TokenCount(2) };
     assert_eq!(events_in(&ended).pop().map(|e| e.body), Some(body));
@@ -237,49 +238,49 @@
 
 #[test]
 fn output_of_another_generation_is_ignored() {
-    let mut bench = Bench::new(100);
-    let generation = bench.open_turn("t1", 10);
+    let mut harness = Harness::new(100);
+    let generation = harness.open_turn("t1", 10);
     let stray = GenerationId(generation.0 + 100);
-    assert_eq!(bench.say(stray, "a"), []);
+    assert_eq!(harness.generate(stray, "a"), []);
     let end = ModelEvent::End(ModelEnd::Stop);
-    assert_eq!(bench.tell(Message::Model { generation: stray, event: end }), []);
-    assert!(commit_in(&bench.say(generation, "a")).is_some());
+    assert_eq!(harness.send(Message::Model { generation: stray, event: end }), []);
+    assert!(commit_in(&harness.generate(generation, "a")).is_some());
 }
 
 #[test]
 fn a_turn_without_a_slot_is_refused_at_once_and_leaves_no_trace() {
-    let mut bench = Bench::new(100);
-    let asked = bench.run(1, "t1", 10);
+    let mut harness = Harness::new(100);
+    let asked = harness.run(1, "t1", 10);
     let retry_after = Duration::from_millis(700);
     let refusal = SlotRefusal::Overloaded { retry_after };
-    let refused = bench.tell(Message::SlotRefused { ticket: ticket_in(&asked), refusal });
+    let refused = harness.send(Message::SlotRefused { ticket: ticket_in(&asked), refusal });
     assert_eq!(refusals_in(&refused), [SessionRefusal::Overloaded { retry_after }]);
     assert!(commit_in(&refused).is_none());
-    // The same turn may come again.
-    let again = bench.run(2, "t1", 10);
-    assert!(commit_in(&bench.tell(Message::SlotGranted { ticket: ticket_in(&again) })).is_some());
+    // The same turn may be requested again.
+    let again = harness.run(2, "t1", 10);
+    assert!(commit_in(&harness.send(Message::SlotGranted { ticket: ticket_in(&again) })).is_some());
 }
 
 #[test]
-fn a_waiting_turn_that_nobody_wants_any_more_gives_its_wish_back() {
-    let mut bench = Bench::new(100);
-    let asked = bench.run(1, "t1", 10);
+fn an_abandoned_waiting_turn_cancels_its_slot_request() {
+    let mut harness = Harness::new(100);
+    let asked = harness.run(1, "t1", 10);
     let ticket = ticket_in(&asked);
-    let left = bench.tell(Message::Leave { client: ClientId(1) });
+    let left = harness.send(Message::Leave { client: ClientId(1) });
     assert!(left.contains(&Effect::ReleaseSlot { ticket }));
-    assert_eq!(bench.tell(Message::SlotGranted { ticket }), [Effect::ReleaseSlot { ticket }]);
+    assert_eq!(harness.send(Message::SlotGranted { ticket }), [Effect::ReleaseSlot { ticket }]);
 }
 
 #[test]
 fn an_abort_before_the_begin_is_on_record() {
-    let mut bench = Bench::new(100);
-    let asked = bench.run(1, "t1", 10);
+    let mut harness = Harness::new(100);
+    let asked = harness.run(1, "t1", 10);
     let abort = Message::Abort { reply: ReplyId(7), turn: "t1".parse().unwrap() };
-    let begin = bench.tell(abort);
+    let begin = harness.send(abort);
     assert!(begin.contains(&Effect::ReleaseSlot { ticket: ticket_in(&asked) }));
-    let finish = bench.commit(&begin);
+    let finish = harness.commit(&begin);
     assert!(!finish.iter().any(|e| matches!(e, Effect::StartGeneration { .. })));
-    let ended = bench.commit(&finish);
+    let ended = harness.commit(&finish);
     let answered = ended
         .iter()
         .any(|e| matches!(e, Effect::Reply { reply: ReplyId(7), answer: Ok(Answer::Turn(_)) }));
@@ -288,15 +289,15 @@
 
 #[test]
 fn a_tool_result_resent_while_its_commit_is_in_flight_is_appended_once() {
-    let mut bench = Bench::new(100);
-    let told = |reply| Message::ToolResult {
+    let mut harness = Harness::new(100);
+    let tool_result = |reply| Message::ToolResult {
         reply: ReplyId(reply),
         call: "c1".to_owned(),
         result: "21".to_owned(),
     };
-    let sent = bench.tell(told(1));
-    assert_eq!(bench.tell(told(2)), []);
-    let done = bench.commit(&sent);
+    let sent = harness.send(tool_result(1));
+    assert_eq!(harness.send(tool_result(2)), []);
+    let done = harness.commit(&sent);
     let replied = done
         .iter()
         .filter(|e| matches!(e, Effect::Reply { answer: Ok(Answer::ToolResult(EventSeq(1))), .. }));
@@ -306,27 +307,27 @@
 
 #[test]
 fn a_session_without_clients_closes_itself() {
-    let mut bench = Bench::new(100);
-    let due = bench.session.next_wake().expect("a time");
-    assert_eq!(due, bench.start + KEEP);
-    bench.now = due - Duration::from_millis(1);
-    assert_eq!(bench.tell(Message::Tick), []);
-    bench.now = due;
-    let closing = bench.tell(Message::Tick);
-    let closed = bench.commit(&closing);
+    let mut harness = Harness::new(100);
+    let due = harness.session.next_wake().expect("a time");
+    assert_eq!(due, harness.start + KEEP);
+    harness.now = due - Duration::from_millis(1);
+    assert_eq!(harness.send(Message::Tick), []);
+    harness.now = due;
+    let closing = harness.send(Message::Tick);
+    let closed = harness.commit(&closing);
     assert!(closed.contains(&Effect::Ended(ExitReason::Closed)));
 }
 
 #[test]
 fn a_hand_over_waits_for_the_turn_and_takes_no_new_one() {
-    let mut bench = Bench::new(100);
-    let generation = bench.open_turn("t1", 10);
-    assert_eq!(bench.tell(Message::HandOver), []);
+    let mut harness = Harness::new(100);
+    let generation = harness.open_turn("t1", 10);
+    assert_eq!(harness.send(Message::HandOver), []);
     let end = ModelEvent::End(ModelEnd::Stop);
-    let finish = bench.tell(Message::Model { generation, event: end });
-    let hand_over = bench.commit(&finish);
+    let finish = harness.send(Message::Model { generation, event: end });
+    let hand_over = harness.commit(&finish);
     assert!(matches!(commit_in(&hand_over), Some((_, ShardCommand::HandOver { .. }))));
-    let refused = bench.run(2, "t2", 10);
+    let refused = harness.run(2, "t2", 10);
     assert_eq!(refusals_in(&refused), [SessionRefusal::HandedOver]);
-    assert!(bench.commit(&hand_over).contains(&Effect::Ended(ExitReason::HandedOver)));
+    assert!(harness.commit(&hand_over).contains(&Effect::Ended(ExitReason::HandedOver)));
 }
--- a/crates/state/examples/snapshot_pause.rs
+++ b/crates/state/examples/snapshot_pause.rs
@@ -1,10 +1,11 @@
-//! Measures how long a shard stands still for a snapshot.
+//! Measures how long a snapshot blocks a shard.
 //!
 //! `cargo run --release -p hooklug-state --example snapshot_pause`
 //!
-//! For shards of several sizes: the time to encode the state, which the thread that applies commands would wait
-//! for if it did so itself; the time to take a frozen copy, which it does wait for; and the longest and all
-//! writes, one to each program, while the copy is held, since they copy what they change.
+//! For shards of several sizes, it prints the time to encode the state, which would block the
+//! thread that applies commands if that thread encoded the snapshot itself; the time to take a
+//! frozen copy, which does block it; and the longest and the total time of one write to each
+//! program while the copy is held, since such writes copy the data that they change.
 
 use std::time::{Duration, Instant};
 
@@ -17,11 +18,11 @@
     ServiceVersion, SessionEpoch, SessionId, SessionKey, TenantId, TokenCount, TurnId, UnixMillis,
 };
 
-/// Programs, and one-token events of each.
+/// Number of programs, and number of one-token events of each program.
 const SIZES: [(usize, u64); 5] =
     [(3_000, 0), (16_000, 50), (3_000, 1_000), (300, 10_000), (5, 600_000)];
-/// Events of one command.
-const EVENTS_A_COMMAND: u64 = 50;
+/// Number of events per command.
+const EVENTS_PER_COMMAND: u64 = 50;
 
 fn main() {
     println!("programs events_each bytes encode_us freeze_us longest_write_us all_writes_us");
@@ -50,8 +51,8 @@
 
 fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
     let started = Instant::now();
-    let made = work();
-    (made, started.elapsed())
+    let result = work();
+    (result, started.elapsed())
 }
 
 fn key(number: usize) -> SessionKey {
@@ -63,7 +64,7 @@
     TurnId::new("turn-1").expect("a name")
 }
 
-/// A program with a session, an open turn and its events.
+/// Adds a program with a session, an open turn and its events.
 fn fill(shard: &mut ShardMachine, key: &SessionKey, events: u64) {
     apply(
         shard,
@@ -98,8 +99,8 @@
             max_tokens: TokenCount(1 << 40),
         }),
     );
-    for first in (0..events).step_by(EVENTS_A_COMMAND as usize) {
-        apply(shard, append(key, first + 2, EVENTS_A_COMMAND.min(events - first)));
+    for first in (0..events).step_by(EVENTS_PER_COMMAND as usize) {
+        apply(shard, append(key, first + 2, EVENTS_PER_COMMAND.min(events - first)));
     }
 }
 
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -5,8 +5,8 @@
 /// Error of a state machine that cannot use bytes from a log, a query or a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MachineError {
-    /// The bytes do not decode. For a log entry or a snapshot, the replica must stop, since its state would diverge
-    /// from the other replicas.
+    /// The bytes do not decode. For a log entry or a snapshot, the replica must stop, since its
+    /// state would diverge from the other replicas.
     #[error("cannot decode {what}: {reason}")]
     Decode {
         /// The kind of value that was being decoded.
@@ -16,8 +16,8 @@
     },
 }
 
-/// A point-in-time copy of a state machine's state. Calling it, on any thread, encodes the snapshot. Creating it is
-/// cheap, because it shares data with the machine copy-on-write.
+/// A point-in-time copy of a state machine's state. Calling it, on any thread, encodes the
+/// snapshot. Creating it is cheap, because it shares data with the machine copy-on-write.
 pub type FrozenState = Box<dyn FnOnce() -> Vec<u8> + Send>;
 
 /// A deterministic state machine over encoded commands, without I/O, clock or randomness.
@@ -28,7 +28,8 @@
     /// Only if the command does not decode; a refusal is a reply.
     fn apply(&mut self, command: &[u8]) -> Result<Vec<u8>, MachineError>;
 
-    /// Answers one encoded query from the current state. The caller is responsible for linearizability.
+    /// Answers one encoded query from the current state. The caller is responsible for
+    /// linearizability.
     ///
     /// # Errors
     /// Only if the query does not decode.
@@ -37,8 +38,8 @@
     /// Returns the encoded state.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Returns a copy of the current state that can be encoded on another thread. The encoded bytes are those that
-    /// [`StateMachine::snapshot`] would return now.
+    /// Returns a copy of the current state that can be encoded on another thread. The encoded bytes
+    /// are those that [`StateMachine::snapshot`] would return now.
     fn freeze(&self) -> FrozenState;
 
     /// Replaces the state with a snapshot.
--- a/crates/state/src/meta/archive.rs
+++ b/crates/state/src/meta/archive.rs
@@ -12,8 +12,8 @@
 /// Number of versions whose records are retained.
 pub const KEPT_VERSIONS: usize = 512;
 
-/// Maximum size in bytes of the retained content of older versions. The newest version is retained whatever its
-/// size.
+/// Maximum size in bytes of the retained content of older versions. The newest version is retained
+/// whatever its size.
 pub const KEPT_BYTES: usize = 2 << 20;
 
 /// Size in bytes of a digest in a record's section table, with the overhead of the table entry.
@@ -26,9 +26,9 @@
     ref_count: u32,
 }
 
-/// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit into
-/// [`KEPT_BYTES`]. Of the older ones only the routes are retained, since it must remain known whether a tool was
-/// ever non-repeatable. Clones share records and sections.
+/// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit
+/// into [`KEPT_BYTES`]. Of the older ones only the routes are retained, since it must remain known
+/// whether a tool was ever non-repeatable. Clones share records and sections.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct BundleArchive {
     records: BTreeMap<BundleVersion, Arc<BundleRecord>>,
@@ -66,8 +66,8 @@
         self.sections.insert(digest, SharedSection { bytes: bytes.into(), ref_count: 1 });
     }
 
-    /// Drops the content, except for the routes, of the oldest version with full content. Returns false if that is the
-    /// newest version, which is retained.
+    /// Drops the content, except for the routes, of the oldest version with full content. Returns
+    /// false if that is the newest version, which is retained.
     fn drop_oldest_content(&mut self) -> bool {
         let mut complete = self.records.range(self.complete_from..).map(|(version, _)| *version);
         let (Some(oldest), Some(next)) = (complete.next(), complete.next()) else { return false };
--- a/crates/state/src/meta/bundles.rs
+++ b/crates/state/src/meta/bundles.rs
@@ -10,7 +10,8 @@
 use super::record::{BundleOrigin, BundleRecord};
 
 impl MetaMachine {
-    /// Commits a bundle. A resubmission of the same version and content returns the existing record.
+    /// Commits a bundle. A resubmission of the same version and content returns the existing
+    /// record.
     pub(super) fn submit_bundle(&mut self, submit: SubmitBundle) -> Outcome {
         let digest = submit.content.digest();
         if let Some(committed) = self.state.archive.record(submit.version) {
--- a/crates/state/src/meta/command.rs
+++ b/crates/state/src/meta/command.rs
@@ -15,8 +15,8 @@
 };
 use super::rollouts::RolloutPhase;
 
-/// A bundle submitted by operators. The node that forwards it validates the bundle and verifies its signatures;
-/// the state machine checks the versions again.
+/// A bundle submitted by operators. The node that forwards it validates the bundle and verifies its
+/// signatures; the state machine checks the versions again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitBundle {
     /// Version of the bundle.
@@ -55,8 +55,8 @@
 }
 
 impl SubmitBundle {
-    /// Creates a submission of a bundle. It carries only the changed sections if `held` is the record of the bundle's
-    /// base version.
+    /// Creates a submission of a bundle. It carries only the changed sections if `held` is the
+    /// record of the bundle's base version.
     #[must_use]
     pub fn new(bundle: &Bundle, held: Option<&BundleRecord>, signed_by: Vec<OperatorName>) -> Self {
         let held = held.filter(|record| record.version == bundle.base);
@@ -93,7 +93,8 @@
         /// Initial placement of each group.
         placements: Vec<(GroupId, GroupPlacement)>,
     },
-    /// Registers a store's address and run. A new store is added as active; a removed one is refused.
+    /// Registers a store's address and run. A new store is added as active; a removed one is
+    /// refused.
     RegisterStore(StoreRecord),
     /// Changes the membership state of a store.
     SetStoreState {
@@ -123,7 +124,8 @@
         incarnation: Incarnation,
         /// RPC address of the core.
         address: SocketAddr,
-        /// The last epoch that the core has seen (0 for none); the command is refused if the epoch has changed.
+        /// The last epoch that the core has seen (0 for none); the command is refused if the epoch
+        /// has changed.
         seen: FencingEpoch,
     },
     /// Renews the core leader's lease.
@@ -131,8 +133,8 @@
         /// Epoch of the lease.
         epoch: FencingEpoch,
     },
-    /// Expires the core leader's lease, unless it was renewed after the given renewal. Proposed only by the group's
-    /// leader.
+    /// Expires the core leader's lease, unless it was renewed after the given renewal. Proposed
+    /// only by the group's leader.
     ExpireLeadership {
         /// Epoch of the lease.
         epoch: FencingEpoch,
@@ -180,7 +182,8 @@
         /// Name of the machine.
         name: String,
     },
-    /// Starts to drain a store's replicas, requested by an operator; refused if too few active stores would remain.
+    /// Starts to drain a store's replicas, requested by an operator; refused if too few active
+    /// stores would remain.
     RetireStore {
         /// The store.
         node: NodeId,
@@ -264,7 +267,8 @@
         /// Number of active stores that would remain.
         left: usize,
     },
-    /// There is nothing to roll back: the version is not in state `Sound`, or it is the only one that is.
+    /// There is nothing to roll back: the version is not in state `Sound`, or it is the only one
+    /// that is.
     #[error("nothing to roll back: {reason}")]
     NothingToRollBack {
         /// The reason.
@@ -279,8 +283,8 @@
     State,
     /// The record of the newest bundle.
     NewestBundle,
-    /// A bundle's record and canonical bytes; `None` stands for the newest version. The records of the last 512
-    /// versions are retained, and the content of as many of them as fit.
+    /// A bundle's record and canonical bytes; `None` stands for the newest version. The records of
+    /// the last 512 versions are retained, and the content of as many of them as fit.
     BundleBytes(Option<BundleVersion>),
     /// The bytes of one section, by digest, for nodes that already have the other sections.
     Section(Digest),
--- a/crates/state/src/meta/leadership.rs
+++ b/crates/state/src/meta/leadership.rs
@@ -7,8 +7,8 @@
 use super::record::CoreLeader;
 
 impl MetaMachine {
-    /// Grants the leadership to a candidate if the former lease has expired. A repeated request of the current leader
-    /// returns its existing leadership.
+    /// Grants the leadership to a candidate if the former lease has expired. A repeated request of
+    /// the current leader returns its existing leadership.
     pub(super) fn acquire_leadership(
         &mut self,
         candidate: CoreLeader,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Expires the lease with this epoch, unless it was renewed after the renewal that the decision is based on.
+    /// Expires the lease with this epoch, unless it was renewed after the renewal that the decision
+    /// is based on.
     pub(super) fn expire_leadership(&mut self, epoch: FencingEpoch, observed: Renewal) -> Outcome {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
--- a/crates/state/src/meta/machine.rs
+++ b/crates/state/src/meta/machine.rs
@@ -114,7 +114,8 @@
         MetaReply::Done
     }
 
-    /// Accepts a controller's write only if it carries the current epoch and the leader's lease has not expired.
+    /// Accepts a controller's write only if it carries the current epoch and the leader's lease has
+    /// not expired.
     fn check_fencing(&self, epoch: FencingEpoch) -> Result<(), MetaRefusal> {
         match &self.state.meta.leader {
             Some(leader) if leader.epoch == epoch && !leader.expired => Ok(()),
--- a/crates/state/src/meta/record.rs
+++ b/crates/state/src/meta/record.rs
@@ -22,7 +22,8 @@
     Removed,
 }
 
-/// A store machine. Its node id is stored in its data folder, so a machine with an empty disk is a new store.
+/// A store machine. Its node id is stored in its data folder, so a machine with an empty disk is a
+/// new store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRecord {
     /// Node id of the store.
--- a/crates/state/src/meta/rollback.rs
+++ b/crates/state/src/meta/rollback.rs
@@ -10,7 +10,8 @@
 pub const KEPT_ROLLBACKS: usize = 64;
 
 impl MetaMachine {
-    /// Marks a version as rolled back. If it already is, replies with the bundle that rolled it back.
+    /// Marks a version as rolled back. If it already is, replies with the bundle that rolled it
+    /// back.
     pub(super) fn roll_back(&mut self, harm: HarmReport) -> Outcome {
         let newest = self.newest_version();
         let Some(mut bundle) = self.state.archive.bundle(newest) else {
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts of service versions, started by operators, and their phases: trial, shifted, and completed or rolled
-//! back.
+//! Rollouts of service versions, started by operators, and their phases: trial, shifted, and
+//! completed or rolled back.
 
 use hooklug_types::{ServiceName, ServiceVersion, UnixMillis};
 use serde::{Deserialize, Serialize};
@@ -7,8 +7,8 @@
 use super::command::{MetaRefusal, MetaReply};
 use super::machine::{MetaMachine, Outcome};
 
-/// Time in milliseconds within which a repeated request is the same rollout, even if that has already ended. An
-/// operator whose acknowledgement was lost retries within seconds.
+/// Time in milliseconds within which a repeated request is the same rollout, even if that has
+/// already ended. An operator whose acknowledgement was lost retries within seconds.
 const RESEND_WINDOW_MS: u64 = 15_000;
 
 /// Phase of a rollout.
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -7,7 +7,8 @@
 use super::record::{StoreRecord, StoreState};
 
 impl MetaMachine {
-    /// Registers a store's address and run. A removed store is refused, and an older run does not replace a newer one.
+    /// Registers a store's address and run. A removed store is refused, and an older run does not
+    /// replace a newer one.
     pub(super) fn register_store(&mut self, store: StoreRecord) -> Outcome {
         let stores = &mut self.state.meta.stores;
         match stores.binary_search_by_key(&store.node, |s| s.node) {
@@ -20,7 +21,8 @@
         Ok(MetaReply::Done)
     }
 
-    /// Records the name of a store's machine. After its disk was emptied, the same name refers to a new store.
+    /// Records the name of a store's machine. After its disk was emptied, the same name refers to a
+    /// new store.
     pub(super) fn name_store(&mut self, node: NodeId, name: String) -> MetaReply {
         self.state.meta.store_names.insert(name, node);
         MetaReply::Done
--- a/crates/state/src/shard/calls.rs
+++ b/crates/state/src/shard/calls.rs
@@ -1,4 +1,5 @@
-//! Non-repeatable calls: one attempt holds a call, and only a call that was never claimed can be sealed.
+//! Non-repeatable calls: one attempt holds a call, and only a call that was never claimed can be
+//! sealed.
 
 use hooklug_types::{CallAttempt, CallId, CallOutcome, Digest, ProgramId, UnixMillis};
 
@@ -8,8 +9,8 @@
 use super::query::CallRecord;
 
 impl ShardMachine {
-    /// Claims a call for an attempt. The first attempt is granted, and so are its resends until the call has an
-    /// outcome; after that, the reply is the call's record.
+    /// Claims a call for an attempt. The first attempt is granted, and so are its resends until the
+    /// call has an outcome; after that, the reply is the call's record.
     pub(super) fn begin_call(&mut self, begin: BeginCall) -> Outcome {
         let program = self.program_mut(&begin.program)?;
         let Some(entry) = program.calls.get(&begin.call) else {
@@ -36,8 +37,9 @@
         }
     }
 
-    /// Records the outcome of a call for the attempt that holds it. A response replaces `Unknown`; after that, the
-    /// outcome does not change. `NotRun` is refused, since it can only be established by sealing an unclaimed call.
+    /// Records the outcome of a call for the attempt that holds it. A response replaces `Unknown`;
+    /// after that, the outcome does not change. `NotRun` is refused, since it can only be
+    /// established by sealing an unclaimed call.
     pub(super) fn finish_call(
         &mut self,
         program: &ProgramId,
--- a/crates/state/src/shard/chains.rs
+++ b/crates/state/src/shard/chains.rs
@@ -1,10 +1,11 @@
-//! Chained sessions: a turn may continue from any retained turn of any session, so the turns of a program form a
-//! tree.
+//! Chained sessions: a turn may continue from any retained turn of any session, so the turns of a
+//! program form a tree.
 //!
-//! Ordinary sessions commit every event; chained sessions commit only complete turns. The maximum number of tokens of a turn
-//! is reserved before the turn runs, and the turn is retained only if its complete output is committed under the
-//! epoch under which it was started. The host that starts a turn owns the session from then on. Each start
-//! increments the epoch, which fences all earlier turns of the session.
+//! Ordinary sessions commit every event; chained sessions commit only complete turns. The maximum
+//! number of tokens of a turn is reserved before the turn runs, and the turn is retained only if
+//! its complete output is committed under the epoch under which it was started. The host that
+//! starts a turn owns the session from then on. Each start increments the epoch, which fences all
+//! earlier turns of the session.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,8 +27,9 @@
     turn_programs: BTreeMap<TurnId, ProgramId>,
 }
 
-/// One program: its token ledger, the owners of its sessions, its open turns and its ended turns. The maps are
-/// sorted vectors, because most have only a few entries, while a B-tree node allocates space for eleven.
+/// One program: its token ledger, the owners of its sessions, its open turns and its ended turns.
+/// The maps are sorted vectors, because most have only a few entries, while a B-tree node allocates
+/// space for eleven.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct ChainedProgram {
     /// Tokens that ended turns streamed to the caller.
@@ -68,8 +70,9 @@
 }
 
 impl ChainedProgram {
-    /// Checks whether another turn may start. It may only while the sum of spent and reserved tokens is below the
-    /// budget, so that all turns together exceed the budget by less than the maximum of one turn.
+    /// Checks whether another turn may start. It may only while the sum of spent and reserved
+    /// tokens is below the budget, so that all turns together exceed the budget by less than the
+    /// maximum of one turn.
     fn check_budget(&self, budget: TokenCount, now: UnixMillis) -> Result<(), ShardRefusal> {
         let (timed_out, running): (Vec<_>, Vec<_>) =
             self.open.values().partition(|t| t.deadline <= now);
@@ -168,13 +171,15 @@
 }
 
 impl ShardMachine {
-    /// Starts a turn. A resend of the same turn returns the same epoch, unless a later turn has started.
+    /// Starts a turn. A resend of the same turn returns the same epoch, unless a later turn has
+    /// started.
     pub(super) fn start_turn(&mut self, start: StartTurn) -> Outcome {
         let (now, floor) = (self.state.clock, self.state.epoch_floor);
         let key = start.key.program.clone();
         let chained = &mut self.state.chained;
         let is_new = !chained.programs.contains_key(&key);
-        // Insert a new program only after success, so that a refusal leaves no empty program behind.
+        // Insert a new program only after success, so that a refusal leaves no empty program
+        // behind.
         let mut new_program = ChainedProgram::default();
         let program = match chained.programs.get_mut(&key) {
             Some(program) => Arc::make_mut(program),
@@ -189,7 +194,8 @@
         Ok(ShardReply::Started(started))
     }
 
-    /// Deletes a program that has not been used since its expiry was scheduled, and reschedules the expiry otherwise.
+    /// Deletes a program that has not been used since its expiry was scheduled, and reschedules the
+    /// expiry otherwise.
     pub(super) fn expire_chained_program(&mut self, id: ProgramId) {
         let Some(program) = self.state.chained.programs.get(&id) else { return };
         if program.expires_at > self.state.clock {
@@ -247,8 +253,8 @@
     Ok(StartedTurn { epoch, history })
 }
 
-/// Returns the history that a turn continues from, if its host requests it. The turn named by `after` must be
-/// retained in either case.
+/// Returns the history that a turn continues from, if its host requests it. The turn named by
+/// `after` must be retained in either case.
 fn requested_history(
     program: &ChainedProgram,
     start: &StartTurn,
--- a/crates/state/src/shard/command.rs
+++ b/crates/state/src/shard/command.rs
@@ -65,7 +65,8 @@
     pub turn: TurnId,
     /// The preceding turn; must be the session's head.
     pub after: Option<TurnId>,
-    /// Digest of the turn's content (input and limits), to distinguish a resend from a different turn.
+    /// Digest of the turn's content (input and limits), to distinguish a resend from a different
+    /// turn.
     pub digest: Digest,
     /// Input of the turn.
     pub input: String,
@@ -101,8 +102,9 @@
     pub route: RouteName,
 }
 
-/// Starts a turn of a chained session. The first turn also creates the program and the session. The requesting host
-/// becomes the session's owner and the budget is reserved, all in one command and therefore one disk sync.
+/// Starts a turn of a chained session. The first turn also creates the program and the session. The
+/// requesting host becomes the session's owner and the budget is reserved, all in one command and
+/// therefore one disk sync.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartTurn {
     /// The session.
@@ -123,7 +125,8 @@
     pub wants_history: bool,
     /// The history up to `after`, if another program retains that turn.
     pub imported: Option<Bytes>,
-    /// Time limit of the turn, in milliseconds from the commit; the turn cannot be running after it.
+    /// Time limit of the turn, in milliseconds from the commit; the turn cannot be running after
+    /// it.
     pub time_limit_ms: u64,
     /// Retention time of the program and its turns after the last use, in milliseconds.
     pub keep_ms: u64,
@@ -140,7 +143,8 @@
     pub epoch: SessionEpoch,
     /// Number of tokens that were streamed to the caller.
     pub tokens: TokenCount,
-    /// The complete output, if the turn is to be retained; `None` if it was interrupted or its route retains no turns.
+    /// The complete output, if the turn is to be retained; `None` if it was interrupted or its
+    /// route retains no turns.
     pub output: Option<Bytes>,
 }
 
@@ -149,10 +153,11 @@
 pub enum ShardCommand {
     /// Declares a program. Reply: `Program`.
     PutProgram(PutProgram),
-    /// Opens a session. If another owner holds it, replies with the unchanged session. Reply: `Session`.
+    /// Opens a session. If another owner holds it, replies with the unchanged session. Reply:
+    /// `Session`.
     OpenSession(OpenSession),
-    /// Takes over a session. The sender must first have had the owner's lease expired with `ExpireLease` in the
-    /// lease's shard, which may be a different one. Reply: `Session`.
+    /// Takes over a session. The sender must first have had the owner's lease expired with
+    /// `ExpireLease` in the lease's shard, which may be a different one. Reply: `Session`.
     TakeSession(TakeSession),
     /// Starts a turn. Reply: `Turn`.
     BeginTurn(BeginTurn),
@@ -164,22 +169,25 @@
         epoch: SessionEpoch,
         /// The open turn; `None` only for tool results between turns.
         turn: Option<TurnId>,
-        /// Sequence number of the first event. It must be the session's next one, unless all events are already
-        /// committed with the same content.
+        /// Sequence number of the first event. It must be the session's next one, unless all events
+        /// are already committed with the same content.
         first_seq: EventSeq,
         /// Bodies of the events.
         bodies: Vec<EventBody>,
     },
-    /// Ends the open turn and settles its reservation. Reply: `Turn`, with the ended turn in `existing`.
+    /// Ends the open turn and settles its reservation. Reply: `Turn`, with the ended turn in
+    /// `existing`.
     FinishTurn(FinishTurn),
-    /// Releases ownership of a session between turns, so that another engine can acquire it. Reply: `Session`.
+    /// Releases ownership of a session between turns, so that another engine can acquire it. Reply:
+    /// `Session`.
     HandOver {
         /// The session.
         key: SessionKey,
         /// Epoch under which the requesting owner holds the session.
         epoch: SessionEpoch,
     },
-    /// Closes a session between turns. Its owner is removed; its history is retained. Reply: `Session`.
+    /// Closes a session between turns. Its owner is removed; its history is retained. Reply:
+    /// `Session`.
     CloseSession {
         /// The session.
         key: SessionKey,
@@ -199,8 +207,8 @@
         /// The outcome. The same attempt may later replace `Unknown` with `Answered`.
         outcome: CallOutcome,
     },
-    /// Seals a call so that it will never run; the only source of the outcome `NotRun`. Refused with `CallHeld` once
-    /// the call was claimed, even if it has an outcome. Reply: `Call`.
+    /// Seals a call so that it will never run; the only source of the outcome `NotRun`. Refused
+    /// with `CallHeld` once the call was claimed, even if it has an outcome. Reply: `Call`.
     SealCall {
         /// The program.
         program: ProgramId,
@@ -214,16 +222,16 @@
         /// The holder of the lease.
         holder: EngineIncarnation,
     },
-    /// Expires a lease, unless it was renewed after the given renewal. Proposed only by the group's leader.
-    /// Reply: `Lease`.
+    /// Expires a lease, unless it was renewed after the given renewal. Proposed only by the group's
+    /// leader. Reply: `Lease`.
     ExpireLease {
         /// The holder of the lease.
         holder: EngineIncarnation,
         /// The last renewal that the decision is based on.
         renewal: Renewal,
     },
-    /// Advances the group's clock and deletes items whose retention time is over. Proposed only by the group's
-    /// leader.
+    /// Advances the group's clock and deletes items whose retention time is over. Proposed only by
+    /// the group's leader.
     AdvanceClock {
         /// The new time; a time before the current one changes nothing.
         now: UnixMillis,
@@ -248,7 +256,8 @@
 /// Reply to the start or the end of a turn, with the tokens that it may stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnGrant {
-    /// Number of reserved tokens: the smaller of `max_tokens` and the unreserved rest of the budget.
+    /// Number of reserved tokens: the smaller of `max_tokens` and the unreserved rest of the
+    /// budget.
     pub reserved: TokenCount,
     /// Sequence number of the turn's `TurnStarted` event.
     pub started: EventSeq,
@@ -312,7 +321,8 @@
     NotHead {
         /// The session's head; `None` if it has no turn yet.
         head: Option<TurnId>,
-        /// Whether the turn named by `after` is an ended turn within its retention time; true if `after` is `None`.
+        /// Whether the turn named by `after` is an ended turn within its retention time; true if
+        /// `after` is `None`.
         after_known: bool,
     },
     /// Another turn of the session is open.
@@ -330,7 +340,8 @@
     /// The token budget is used up. Final, and recorded under the turn id.
     #[error("the token budget is spent")]
     BudgetSpent,
-    /// The rest of the token budget is reserved by other turns. Not recorded; the request may be retried.
+    /// The rest of the token budget is reserved by other turns. Not recorded; the request may be
+    /// retried.
     #[error("the rest of the token budget is reserved by other turns")]
     BudgetReserved,
     /// The program's end time has passed. Final, and recorded under the turn id.
--- a/crates/state/src/shard/event.rs
+++ b/crates/state/src/shard/event.rs
@@ -1,4 +1,5 @@
-//! Events of a session. Each session has one stream; a turn's stream is the subset of events that carry its id.
+//! Events of a session. Each session has one stream; a turn's stream is the subset of events that
+//! carry its id.
 
 use hooklug_types::{EndReason, EventSeq, TokenCount, TurnId};
 use serde::{Deserialize, Serialize};
--- a/crates/state/src/shard/event_log.rs
+++ b/crates/state/src/shard/event_log.rs
@@ -1,5 +1,5 @@
-//! The event stream of one session. The type hides how events are stored, so that old bodies can be moved out of
-//! memory later.
+//! The event stream of one session. The type hides how events are stored, so that old bodies can be
+//! moved out of memory later.
 
 use std::sync::Arc;
 
--- a/crates/state/src/shard/events.rs
+++ b/crates/state/src/shard/events.rs
@@ -7,12 +7,13 @@
 use super::machine::{Outcome, SessionEntry, ShardMachine};
 use super::query::ShardAnswer;
 
-/// Maximum size in bytes of the event texts in one reply; a reply that is truncated sets `more`. A single event may
-/// exceed it.
+/// Maximum size in bytes of the event texts in one reply; a reply that is truncated sets `more`. A
+/// single event may exceed it.
 const MAX_REPLY_BYTES: usize = 1 << 20;
 
 impl ShardMachine {
-    /// Appends events of the open turn, or tool results between turns. Either all events are appended or none.
+    /// Appends events of the open turn, or tool results between turns. Either all events are
+    /// appended or none.
     pub(super) fn append_events(
         &mut self,
         key: &SessionKey,
@@ -57,8 +58,8 @@
 }
 
 impl SessionEntry {
-    /// Whether an append has no effect, because its events are already committed or it contains only results of calls
-    /// that already have a result.
+    /// Whether an append has no effect, because its events are already committed or it contains
+    /// only results of calls that already have a result.
     fn is_already_applied(
         &self,
         first_seq: EventSeq,
@@ -90,7 +91,8 @@
         self.check_reservation(turn, bodies)
     }
 
-    /// Checks that a turn's events are for the open turn, and that events between turns are tool results.
+    /// Checks that a turn's events are for the open turn, and that events between turns are tool
+    /// results.
     fn check_kinds(&self, turn: Option<&TurnId>, bodies: &[EventBody]) -> Result<(), ShardRefusal> {
         let allowed = match turn {
             Some(_) => bodies.iter().all(EventBody::is_appendable),
@@ -140,7 +142,8 @@
 }
 
 impl EventBody {
-    /// Whether an owner may append this kind of event. The other kinds are written by the commands that they record.
+    /// Whether an owner may append this kind of event. The other kinds are written by the commands
+    /// that they record.
     fn is_appendable(&self) -> bool {
         matches!(self, Self::Tokens { .. } | Self::ToolRequested { .. } | Self::ToolResult { .. })
     }
--- a/crates/state/src/shard/expiry.rs
+++ b/crates/state/src/shard/expiry.rs
@@ -1,4 +1,5 @@
-//! The group's clock and the deletion of expired items, at most a fixed number of them per step of the clock.
+//! The group's clock and the deletion of expired items, at most a fixed number of them per step of
+//! the clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,17 +10,19 @@
 use super::command::ShardReply;
 use super::machine::ShardMachine;
 
-/// Time span of one slot of the expiry queue, in milliseconds. A write after a frozen copy was taken may have to
-/// copy one slot.
+/// Time span of one slot of the expiry queue, in milliseconds. A write after a frozen copy was
+/// taken may have to copy one slot.
 const SLOT_MILLIS: u64 = 60_000;
 
-/// Maximum number of items that are deleted in one step of the clock; the others wait for the next step.
+/// Maximum number of items that are deleted in one step of the clock; the others wait for the next
+/// step.
 pub const ITEMS_PER_STEP: usize = 256;
 
 /// An item that is deleted when its retention time is over.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) enum ExpiryItem {
-    /// The record of an ended or refused turn. Its events remain in the session as the context of later turns.
+    /// The record of an ended or refused turn. Its events remain in the session as the context of
+    /// later turns.
     Turn(SessionKey, TurnId),
     /// A call with an outcome.
     Call(ProgramId, CallId),
@@ -103,8 +106,9 @@
         }
     }
 
-    /// Deletes a program once the retention time has passed since its end time and since anything last ended in it.
-    /// Turns that are still open at that time no longer have an owner that could end them, so they are sealed first.
+    /// Deletes a program once the retention time has passed since its end time and since anything
+    /// last ended in it. Turns that are still open at that time no longer have an owner that could
+    /// end them, so they are sealed first.
     fn expire_program(&mut self, program: ProgramId) {
         self.seal_open_turns_of(&program);
         let Some(entry) = self.state.programs.get(&program) else { return };
--- a/crates/state/src/shard/leases.rs
+++ b/crates/state/src/shard/leases.rs
@@ -21,8 +21,9 @@
         Ok(ShardReply::Lease(lease.clone()))
     }
 
-    /// Expires a lease, unless it was renewed after the renewal that the decision is based on. A lease that was never
-    /// granted is recorded as expired, so that its holder cannot start it afterwards.
+    /// Expires a lease, unless it was renewed after the renewal that the decision is based on. A
+    /// lease that was never granted is recorded as expired, so that its holder cannot start it
+    /// afterwards.
     pub(super) fn expire_lease(&mut self, holder: EngineIncarnation, observed: Renewal) -> Outcome {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
--- a/crates/state/src/shard/machine.rs
+++ b/crates/state/src/shard/machine.rs
@@ -28,8 +28,8 @@
     pub record: ProgramRecord,
     pub sessions: BTreeMap<SessionId, Arc<SessionEntry>>,
     pub calls: BTreeMap<CallId, CallEntry>,
-    /// Time at which a turn, call or session of the program last ended, by the group's clock. The program is retained
-    /// for at least the retention time after it.
+    /// Time at which a turn, call or session of the program last ended, by the group's clock. The
+    /// program is retained for at least the retention time after it.
     pub last_ended: UnixMillis,
 }
 
@@ -50,8 +50,9 @@
     pub expires: Option<UnixMillis>,
 }
 
-/// The full state of a shard, which is also the content of a snapshot. Clones share programs, sessions, full chunks
-/// of events and slots of the expiry queue; the machine copies such a part when it first writes to it after a clone.
+/// The full state of a shard, which is also the content of a snapshot. Clones share programs,
+/// sessions, full chunks of events and slots of the expiry queue; the machine copies such a part
+/// when it first writes to it after a clone.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct ShardState {
     pub clock: UnixMillis,
@@ -59,7 +60,8 @@
     /// Engine leases, including expired ones, since expiry is permanent.
     pub leases: BTreeMap<EngineIncarnation, LeaseRecord>,
     pub expiry: ExpiryQueue,
-    /// Highest epoch of any deleted session, so that a session that is opened again never reuses an epoch.
+    /// Highest epoch of any deleted session, so that a session that is opened again never reuses an
+    /// epoch.
     pub epoch_floor: SessionEpoch,
     /// Programs with chained sessions.
     pub chained: ChainedPrograms,
@@ -67,7 +69,8 @@
 
 /// The state machine of one shard (design document, section 3).
 ///
-/// The retention time must be the same on all replicas of a cluster, since it determines what expires.
+/// The retention time must be the same on all replicas of a cluster, since it determines what
+/// expires.
 #[derive(Debug, Clone)]
 pub struct ShardMachine {
     pub(super) retention: Duration,
@@ -75,8 +78,8 @@
 }
 
 impl ShardMachine {
-    /// Creates an empty shard that retains finished turns, finished calls, closed sessions and ended programs for at
-    /// least `retention`.
+    /// Creates an empty shard that retains finished turns, finished calls, closed sessions and
+    /// ended programs for at least `retention`.
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         Self { retention, state: ShardState::default() }
--- a/crates/state/src/shard/programs.rs
+++ b/crates/state/src/shard/programs.rs
@@ -10,8 +10,9 @@
 use super::query::ProgramRecord;
 
 impl ShardMachine {
-    /// Declares a program. The window group is not compared in a resend, because it comes from the tenant's entry, which
-    /// may change between a request and its resend; the first value is retained.
+    /// Declares a program. The window group is not compared in a resend, because it comes from the
+    /// tenant's entry, which may change between a request and its resend; the first value is
+    /// retained.
     pub(super) fn put_program(&mut self, put: PutProgram) -> ShardReply {
         if let Some(entry) = self.state.programs.get(&put.program) {
             return match entry.record.matches_declaration(&put) {
--- a/crates/state/src/shard/query.rs
+++ b/crates/state/src/shard/query.rs
@@ -157,7 +157,8 @@
     },
     /// The group's clock.
     Clock,
-    /// The history up to and including a retained turn of a chained session, whichever program retains it.
+    /// The history up to and including a retained turn of a chained session, whichever program
+    /// retains it.
     History(TurnId),
 }
 
--- a/crates/state/src/shard/sessions.rs
+++ b/crates/state/src/shard/sessions.rs
@@ -13,8 +13,8 @@
 use super::query::SessionRecord;
 
 impl ShardMachine {
-    /// Opens a session at an owner. If the session exists, it keeps its owner; if it has none, the requesting engine
-    /// becomes the owner.
+    /// Opens a session at an owner. If the session exists, it keeps its owner; if it has none, the
+    /// requesting engine becomes the owner.
     pub(super) fn open_session(&mut self, open: OpenSession) -> Outcome {
         let first_epoch = self.state.epoch_floor.next();
         let program = self.program_mut(&open.key.program)?;
@@ -35,8 +35,9 @@
         Ok(ShardReply::Session(session.record.clone()))
     }
 
-    /// Takes over a session and ends its open turn as `Interrupted`. This does not check that the former owner's lease
-    /// has expired: the lease may be in another shard, and the sender must have had its expiry committed there.
+    /// Takes over a session and ends its open turn as `Interrupted`. This does not check that the
+    /// former owner's lease has expired: the lease may be in another shard, and the sender must
+    /// have had its expiry committed there.
     pub(super) fn take_session(&mut self, take: TakeSession) -> Outcome {
         let session = self.session_mut(&take.key)?;
         let record = &session.record;
--- a/crates/state/src/shard/turns.rs
+++ b/crates/state/src/shard/turns.rs
@@ -1,4 +1,5 @@
-//! Turns of a session. Each follows the session's head, holds a token reservation while it is open, and ends once.
+//! Turns of a session. Each follows the session's head, holds a token reservation while it is open,
+//! and ends once.
 
 use std::sync::Arc;
 
@@ -11,7 +12,8 @@
 use super::query::{TurnRecord, TurnState};
 
 impl ShardMachine {
-    /// Starts a turn and reserves tokens for it. A resend returns the existing turn or the recorded refusal.
+    /// Starts a turn and reserves tokens for it. A resend returns the existing turn or the recorded
+    /// refusal.
     pub(super) fn begin_turn(&mut self, begin: BeginTurn) -> Outcome {
         let clock = self.state.clock;
         let program = self.program_mut(&begin.key.program)?;
--- a/crates/state/tests/bundle_costs.rs
+++ b/crates/state/tests/bundle_costs.rs
@@ -1,4 +1,4 @@
-//! What the meta group pays for many versions of a large bundle.
+//! Memory and log size of the meta group for many versions of a large bundle.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 use hooklug_state::{StateMachine, encode};
 use hooklug_types::{BundleVersion, GroupId, RouteName, ServiceName};
 
-/// Routes of a large deployment.
+/// Number of routes of a large deployment.
 const ROUTES: u64 = 400;
 
-/// Changes of a long day.
+/// Number of bundle versions submitted in a busy day.
 const VERSIONS: u64 = 300;
 
 fn formed() -> MetaMachine {
@@ -46,7 +46,8 @@
     }
 }
 
-/// A bundle of many routes with the operators' text; `timeout_of` tells what each route says.
+/// A bundle of many routes with the operators' document; `timeout_of` returns the timeout of each
+/// route.
 fn bundle(version: u64, timeout_of: impl Fn(u64) -> u64) -> Bundle {
     let name = |number| RouteName::new(format!("route-{number}")).expect("a name");
     let routes: BTreeMap<RouteName, HttpRoute> =
@@ -67,7 +68,7 @@
     }
 }
 
-/// Each version changes the time limit of one route.
+/// Bundle in which each version changes the timeout of one route.
 fn one_route_changed(version: u64) -> Bundle {
     bundle(version, |number| 1_000 + (number..version).step_by(ROUTES as usize).count() as u64)
 }
@@ -89,11 +90,12 @@
 fn newest(meta: &MetaMachine) -> Vec<u8> {
     match meta.answer(&MetaQuery::BundleBytes(None)) {
         MetaAnswer::BundleBytes(Some((_, bytes))) => bytes,
-        other => panic!("the newest bundle is gone: {other:?}"),
+        other => panic!("the newest bundle is missing: {other:?}"),
     }
 }
 
-/// Guards against stores that go over their memory because each version of a bundle is kept whole.
+/// Guards against stores that run out of memory because every version of a bundle is stored in
+/// full.
 #[test]
 fn hundreds_of_versions_cost_a_store_what_each_changed() {
     let mut meta = formed();
@@ -106,7 +108,7 @@
     assert!(snapshot < 20 * whole.len(), "{snapshot} bytes for versions of {}", whole.len());
 }
 
-/// Guards against stores that go over their memory when no two versions share anything.
+/// Guards against stores that run out of memory when no two versions share any section.
 #[test]
 fn versions_that_share_nothing_are_kept_within_a_bound() {
     let mut meta = formed();
@@ -121,11 +123,11 @@
     let first = meta.apply_command(submission(&everything_changed(1)));
     assert!(
         matches!(first, MetaReply::Bundle(_)),
-        "what was taken is acknowledged again: {first:?}"
+        "a resubmitted version was not acknowledged: {first:?}"
     );
 }
 
-/// What the sender of a bundle submits that holds the record of the one before.
+/// Submission of a bundle by a sender that has the record of the base version.
 fn submitted_on(bundle: &Bundle, held: &BundleRecord) -> SubmitBundle {
     SubmitBundle::new(bundle, Some(held), Vec::new())
 }
@@ -133,11 +135,11 @@
 fn accepted(reply: MetaReply) -> BundleRecord {
     match reply {
         MetaReply::Bundle(record) => record,
-        other => panic!("not taken: {other:?}"),
+        other => panic!("the bundle was refused: {other:?}"),
     }
 }
 
-/// Guards against logs that hold the whole configuration once for each change of one route.
+/// Guards against logs that contain the full configuration for every change of one route.
 #[test]
 fn a_change_of_one_route_is_a_short_entry_of_the_log() {
     let mut meta = formed();
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Builders of commands, so that a test shows only what matters to it.
-#![allow(dead_code)] // each test file uses its own part
+//! Builders of commands with default values, shared by the tests.
+#![allow(dead_code)] // each test file uses a different subset
 
 use std::time::Duration;
 
@@ -183,7 +183,7 @@
     ShardCommand::AdvanceClock { now: UnixMillis(now) }
 }
 
-/// A shard with the program and session `s`, owned by `e1` under epoch 1.
+/// Returns a shard with the program and with session `s`, owned by `e1` under epoch 1.
 pub fn opened() -> ShardMachine {
     let mut shard = ShardMachine::new(KEEP);
     shard.apply_command(at(1_000));
@@ -193,11 +193,12 @@
 }
 
 pub trait Commands {
-    /// Applies a command that must not be refused.
+    /// Applies a command and asserts that it is accepted.
     fn accepted(&mut self, command: ShardCommand) -> ShardReply;
-    /// Applies a command that must be refused, and checks that all but a recorded refusal stays as it was.
+    /// Applies a command and asserts that it is refused and changes nothing, except for a recorded
+    /// refusal.
     fn refused(&mut self, command: ShardCommand) -> ShardRefusal;
-    /// Applies a command twice: the state must not change the second time.
+    /// Applies a command twice and asserts that the second time does not change the state.
     fn twice(&mut self, command: ShardCommand) -> (ShardReply, ShardReply);
     fn session(&self) -> SessionRecord;
     fn program_record(&self) -> ProgramRecord;
--- a/crates/state/tests/frozen.rs
+++ b/crates/state/tests/frozen.rs
@@ -1,4 +1,4 @@
-//! Frozen copies of a shard, and the parts of it that they share.
+//! Frozen copies of a shard, which share data with it, and the chunked event log.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use hooklug_types::EventSeq;
 use proptest::prelude::*;
 
-/// Events beyond two chunks of the log.
+/// Number of events, which fill more than two chunks of the log.
 const MANY_EVENTS: u64 = 600;
 
 fn filled() -> ShardMachine {
@@ -20,7 +20,7 @@
     shard
 }
 
-/// Commands that write to every part of the state that a copy shares.
+/// Commands that write to every part of the state that a frozen copy shares.
 fn writes(first_seq: u64) -> Vec<ShardCommand> {
     vec![
         append(1, Some("t1"), first_seq, vec![tokens(1); 300]),
--- a/crates/state/tests/meta.rs
+++ b/crates/state/tests/meta.rs
@@ -1,4 +1,4 @@
-//! The meta group: refusals, resends, bundles, roll-backs, and agreement of replicas.
+//! The meta group: refusals, resends, bundles, rollbacks, and agreement of replicas.
 
 use std::collections::BTreeMap;
 
@@ -53,12 +53,12 @@
     MetaCommand::SetStoreState { epoch: FencingEpoch(epoch), node: NodeId(node), state }
 }
 
-fn set_placement(epoch: u64, expected: &[u64], wanted: &[u64]) -> MetaCommand {
+fn set_placement(epoch: u64, expected: &[u64], placed: &[u64]) -> MetaCommand {
     MetaCommand::SetPlacement {
         epoch: FencingEpoch(epoch),
         group: GroupId(1),
         expected: placement(expected),
-        placement: placement(wanted),
+        placement: placement(placed),
     }
 }
 
@@ -120,8 +120,8 @@
     MetaCommand::RollBack { epoch: FencingEpoch(epoch), harm }
 }
 
-/// A formed cluster with core 9 leading under epoch 1.
-fn led() -> MetaMachine {
+/// Returns a formed cluster in which core 9 leads under epoch 1.
+fn with_leader() -> MetaMachine {
     let mut meta = MetaMachine::new();
     meta.apply_command(form(CLUSTER));
     meta.apply_command(acquire(9, 0));
@@ -176,9 +176,9 @@
 
 #[test]
 fn stores_register_by_run_and_never_return_once_removed() {
-    let mut meta = led();
-    let told = StoreRecord { state: StoreState::Removed, ..store(4, 5) };
-    twice(&mut meta, MetaCommand::RegisterStore(told));
+    let mut meta = with_leader();
+    let registration = StoreRecord { state: StoreState::Removed, ..store(4, 5) };
+    twice(&mut meta, MetaCommand::RegisterStore(registration));
     assert_eq!(state(&meta).stores[3].state, StoreState::Active);
     meta.apply_command(MetaCommand::RegisterStore(store(4, 4)));
     assert_eq!(state(&meta).stores[3].incarnation, Incarnation(5), "an older run came late");
@@ -192,7 +192,7 @@
 
 #[test]
 fn placements_change_only_from_what_the_sender_saw() {
-    let mut meta = led();
+    let mut meta = with_leader();
     twice(&mut meta, set_placement(1, &[1, 2, 3], &[1, 2, 4]));
     let late = set_placement(1, &[1, 2, 3], &[1, 3, 4]);
     assert_eq!(refused(&mut meta, late), MetaRefusal::PlacementChanged);
@@ -200,7 +200,7 @@
 
 #[test]
 fn one_core_leads_and_a_former_one_is_fenced() {
-    let mut meta = led();
+    let mut meta = with_leader();
     let MetaReply::Leader(leader) = twice(&mut meta, acquire(9, 0)) else { panic!() };
     assert_eq!((leader.core, leader.epoch), (NodeId(9), FencingEpoch(1)));
     let renew = |epoch| MetaCommand::RenewLeadership { epoch: FencingEpoch(epoch) };
@@ -228,7 +228,7 @@
 
 #[test]
 fn of_two_racing_bundles_one_is_committed_and_its_resend_is_not_refused() {
-    let mut meta = led();
+    let mut meta = with_leader();
     let first = record(twice(&mut meta, submit(&bundle(1, 0, 3))));
     let other = submit(&bundle(1, 0, 4));
     let taken = MetaRefusal::VersionTaken { version: BundleVersion(1), digest: first.digest };
@@ -241,7 +241,7 @@
 
 #[test]
 fn invalid_bundles_are_refused() {
-    let mut meta = led();
+    let mut meta = with_leader();
     let good = bundle(1, 0, 1);
     let with = |version, base, bytes| {
         let (version, base) = (BundleVersion(version), BundleVersion(base));
@@ -266,7 +266,7 @@
 
 #[test]
 fn bundles_are_read_back_whole_and_by_sections() {
-    let mut meta = led();
+    let mut meta = with_leader();
     let (one, two) = (bundle(1, 0, 40), bundle(2, 1, 41));
     let first = record(meta.apply_command(submit(&one)));
     let second = record(meta.apply_command(submit(&two)));
@@ -286,7 +286,7 @@
 
 #[test]
 fn old_bundles_are_dropped_and_shared_sections_stay() {
-    let mut meta = led();
+    let mut meta = with_leader();
     let surplus = 3;
     let tenants = |version: u64| (version % 40) as usize;
     for version in 1..=(KEPT_VERSIONS as u64 + surplus) {
@@ -304,7 +304,7 @@
 
 #[test]
 fn a_roll_back_is_a_new_bundle_and_happens_once() {
-    let mut meta = led();
+    let mut meta = with_leader();
     assert!(matches!(
         refused(&mut meta, roll_back(1, "v2")),
         MetaRefusal::NothingToRollBack { .. }
@@ -346,10 +346,10 @@
         sequence in prop::collection::vec(commands(), 0..80),
         cut in 0_usize..80,
     ) {
-        let (mut one, mut two) = (led(), led());
+        let (mut one, mut two) = (with_leader(), with_leader());
         let mut newest = BundleVersion(0);
-        for (place, command) in sequence.iter().enumerate() {
-            if place == cut {
+        for (index, command) in sequence.iter().enumerate() {
+            if index == cut {
                 let snapshot = two.snapshot();
                 two = MetaMachine::new();
                 two.restore(&snapshot).unwrap();
--- a/crates/state/tests/properties.rs
+++ b/crates/state/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over random command sequences: replicas agree, and a budget is never overdrawn.
+//! Properties over random command sequences: replicas agree, and a budget is never exceeded.
 
 mod common;
 
@@ -18,7 +18,7 @@
     prop_oneof![Just(EndReason::Finished), Just(EndReason::Aborted)]
 }
 
-/// Session commands name few sessions, turns and epochs, so that many of them meet.
+/// Session commands over few sessions, turns and epochs, so that many of them conflict.
 fn session_commands() -> impl Strategy<Value = ShardCommand> {
     let session = || prop::sample::select(&SESSIONS[..]);
     let turn_name = || prop::sample::select(&TURNS[..]);
@@ -59,7 +59,8 @@
     ]
 }
 
-/// A shard with all sessions open, so that random commands reach beyond "no such session".
+/// Returns a shard in which all sessions are open, so that random commands are not just refused
+/// with `NoSession`.
 fn prepared() -> ShardMachine {
     let mut shard = opened();
     for session in &SESSIONS[1..] {
@@ -76,7 +77,8 @@
     }
 }
 
-/// The ledger must agree with the events: reserved is what open turns hold, spent what ended ones streamed.
+/// Checks the ledger against the events: `reserved` is the sum over open turns, and `spent` is the
+/// number of tokens that ended turns streamed.
 fn check_ledger(shard: &ShardMachine) {
     let ledger = shard.program_record();
     let (mut streamed, mut open_tokens, mut reserved) = (0, 0, 0);
@@ -113,8 +115,8 @@
         cut in 0_usize..120,
     ) {
         let (mut one, mut two) = (prepared(), prepared());
-        for (place, command) in sequence.iter().enumerate() {
-            if place == cut {
+        for (index, command) in sequence.iter().enumerate() {
+            if index == cut {
                 let snapshot = two.snapshot();
                 two = ShardMachine::new(KEEP);
                 two.restore(&snapshot).unwrap();
--- a/crates/state/tests/shard_calls.rs
+++ b/crates/state/tests/shard_calls.rs
@@ -1,4 +1,4 @@
-//! Calls, leases and expiry.
+//! Non-repeatable calls, leases, and deletion of expired items.
 
 mod common;
 
@@ -132,13 +132,13 @@
     shard.accepted(finish_call("a", answered("done")));
     shard.accepted(close(2));
     shard.accepted(at(50_000 + KEEP_MS - 1));
-    assert_eq!(call_outcome(&shard), Some(answered("done")), "kept from its last outcome on");
+    assert_eq!(call_outcome(&shard), Some(answered("done")), "retained from its last outcome");
     assert!(shard.session().closed);
     shard.accepted(at(50_000 + KEEP_MS));
-    let gone = shard.answer(&ShardQuery::Call { program: program(), call: call() });
-    assert_eq!(gone, ShardAnswer::Call(None));
+    let removed = shard.answer(&ShardQuery::Call { program: program(), call: call() });
+    assert_eq!(removed, ShardAnswer::Call(None));
     shard.accepted(open("s", "e1"));
-    assert_eq!(shard.session().epoch, SessionEpoch(3), "an epoch is never used twice");
+    assert_eq!(shard.session().epoch, SessionEpoch(3), "an epoch is never reused");
 }
 
 #[test]
--- a/crates/state/tests/shard_chains.rs
+++ b/crates/state/tests/shard_chains.rs
@@ -1,4 +1,5 @@
-//! Chained sessions: trees of turns, budgets over all turns of a program, ownership that moves with each turn.
+//! Chained sessions: trees of turns, budgets over all turns of a program, and change of ownership
+//! with each turn.
 
 mod common;
 
@@ -80,7 +81,7 @@
     let second = begun(&mut shard, after("s", "t2", "t1"));
     assert_eq!(text(second.history), "[t1 asks](t1 says)");
     ended(&mut shard, end("s", "t2", second.epoch.0, 10));
-    // A sub-agent, in a session of its own, goes on from the first turn too.
+    // A sub-agent in its own session also continues from the first turn.
     let other = begun(&mut shard, after("x", "t3", "t1"));
     assert_eq!(text(other.history), "[t1 asks](t1 says)");
     let third = begun(&mut shard, after("s", "t4", "t2"));
@@ -93,11 +94,11 @@
     let unknown = ShardCommand::StartTurn(after("s", "t2", "t1"));
     assert_eq!(refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
     let first = begun(&mut shard, start("s", "t1"));
-    // Not before its end,
+    // The turn has not ended yet.
     assert_eq!(refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
     let cut = EndTurn { output: None, ..end("s", "t1", first.epoch.0, 10) };
     ended(&mut shard, cut);
-    // and not when it was cut.
+    // The turn was interrupted, so its output is not retained.
     assert_eq!(refused(&mut shard, unknown), ShardRefusal::UnknownTurn);
 }
 
@@ -123,7 +124,7 @@
     let whole = end("s", "t1", first.epoch.0, 90);
     ended(&mut shard, whole.clone());
     ended(&mut shard, whole);
-    // The tokens were booked once: 10 are left, and one more turn may begin.
+    // The tokens were charged once: 10 are left, and one more turn may start.
     begun(&mut shard, start("s", "t2"));
     let again = ShardCommand::StartTurn(start("s", "t1"));
     assert_eq!(refused(&mut shard, again), ShardRefusal::TurnDiffers, "an ended turn never runs");
@@ -137,7 +138,8 @@
     }
     let fourth = ShardCommand::StartTurn(start("t4", "t4"));
     assert_eq!(refused(&mut shard, fourth.clone()), ShardRefusal::BudgetReserved);
-    // A turn whose host died has run for its whole time: it counts at its most, for good.
+    // A turn that has reached its time limit without an end, as when its host failed, is charged
+    // permanently with its maximum.
     shard.apply_command(at(TIME_LIMIT_MS));
     assert_eq!(refused(&mut shard, fourth), ShardRefusal::BudgetSpent);
 }
@@ -183,7 +185,7 @@
     ));
     shard.apply_command(at(3 * KEEP_MS + TIME_LIMIT_MS));
     assert_eq!(shard.answer(&ShardQuery::History(turn("t1"))), ShardAnswer::History(None));
-    // An epoch is never given twice.
+    // An epoch is never reused.
     assert!(begun(&mut shard, start("s", "t9")).epoch > second.epoch);
 }
 
@@ -192,8 +194,8 @@
     let session = || prop::sample::select(&["s", "x"][..]);
     let earlier = prop::option::of(name());
     prop_oneof![
-        3 => (session(), name(), earlier, 1_u64..60).prop_map(|(s, t, a, most)| {
-            let max_tokens = TokenCount(most);
+        3 => (session(), name(), earlier, 1_u64..60).prop_map(|(s, t, a, max)| {
+            let max_tokens = TokenCount(max);
             let after = a.map(turn);
             ShardCommand::StartTurn(StartTurn { max_tokens, after, ..start(s, t) })
         }),
@@ -207,44 +209,46 @@
 }
 
 proptest! {
-    /// Whatever runs, in whatever order: tokens that went to callers stay below the budget plus one turn's most.
+    /// For any sequence of commands, the tokens streamed to callers stay below the budget plus the
+    /// maximum of one turn.
     #[test]
     fn a_budget_is_overdrawn_by_less_than_one_turn(commands in prop::collection::vec(commands(), 1..80)) {
         let mut shard = machine();
-        let mut most_of = std::collections::BTreeMap::new();
-        let (mut given, mut clock) = (0, 0);
+        let mut max_of = std::collections::BTreeMap::new();
+        let (mut streamed, mut clock) = (0, 0);
         for command in commands {
             match command {
                 ShardCommand::StartTurn(start) => {
-                    let (name, most) = (start.turn.clone(), start.max_tokens.0);
+                    let (name, max) = (start.turn.clone(), start.max_tokens.0);
                     let reply = shard.apply_command(ShardCommand::StartTurn(start));
                     if matches!(reply, ShardReply::Started(_)) {
-                        most_of.entry(name).or_insert((most, clock));
+                        max_of.entry(name).or_insert((max, clock));
                     }
                 }
                 ShardCommand::EndTurn(end) => {
-                    // Each turn gives its most, once, inside its time.
-                    let (most, _) = most_of.remove(&end.turn).unwrap_or((0, 0));
-                    given += most;
-                    let tokens = TokenCount(most);
+                    // Each turn streams its maximum, once, within its time limit.
+                    let (max, _) = max_of.remove(&end.turn).unwrap_or((0, 0));
+                    streamed += max;
+                    let tokens = TokenCount(max);
                     shard.apply_command(ShardCommand::EndTurn(EndTurn { tokens, ..end }));
                 }
                 other => {
                     if let ShardCommand::AdvanceClock { now } = &other {
                         clock = now.0;
                     }
-                    // The program must not be forgotten between: its budget would begin anew.
+                    // The program must not expire in the meantime, since its budget would be reset.
                     if clock < KEEP_MS {
                         shard.apply_command(other);
                     }
                 }
             }
         }
-        let running: u64 = most_of.values().map(|(most, _)| most).sum();
-        prop_assert!(given + running < 100 + 60, "{given} given, {running} running");
+        let running: u64 = max_of.values().map(|(max, _)| max).sum();
+        prop_assert!(streamed + running < 100 + 60, "{streamed} streamed, {running} running");
     }
 
-    /// Replicas that apply the same commands, one of them from a snapshot, agree.
+    /// Replicas that apply the same commands agree, also if one of them was restored from a
+    /// snapshot.
     #[test]
     fn a_snapshot_holds_all_of_it(commands in prop::collection::vec(commands(), 1..60), cut in 0_usize..60) {
         let (mut one, mut two) = (machine(), machine());
--- a/crates/state/tests/shard_sessions.rs
+++ b/crates/state/tests/shard_sessions.rs
@@ -1,4 +1,4 @@
-//! Programs and sessions: opening, take-over, hand-over, closing; refusals and resends.
+//! Programs and sessions: open, takeover, hand-over and close; refusals and resends.
 
 mod common;
 
--- a/crates/types/src/counters.rs
+++ b/crates/types/src/counters.rs
@@ -30,13 +30,17 @@
 }
 
 counters! {
-    /// Ownership epoch of a session; incremented at every change of owner, which fences the former owner's writes.
+    /// Ownership epoch of a session; incremented at every change of owner, which fences the former
+    /// owner's writes.
     SessionEpoch,
-    /// Epoch of the core leader; every controller write carries it, and writes with an older epoch are refused.
+    /// Epoch of the core leader; every controller write carries it, and writes with an older epoch
+    /// are refused.
     FencingEpoch,
-    /// One run of a process: its start time in microseconds since 1970, so that a restart has a higher value.
+    /// One run of a process: its start time in microseconds since 1970, so that a restart has a
+    /// higher value.
     Incarnation,
-    /// Node id, chosen at random; persisted in the data folder if the node has one, otherwise new at each start.
+    /// Node id, chosen at random; persisted in the data folder if the node has one, otherwise new
+    /// at each start.
     NodeId,
     /// Number of renewals of a lease; an expiry command names the renewal that it was based on.
     Renewal,
@@ -44,12 +48,13 @@
     Revision,
     /// Version number of a bundle.
     BundleVersion,
-    /// Sequence number of an event in its session's stream; the first is 1, and 0 stands for "before the first".
+    /// Sequence number of an event in its session's stream; the first is 1, and 0 stands for
+    /// "before the first".
     EventSeq,
     /// A number of tokens.
     TokenCount,
-    /// Wall-clock time in milliseconds since 1970, for records and end times. Safety never depends on comparing
-    /// clocks of different machines.
+    /// Wall-clock time in milliseconds since 1970, for records and end times. Safety never depends
+    /// on comparing clocks of different machines.
     UnixMillis,
 }
 
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -103,7 +103,8 @@
 }
 
 text_ids! {
-    /// An agent program. Its id is the shard key: all its sessions, turns and calls are stored in one shard.
+    /// An agent program. Its id is the shard key: all its sessions, turns and calls are stored in
+    /// one shard.
     ProgramId,
     /// A session of a program: a sequence of turns with a single owner.
     SessionId,
@@ -135,6 +136,7 @@
     PrefixId,
     /// An operator who signs bundles.
     OperatorName,
-    /// A backend instance (session-host engine, model server or application engine), as named by the platform.
+    /// A backend instance (session-host engine, model server or application engine), as named by
+    /// the platform.
     EngineId,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,7 @@
 //! Identifiers, counters and outcome types shared by all hooklug crates.
 //!
-//! The crate contains no logic of its own, so that crates can share these types without depending on each other.
+//! The crate contains no logic of its own, so that crates can share these types without depending
+//! on each other.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/types/src/load.rs
+++ b/crates/types/src/load.rs
@@ -4,8 +4,8 @@
 
 use crate::BundleVersion;
 
-/// Load of an engine; attached to every reply and never broadcast (design note: load is derived from routed
-/// streams).
+/// Load of an engine; attached to every reply and never broadcast (design note: load is derived
+/// from routed streams).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// Number of turns that the engine can run concurrently.
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,6 +1,7 @@
 //! Outcomes of turns and tool calls.
 //!
-//! These types are encoded with postcard, so they have no serde tags; the HTTP layer defines its own JSON.
+//! These types are encoded with postcard, so they have no serde tags; the HTTP layer defines its
+//! own JSON.
 
 use serde::{Deserialize, Serialize};
 
