--- a/crates/protocol/src/copy_on_write.rs
+++ b/crates/protocol/src/copy_on_write.rs
@@ -15,7 +15,7 @@
     /// Whether both share the same allocation, and are therefore equal without comparing the
     /// values.
     #[must_use]
-    pub fn is_same_copy(&self, other: &Self) -> bool {
+    pub fn ptr_eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 }
@@ -48,6 +48,6 @@
 
 impl<T: PartialEq> PartialEq for CopyOnWrite<T> {
     fn eq(&self, other: &Self) -> bool {
-        self.is_same_copy(other) || *self.0 == *other.0
+        self.ptr_eq(other) || *self.0 == *other.0
     }
 }
--- a/crates/protocol/src/member_map.rs
+++ b/crates/protocol/src/member_map.rs
@@ -84,7 +84,7 @@
         &'a self,
         earlier: &'a Self,
     ) -> impl Iterator<Item = (Option<&'a Member>, &'a SharedMember)> {
-        let all = (!self.0.is_same_copy(&earlier.0)).then_some(&self.0);
+        let all = (!self.0.ptr_eq(&earlier.0)).then_some(&self.0);
         all.into_iter().flat_map(|all| all.iter()).filter_map(|(node, member)| {
             let before = earlier.0.get(node);
             let same = before.is_some_and(|before| before == member);
@@ -94,7 +94,7 @@
 
     /// Iterates over the nodes of an earlier map that are not in this one.
     pub fn gone_since<'a>(&'a self, earlier: &'a Self) -> impl Iterator<Item = NodeId> + 'a {
-        let all = (!self.0.is_same_copy(&earlier.0)).then_some(&earlier.0);
+        let all = (!self.0.ptr_eq(&earlier.0)).then_some(&earlier.0);
         let ids = all.into_iter().flat_map(|all| all.keys());
         ids.filter(|node| !self.0.contains_key(node)).copied()
     }
--- a/crates/session/tests/model_check/main.rs
+++ b/crates/session/tests/model_check/main.rs
@@ -5,7 +5,7 @@
 //! caller only if it is committed with the same content, and for the first time only from the
 //! session's owner; no caller misses an event of its turn or receives one twice or out of order; no
 //! program exceeds its budget; no caller is wrongly refused with "budget spent", "no such turn" or
-//! the like. CheckResult at the end: from every state, the callers can still complete all their steps.
+//! the like. Checked at the end: from every state, the callers can still complete all their steps.
 
 mod actions;
 mod caller;
--- a/crates/state/src/meta/archive.rs
+++ b/crates/state/src/meta/archive.rs
@@ -14,7 +14,7 @@
 
 /// Maximum size in bytes of the retained content of older versions. The newest version is retained
 /// whatever its size.
-pub const KEPT_BYTES: usize = 2 << 20;
+pub const RETAINED_CONTENT_BYTES: usize = 2 << 20;
 
 /// Size in bytes of a digest in a record's section table, with the overhead of the table entry.
 const TABLE_ENTRY_BYTES: usize = 40;
@@ -27,7 +27,7 @@
 }
 
 /// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit
-/// into [`KEPT_BYTES`]. Of the older ones only the routes are retained, since it must remain known
+/// into [`RETAINED_CONTENT_BYTES`]. Of the older ones only the routes are retained, since it must remain known
 /// whether a tool was ever non-repeatable. Clones share records and sections.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct BundleArchive {
@@ -48,7 +48,7 @@
             self.retain_section(bytes);
         }
         self.records.insert(record.version, record.into());
-        while self.bytes > newest_bytes + KEPT_BYTES && self.drop_oldest_content() {}
+        while self.bytes > newest_bytes + RETAINED_CONTENT_BYTES && self.drop_oldest_content() {}
         while self.records.len() > KEPT_VERSIONS {
             let Some((_, oldest)) = self.records.pop_first() else { break };
             self.bytes -= table_bytes(&oldest);
--- a/crates/state/src/meta/bundles.rs
+++ b/crates/state/src/meta/bundles.rs
@@ -6,13 +6,13 @@
 use hooklug_types::{BundleVersion, Digest};
 
 use super::command::{BundleContent, MetaRefusal, MetaReply, SubmitBundle};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::{BundleOrigin, BundleRecord};
 
 impl MetaMachine {
     /// Commits a bundle. A resubmission of the same version and content returns the existing
     /// record.
-    pub(super) fn submit_bundle(&mut self, submit: SubmitBundle) -> Outcome {
+    pub(super) fn submit_bundle(&mut self, submit: SubmitBundle) -> CommandResult {
         let digest = submit.content.digest();
         if let Some(committed) = self.state.archive.record(submit.version) {
             return match committed.digest == digest {
--- a/crates/state/src/meta/command.rs
+++ b/crates/state/src/meta/command.rs
@@ -210,7 +210,7 @@
 pub enum MetaRefusal {
     /// The cluster has already been formed.
     #[error("the cluster is already formed with id {cluster}")]
-    Formed {
+    AlreadyFormed {
         /// Id of the cluster.
         cluster: u64,
     },
--- a/crates/state/src/meta/formation.rs
+++ b/crates/state/src/meta/formation.rs
@@ -3,7 +3,7 @@
 use hooklug_types::GroupId;
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::{GroupPlacement, StoreRecord};
 
 impl MetaMachine {
@@ -13,7 +13,7 @@
         cluster: u64,
         mut stores: Vec<StoreRecord>,
         placements: Vec<(GroupId, GroupPlacement)>,
-    ) -> Outcome {
+    ) -> CommandResult {
         let meta = &mut self.state.meta;
         if cluster == 0 {
             return Err(MetaRefusal::NotFormed);
@@ -21,7 +21,7 @@
         if meta.cluster != 0 {
             return match meta.cluster == cluster {
                 true => Ok(MetaReply::Done),
-                false => Err(MetaRefusal::Formed { cluster: meta.cluster }),
+                false => Err(MetaRefusal::AlreadyFormed { cluster: meta.cluster }),
             };
         }
         stores.sort_by_key(|store| store.node);
--- a/crates/state/src/meta/leadership.rs
+++ b/crates/state/src/meta/leadership.rs
@@ -3,7 +3,7 @@
 use hooklug_types::{FencingEpoch, Renewal};
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::CoreLeader;
 
 impl MetaMachine {
@@ -13,7 +13,7 @@
         &mut self,
         candidate: CoreLeader,
         seen: FencingEpoch,
-    ) -> Outcome {
+    ) -> CommandResult {
         let leader = &mut self.state.meta.leader;
         if let Some(present) = leader.as_ref().filter(|l| !l.expired) {
             let own =
@@ -32,7 +32,7 @@
     }
 
     /// Renews the lease with this epoch. An expired lease stays expired.
-    pub(super) fn renew_leadership(&mut self, epoch: FencingEpoch) -> Outcome {
+    pub(super) fn renew_leadership(&mut self, epoch: FencingEpoch) -> CommandResult {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
             Some(leader) if leader.epoch == epoch && !leader.expired => {
@@ -45,7 +45,11 @@
 
     /// Expires the lease with this epoch, unless it was renewed after the renewal that the decision
     /// is based on.
-    pub(super) fn expire_leadership(&mut self, epoch: FencingEpoch, observed: Renewal) -> Outcome {
+    pub(super) fn expire_leadership(
+        &mut self,
+        epoch: FencingEpoch,
+        observed: Renewal,
+    ) -> CommandResult {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
             Some(leader) if leader.epoch == epoch => {
--- a/crates/state/src/meta/machine.rs
+++ b/crates/state/src/meta/machine.rs
@@ -9,7 +9,7 @@
 use crate::{FrozenState, MachineError, StateMachine, decode, encode};
 
 /// The result of a command.
-pub(super) type Outcome = Result<MetaReply, MetaRefusal>;
+pub(super) type CommandResult = Result<MetaReply, MetaRefusal>;
 
 /// The full state of the meta group, which is also the content of a snapshot.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
         self.dispatch(command).unwrap_or_else(MetaReply::Refused)
     }
 
-    fn dispatch(&mut self, command: MetaCommand) -> Outcome {
+    fn dispatch(&mut self, command: MetaCommand) -> CommandResult {
         match command {
             MetaCommand::Form { cluster, stores, placements } => {
                 self.form(cluster, stores, placements)
--- a/crates/state/src/meta/mod.rs
+++ b/crates/state/src/meta/mod.rs
@@ -12,7 +12,7 @@
 mod rollouts;
 mod stores;
 
-pub use archive::{KEPT_BYTES, KEPT_VERSIONS};
+pub use archive::{KEPT_VERSIONS, RETAINED_CONTENT_BYTES};
 pub use command::{
     BundleContent, MetaAnswer, MetaCommand, MetaQuery, MetaRefusal, MetaReply, SubmitBundle,
 };
@@ -21,5 +21,5 @@
     BundleOrigin, BundleRecord, CoreLeader, GroupPlacement, HarmReport, MetaState, RollbackRecord,
     StoreRecord, StoreState,
 };
-pub use rollback::KEPT_ROLLBACKS;
+pub use rollback::RETAINED_ROLLBACKS;
 pub use rollouts::{RolloutPhase, RolloutRecord};
--- a/crates/state/src/meta/placement.rs
+++ b/crates/state/src/meta/placement.rs
@@ -3,7 +3,7 @@
 use hooklug_types::GroupId;
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::GroupPlacement;
 
 impl MetaMachine {
@@ -13,7 +13,7 @@
         group: GroupId,
         expected: &GroupPlacement,
         placement: GroupPlacement,
-    ) -> Outcome {
+    ) -> CommandResult {
         let current = self.state.meta.placements.entry(group).or_default();
         if *current == placement {
             return Ok(MetaReply::Done);
--- a/crates/state/src/meta/rollback.rs
+++ b/crates/state/src/meta/rollback.rs
@@ -3,16 +3,16 @@
 use hooklug_bundle::{Bundle, VersionState};
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::{BundleOrigin, HarmReport, RollbackRecord};
 
 /// Number of rollbacks retained in the state.
-pub const KEPT_ROLLBACKS: usize = 64;
+pub const RETAINED_ROLLBACKS: usize = 64;
 
 impl MetaMachine {
     /// Marks a version as rolled back. If it already is, replies with the bundle that rolled it
     /// back.
-    pub(super) fn roll_back(&mut self, harm: HarmReport) -> Outcome {
+    pub(super) fn roll_back(&mut self, harm: HarmReport) -> CommandResult {
         let newest = self.newest_version();
         let Some(mut bundle) = self.state.archive.bundle(newest) else {
             return Err(nothing_to_roll_back("no bundle has been committed"));
@@ -47,7 +47,7 @@
     fn record_rollback(&mut self, record: RollbackRecord) {
         let rollbacks = &mut self.state.meta.rollbacks;
         rollbacks.push(record);
-        let surplus = rollbacks.len().saturating_sub(KEPT_ROLLBACKS);
+        let surplus = rollbacks.len().saturating_sub(RETAINED_ROLLBACKS);
         rollbacks.drain(..surplus);
     }
 }
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 
 /// Time in milliseconds within which a repeated request is the same rollout, even if that has
 /// already ended. An operator whose acknowledgement was lost retries within seconds.
@@ -65,7 +65,7 @@
         service: ServiceName,
         target: ServiceVersion,
         duration_ms: u64,
-    ) -> Outcome {
+    ) -> CommandResult {
         let clock = self.state.clock;
         let meta = &mut self.state.meta;
         if let Some(existing) = meta.rollouts.get(&service) {
@@ -92,7 +92,7 @@
         service: &ServiceName,
         number: u64,
         phase: RolloutPhase,
-    ) -> Outcome {
+    ) -> CommandResult {
         let existing = self.state.meta.rollouts.get_mut(service);
         let Some(existing) = existing.filter(|existing| existing.number == number) else {
             return Err(MetaRefusal::NoRollout);
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -3,13 +3,13 @@
 use hooklug_types::NodeId;
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::{StoreRecord, StoreState};
 
 impl MetaMachine {
     /// Registers a store's address and run. A removed store is refused, and an older run does not
     /// replace a newer one.
-    pub(super) fn register_store(&mut self, store: StoreRecord) -> Outcome {
+    pub(super) fn register_store(&mut self, store: StoreRecord) -> CommandResult {
         let stores = &mut self.state.meta.stores;
         match stores.binary_search_by_key(&store.node, |s| s.node) {
             Err(index) => stores.insert(index, StoreRecord { state: StoreState::Active, ..store }),
@@ -29,7 +29,7 @@
     }
 
     /// Starts to drain a store's replicas. A repeated request changes nothing.
-    pub(super) fn retire_store(&mut self, node: NodeId, least_left: u32) -> Outcome {
+    pub(super) fn retire_store(&mut self, node: NodeId, least_left: u32) -> CommandResult {
         let stores = &mut self.state.meta.stores;
         let left = stores.iter().filter(|s| s.state == StoreState::Active && s.node != node);
         let left = left.count();
@@ -45,7 +45,7 @@
     }
 
     /// Changes the membership state of a store. Removal is permanent.
-    pub(super) fn set_store_state(&mut self, node: NodeId, state: StoreState) -> Outcome {
+    pub(super) fn set_store_state(&mut self, node: NodeId, state: StoreState) -> CommandResult {
         let stores = &mut self.state.meta.stores;
         let store = stores.iter_mut().find(|s| s.node == node).ok_or(MetaRefusal::NoStore)?;
         if store.state == StoreState::Removed && state != StoreState::Removed {
--- a/crates/state/src/shard/calls.rs
+++ b/crates/state/src/shard/calls.rs
@@ -5,13 +5,13 @@
 
 use super::command::{BeginCall, ShardRefusal, ShardReply};
 use super::expiry::ExpiryItem;
-use super::machine::{CallEntry, Outcome, ShardMachine};
+use super::machine::{CallEntry, CommandResult, ShardMachine};
 use super::query::CallRecord;
 
 impl ShardMachine {
     /// Claims a call for an attempt. The first attempt is granted, and so are its resends until the
     /// call has an outcome; after that, the reply is the call's record.
-    pub(super) fn begin_call(&mut self, begin: BeginCall) -> Outcome {
+    pub(super) fn begin_call(&mut self, begin: BeginCall) -> CommandResult {
         let program = self.program_mut(&begin.program)?;
         let Some(entry) = program.calls.get(&begin.call) else {
             let record = CallRecord {
@@ -46,7 +46,7 @@
         call: &CallId,
         attempt: &CallAttempt,
         outcome: CallOutcome,
-    ) -> Outcome {
+    ) -> CommandResult {
         let entry = self.program_mut(program)?.calls.get(call).ok_or(ShardRefusal::NoCall)?;
         let holds = entry.record.attempt.as_ref() == Some(attempt);
         if !holds || outcome == CallOutcome::NotRun {
@@ -68,7 +68,7 @@
         program: &ProgramId,
         call: &CallId,
         digest: Digest,
-    ) -> Outcome {
+    ) -> CommandResult {
         let calls = &mut self.program_mut(program)?.calls;
         if let Some(entry) = calls.get(call) {
             let record = &entry.record;
@@ -84,7 +84,12 @@
         self.set_outcome(program, call, CallOutcome::NotRun)
     }
 
-    fn set_outcome(&mut self, program: &ProgramId, call: &CallId, outcome: CallOutcome) -> Outcome {
+    fn set_outcome(
+        &mut self,
+        program: &ProgramId,
+        call: &CallId,
+        outcome: CallOutcome,
+    ) -> CommandResult {
         let clock = self.state.clock;
         let expires = self.retention_end();
         let entry = self.program_mut(program)?;
--- a/crates/state/src/shard/chains.rs
+++ b/crates/state/src/shard/chains.rs
@@ -17,7 +17,7 @@
 
 use super::command::{EndTurn, ShardRefusal, ShardReply, StartTurn, StartedTurn};
 use super::expiry::ExpiryItem;
-use super::machine::{Outcome, ShardMachine};
+use super::machine::{CommandResult, ShardMachine};
 
 /// All chained programs of a shard. Clones share the programs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -131,7 +131,7 @@
     }
 
     /// Ends a turn. A repeated request changes nothing.
-    pub(super) fn end_turn(&mut self, end: EndTurn, now: UnixMillis) -> Outcome {
+    pub(super) fn end_turn(&mut self, end: EndTurn, now: UnixMillis) -> CommandResult {
         let program = self.programs.get_mut(&end.key.program).ok_or(ShardRefusal::NoProgram)?;
         let program = Arc::make_mut(program);
         let Some(open) = program.open.remove(&end.turn) else {
@@ -173,7 +173,7 @@
 impl ShardMachine {
     /// Starts a turn. A resend of the same turn returns the same epoch, unless a later turn has
     /// started.
-    pub(super) fn start_turn(&mut self, start: StartTurn) -> Outcome {
+    pub(super) fn start_turn(&mut self, start: StartTurn) -> CommandResult {
         let (now, floor) = (self.state.clock, self.state.epoch_floor);
         let key = start.key.program.clone();
         let chained = &mut self.state.chained;
--- a/crates/state/src/shard/events.rs
+++ b/crates/state/src/shard/events.rs
@@ -4,7 +4,7 @@
 
 use super::command::{ShardRefusal, ShardReply};
 use super::event::{Event, EventBody};
-use super::machine::{Outcome, SessionEntry, ShardMachine};
+use super::machine::{CommandResult, SessionEntry, ShardMachine};
 use super::query::ShardAnswer;
 
 /// Maximum size in bytes of the event texts in one reply; a reply that is truncated sets `more`. A
@@ -21,7 +21,7 @@
         turn: Option<&TurnId>,
         first_seq: EventSeq,
         bodies: Vec<EventBody>,
-    ) -> Outcome {
+    ) -> CommandResult {
         let session = self.session_mut(key)?;
         session.check_epoch(epoch)?;
         if session.is_already_applied(first_seq, turn, &bodies) {
--- a/crates/state/src/shard/leases.rs
+++ b/crates/state/src/shard/leases.rs
@@ -3,12 +3,12 @@
 use hooklug_types::{EngineIncarnation, Renewal};
 
 use super::command::{ShardRefusal, ShardReply};
-use super::machine::{Outcome, ShardMachine};
+use super::machine::{CommandResult, ShardMachine};
 use super::query::LeaseRecord;
 
 impl ShardMachine {
     /// Renews a lease, or starts it. An expired lease stays expired.
-    pub(super) fn renew_lease(&mut self, holder: EngineIncarnation) -> Outcome {
+    pub(super) fn renew_lease(&mut self, holder: EngineIncarnation) -> CommandResult {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
             renewal: Renewal(0),
@@ -24,7 +24,11 @@
     /// Expires a lease, unless it was renewed after the renewal that the decision is based on. A
     /// lease that was never granted is recorded as expired, so that its holder cannot start it
     /// afterwards.
-    pub(super) fn expire_lease(&mut self, holder: EngineIncarnation, observed: Renewal) -> Outcome {
+    pub(super) fn expire_lease(
+        &mut self,
+        holder: EngineIncarnation,
+        observed: Renewal,
+    ) -> CommandResult {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
             renewal: observed,
--- a/crates/state/src/shard/machine.rs
+++ b/crates/state/src/shard/machine.rs
@@ -20,7 +20,7 @@
 use crate::{FrozenState, MachineError, StateMachine, decode, encode};
 
 /// The result of a command.
-pub(super) type Outcome = Result<ShardReply, ShardRefusal>;
+pub(super) type CommandResult = Result<ShardReply, ShardRefusal>;
 
 /// A program with its sessions and calls.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -95,7 +95,7 @@
         self.apply_single(command).unwrap_or_else(ShardReply::Refused)
     }
 
-    fn apply_single(&mut self, command: ShardCommand) -> Outcome {
+    fn apply_single(&mut self, command: ShardCommand) -> CommandResult {
         match command {
             ShardCommand::PutProgram(put) => Ok(self.put_program(put)),
             ShardCommand::OpenSession(open) => self.open_session(open),
--- a/crates/state/src/shard/query.rs
+++ b/crates/state/src/shard/query.rs
@@ -101,7 +101,7 @@
     pub route: Option<RouteName>,
     /// The attempt that holds the call; `None` if it was sealed.
     pub attempt: Option<CallAttempt>,
-    /// Outcome of the call; `None` while it may be running.
+    /// CommandResult of the call; `None` while it may be running.
     pub outcome: Option<CallOutcome>,
 }
 
--- a/crates/state/src/shard/sessions.rs
+++ b/crates/state/src/shard/sessions.rs
@@ -9,13 +9,13 @@
 use super::event::EventBody;
 use super::event_log::EventLog;
 use super::expiry::ExpiryItem;
-use super::machine::{Outcome, SessionEntry, ShardMachine};
+use super::machine::{CommandResult, SessionEntry, ShardMachine};
 use super::query::SessionRecord;
 
 impl ShardMachine {
     /// Opens a session at an owner. If the session exists, it keeps its owner; if it has none, the
     /// requesting engine becomes the owner.
-    pub(super) fn open_session(&mut self, open: OpenSession) -> Outcome {
+    pub(super) fn open_session(&mut self, open: OpenSession) -> CommandResult {
         let first_epoch = self.state.epoch_floor.next();
         let program = self.program_mut(&open.key.program)?;
         let Ok(session) = program.session_mut(&open.key.session) else {
@@ -38,7 +38,7 @@
     /// Takes over a session and ends its open turn as `Interrupted`. This does not check that the
     /// former owner's lease has expired: the lease may be in another shard, and the sender must
     /// have had its expiry committed there.
-    pub(super) fn take_session(&mut self, take: TakeSession) -> Outcome {
+    pub(super) fn take_session(&mut self, take: TakeSession) -> CommandResult {
         let session = self.session_mut(&take.key)?;
         let record = &session.record;
         let already_taken = record.epoch == take.expected_epoch.next()
@@ -70,7 +70,7 @@
     }
 
     /// Releases ownership of a session between turns.
-    pub(super) fn hand_over(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
+    pub(super) fn hand_over(&mut self, key: &SessionKey, epoch: SessionEpoch) -> CommandResult {
         let session = self.session_mut(key)?;
         let record = &mut session.record;
         if record.closed {
@@ -93,7 +93,7 @@
     }
 
     /// Closes a session between turns. Closing a closed session succeeds under any epoch.
-    pub(super) fn close_session(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
+    pub(super) fn close_session(&mut self, key: &SessionKey, epoch: SessionEpoch) -> CommandResult {
         let clock = self.state.clock;
         let expires_at = self.retention_end();
         let program = self.program_mut(&key.program)?;
--- a/crates/state/src/shard/turns.rs
+++ b/crates/state/src/shard/turns.rs
@@ -8,13 +8,13 @@
 use super::command::{BeginTurn, FinishTurn, ShardRefusal, ShardReply, TurnGrant};
 use super::event::EventBody;
 use super::expiry::ExpiryItem;
-use super::machine::{Outcome, ProgramEntry, SessionEntry, ShardMachine};
+use super::machine::{CommandResult, ProgramEntry, SessionEntry, ShardMachine};
 use super::query::{TurnRecord, TurnState};
 
 impl ShardMachine {
     /// Starts a turn and reserves tokens for it. A resend returns the existing turn or the recorded
     /// refusal.
-    pub(super) fn begin_turn(&mut self, begin: BeginTurn) -> Outcome {
+    pub(super) fn begin_turn(&mut self, begin: BeginTurn) -> CommandResult {
         let clock = self.state.clock;
         let program = self.program_mut(&begin.key.program)?;
         let ProgramEntry { record: program_record, sessions, last_ended, .. } = program;
@@ -39,7 +39,7 @@
     }
 
     /// Ends the open turn. A repeated request returns the turn as it first ended.
-    pub(super) fn finish_turn(&mut self, finish: &FinishTurn) -> Outcome {
+    pub(super) fn finish_turn(&mut self, finish: &FinishTurn) -> CommandResult {
         let session = self.session_mut(&finish.key)?;
         session.check_epoch(finish.epoch)?;
         if session.record.open_turn.as_ref() == Some(&finish.turn) {
@@ -136,7 +136,7 @@
 }
 
 impl TurnRecord {
-    fn answer_resend(&self, begin: &BeginTurn) -> Outcome {
+    fn answer_resend(&self, begin: &BeginTurn) -> CommandResult {
         if self.digest != begin.digest || self.after != begin.after {
             return Err(ShardRefusal::TurnDiffers);
         }
--- a/crates/state/tests/bundle_costs.rs
+++ b/crates/state/tests/bundle_costs.rs
@@ -7,8 +7,8 @@
 };
 use hooklug_bundle::{Bundle, canonical_bytes};
 use hooklug_state::meta::{
-    BundleContent, BundleRecord, GroupPlacement, KEPT_BYTES, MetaAnswer, MetaCommand, MetaMachine,
-    MetaQuery, MetaRefusal, MetaReply, SubmitBundle,
+    BundleContent, BundleRecord, GroupPlacement, MetaAnswer, MetaCommand, MetaMachine, MetaQuery,
+    MetaRefusal, MetaReply, RETAINED_CONTENT_BYTES, SubmitBundle,
 };
 use hooklug_state::{StateMachine, encode};
 use hooklug_types::{BundleVersion, GroupId, RouteName, ServiceName};
@@ -119,7 +119,7 @@
     let whole = canonical_bytes(&everything_changed(60));
     assert_eq!(newest(&meta), whole);
     let snapshot = meta.snapshot().len();
-    assert!(snapshot < KEPT_BYTES + 2 * whole.len(), "{snapshot} bytes");
+    assert!(snapshot < RETAINED_CONTENT_BYTES + 2 * whole.len(), "{snapshot} bytes");
     let first = meta.apply_command(submission(&everything_changed(1)));
     assert!(
         matches!(first, MetaReply::Bundle(_)),
--- a/crates/state/tests/meta.rs
+++ b/crates/state/tests/meta.rs
@@ -170,7 +170,7 @@
         assert_eq!(refused(&mut meta, command), MetaRefusal::NotFormed);
     }
     twice(&mut meta, form(CLUSTER));
-    assert_eq!(refused(&mut meta, form(78)), MetaRefusal::Formed { cluster: CLUSTER });
+    assert_eq!(refused(&mut meta, form(78)), MetaRefusal::AlreadyFormed { cluster: CLUSTER });
     assert!(state(&meta).stores.iter().map(|s| s.node.0).eq([1, 2, 3]));
 }
 
