--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -10,7 +10,7 @@
 mod ids;
 mod load;
 mod outcome;
-mod place;
+mod ownership;
 mod shard;
 
 pub use counters::{
@@ -24,5 +24,5 @@
 };
 pub use load::EngineLoad;
 pub use outcome::{CallOutcome, EndReason, FailureCode};
-pub use place::{EngineIncarnation, NodeRole, SessionKey, SessionPlace};
+pub use ownership::{EngineIncarnation, NodeRole, SessionKey, SessionPlace};
 pub use shard::{Digest, GroupId, META_GROUP, SHARD_COUNT, shard_of};
