--- a/crates/session/src/phase.rs
+++ b/crates/session/src/phase.rs
@@ -30,7 +30,7 @@
     /// Whether the turn may be committed.
     pub(crate) ready: bool,
     /// Abort requests that arrived before the turn was committed.
-    pub(crate) aborts: Vec<ReplyId>,
+    pub(crate) abort_replies: Vec<ReplyId>,
 }
 
 /// A committed turn that has not ended.
--- a/crates/session/src/turn.rs
+++ b/crates/session/src/turn.rs
@@ -85,7 +85,7 @@
             clients: vec![(client, last_seen)],
             ticket,
             ready: ticket.is_none(),
-            aborts: Vec::new(),
+            abort_replies: Vec::new(),
         }));
     }
 
@@ -152,7 +152,7 @@
         for (client, _) in starting.clients {
             refuse(client, refusal.clone(), &mut self.effects);
         }
-        for reply in starting.aborts {
+        for reply in starting.abort_replies {
             self.reply(reply, Err(refusal.clone()));
         }
     }
@@ -160,7 +160,7 @@
     /// Handles the commit of the starting turn: the turn is now open.
     pub(crate) fn turn_started(&mut self, grant: &TurnGrant) {
         let Some(starting) = self.take_starting_turn() else { return };
-        let StartingTurn { request, clients, ticket, aborts, .. } = starting;
+        let StartingTurn { request, clients, ticket, abort_replies, .. } = starting;
         let record = TurnRecord {
             turn: request.turn.clone(),
             after: request.after.clone(),
@@ -173,8 +173,8 @@
         self.record.open_turn = Some(request.turn.clone());
         let mut open = OpenTurn::new(record.clone(), request.max_tokens, request.deadline);
         open.ticket = ticket;
-        let aborted = !aborts.is_empty() || self.closing.is_some();
-        open.replies = aborts;
+        let aborted = !abort_replies.is_empty() || self.closing.is_some();
+        open.replies = abort_replies;
         self.phase = Phase::Open(Box::new(open));
         let body =
             EventBody::TurnStarted { after: request.after.clone(), input: request.input.clone() };
@@ -199,7 +199,7 @@
         for (client, last_seen) in starting.clients {
             self.subscribe(client, known.clone(), last_seen);
         }
-        for reply in starting.aborts {
+        for reply in starting.abort_replies {
             self.reply(reply, Ok(Answer::Turn(known.clone())));
         }
         self.history.insert_record(known);
@@ -214,7 +214,7 @@
             Phase::Starting(starting) if starting.request.turn == *turn => {
                 // Start the turn without a slot and end it immediately, so that the abort is
                 // recorded.
-                starting.aborts.push(reply);
+                starting.abort_replies.push(reply);
                 starting.ready = true;
                 if let Some(ticket) = starting.ticket.take() {
                     self.effects.push(Effect::ReleaseSlot { ticket });
--- a/crates/session/tests/model_check/effects.rs
+++ b/crates/session/tests/model_check/effects.rs
@@ -10,7 +10,7 @@
 use crate::world::{CheckResult, World, key, turn_id};
 
 impl World {
-    pub fn carry_out(
+    pub fn apply_effect(
         &mut self,
         engine: usize,
         instance: u8,
@@ -56,7 +56,7 @@
                 self.send(engine, session, Message::TurnLookedUp { look_up, record })
             }
             Effect::Send { client, item } => self.receive(session, client, item),
-            Effect::Reply { reply, answer } => self.answered(reply, answer),
+            Effect::Reply { reply, answer } => self.handle_reply(reply, answer),
             Effect::EndClient { client } => {
                 if let Some(number) = self.caller_of(client.0) {
                     self.callers[number].connected = None;
@@ -112,7 +112,7 @@
             ClientItem::Events(events) => events,
             ClientItem::Sync { history, .. } => history,
             ClientItem::Accepted(_) => return Ok(()),
-            ClientItem::Refused(refusal) => return self.refused(client, &refusal),
+            ClientItem::Refused(refusal) => return self.handle_refusal(client, &refusal),
         };
         let log = self.log(session);
         for event in &events {
@@ -126,7 +126,7 @@
         }
     }
 
-    pub fn refused(&mut self, client: ClientId, refusal: &SessionRefusal) -> CheckResult {
+    pub fn handle_refusal(&mut self, client: ClientId, refusal: &SessionRefusal) -> CheckResult {
         let Some(number) = self.caller_of(client.0) else { return Ok(()) };
         let (spent, reserved) = self.ledger();
         match refusal {
@@ -143,7 +143,7 @@
         }
     }
 
-    pub fn answered(
+    pub fn handle_reply(
         &mut self,
         reply: ReplyId,
         answer: Result<Answer, SessionRefusal>,
--- a/crates/session/tests/model_check/engines.rs
+++ b/crates/session/tests/model_check/engines.rs
@@ -111,7 +111,7 @@
             self.check_is_owner(engine, session, epoch)?;
         }
         for effect in effects {
-            self.carry_out(engine, instance, session, effect)?;
+            self.apply_effect(engine, instance, session, effect)?;
         }
         Ok(())
     }
--- a/crates/session/tests/model_check/explore.rs
+++ b/crates/session/tests/model_check/explore.rs
@@ -10,20 +10,20 @@
 /// A violated invariant and the shortest trace that leads to it.
 #[derive(Debug)]
 pub struct Violation {
-    pub what: String,
+    pub description: String,
     pub trace: Vec<Action>,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}", self.what)?;
+        writeln!(f, "{}", self.description)?;
         self.trace.iter().try_for_each(|action| writeln!(f, "  {action:?}"))
     }
 }
 
 /// The result of a search.
 #[derive(Debug)]
-pub struct Explored {
+pub struct SearchResult {
     pub states: usize,
     pub transitions: usize,
     /// Number of states in which all callers have completed their steps.
@@ -43,7 +43,7 @@
     transitions: usize,
 }
 
-pub fn explore(scenario: &Scenario, max_states: usize) -> Explored {
+pub fn explore(scenario: &Scenario, max_states: usize) -> SearchResult {
     let start = World::new(scenario);
     let mut search = Search {
         numbers: HashMap::from([(start.hash(), 0)]),
@@ -60,8 +60,8 @@
         for action in world.actions() {
             let mut next = world.clone();
             search.transitions += 1;
-            if let Err(what) = next.act(&action) {
-                let violation = search.violation(what, number, Some(action));
+            if let Err(description) = next.apply_action(&action) {
+                let violation = search.violation(description, number, Some(action));
                 return search.outcome(false, Some(violation));
             }
             if let Some(new) = search.visit(&next, number, action) {
@@ -106,7 +106,7 @@
         u32::try_from(stuck).ok()
     }
 
-    fn violation(&self, what: String, state: u32, last: Option<Action>) -> Violation {
+    fn violation(&self, description: String, state: u32, last: Option<Action>) -> Violation {
         let mut trace: Vec<Action> = last.into_iter().collect();
         let mut at = state;
         while let (before, Some(action)) = &self.parents[at as usize] {
@@ -114,11 +114,11 @@
             at = *before;
         }
         trace.reverse();
-        Violation { what, trace }
+        Violation { description, trace }
     }
 
-    fn outcome(self, complete: bool, violation: Option<Violation>) -> Explored {
-        Explored {
+    fn outcome(self, complete: bool, violation: Option<Violation>) -> SearchResult {
+        SearchResult {
             states: self.parents.len(),
             transitions: self.transitions,
             finished: self.finished.len(),
--- a/crates/session/tests/model_check/main.rs
+++ b/crates/session/tests/model_check/main.rs
@@ -25,20 +25,20 @@
 const MAX_STATES: usize = 1_500_000;
 
 fn check(name: &str, scenario: &Scenario) {
-    let explored = explore(scenario, MAX_STATES);
-    println!("{name}: {} states, {} transitions", explored.states, explored.transitions);
-    if let Some(violation) = explored.violation {
+    let result = explore(scenario, MAX_STATES);
+    println!("{name}: {} states, {} transitions", result.states, result.transitions);
+    if let Some(violation) = result.violation {
         panic!("{name}: {violation}");
     }
-    assert!(explored.complete, "{name}: the search is incomplete");
-    assert!(explored.finished > 0, "{name}: no caller ever finishes");
+    assert!(result.complete, "{name}: the search is incomplete");
+    assert!(result.finished > 0, "{name}: no caller ever finishes");
 }
 
-fn is_reported(name: &str, scenario: &Scenario, expected: &str) {
-    let explored = explore(scenario, MAX_STATES);
-    let violation = explored.violation.expect("the broken rule is reported");
-    println!("{name}: reported after {} states: {violation}", explored.states);
-    assert!(violation.what.contains(expected), "{name}: {violation}");
+fn check_reports_violation(name: &str, scenario: &Scenario, expected: &str) {
+    let result = explore(scenario, MAX_STATES);
+    let violation = result.violation.expect("the broken rule is reported");
+    println!("{name}: reported after {} states: {violation}", result.states);
+    assert!(violation.description.contains(expected), "{name}: {violation}");
 }
 
 fn turns(names: &[&'static str]) -> Vec<Step> {
@@ -111,7 +111,7 @@
 fn releasing_before_the_commit_is_reported() {
     let rules = Rules { release_before_commit: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1"]))];
-    is_reported(
+    check_reports_violation(
         "release before commit",
         &Scenario { callers, rules, ..Scenario::default() },
         "not committed",
@@ -123,7 +123,7 @@
     let rules = Rules { take_without_expiry: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1", "t2"]))];
     let scenario = Scenario { callers, rules, faults: 1, ..Scenario::default() };
-    is_reported("take without expiry", &scenario, "not the owner");
+    check_reports_violation("take without expiry", &scenario, "not the owner");
 }
 
 #[test]
@@ -131,5 +131,9 @@
     let rules = Rules { renumber_repeats: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1"]))];
     let scenario = Scenario { callers, rules, faults: 1, ..Scenario::default() };
-    is_reported("append anew after a lost reply", &scenario, "as the model generated it");
+    check_reports_violation(
+        "append anew after a lost reply",
+        &scenario,
+        "as the model generated it",
+    );
 }
--- a/crates/session/tests/model_check/world.rs
+++ b/crates/session/tests/model_check/world.rs
@@ -121,7 +121,7 @@
         self.callers.iter().all(|c| c.steps.is_empty())
     }
 
-    pub fn act(&mut self, action: &Action) -> CheckResult {
+    pub fn apply_action(&mut self, action: &Action) -> CheckResult {
         match *action {
             Action::Deliver(index) => {
                 let message = self.in_transit.remove(index);
--- a/crates/session/tests/session_loop.rs
+++ b/crates/session/tests/session_loop.rs
@@ -17,7 +17,7 @@
 };
 
 const LEASE: Duration = Duration::from_secs(3);
-const KEEP: Duration = Duration::from_secs(600);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 
 struct Harness {
     shard: ShardMachine,
@@ -51,7 +51,7 @@
 
 impl Harness {
     fn new(budget: u64) -> Self {
-        let mut shard = ShardMachine::new(KEEP);
+        let mut shard = ShardMachine::new(IDLE_TIMEOUT);
         shard.apply_command(ShardCommand::PutProgram(PutProgram {
             program: key().program,
             tenant: "dalatek".parse().unwrap(),
@@ -70,7 +70,7 @@
         let start = Instant::now();
         let program_end = start + Duration::from_secs(1_000);
         let loaded = LoadedSession { record, history: Vec::new(), program_end };
-        let session = Session::new(loaded, SessionConfig { unconnected_keep: KEEP }, start);
+        let session = Session::new(loaded, SessionConfig { unconnected_keep: IDLE_TIMEOUT }, start);
         Self { shard, session, start, now: start, lease_until: start + LEASE * 1_000 }
     }
 
@@ -93,8 +93,8 @@
 
     /// Runs a turn up to the start of its generation.
     fn open_turn(&mut self, name: &str, max_tokens: u64) -> GenerationId {
-        let asked = self.run(1, name, max_tokens);
-        let begin = self.send(Message::SlotGranted { ticket: ticket_in(&asked) });
+        let requested = self.run(1, name, max_tokens);
+        let begin = self.send(Message::SlotGranted { ticket: ticket_in(&requested) });
         let begun = self.commit(&begin);
         let generation = begun.iter().find_map(|e| match e {
             Effect::StartGeneration { generation, .. } => Some(*generation),
@@ -250,10 +250,10 @@
 #[test]
 fn a_turn_without_a_slot_is_refused_at_once_and_leaves_no_trace() {
     let mut harness = Harness::new(100);
-    let asked = harness.run(1, "t1", 10);
+    let requested = harness.run(1, "t1", 10);
     let retry_after = Duration::from_millis(700);
     let refusal = SlotRefusal::Overloaded { retry_after };
-    let refused = harness.send(Message::SlotRefused { ticket: ticket_in(&asked), refusal });
+    let refused = harness.send(Message::SlotRefused { ticket: ticket_in(&requested), refusal });
     assert_eq!(refusals_in(&refused), [SessionRefusal::Overloaded { retry_after }]);
     assert!(commit_in(&refused).is_none());
     // The same turn may be requested again.
@@ -264,8 +264,8 @@
 #[test]
 fn an_abandoned_waiting_turn_cancels_its_slot_request() {
     let mut harness = Harness::new(100);
-    let asked = harness.run(1, "t1", 10);
-    let ticket = ticket_in(&asked);
+    let requested = harness.run(1, "t1", 10);
+    let ticket = ticket_in(&requested);
     let left = harness.send(Message::Leave { client: ClientId(1) });
     assert!(left.contains(&Effect::ReleaseSlot { ticket }));
     assert_eq!(harness.send(Message::SlotGranted { ticket }), [Effect::ReleaseSlot { ticket }]);
@@ -274,10 +274,10 @@
 #[test]
 fn an_abort_before_the_begin_is_on_record() {
     let mut harness = Harness::new(100);
-    let asked = harness.run(1, "t1", 10);
+    let requested = harness.run(1, "t1", 10);
     let abort = Message::Abort { reply: ReplyId(7), turn: "t1".parse().unwrap() };
     let begin = harness.send(abort);
-    assert!(begin.contains(&Effect::ReleaseSlot { ticket: ticket_in(&asked) }));
+    assert!(begin.contains(&Effect::ReleaseSlot { ticket: ticket_in(&requested) }));
     let finish = harness.commit(&begin);
     assert!(!finish.iter().any(|e| matches!(e, Effect::StartGeneration { .. })));
     let ended = harness.commit(&finish);
@@ -309,7 +309,7 @@
 fn a_session_without_clients_closes_itself() {
     let mut harness = Harness::new(100);
     let due = harness.session.next_wake().expect("a time");
-    assert_eq!(due, harness.start + KEEP);
+    assert_eq!(due, harness.start + IDLE_TIMEOUT);
     harness.now = due - Duration::from_millis(1);
     assert_eq!(harness.send(Message::Tick), []);
     harness.now = due;
--- a/crates/state/tests/bundle_costs.rs
+++ b/crates/state/tests/bundle_costs.rs
@@ -19,7 +19,7 @@
 /// Number of bundle versions submitted in a busy day.
 const VERSIONS: u64 = 300;
 
-fn formed() -> MetaMachine {
+fn formed_cluster() -> MetaMachine {
     let mut meta = MetaMachine::new();
     let placements = vec![(GroupId(1), GroupPlacement::default())];
     meta.apply_command(MetaCommand::Form { cluster: 1, stores: Vec::new(), placements });
@@ -98,7 +98,7 @@
 /// full.
 #[test]
 fn hundreds_of_versions_cost_a_store_what_each_changed() {
-    let mut meta = formed();
+    let mut meta = formed_cluster();
     for version in 1..=VERSIONS {
         submit(&mut meta, &one_route_changed(version));
     }
@@ -111,7 +111,7 @@
 /// Guards against stores that run out of memory when no two versions share any section.
 #[test]
 fn versions_that_share_nothing_are_kept_within_a_bound() {
-    let mut meta = formed();
+    let mut meta = formed_cluster();
     let everything_changed = |version| bundle(version, |number| 1_000 + version * 1_000 + number);
     for version in 1..=60 {
         submit(&mut meta, &everything_changed(version));
@@ -128,11 +128,11 @@
 }
 
 /// Submission of a bundle by a sender that has the record of the base version.
-fn submitted_on(bundle: &Bundle, held: &BundleRecord) -> SubmitBundle {
+fn submission_on(bundle: &Bundle, held: &BundleRecord) -> SubmitBundle {
     SubmitBundle::new(bundle, Some(held), Vec::new())
 }
 
-fn accepted(reply: MetaReply) -> BundleRecord {
+fn accepted_record(reply: MetaReply) -> BundleRecord {
     match reply {
         MetaReply::Bundle(record) => record,
         other => panic!("the bundle was refused: {other:?}"),
@@ -142,13 +142,13 @@
 /// Guards against logs that contain the full configuration for every change of one route.
 #[test]
 fn a_change_of_one_route_is_a_short_entry_of_the_log() {
-    let mut meta = formed();
-    let first = accepted(meta.apply_command(submission(&one_route_changed(1))));
+    let mut meta = formed_cluster();
+    let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let next = one_route_changed(2);
-    let command = MetaCommand::SubmitBundle(submitted_on(&next, &first));
+    let command = MetaCommand::SubmitBundle(submission_on(&next, &first));
     let (entry, whole) = (encode(&command).len(), canonical_bytes(&next));
     assert!(entry < whole.len() / 8, "{entry} bytes for a change in {}", whole.len());
-    let record = accepted(meta.apply_command(command.clone()));
+    let record = accepted_record(meta.apply_command(command.clone()));
     assert_eq!(newest(&meta), whole);
     let again = [command, submission(&next)].map(|command| meta.apply_command(command));
     assert!(again.iter().all(|reply| *reply == MetaReply::Bundle(record.clone())), "{again:?}");
@@ -156,9 +156,9 @@
 
 #[test]
 fn changes_that_do_not_give_the_named_whole_are_refused() {
-    let mut meta = formed();
-    let first = accepted(meta.apply_command(submission(&one_route_changed(1))));
-    let good = submitted_on(&one_route_changed(2), &first);
+    let mut meta = formed_cluster();
+    let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
+    let good = submission_on(&one_route_changed(2), &first);
     let BundleContent::Changes { digest, sections } = good.content.clone() else { panic!("whole") };
     let with = |digest, sections| {
         let content = BundleContent::Changes { digest, sections };
@@ -177,14 +177,14 @@
 
 #[test]
 fn changes_to_another_base_than_the_newest_are_refused() {
-    let mut meta = formed();
-    let first = accepted(meta.apply_command(submission(&one_route_changed(1))));
+    let mut meta = formed_cluster();
+    let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let (one, other) = (one_route_changed(2), bundle(2, |_| 9));
-    let late = MetaCommand::SubmitBundle(submitted_on(&other, &first));
-    accepted(meta.apply_command(MetaCommand::SubmitBundle(submitted_on(&one, &first))));
+    let late = MetaCommand::SubmitBundle(submission_on(&other, &first));
+    accepted_record(meta.apply_command(MetaCommand::SubmitBundle(submission_on(&one, &first))));
     let reply = meta.apply_command(late);
     assert!(matches!(reply, MetaReply::Refused(MetaRefusal::VersionTaken { .. })), "{reply:?}");
     let later = Bundle { version: BundleVersion(3), ..other };
-    let reply = meta.apply_command(MetaCommand::SubmitBundle(submitted_on(&later, &first)));
+    let reply = meta.apply_command(MetaCommand::SubmitBundle(submission_on(&later, &first)));
     assert!(matches!(reply, MetaReply::Refused(MetaRefusal::StaleBase { .. })), "{reply:?}");
 }
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -14,9 +14,9 @@
     SessionKey, TenantId, TokenCount, TurnId, UnixMillis,
 };
 
-pub const KEEP: Duration = Duration::from_secs(100);
-pub const KEEP_MS: u64 = 100_000;
-pub const END: u64 = 1_000_000;
+pub const RETENTION: Duration = Duration::from_secs(100);
+pub const RETENTION_MS: u64 = 100_000;
+pub const PROGRAM_END: u64 = 1_000_000;
 pub const BUDGET: u64 = 100;
 
 pub fn program() -> ProgramId {
@@ -35,13 +35,13 @@
     EngineIncarnation { engine: EngineId::new(name).unwrap(), incarnation: Incarnation(1) }
 }
 
-pub fn put(budget: u64) -> ShardCommand {
+pub fn put_program(budget: u64) -> ShardCommand {
     ShardCommand::PutProgram(PutProgram {
         program: program(),
         tenant: TenantId::new("farm").unwrap(),
         group: None,
         token_budget: TokenCount(budget),
-        end_time: UnixMillis(END),
+        end_time: UnixMillis(PROGRAM_END),
     })
 }
 
@@ -179,41 +179,41 @@
     CallOutcome::Answered { status: 200, body: text.as_bytes().to_vec() }
 }
 
-pub fn at(now: u64) -> ShardCommand {
+pub fn advance_clock(now: u64) -> ShardCommand {
     ShardCommand::AdvanceClock { now: UnixMillis(now) }
 }
 
 /// Returns a shard with the program and with session `s`, owned by `e1` under epoch 1.
-pub fn opened() -> ShardMachine {
-    let mut shard = ShardMachine::new(KEEP);
-    shard.apply_command(at(1_000));
-    shard.apply_command(put(BUDGET));
+pub fn shard_with_session() -> ShardMachine {
+    let mut shard = ShardMachine::new(RETENTION);
+    shard.apply_command(advance_clock(1_000));
+    shard.apply_command(put_program(BUDGET));
     shard.apply_command(open("s", "e1"));
     shard
 }
 
 pub trait Commands {
     /// Applies a command and asserts that it is accepted.
-    fn accepted(&mut self, command: ShardCommand) -> ShardReply;
+    fn apply_accepted(&mut self, command: ShardCommand) -> ShardReply;
     /// Applies a command and asserts that it is refused and changes nothing, except for a recorded
     /// refusal.
-    fn refused(&mut self, command: ShardCommand) -> ShardRefusal;
+    fn apply_refused(&mut self, command: ShardCommand) -> ShardRefusal;
     /// Applies a command twice and asserts that the second time does not change the state.
-    fn twice(&mut self, command: ShardCommand) -> (ShardReply, ShardReply);
+    fn apply_twice(&mut self, command: ShardCommand) -> (ShardReply, ShardReply);
     fn session(&self) -> SessionRecord;
     fn program_record(&self) -> ProgramRecord;
     fn turn_record(&self, name: &str) -> Option<TurnRecord>;
 }
 
 impl Commands for ShardMachine {
-    fn accepted(&mut self, command: ShardCommand) -> ShardReply {
+    fn apply_accepted(&mut self, command: ShardCommand) -> ShardReply {
         let shown = format!("{command:?}");
         let reply = self.apply_command(command);
         assert!(!matches!(reply, ShardReply::Refused(_)), "{shown}: {reply:?}");
         reply
     }
 
-    fn refused(&mut self, command: ShardCommand) -> ShardRefusal {
+    fn apply_refused(&mut self, command: ShardCommand) -> ShardRefusal {
         let (program, session) = (self.program_record(), self.session());
         let reply = self.apply_command(command.clone());
         let ShardReply::Refused(refusal) = reply else { panic!("{command:?}: {reply:?}") };
@@ -221,7 +221,7 @@
         refusal
     }
 
-    fn twice(&mut self, command: ShardCommand) -> (ShardReply, ShardReply) {
+    fn apply_twice(&mut self, command: ShardCommand) -> (ShardReply, ShardReply) {
         use hooklug_state::StateMachine;
         let first = self.apply_command(command.clone());
         let before = self.digest();
--- a/crates/state/tests/frozen.rs
+++ b/crates/state/tests/frozen.rs
@@ -11,12 +11,12 @@
 /// Number of events, which fill more than two chunks of the log.
 const MANY_EVENTS: u64 = 600;
 
-fn filled() -> ShardMachine {
-    let mut shard = ShardMachine::new(KEEP);
-    shard.accepted(put(u64::MAX));
-    shard.accepted(open("s", "e1"));
-    shard.accepted(begin(1, "t1", None, MANY_EVENTS * 2));
-    shard.accepted(begin_call("a", "x"));
+fn populated_shard() -> ShardMachine {
+    let mut shard = ShardMachine::new(RETENTION);
+    shard.apply_accepted(put_program(u64::MAX));
+    shard.apply_accepted(open("s", "e1"));
+    shard.apply_accepted(begin(1, "t1", None, MANY_EVENTS * 2));
+    shard.apply_accepted(begin_call("a", "x"));
     shard
 }
 
@@ -28,14 +28,14 @@
         finish_call("a", answered("done")),
         open("x", "e2"),
         close(1),
-        at(END + KEEP_MS),
-        at(END + 3 * KEEP_MS),
+        advance_clock(PROGRAM_END + RETENTION_MS),
+        advance_clock(PROGRAM_END + 3 * RETENTION_MS),
     ]
 }
 
 #[test]
 fn a_frozen_copy_is_the_state_as_it_was_whatever_is_written_afterwards() {
-    let mut shard = filled();
+    let mut shard = populated_shard();
     let mut kept = Vec::new();
     for command in writes(2) {
         kept.push((shard.snapshot(), shard.freeze()));
@@ -48,9 +48,9 @@
 
 #[test]
 fn a_machine_restored_from_a_frozen_copy_goes_on_as_the_one_that_gave_it() {
-    let mut one = filled();
-    one.accepted(append(1, Some("t1"), 2, vec![tokens(1); MANY_EVENTS as usize]));
-    let mut two = ShardMachine::new(KEEP);
+    let mut one = populated_shard();
+    one.apply_accepted(append(1, Some("t1"), 2, vec![tokens(1); MANY_EVENTS as usize]));
+    let mut two = ShardMachine::new(RETENTION);
     two.restore(&one.freeze()()).unwrap();
     for command in writes(MANY_EVENTS + 2) {
         assert_eq!(one.apply_command(command.clone()), two.apply_command(command));
--- a/crates/state/tests/meta.rs
+++ b/crates/state/tests/meta.rs
@@ -135,7 +135,7 @@
     }
 }
 
-fn refused(meta: &mut MetaMachine, command: MetaCommand) -> MetaRefusal {
+fn apply_refused(meta: &mut MetaMachine, command: MetaCommand) -> MetaRefusal {
     let before = state(meta);
     let shown = format!("{command:?}");
     let reply = meta.apply_command(command);
@@ -146,7 +146,7 @@
     }
 }
 
-fn twice(meta: &mut MetaMachine, command: MetaCommand) -> MetaReply {
+fn apply_twice(meta: &mut MetaMachine, command: MetaCommand) -> MetaReply {
     let first = meta.apply_command(command.clone());
     assert!(!matches!(first, MetaReply::Refused(_)), "{first:?}");
     let before = meta.digest();
@@ -167,10 +167,10 @@
     let mut meta = MetaMachine::new();
     let early = [MetaCommand::RegisterStore(store(4, 1)), acquire(9, 0), submit(&bundle(1, 0, 0))];
     for command in early {
-        assert_eq!(refused(&mut meta, command), MetaRefusal::NotFormed);
+        assert_eq!(apply_refused(&mut meta, command), MetaRefusal::NotFormed);
     }
-    twice(&mut meta, form(CLUSTER));
-    assert_eq!(refused(&mut meta, form(78)), MetaRefusal::AlreadyFormed { cluster: CLUSTER });
+    apply_twice(&mut meta, form(CLUSTER));
+    assert_eq!(apply_refused(&mut meta, form(78)), MetaRefusal::AlreadyFormed { cluster: CLUSTER });
     assert!(state(&meta).stores.iter().map(|s| s.node.0).eq([1, 2, 3]));
 }
 
@@ -178,41 +178,45 @@
 fn stores_register_by_run_and_never_return_once_removed() {
     let mut meta = with_leader();
     let registration = StoreRecord { state: StoreState::Removed, ..store(4, 5) };
-    twice(&mut meta, MetaCommand::RegisterStore(registration));
+    apply_twice(&mut meta, MetaCommand::RegisterStore(registration));
     assert_eq!(state(&meta).stores[3].state, StoreState::Active);
     meta.apply_command(MetaCommand::RegisterStore(store(4, 4)));
-    assert_eq!(state(&meta).stores[3].incarnation, Incarnation(5), "an older run came late");
-    twice(&mut meta, set_state(1, 4, StoreState::Removed));
+    assert_eq!(
+        state(&meta).stores[3].incarnation,
+        Incarnation(5),
+        "a late registration of an older run"
+    );
+    apply_twice(&mut meta, set_state(1, 4, StoreState::Removed));
     let back = MetaCommand::RegisterStore(store(4, 6));
-    assert_eq!(refused(&mut meta, back), MetaRefusal::NoStore);
+    assert_eq!(apply_refused(&mut meta, back), MetaRefusal::NoStore);
     for command in [set_state(1, 4, StoreState::Active), set_state(1, 8, StoreState::Active)] {
-        assert_eq!(refused(&mut meta, command), MetaRefusal::NoStore);
+        assert_eq!(apply_refused(&mut meta, command), MetaRefusal::NoStore);
     }
 }
 
 #[test]
 fn placements_change_only_from_what_the_sender_saw() {
     let mut meta = with_leader();
-    twice(&mut meta, set_placement(1, &[1, 2, 3], &[1, 2, 4]));
+    apply_twice(&mut meta, set_placement(1, &[1, 2, 3], &[1, 2, 4]));
     let late = set_placement(1, &[1, 2, 3], &[1, 3, 4]);
-    assert_eq!(refused(&mut meta, late), MetaRefusal::PlacementChanged);
+    assert_eq!(apply_refused(&mut meta, late), MetaRefusal::PlacementChanged);
 }
 
 #[test]
 fn one_core_leads_and_a_former_one_is_fenced() {
     let mut meta = with_leader();
-    let MetaReply::Leader(leader) = twice(&mut meta, acquire(9, 0)) else { panic!() };
+    let MetaReply::Leader(leader) = apply_twice(&mut meta, acquire(9, 0)) else { panic!() };
     assert_eq!((leader.core, leader.epoch), (NodeId(9), FencingEpoch(1)));
     let renew = |epoch| MetaCommand::RenewLeadership { epoch: FencingEpoch(epoch) };
     meta.apply_command(renew(1));
     let alive = CoreLeader { renewal: Renewal(1), ..leader };
-    assert_eq!(refused(&mut meta, acquire(8, 1)), MetaRefusal::LeaderAlive { leader: alive });
-    assert_eq!(refused(&mut meta, expire(1, 0)), MetaRefusal::Renewed);
-    twice(&mut meta, expire(1, 1));
+    assert_eq!(apply_refused(&mut meta, acquire(8, 1)), MetaRefusal::LeaderAlive { leader: alive });
+    assert_eq!(apply_refused(&mut meta, expire(1, 0)), MetaRefusal::Renewed);
+    apply_twice(&mut meta, expire(1, 1));
     let stale = |current| MetaRefusal::StaleFencing { current: FencingEpoch(current) };
-    assert_eq!(refused(&mut meta, renew(1)), stale(1), "expired is for ever");
-    assert_eq!(refused(&mut meta, acquire(8, 0)), stale(1));
-    twice(&mut meta, acquire(8, 1));
+    assert_eq!(apply_refused(&mut meta, renew(1)), stale(1), "expiry is permanent");
+    assert_eq!(apply_refused(&mut meta, acquire(8, 0)), stale(1));
+    apply_twice(&mut meta, acquire(8, 1));
     meta.apply_command(submit(&bundle(1, 0, 0)));
     let late = [
         renew(1),
@@ -222,20 +226,20 @@
         roll_back(1, "v2"),
     ];
     for command in late {
-        assert_eq!(refused(&mut meta, command), stale(2));
+        assert_eq!(apply_refused(&mut meta, command), stale(2));
     }
 }
 
 #[test]
 fn of_two_racing_bundles_one_is_committed_and_its_resend_is_not_refused() {
     let mut meta = with_leader();
-    let first = record(twice(&mut meta, submit(&bundle(1, 0, 3))));
+    let first = record(apply_twice(&mut meta, submit(&bundle(1, 0, 3))));
     let other = submit(&bundle(1, 0, 4));
     let taken = MetaRefusal::VersionTaken { version: BundleVersion(1), digest: first.digest };
-    assert_eq!(refused(&mut meta, other), taken);
+    assert_eq!(apply_refused(&mut meta, other), taken);
     let stale = MetaRefusal::StaleBase { newest: BundleVersion(1) };
-    assert_eq!(refused(&mut meta, submit(&bundle(2, 0, 3))), stale);
-    twice(&mut meta, submit(&bundle(5, 1, 3)));
+    assert_eq!(apply_refused(&mut meta, submit(&bundle(2, 0, 3))), stale);
+    apply_twice(&mut meta, submit(&bundle(5, 1, 3)));
     assert_eq!(record(meta.apply_command(submit(&bundle(1, 0, 3)))), first);
 }
 
@@ -260,7 +264,7 @@
         with(1, 0, pretty),
         with(1, 0, bytes[1..].to_vec()),
     ] {
-        assert!(matches!(refused(&mut meta, command), MetaRefusal::InvalidBundle { .. }));
+        assert!(matches!(apply_refused(&mut meta, command), MetaRefusal::InvalidBundle { .. }));
     }
 }
 
@@ -278,7 +282,7 @@
     assert_eq!(read(None), (second.clone(), serde_json::to_vec(&two).unwrap()));
     let changed = second.sections.iter().filter(|(name, d)| first.sections.get(*name) != Some(d));
     let changed: Vec<_> = changed.collect();
-    assert_eq!(changed.len(), 1, "one tenant more touches one section");
+    assert_eq!(changed.len(), 1, "one more tenant changes one section");
     let MetaAnswer::Section(Some(_)) = meta.answer(&MetaQuery::Section(*changed[0].1)) else {
         panic!("a section is missing")
     };
@@ -306,11 +310,11 @@
 fn a_roll_back_is_a_new_bundle_and_happens_once() {
     let mut meta = with_leader();
     assert!(matches!(
-        refused(&mut meta, roll_back(1, "v2")),
+        apply_refused(&mut meta, roll_back(1, "v2")),
         MetaRefusal::NothingToRollBack { .. }
     ));
     meta.apply_command(submit(&bundle(4, 0, 2)));
-    let rolled = record(twice(&mut meta, roll_back(1, "v2")));
+    let rolled = record(apply_twice(&mut meta, roll_back(1, "v2")));
     assert_eq!((rolled.version, rolled.base), (BundleVersion(5), BundleVersion(4)));
     let MetaAnswer::BundleBytes(Some((_, bytes))) = meta.answer(&MetaQuery::BundleBytes(None))
     else {
@@ -320,7 +324,7 @@
     assert!(!read.services[&name()].is_sound(&ServiceVersion::new("v2").unwrap()));
     assert_eq!(state(&meta).rollbacks.len(), 1);
     for version in ["v1", "v9"] {
-        let refusal = refused(&mut meta, roll_back(1, version));
+        let refusal = apply_refused(&mut meta, roll_back(1, version));
         assert!(matches!(refusal, MetaRefusal::NothingToRollBack { .. }), "{version}");
     }
 }
--- a/crates/state/tests/properties.rs
+++ b/crates/state/tests/properties.rs
@@ -45,7 +45,7 @@
     let attempt_name = || prop::sample::select(&["a", "b"][..]);
     prop_oneof![
         8 => session_commands(),
-        1 => Just(put(BUDGET)),
+        1 => Just(put_program(BUDGET)),
         1 => attempt_name().prop_map(|a| begin_call(a, "x")),
         1 => attempt_name().prop_map(|a| finish_call(a, answered("done"))),
         1 => attempt_name().prop_map(|a| finish_call(a, CallOutcome::Unknown)),
@@ -55,16 +55,16 @@
         1 => (prop::sample::select(&ENGINES[..]), 0_u64..3).prop_map(|(e, r)| {
             ShardCommand::ExpireLease { holder: engine(e), renewal: Renewal(r) }
         }),
-        1 => (0_u64..3 * KEEP_MS).prop_map(at),
+        1 => (0_u64..3 * RETENTION_MS).prop_map(advance_clock),
     ]
 }
 
 /// Returns a shard in which all sessions are open, so that random commands are not just refused
 /// with `NoSession`.
-fn prepared() -> ShardMachine {
-    let mut shard = opened();
+fn shard_with_open_sessions() -> ShardMachine {
+    let mut shard = shard_with_session();
     for session in &SESSIONS[1..] {
-        shard.accepted(open(session, "e1"));
+        shard.apply_accepted(open(session, "e1"));
     }
     shard
 }
@@ -114,11 +114,11 @@
         sequence in prop::collection::vec(commands(), 0..120),
         cut in 0_usize..120,
     ) {
-        let (mut one, mut two) = (prepared(), prepared());
+        let (mut one, mut two) = (shard_with_open_sessions(), shard_with_open_sessions());
         for (index, command) in sequence.iter().enumerate() {
             if index == cut {
                 let snapshot = two.snapshot();
-                two = ShardMachine::new(KEEP);
+                two = ShardMachine::new(RETENTION);
                 two.restore(&snapshot).unwrap();
             }
             let bytes = encode(command);
@@ -129,7 +129,7 @@
 
     #[test]
     fn a_budget_is_never_overdrawn(sequence in prop::collection::vec(session_commands(), 0..200)) {
-        let mut shard = prepared();
+        let mut shard = shard_with_open_sessions();
         for command in sequence {
             shard.apply_command(command);
             check_ledger(&shard);
@@ -138,7 +138,7 @@
 
     #[test]
     fn a_resent_command_changes_nothing(sequence in prop::collection::vec(session_commands(), 0..80)) {
-        let mut shard = prepared();
+        let mut shard = shard_with_open_sessions();
         for command in sequence {
             let ownership = matches!(command, ShardCommand::TakeSession(_));
             let first = shard.apply_command(command.clone());
@@ -154,7 +154,7 @@
 
 #[test]
 fn damaged_bytes_are_refused_and_change_nothing() {
-    let mut shard = prepared();
+    let mut shard = shard_with_open_sessions();
     let before = shard.digest();
     assert!(shard.apply(&[0xff; 9]).is_err());
     assert!(shard.query(&[0xff; 9]).is_err());
--- a/crates/state/tests/shard_chains.rs
+++ b/crates/state/tests/shard_chains.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{at, key, program, turn};
+use common::{advance_clock, key, program, turn};
 use hooklug_state::StateMachine;
 use hooklug_state::shard::{
     EndTurn, ShardAnswer, ShardCommand, ShardMachine, ShardQuery, ShardRefusal, ShardReply,
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 
 const TIME_LIMIT_MS: u64 = 5_000;
-const KEEP_MS: u64 = 60_000;
+const RETENTION_MS: u64 = 60_000;
 
 fn start(session: &str, name: &str) -> StartTurn {
     StartTurn {
@@ -28,7 +28,7 @@
         wants_history: true,
         imported: None,
         time_limit_ms: TIME_LIMIT_MS,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     }
 }
 
@@ -47,24 +47,24 @@
 }
 
 fn machine() -> ShardMachine {
-    ShardMachine::new(common::KEEP)
+    ShardMachine::new(common::RETENTION)
 }
 
-fn begun(shard: &mut ShardMachine, command: StartTurn) -> StartedTurn {
+fn start_turn(shard: &mut ShardMachine, command: StartTurn) -> StartedTurn {
     match shard.apply_command(ShardCommand::StartTurn(command)) {
         ShardReply::Started(started) => started,
         other => panic!("not started: {other:?}"),
     }
 }
 
-fn refused(shard: &mut ShardMachine, command: ShardCommand) -> ShardRefusal {
+fn apply_refused(shard: &mut ShardMachine, command: ShardCommand) -> ShardRefusal {
     match shard.apply_command(command) {
         ShardReply::Refused(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
-fn ended(shard: &mut ShardMachine, command: EndTurn) {
+fn end_turn(shard: &mut ShardMachine, command: EndTurn) {
     assert_eq!(shard.apply_command(ShardCommand::EndTurn(command)), ShardReply::Done);
 }
 
@@ -75,16 +75,16 @@
 #[test]
 fn several_turns_may_go_on_from_one_and_each_gets_its_own_history() {
     let mut shard = machine();
-    let first = begun(&mut shard, start("s", "t1"));
+    let first = start_turn(&mut shard, start("s", "t1"));
     assert_eq!(first.history, None);
-    ended(&mut shard, end("s", "t1", first.epoch.0, 10));
-    let second = begun(&mut shard, after("s", "t2", "t1"));
+    end_turn(&mut shard, end("s", "t1", first.epoch.0, 10));
+    let second = start_turn(&mut shard, after("s", "t2", "t1"));
     assert_eq!(text(second.history), "[t1 asks](t1 says)");
-    ended(&mut shard, end("s", "t2", second.epoch.0, 10));
+    end_turn(&mut shard, end("s", "t2", second.epoch.0, 10));
     // A sub-agent in its own session also continues from the first turn.
-    let other = begun(&mut shard, after("x", "t3", "t1"));
+    let other = start_turn(&mut shard, after("x", "t3", "t1"));
     assert_eq!(text(other.history), "[t1 asks](t1 says)");
-    let third = begun(&mut shard, after("s", "t4", "t2"));
+    let third = start_turn(&mut shard, after("s", "t4", "t2"));
     assert_eq!(text(third.history), "[t1 asks](t1 says)[t2 asks](t2 says)");
 }
 
@@ -92,101 +92,105 @@
 fn a_turn_that_is_not_kept_cannot_be_gone_on_from() {
     let mut shard = machine();
     let unknown = ShardCommand::StartTurn(after("s", "t2", "t1"));
-    assert_eq!(refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
-    let first = begun(&mut shard, start("s", "t1"));
+    assert_eq!(apply_refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
+    let first = start_turn(&mut shard, start("s", "t1"));
     // The turn has not ended yet.
-    assert_eq!(refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
+    assert_eq!(apply_refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
     let cut = EndTurn { output: None, ..end("s", "t1", first.epoch.0, 10) };
-    ended(&mut shard, cut);
+    end_turn(&mut shard, cut);
     // The turn was interrupted, so its output is not retained.
-    assert_eq!(refused(&mut shard, unknown), ShardRefusal::UnknownTurn);
+    assert_eq!(apply_refused(&mut shard, unknown), ShardRefusal::UnknownTurn);
 }
 
 #[test]
 fn a_later_turn_of_the_session_fences_the_earlier_one() {
     let mut shard = machine();
-    let former = begun(&mut shard, start("s", "t1"));
-    let present = begun(&mut shard, StartTurn { host: NodeId(2), ..start("s", "t2") });
+    let former = start_turn(&mut shard, start("s", "t1"));
+    let present = start_turn(&mut shard, StartTurn { host: NodeId(2), ..start("s", "t2") });
     assert!(present.epoch > former.epoch);
     let late = ShardCommand::EndTurn(end("s", "t1", former.epoch.0, 10));
-    assert_eq!(refused(&mut shard, late.clone()), ShardRefusal::Superseded);
-    assert_eq!(refused(&mut shard, late), ShardRefusal::Superseded, "asked again");
+    assert_eq!(apply_refused(&mut shard, late.clone()), ShardRefusal::Superseded);
+    assert_eq!(apply_refused(&mut shard, late), ShardRefusal::Superseded, "resent");
     let on = ShardCommand::StartTurn(after("s", "t3", "t1"));
-    assert_eq!(refused(&mut shard, on), ShardRefusal::UnknownTurn);
-    ended(&mut shard, end("s", "t2", present.epoch.0, 10));
+    assert_eq!(apply_refused(&mut shard, on), ShardRefusal::UnknownTurn);
+    end_turn(&mut shard, end("s", "t2", present.epoch.0, 10));
 }
 
 #[test]
 fn commands_may_be_repeated() {
     let mut shard = machine();
-    let first = begun(&mut shard, start("s", "t1"));
-    assert_eq!(begun(&mut shard, start("s", "t1")), first);
+    let first = start_turn(&mut shard, start("s", "t1"));
+    assert_eq!(start_turn(&mut shard, start("s", "t1")), first);
     let whole = end("s", "t1", first.epoch.0, 90);
-    ended(&mut shard, whole.clone());
-    ended(&mut shard, whole);
+    end_turn(&mut shard, whole.clone());
+    end_turn(&mut shard, whole);
     // The tokens were charged once: 10 are left, and one more turn may start.
-    begun(&mut shard, start("s", "t2"));
+    start_turn(&mut shard, start("s", "t2"));
     let again = ShardCommand::StartTurn(start("s", "t1"));
-    assert_eq!(refused(&mut shard, again), ShardRefusal::TurnDiffers, "an ended turn never runs");
+    assert_eq!(
+        apply_refused(&mut shard, again),
+        ShardRefusal::TurnDiffers,
+        "an ended turn never runs"
+    );
 }
 
 #[test]
 fn a_budget_counts_running_turns_at_their_most() {
     let mut shard = machine();
     for name in ["t1", "t2", "t3"] {
-        begun(&mut shard, start(name, name));
+        start_turn(&mut shard, start(name, name));
     }
     let fourth = ShardCommand::StartTurn(start("t4", "t4"));
-    assert_eq!(refused(&mut shard, fourth.clone()), ShardRefusal::BudgetReserved);
+    assert_eq!(apply_refused(&mut shard, fourth.clone()), ShardRefusal::BudgetReserved);
     // A turn that has reached its time limit without an end, as when its host failed, is charged
     // permanently with its maximum.
-    shard.apply_command(at(TIME_LIMIT_MS));
-    assert_eq!(refused(&mut shard, fourth), ShardRefusal::BudgetSpent);
+    shard.apply_command(advance_clock(TIME_LIMIT_MS));
+    assert_eq!(apply_refused(&mut shard, fourth), ShardRefusal::BudgetSpent);
 }
 
 #[test]
 fn what_a_cut_turn_gave_is_booked_and_the_rest_is_free_again() {
     let mut shard = machine();
-    let first = begun(&mut shard, start("s", "t1"));
-    ended(&mut shard, EndTurn { output: None, ..end("s", "t1", first.epoch.0, 4) });
+    let first = start_turn(&mut shard, start("s", "t1"));
+    end_turn(&mut shard, EndTurn { output: None, ..end("s", "t1", first.epoch.0, 4) });
     for name in ["t2", "t3", "t4"] {
-        begun(&mut shard, start(name, name));
+        start_turn(&mut shard, start(name, name));
     }
     let fifth = ShardCommand::StartTurn(start("t5", "t5"));
-    assert_eq!(refused(&mut shard, fifth), ShardRefusal::BudgetReserved);
+    assert_eq!(apply_refused(&mut shard, fifth), ShardRefusal::BudgetReserved);
 }
 
 #[test]
 fn another_programs_turn_is_found_and_brought_in() {
     let mut shard = machine();
-    let first = begun(&mut shard, start("s", "t1"));
-    ended(&mut shard, end("s", "t1", first.epoch.0, 10));
+    let first = start_turn(&mut shard, start("s", "t1"));
+    end_turn(&mut shard, end("s", "t1", first.epoch.0, 10));
     let ShardAnswer::History(history) = shard.answer(&ShardQuery::History(turn("t1"))) else {
         panic!("no history");
     };
     assert_eq!(text(history.clone()), "[t1 asks](t1 says)");
     let mut other = machine();
     let imported = StartTurn { imported: history, ..after("z", "t2", "t1") };
-    assert_eq!(text(begun(&mut other, imported).history), "[t1 asks](t1 says)");
+    assert_eq!(text(start_turn(&mut other, imported).history), "[t1 asks](t1 says)");
 }
 
 #[test]
 fn a_program_is_forgotten_after_its_keep_time_but_not_while_it_is_used() {
     let mut shard = machine();
-    let first = begun(&mut shard, start("s", "t1"));
-    ended(&mut shard, end("s", "t1", first.epoch.0, 10));
-    shard.apply_command(at(KEEP_MS - 1));
-    let second = begun(&mut shard, after("s", "t2", "t1"));
-    ended(&mut shard, end("s", "t2", second.epoch.0, 10));
-    shard.apply_command(at(2 * KEEP_MS - 2));
+    let first = start_turn(&mut shard, start("s", "t1"));
+    end_turn(&mut shard, end("s", "t1", first.epoch.0, 10));
+    shard.apply_command(advance_clock(RETENTION_MS - 1));
+    let second = start_turn(&mut shard, after("s", "t2", "t1"));
+    end_turn(&mut shard, end("s", "t2", second.epoch.0, 10));
+    shard.apply_command(advance_clock(2 * RETENTION_MS - 2));
     assert!(matches!(
         shard.answer(&ShardQuery::History(turn("t1"))),
         ShardAnswer::History(Some(_))
     ));
-    shard.apply_command(at(3 * KEEP_MS + TIME_LIMIT_MS));
+    shard.apply_command(advance_clock(3 * RETENTION_MS + TIME_LIMIT_MS));
     assert_eq!(shard.answer(&ShardQuery::History(turn("t1"))), ShardAnswer::History(None));
     // An epoch is never reused.
-    assert!(begun(&mut shard, start("s", "t9")).epoch > second.epoch);
+    assert!(start_turn(&mut shard, start("s", "t9")).epoch > second.epoch);
 }
 
 fn commands() -> impl Strategy<Value = ShardCommand> {
@@ -204,7 +208,7 @@
             let output = command.output.clone().filter(|_| whole);
             ShardCommand::EndTurn(EndTurn { output, ..command })
         }),
-        1 => (0_u64..3 * KEEP_MS).prop_map(at),
+        1 => (0_u64..3 * RETENTION_MS).prop_map(advance_clock),
     ]
 }
 
@@ -237,7 +241,7 @@
                         clock = now.0;
                     }
                     // The program must not expire in the meantime, since its budget would be reset.
-                    if clock < KEEP_MS {
+                    if clock < RETENTION_MS {
                         shard.apply_command(other);
                     }
                 }
--- a/crates/state/tests/shard_turns.rs
+++ b/crates/state/tests/shard_turns.rs
@@ -14,107 +14,110 @@
 
 #[test]
 fn a_resent_turn_is_the_same_turn() {
-    let mut shard = opened();
-    let (first, second) = shard.twice(begin(1, "t1", None, 60));
+    let mut shard = shard_with_session();
+    let (first, second) = shard.apply_twice(begin(1, "t1", None, 60));
     let (first, second) = (grant(first), grant(second));
     assert_eq!(
         (first.reserved, first.started, first.existing),
         (TokenCount(60), EventSeq(1), None)
     );
     assert_eq!(second.existing, shard.turn_record("t1"));
-    assert_eq!(shard.refused(begin(1, "t1", None, 61)), ShardRefusal::TurnDiffers);
-    shard.accepted(finish(1, "t1"));
-    let resent = grant(shard.accepted(begin(1, "t1", None, 60)));
+    assert_eq!(shard.apply_refused(begin(1, "t1", None, 61)), ShardRefusal::TurnDiffers);
+    shard.apply_accepted(finish(1, "t1"));
+    let resent = grant(shard.apply_accepted(begin(1, "t1", None, 60)));
     assert_eq!(resent.existing, shard.turn_record("t1"));
 }
 
 #[test]
 fn a_turn_follows_the_head() {
-    let mut shard = opened();
-    assert_eq!(shard.refused(begin(1, "t1", Some("t0"), 5)), not_head(None, false));
-    shard.accepted(begin(1, "t1", None, 5));
+    let mut shard = shard_with_session();
+    assert_eq!(shard.apply_refused(begin(1, "t1", Some("t0"), 5)), not_head(None, false));
+    shard.apply_accepted(begin(1, "t1", None, 5));
     assert_eq!(
-        shard.refused(begin(1, "t2", Some("t1"), 5)),
+        shard.apply_refused(begin(1, "t2", Some("t1"), 5)),
         ShardRefusal::TurnOpen { turn: turn("t1") }
     );
-    shard.accepted(finish(1, "t1"));
-    shard.accepted(begin(1, "t2", Some("t1"), 5));
-    shard.accepted(finish(1, "t2"));
-    assert_eq!(shard.refused(begin(1, "t3", Some("t1"), 5)), not_head(Some("t2"), true));
-    assert_eq!(shard.refused(begin(1, "t3", None, 5)), not_head(Some("t2"), true));
+    shard.apply_accepted(finish(1, "t1"));
+    shard.apply_accepted(begin(1, "t2", Some("t1"), 5));
+    shard.apply_accepted(finish(1, "t2"));
+    assert_eq!(shard.apply_refused(begin(1, "t3", Some("t1"), 5)), not_head(Some("t2"), true));
+    assert_eq!(shard.apply_refused(begin(1, "t3", None, 5)), not_head(Some("t2"), true));
     assert_eq!(shard.turn_record("t3"), None, "these refusals are not recorded");
-    shard.accepted(begin(1, "t3", Some("t2"), 5));
+    shard.apply_accepted(begin(1, "t3", Some("t2"), 5));
 }
 
 #[test]
 fn an_earlier_turn_is_known_for_the_keep_time() {
-    let mut shard = opened();
+    let mut shard = shard_with_session();
     for (name, after) in [("t1", None), ("t2", Some("t1"))] {
-        shard.accepted(begin(1, name, after, 5));
-        shard.accepted(finish(1, name));
+        shard.apply_accepted(begin(1, name, after, 5));
+        shard.apply_accepted(finish(1, name));
     }
-    shard.accepted(at(1_000 + KEEP_MS - 1));
-    assert_eq!(shard.refused(begin(1, "t3", Some("t1"), 5)), not_head(Some("t2"), true));
-    shard.accepted(at(1_000 + KEEP_MS));
-    assert_eq!(shard.refused(begin(1, "t3", Some("t1"), 5)), not_head(Some("t2"), false));
-    shard.accepted(begin(1, "t3", Some("t2"), 5));
+    shard.apply_accepted(advance_clock(1_000 + RETENTION_MS - 1));
+    assert_eq!(shard.apply_refused(begin(1, "t3", Some("t1"), 5)), not_head(Some("t2"), true));
+    shard.apply_accepted(advance_clock(1_000 + RETENTION_MS));
+    assert_eq!(shard.apply_refused(begin(1, "t3", Some("t1"), 5)), not_head(Some("t2"), false));
+    shard.apply_accepted(begin(1, "t3", Some("t2"), 5));
 }
 
 #[test]
 fn a_spent_budget_is_final_and_recorded() {
-    let mut shard = opened();
-    shard.accepted(begin(1, "t1", None, 1_000));
-    shard.accepted(append(1, Some("t1"), 2, vec![tokens(BUDGET)]));
-    shard.accepted(finish(1, "t1"));
-    let (first, second) = shard.twice(begin(1, "t2", Some("t1"), 5));
+    let mut shard = shard_with_session();
+    shard.apply_accepted(begin(1, "t1", None, 1_000));
+    shard.apply_accepted(append(1, Some("t1"), 2, vec![tokens(BUDGET)]));
+    shard.apply_accepted(finish(1, "t1"));
+    let (first, second) = shard.apply_twice(begin(1, "t2", Some("t1"), 5));
     assert_eq!(first, ShardReply::Refused(ShardRefusal::BudgetSpent));
     assert_eq!(first, second);
     let recorded = shard.turn_record("t2").unwrap();
     assert_eq!(recorded.state, TurnState::Refused(ShardRefusal::BudgetSpent));
     assert_eq!(shard.session().head, Some(turn("t1")), "a refused turn is not the head");
-    assert_eq!(shard.refused(begin(1, "t2", Some("t1"), 6)), ShardRefusal::TurnDiffers);
+    assert_eq!(shard.apply_refused(begin(1, "t2", Some("t1"), 6)), ShardRefusal::TurnDiffers);
 }
 
 #[test]
 fn a_turn_after_the_end_time_is_refused_for_good() {
-    let mut shard = opened();
-    shard.accepted(at(END));
-    assert_eq!(shard.refused(begin(1, "t1", None, 5)), ShardRefusal::ProgramEnded);
+    let mut shard = shard_with_session();
+    shard.apply_accepted(advance_clock(PROGRAM_END));
+    assert_eq!(shard.apply_refused(begin(1, "t1", None, 5)), ShardRefusal::ProgramEnded);
     let recorded = shard.turn_record("t1").unwrap();
     assert_eq!(recorded.state, TurnState::Refused(ShardRefusal::ProgramEnded));
 }
 
 #[test]
 fn a_budget_reserved_by_other_sessions_may_be_asked_for_again() {
-    let mut shard = opened();
-    shard.accepted(open("other", "e2"));
-    shard.accepted(begin_in("other", 1, "o1", None, 90));
-    let granted = grant(shard.accepted(begin(1, "t1", None, 50)));
+    let mut shard = shard_with_session();
+    shard.apply_accepted(open("other", "e2"));
+    shard.apply_accepted(begin_in("other", 1, "o1", None, 90));
+    let granted = grant(shard.apply_accepted(begin(1, "t1", None, 50)));
     assert_eq!(granted.reserved, TokenCount(10), "what is left");
-    shard.accepted(append(1, Some("t1"), 2, vec![tokens(10)]));
-    shard.accepted(finish(1, "t1"));
-    assert_eq!(shard.refused(begin(1, "t2", Some("t1"), 5)), ShardRefusal::BudgetReserved);
+    shard.apply_accepted(append(1, Some("t1"), 2, vec![tokens(10)]));
+    shard.apply_accepted(finish(1, "t1"));
+    assert_eq!(shard.apply_refused(begin(1, "t2", Some("t1"), 5)), ShardRefusal::BudgetReserved);
     assert_eq!(shard.turn_record("t2"), None);
-    shard.accepted(finish_in("other", 1, "o1", EndReason::Aborted));
-    shard.accepted(begin(1, "t2", Some("t1"), 5));
+    shard.apply_accepted(finish_in("other", 1, "o1", EndReason::Aborted));
+    shard.apply_accepted(begin(1, "t2", Some("t1"), 5));
 }
 
 #[test]
 fn tokens_beyond_the_reservation_are_refused() {
-    let mut shard = opened();
-    shard.accepted(begin(1, "t1", None, 10));
-    shard.accepted(append(1, Some("t1"), 2, vec![tokens(8)]));
+    let mut shard = shard_with_session();
+    shard.apply_accepted(begin(1, "t1", None, 10));
+    shard.apply_accepted(append(1, Some("t1"), 2, vec![tokens(8)]));
     let left = ShardRefusal::ReservationExceeded { left: TokenCount(2) };
-    assert_eq!(shard.refused(append(1, Some("t1"), 3, vec![tokens(1), tokens(2)])), left);
-    assert_eq!(shard.refused(append(1, Some("t1"), 3, vec![tokens(u64::MAX), tokens(1)])), left);
-    shard.accepted(append(1, Some("t1"), 3, vec![tokens(2)]));
+    assert_eq!(shard.apply_refused(append(1, Some("t1"), 3, vec![tokens(1), tokens(2)])), left);
+    assert_eq!(
+        shard.apply_refused(append(1, Some("t1"), 3, vec![tokens(u64::MAX), tokens(1)])),
+        left
+    );
+    shard.apply_accepted(append(1, Some("t1"), 3, vec![tokens(2)]));
 }
 
 #[test]
 fn a_repeated_append_changes_nothing_and_a_gap_is_refused() {
-    let mut shard = opened();
-    shard.accepted(begin(1, "t1", None, 50));
-    let (first, second) = shard.twice(append(1, Some("t1"), 2, vec![tokens(1), tokens(2)]));
+    let mut shard = shard_with_session();
+    shard.apply_accepted(begin(1, "t1", None, 50));
+    let (first, second) = shard.apply_twice(append(1, Some("t1"), 2, vec![tokens(1), tokens(2)]));
     assert_eq!(first, second);
     assert_eq!(first, ShardReply::Appended { next_seq: EventSeq(4) });
     let gap = ShardRefusal::Gap { next_seq: EventSeq(4) };
@@ -124,57 +127,57 @@
         (2, vec![tokens(1), tokens(3)]),
         (3, vec![tokens(2), tokens(3)]),
     ] {
-        assert_eq!(shard.refused(append(1, Some("t1"), from, bodies)), gap);
+        assert_eq!(shard.apply_refused(append(1, Some("t1"), from, bodies)), gap);
     }
-    shard.accepted(finish(1, "t1"));
-    shard.accepted(append(1, Some("t1"), 2, vec![tokens(1), tokens(2)]));
+    shard.apply_accepted(finish(1, "t1"));
+    shard.apply_accepted(append(1, Some("t1"), 2, vec![tokens(1), tokens(2)]));
     assert_eq!(shard.program_record().spent, TokenCount(3));
 }
 
 #[test]
 fn only_the_open_turn_gets_events_and_only_its_own_kinds() {
-    let mut shard = opened();
+    let mut shard = shard_with_session();
     let refusal =
-        |shard: &mut _, name, body| Commands::refused(shard, append(1, name, 2, vec![body]));
+        |shard: &mut _, name, body| Commands::apply_refused(shard, append(1, name, 2, vec![body]));
     assert_eq!(refusal(&mut shard, Some("t1"), tokens(1)), ShardRefusal::NoOpenTurn);
     assert_eq!(refusal(&mut shard, None, tokens(1)), ShardRefusal::NoOpenTurn);
-    shard.accepted(begin(1, "t1", None, 50));
+    shard.apply_accepted(begin(1, "t1", None, 50));
     let forged = EventBody::TurnEnded { reason: EndReason::Finished, tokens: TokenCount(0) };
     assert_eq!(refusal(&mut shard, Some("t1"), forged), ShardRefusal::NoOpenTurn);
     assert_eq!(refusal(&mut shard, Some("t2"), tokens(1)), ShardRefusal::NoOpenTurn);
     let open = ShardRefusal::TurnOpen { turn: turn("t1") };
     assert_eq!(refusal(&mut shard, None, result("c", "1")), open);
-    assert_eq!(shard.refused(finish(1, "t2")), ShardRefusal::NoOpenTurn);
+    assert_eq!(shard.apply_refused(finish(1, "t2")), ShardRefusal::NoOpenTurn);
 }
 
 #[test]
 fn a_tool_result_counts_once() {
-    let mut shard = opened();
-    let (first, second) = shard.twice(append(1, None, 1, vec![result("c", "1")]));
+    let mut shard = shard_with_session();
+    let (first, second) = shard.apply_twice(append(1, None, 1, vec![result("c", "1")]));
     assert_eq!(first, second);
-    shard.accepted(begin(1, "t1", None, 50));
-    let again = shard.accepted(append(1, Some("t1"), 3, vec![result("c", "another")]));
+    shard.apply_accepted(begin(1, "t1", None, 50));
+    let again = shard.apply_accepted(append(1, Some("t1"), 3, vec![result("c", "another")]));
     assert_eq!(again, ShardReply::Appended { next_seq: EventSeq(3) });
     let mixed = append(1, Some("t1"), 3, vec![tokens(1), result("c", "another")]);
-    assert_eq!(shard.refused(mixed), ShardRefusal::Gap { next_seq: EventSeq(3) });
+    assert_eq!(shard.apply_refused(mixed), ShardRefusal::Gap { next_seq: EventSeq(3) });
 }
 
 #[test]
 fn a_turn_ends_once() {
-    let mut shard = opened();
-    shard.accepted(begin(1, "t1", None, 50));
-    let (first, second) = shard.twice(finish(1, "t1"));
+    let mut shard = shard_with_session();
+    shard.apply_accepted(begin(1, "t1", None, 50));
+    let (first, second) = shard.apply_twice(finish(1, "t1"));
     assert_eq!(first, second);
-    shard.accepted(finish_in("s", 1, "t1", EndReason::Aborted));
+    shard.apply_accepted(finish_in("s", 1, "t1", EndReason::Aborted));
     let finished = TurnState::Ended { reason: EndReason::Finished, last_seq: EventSeq(2) };
     assert_eq!(shard.turn_record("t1").unwrap().state, finished);
 }
 
 #[test]
 fn events_are_read_in_pages() {
-    let mut shard = opened();
-    shard.accepted(begin(1, "t1", None, 50));
-    shard.accepted(append(1, Some("t1"), 2, vec![tokens(1), tokens(2), tokens(3)]));
+    let mut shard = shard_with_session();
+    shard.apply_accepted(begin(1, "t1", None, 50));
+    shard.apply_accepted(append(1, Some("t1"), 2, vec![tokens(1), tokens(2), tokens(3)]));
     let page = |after, limit| {
         let query = ShardQuery::Events { key: key("s"), after: EventSeq(after), limit };
         match shard.answer(&query) {
