--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -154,7 +154,7 @@
     },
 }
 
-/// Joins a session: a `Sync` item, then all events of the session.
+/// Joins a session: a `Sync` item if `last_seen` is `None`, then all further events of the session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Join {
     /// Location of the session, as known to the gateway.
--- a/crates/state/src/meta/archive.rs
+++ b/crates/state/src/meta/archive.rs
@@ -27,8 +27,8 @@
 }
 
 /// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit
-/// into [`RETAINED_CONTENT_BYTES`]. Of the older ones only the routes are retained, since it must remain known
-/// whether a tool was ever non-repeatable. Clones share records and sections.
+/// into [`RETAINED_CONTENT_BYTES`]. Of the older ones only the routes are retained, since it must
+/// remain known whether a tool was ever non-repeatable. Clones share records and sections.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct BundleArchive {
     records: BTreeMap<BundleVersion, Arc<BundleRecord>>,
--- a/crates/state/src/meta/command.rs
+++ b/crates/state/src/meta/command.rs
@@ -182,8 +182,8 @@
         /// Name of the machine.
         name: String,
     },
-    /// Starts to drain a store's replicas, requested by an operator; refused if too few active
-    /// stores would remain.
+    /// Starts to retire a store at an operator's request, which moves its replicas to other stores;
+    /// refused if too few active stores would remain.
     RetireStore {
         /// The store.
         node: NodeId,
--- a/crates/state/src/meta/record.rs
+++ b/crates/state/src/meta/record.rs
@@ -16,9 +16,9 @@
 pub enum StoreState {
     /// Holds replicas and may receive more.
     Active,
-    /// Is being drained: its replicas are moved away and it receives no new ones.
+    /// Is being retired: its replicas are moved away and it receives no new ones.
     Retiring,
-    /// Drained or lost; its node id is never used again.
+    /// Retired or lost; its node id is never used again.
     Removed,
 }
 
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -28,7 +28,7 @@
         MetaReply::Done
     }
 
-    /// Starts to drain a store's replicas. A repeated request changes nothing.
+    /// Starts to retire a store. A repeated request changes nothing.
     pub(super) fn retire_store(&mut self, node: NodeId, least_left: u32) -> CommandResult {
         let stores = &mut self.state.meta.stores;
         let left = stores.iter().filter(|s| s.state == StoreState::Active && s.node != node);
