--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -72,7 +72,7 @@
 
 impl Session {
     /// Creates the loop of a session that this engine owns. The first message must be a `Tick`,
-    /// which ends a turn that an earlier loop of this engine left open as interrupted.
+    /// which ends, as interrupted, any turn that an earlier loop of this engine left open.
     #[must_use]
     pub fn new(loaded: LoadedSession, config: SessionConfig, now: Instant) -> Self {
         let history = History::new(loaded.history);
