--- a/crates/session/tests/model_check/world.rs
+++ b/crates/session/tests/model_check/world.rs
@@ -153,7 +153,7 @@
                 self.deliver(message)?;
             }
             Action::Generate(engine, id) | Action::GenerateLate(engine, id) => {
-                self.generate(engine, id)?
+                self.generate(engine, id)?;
             }
             Action::Cut(engine, id) => self.model_event(engine, id, ModelEvent::Cut)?,
             Action::LeaseTimeout(engine) => {
