--- a/crates/state/src/meta/bundles.rs
+++ b/crates/state/src/meta/bundles.rs
@@ -1,4 +1,4 @@
-//! Committing bundles: one line of versions, each built on the newest.
+//! Commits bundles. The versions form a single sequence in which each is based on the previous one.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,13 @@
 use hooklug_types::{BundleVersion, Digest};
 
 use super::command::{BundleContent, MetaRefusal, MetaReply, SubmitBundle};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::{BundleOrigin, BundleRecord};
 
 impl MetaMachine {
-    /// Commits a bundle. The same version with the same content again gets the same record.
-    pub(super) fn submit_bundle(&mut self, submit: SubmitBundle) -> Outcome {
+    /// Commits a bundle. A resubmission of the same version and content returns the existing
+    /// record.
+    pub(super) fn submit_bundle(&mut self, submit: SubmitBundle) -> CommandResult {
         let digest = submit.content.digest();
         if let Some(committed) = self.state.archive.record(submit.version) {
             return match committed.digest == digest {
@@ -26,34 +27,38 @@
         if submit.base != newest {
             return Err(MetaRefusal::StaleBase { newest });
         }
-        let bundle = self.submitted(&submit)?;
+        let bundle = self.submitted_bundle(&submit)?;
         let record = self.commit_bundle(&bundle, BundleOrigin::Operators(submit.signed_by));
         Ok(MetaReply::Bundle(record))
     }
 
-    /// The bundle that a submission stands for; its base is the newest.
-    fn submitted(&self, submit: &SubmitBundle) -> Result<Bundle, MetaRefusal> {
+    /// Decodes and checks the submitted bundle, whose base must be the newest version.
+    fn submitted_bundle(&self, submit: &SubmitBundle) -> Result<Bundle, MetaRefusal> {
         if submit.version <= submit.base {
-            return Err(invalid("version: must be higher than the base".to_owned()));
+            return Err(invalid_bundle("version: must be higher than the base".to_owned()));
         }
         let bundle = match &submit.content {
-            BundleContent::Whole(bytes) => whole(bytes)?,
+            BundleContent::Whole(bytes) => decode_canonical(bytes)?,
             BundleContent::Changes { digest, sections } => {
-                let bundle = self.newest_with(submit, sections)?;
+                let bundle = self.newest_with_changes(submit, sections)?;
                 if hooklug_bundle::digest(&bundle) != *digest {
-                    return Err(invalid("the changes do not give the digest".to_owned()));
+                    return Err(invalid_bundle(
+                        "the changed sections do not match the bundle digest".to_owned(),
+                    ));
                 }
                 bundle
             }
         };
         if bundle.version != submit.version || bundle.base != submit.base {
-            return Err(invalid("version, base: differ from the submission's".to_owned()));
+            return Err(invalid_bundle(
+                "version, base: differ from those of the submission".to_owned(),
+            ));
         }
         Ok(bundle)
     }
 
-    /// The newest bundle with other sections in place of some.
-    fn newest_with(
+    /// Returns the newest bundle with some of its sections replaced or removed.
+    fn newest_with_changes(
         &self,
         submit: &SubmitBundle,
         sections: &BTreeMap<String, Option<Vec<u8>>>,
@@ -62,15 +67,15 @@
         let header = BundleHeader { version: submit.version, base: submit.base };
         let changed = sections.iter().map(|(name, bytes)| (name.as_str(), bytes.as_deref()));
         hooklug_bundle::with_sections(&newest, header, changed)
-            .map_err(|error| invalid(error.to_string()))
+            .map_err(|error| invalid_bundle(error.to_string()))
     }
 
-    /// The newest committed version; 0 before the first.
+    /// Returns the newest committed version, or 0 before the first.
     pub(super) fn newest_version(&self) -> BundleVersion {
         self.state.meta.bundle.as_ref().map(|b| b.version).unwrap_or_default()
     }
 
-    /// Makes a bundle the newest.
+    /// Stores a bundle as the newest version.
     pub(super) fn commit_bundle(&mut self, bundle: &Bundle, origin: BundleOrigin) -> BundleRecord {
         let sections = hooklug_bundle::sections(bundle);
         let digests =
@@ -89,15 +94,16 @@
     }
 }
 
-/// Reads canonical bytes.
-fn whole(bytes: &[u8]) -> Result<Bundle, MetaRefusal> {
-    let bundle = hooklug_bundle::decode(bytes).map_err(|error| invalid(error.to_string()))?;
+/// Decodes a bundle from its canonical bytes, and refuses bytes that are not canonical.
+fn decode_canonical(bytes: &[u8]) -> Result<Bundle, MetaRefusal> {
+    let bundle =
+        hooklug_bundle::decode(bytes).map_err(|error| invalid_bundle(error.to_string()))?;
     match hooklug_bundle::canonical_bytes(&bundle) == bytes {
         true => Ok(bundle),
-        false => Err(invalid("the bytes are not canonical".to_owned())),
+        false => Err(invalid_bundle("the bundle's encoding is not canonical".to_owned())),
     }
 }
 
-fn invalid(reason: String) -> MetaRefusal {
+fn invalid_bundle(reason: String) -> MetaRefusal {
     MetaRefusal::InvalidBundle { reason }
 }
--- a/crates/state/src/meta/leadership.rs
+++ b/crates/state/src/meta/leadership.rs
@@ -1,18 +1,19 @@
-//! The core leader's lease. Each leadership has a fencing epoch of its own.
+//! The core leader's lease. Each leadership has its own fencing epoch.
 
 use hooklug_types::{FencingEpoch, Renewal};
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::CoreLeader;
 
 impl MetaMachine {
-    /// Takes the leadership once the former lease has expired. A leader that asks again keeps its own.
+    /// Grants the leadership to a candidate if the former lease has expired. A repeated request of
+    /// the current leader returns its existing leadership.
     pub(super) fn acquire_leadership(
         &mut self,
         candidate: CoreLeader,
         seen: FencingEpoch,
-    ) -> Outcome {
+    ) -> CommandResult {
         let leader = &mut self.state.meta.leader;
         if let Some(present) = leader.as_ref().filter(|l| !l.expired) {
             let own =
@@ -30,8 +31,8 @@
         Ok(MetaReply::Leader(candidate))
     }
 
-    /// Renews the lease that has this epoch; an expired one stays expired.
-    pub(super) fn renew_leadership(&mut self, epoch: FencingEpoch) -> Outcome {
+    /// Renews the lease with this epoch. An expired lease stays expired.
+    pub(super) fn renew_leadership(&mut self, epoch: FencingEpoch) -> CommandResult {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
             Some(leader) if leader.epoch == epoch && !leader.expired => {
@@ -42,12 +43,17 @@
         }
     }
 
-    /// Ends the lease that has this epoch, unless it was renewed after the renewal that was judged.
-    pub(super) fn expire_leadership(&mut self, epoch: FencingEpoch, judged: Renewal) -> Outcome {
+    /// Expires the lease with this epoch, unless it was renewed after the renewal that the decision
+    /// is based on.
+    pub(super) fn expire_leadership(
+        &mut self,
+        epoch: FencingEpoch,
+        observed: Renewal,
+    ) -> CommandResult {
         let stale = self.stale_fencing();
         match &mut self.state.meta.leader {
             Some(leader) if leader.epoch == epoch => {
-                if !leader.expired && leader.renewal != judged {
+                if !leader.expired && leader.renewal != observed {
                     return Err(MetaRefusal::Renewed);
                 }
                 leader.expired = true;
--- a/crates/state/src/meta/placement.rs
+++ b/crates/state/src/meta/placement.rs
@@ -1,19 +1,19 @@
-//! Wanted placement of each group's replicas.
+//! Desired placement of each group's replicas.
 
 use hooklug_types::GroupId;
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 use super::record::GroupPlacement;
 
 impl MetaMachine {
-    /// Changes a group's placement, if it is still what the sender saw.
+    /// Changes a group's placement, if it is still the one that the sender read.
     pub(super) fn set_placement(
         &mut self,
         group: GroupId,
         expected: &GroupPlacement,
         placement: GroupPlacement,
-    ) -> Outcome {
+    ) -> CommandResult {
         let current = self.state.meta.placements.entry(group).or_default();
         if *current == placement {
             return Ok(MetaReply::Done);
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -1,56 +1,57 @@
-//! Roll-outs that operators order by service and version: asked for, on trial, shifted, and settled.
+//! Rollouts of service versions, started by operators, and their phases: trial, shifted, and
+//! completed or rolled back.
 
 use hooklug_types::{ServiceName, ServiceVersion, UnixMillis};
 use serde::{Deserialize, Serialize};
 
 use super::command::{MetaRefusal, MetaReply};
-use super::machine::{MetaMachine, Outcome};
+use super::machine::{CommandResult, MetaMachine};
 
-/// Time in which the same order again is the same roll-out, though it may be settled already, in milliseconds (ours:
-/// an operator whose acknowledgement was lost asks again within seconds).
-const SAME_ORDER_MS: u64 = 15_000;
+/// Time in milliseconds within which a repeated request is the same rollout, even if that has
+/// already ended. An operator whose acknowledgement was lost retries within seconds.
+const RESEND_WINDOW_MS: u64 = 15_000;
 
-/// How far a roll-out is.
+/// Phase of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// A share of new requests goes to the target, in thousandths.
+    /// A share of the new requests goes to the target version.
     Trial {
-        /// The share.
+        /// The share, in thousandths.
         share_permille: u32,
     },
-    /// All new requests go to the target; older engines end what they run.
+    /// All new requests go to the target version; older engines finish their running work.
     Shifted,
-    /// The target is the service's version; older engines may go.
+    /// The rollout is complete; engines of older versions may be removed.
     Completed,
-    /// The target was found harmful and gets nothing.
+    /// The target version was found harmful and receives no requests.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether nothing more will change.
+    /// Whether this phase is final.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 }
 
-/// A roll-out of one service.
+/// A rollout of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// Number of the order, over all services.
+    /// Number of the rollout, unique over all services.
     pub number: u64,
-    /// The version that it moves to.
+    /// The target version.
     pub target: ServiceVersion,
-    /// How far it is.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// When it was ordered, by the group's clock.
+    /// Start time, by the group's clock.
     pub begun: UnixMillis,
-    /// When it should be settled.
+    /// Time by which the rollout should be complete.
     pub due: UnixMillis,
 }
 
 impl RolloutRecord {
-    /// Whether only a share of requests goes to the target.
+    /// Whether the rollout is in its trial phase.
     #[must_use]
     pub fn is_on_trial(&self) -> bool {
         matches!(self.phase, RolloutPhase::Trial { .. })
@@ -58,18 +59,18 @@
 }
 
 impl MetaMachine {
-    /// Takes an order. The same order again changes nothing.
+    /// Starts a rollout. A repeated request changes nothing.
     pub(super) fn begin_rollout(
         &mut self,
         service: ServiceName,
         target: ServiceVersion,
         duration_ms: u64,
-    ) -> Outcome {
+    ) -> CommandResult {
         let clock = self.state.clock;
         let meta = &mut self.state.meta;
-        if let Some(known) = meta.rollouts.get(&service) {
-            let recent = clock.0 < known.begun.0.saturating_add(SAME_ORDER_MS);
-            if known.target == target && (recent || !known.phase.is_final()) {
+        if let Some(existing) = meta.rollouts.get(&service) {
+            let recent = clock.0 < existing.begun.0.saturating_add(RESEND_WINDOW_MS);
+            if existing.target == target && (recent || !existing.phase.is_final()) {
                 return Ok(MetaReply::Done);
             }
         }
@@ -85,19 +86,19 @@
         Ok(MetaReply::Done)
     }
 
-    /// Moves a roll-out on; a settled one stays as it is.
+    /// Moves a rollout to another phase. A final phase does not change.
     pub(super) fn move_rollout(
         &mut self,
         service: &ServiceName,
         number: u64,
         phase: RolloutPhase,
-    ) -> Outcome {
-        let known = self.state.meta.rollouts.get_mut(service);
-        let Some(known) = known.filter(|known| known.number == number) else {
+    ) -> CommandResult {
+        let existing = self.state.meta.rollouts.get_mut(service);
+        let Some(existing) = existing.filter(|existing| existing.number == number) else {
             return Err(MetaRefusal::NoRollout);
         };
-        if !known.phase.is_final() {
-            known.phase = phase;
+        if !existing.phase.is_final() {
+            existing.phase = phase;
         }
         Ok(MetaReply::Done)
     }
--- a/crates/state/src/shard/calls.rs
+++ b/crates/state/src/shard/calls.rs
@@ -1,16 +1,17 @@
-//! Calls that may not be repeated: one attempt holds a call, and only an unbegun one can be sealed.
+//! Non-repeatable calls: one attempt holds a call, and only a call that was never claimed can be
+//! sealed.
 
 use hooklug_types::{CallAttempt, CallId, CallOutcome, Digest, ProgramId, UnixMillis};
 
 use super::command::{BeginCall, ShardRefusal, ShardReply};
 use super::expiry::ExpiryItem;
-use super::machine::{CallEntry, Outcome, ShardMachine};
+use super::machine::{CallEntry, CommandResult, ShardMachine};
 use super::query::CallRecord;
 
 impl ShardMachine {
-    /// Claims a call. The first attempt is granted, and the same one again while the call has no
-    /// outcome; a call with an outcome is replied as it is.
-    pub(super) fn begin_call(&mut self, begin: BeginCall) -> Outcome {
+    /// Claims a call for an attempt. The first attempt is granted, and so are its resends until the
+    /// call has an outcome; after that, the reply is the call's record.
+    pub(super) fn begin_call(&mut self, begin: BeginCall) -> CommandResult {
         let program = self.program_mut(&begin.program)?;
         let Some(entry) = program.calls.get(&begin.call) else {
             let record = CallRecord {
@@ -32,23 +33,24 @@
         }
         match record.attempt == Some(begin.attempt) {
             true => Ok(ShardReply::CallGranted),
-            false => Err(record.held()),
+            false => Err(record.held_refusal()),
         }
     }
 
-    /// Records a call's outcome for the attempt that holds it. The first answer stays; `Unknown`
-    /// gives way to it. `NotRun` is refused: only sealing a call that never began can claim that.
+    /// Records the outcome of a call for the attempt that holds it. A response replaces `Unknown`;
+    /// after that, the outcome does not change. `NotRun` is refused, since it can only be
+    /// established by sealing an unclaimed call.
     pub(super) fn finish_call(
         &mut self,
         program: &ProgramId,
         call: &CallId,
         attempt: &CallAttempt,
         outcome: CallOutcome,
-    ) -> Outcome {
+    ) -> CommandResult {
         let entry = self.program_mut(program)?.calls.get(call).ok_or(ShardRefusal::NoCall)?;
         let holds = entry.record.attempt.as_ref() == Some(attempt);
         if !holds || outcome == CallOutcome::NotRun {
-            return Err(entry.record.held());
+            return Err(entry.record.held_refusal());
         }
         let replaces = match (&entry.record.outcome, &outcome) {
             (None, _) | (Some(CallOutcome::Unknown), CallOutcome::Answered { .. }) => true,
@@ -60,19 +62,19 @@
         self.set_outcome(program, call, outcome)
     }
 
-    /// Seals a call that never began: it will not run.
+    /// Seals a call that was never claimed, so that it will not run.
     pub(super) fn seal_call(
         &mut self,
         program: &ProgramId,
         call: &CallId,
         digest: Digest,
-    ) -> Outcome {
+    ) -> CommandResult {
         let calls = &mut self.program_mut(program)?.calls;
         if let Some(entry) = calls.get(call) {
             let record = &entry.record;
             return match (record.digest == digest, &record.attempt) {
                 (false, _) => Err(ShardRefusal::CallDiffers),
-                (true, Some(_)) => Err(record.held()),
+                (true, Some(_)) => Err(record.held_refusal()),
                 (true, None) => Ok(ShardReply::Call(record.clone())),
             };
         }
@@ -82,9 +84,14 @@
         self.set_outcome(program, call, CallOutcome::NotRun)
     }
 
-    fn set_outcome(&mut self, program: &ProgramId, call: &CallId, outcome: CallOutcome) -> Outcome {
+    fn set_outcome(
+        &mut self,
+        program: &ProgramId,
+        call: &CallId,
+        outcome: CallOutcome,
+    ) -> CommandResult {
         let clock = self.state.clock;
-        let expires = self.keep_until();
+        let expires = self.retention_end();
         let entry = self.program_mut(program)?;
         entry.last_ended = clock;
         let held = entry.calls.get_mut(call).ok_or(ShardRefusal::NoCall)?;
@@ -106,12 +113,12 @@
         if let Some(former) = former {
             self.state.expiry.remove(former, item.clone());
         }
-        self.schedule(expires, item);
+        self.schedule_expiry(expires, item);
     }
 }
 
 impl CallRecord {
-    fn held(&self) -> ShardRefusal {
+    fn held_refusal(&self) -> ShardRefusal {
         ShardRefusal::CallHeld { record: Box::new(self.clone()) }
     }
 }
--- a/crates/state/src/shard/chains.rs
+++ b/crates/state/src/shard/chains.rs
@@ -1,9 +1,11 @@
-//! Chained sessions: a turn may go on from any kept turn, of any session, so the turns of a program form a tree.
+//! Chained sessions: a turn may continue from any retained turn of any session, so the turns of a
+//! program form a tree.
 //!
-//! What the ordinary sessions of this shard promise event by event is promised here turn by turn: a turn's most
-//! tokens are reserved before it runs, and it counts as kept only once its whole output is committed under the
-//! epoch that it was begun with. The host that begins a turn owns the session from then on; the epoch that moves
-//! with each beginning fences every earlier turn of the session.
+//! Ordinary sessions commit every event; chained sessions commit only complete turns. The maximum
+//! number of tokens of a turn is reserved before the turn runs, and the turn is retained only if
+//! its complete output is committed under the epoch under which it was started. The host that
+//! starts a turn owns the session from then on. Each start increments the epoch, which fences all
+//! earlier turns of the session.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,31 +17,32 @@
 
 use super::command::{EndTurn, ShardRefusal, ShardReply, StartTurn, StartedTurn};
 use super::expiry::ExpiryItem;
-use super::machine::{Outcome, ShardMachine};
+use super::machine::{CommandResult, ShardMachine};
 
-/// All chained programs of a shard. A copy shares the programs.
+/// All chained programs of a shard. Clones share the programs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct ChainedPrograms {
     programs: BTreeMap<ProgramId, Arc<ChainedProgram>>,
-    /// Which program keeps a turn, for turns that go on from another program's.
-    keepers: BTreeMap<TurnId, ProgramId>,
+    /// The program that retains each turn, for turns that continue from a turn of another program.
+    turn_programs: BTreeMap<TurnId, ProgramId>,
 }
 
-/// One program: its ledger, its sessions' owners, its open and its ended turns. Its maps are sorted vectors: most hold
-/// a few entries, where a node of a B-tree has room for eleven.
+/// One program: its token ledger, the owners of its sessions, its open turns and its ended turns.
+/// The maps are sorted vectors, because most have only a few entries, while a B-tree node allocates
+/// space for eleven.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct ChainedProgram {
-    /// Tokens given to the caller by ended turns.
+    /// Tokens that ended turns streamed to the caller.
     spent: TokenCount,
     sessions: LiteMap<SessionId, Ownership>,
     open: LiteMap<TurnId, OpenTurn>,
     ended: LiteMap<TurnId, EndedTurn>,
-    /// When it is forgotten, unless it is used again.
-    forgotten_at: UnixMillis,
+    /// Time at which the program is deleted, unless it is used again.
+    expires_at: UnixMillis,
     keep_ms: u64,
 }
 
-/// Who holds a session.
+/// Owner and epoch of a session.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Ownership {
     owner: NodeId,
@@ -52,8 +55,8 @@
     session: SessionId,
     epoch: SessionEpoch,
     reserved: TokenCount,
-    /// From here on it cannot run any more.
-    ends_by: UnixMillis,
+    /// Time limit; the turn cannot be running after it.
+    deadline: UnixMillis,
     after: Option<TurnId>,
     input: Option<Bytes>,
 }
@@ -62,17 +65,19 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct EndedTurn {
     after: Option<TurnId>,
-    /// Its input and output; `None` when it is not kept.
+    /// Input and output of the turn; `None` if they are not retained.
     text: Option<Bytes>,
 }
 
 impl ChainedProgram {
-    /// Whether a turn may begin. The sum of what is spent and reserved stays below the budget before each
-    /// beginning, so that all turns together overdraw it by less than the most of one.
+    /// Checks whether another turn may start. It may only while the sum of spent and reserved
+    /// tokens is below the budget, so that all turns together exceed the budget by less than the
+    /// maximum of one turn.
     fn check_budget(&self, budget: TokenCount, now: UnixMillis) -> Result<(), ShardRefusal> {
-        let (over, running): (Vec<_>, Vec<_>) = self.open.values().partition(|t| t.ends_by <= now);
+        let (timed_out, running): (Vec<_>, Vec<_>) =
+            self.open.values().partition(|t| t.deadline <= now);
         let sum = |turns: &[&OpenTurn]| turns.iter().map(|turn| turn.reserved.0).sum::<u64>();
-        let spent = self.spent.0.saturating_add(sum(&over));
+        let spent = self.spent.0.saturating_add(sum(&timed_out));
         if spent >= budget.0 {
             return Err(ShardRefusal::BudgetSpent);
         }
@@ -82,23 +87,23 @@
         Ok(())
     }
 
-    /// The history up to and with a turn; `None` when it is not kept.
+    /// Returns the history up to and including a turn; `None` if it is not retained.
     fn history(&self, turn: &TurnId) -> Option<Bytes> {
-        let mut texts = vec![self.kept(turn)?];
+        let mut texts = vec![self.retained_text(turn)?];
         let mut earlier = self.ended[turn].after.as_ref();
         while let Some(id) = earlier {
-            texts.push(self.kept(id)?);
+            texts.push(self.retained_text(id)?);
             earlier = self.ended[id].after.as_ref();
         }
         if let [only] = texts.as_slice() {
             return Some((*only).clone());
         }
-        let mut whole = BytesMut::with_capacity(texts.iter().map(|text| text.len()).sum());
-        texts.iter().rev().for_each(|text| whole.extend_from_slice(text));
-        Some(whole.freeze())
+        let mut buffer = BytesMut::with_capacity(texts.iter().map(|text| text.len()).sum());
+        texts.iter().rev().for_each(|text| buffer.extend_from_slice(text));
+        Some(buffer.freeze())
     }
 
-    fn kept(&self, turn: &TurnId) -> Option<&Bytes> {
+    fn retained_text(&self, turn: &TurnId) -> Option<&Bytes> {
         self.ended.get(turn)?.text.as_ref()
     }
 
@@ -106,8 +111,8 @@
         self.sessions.get(&open.session).is_some_and(|s| s.epoch == open.epoch)
     }
 
-    /// Moves the session to the host that begins a turn, under a new epoch.
-    fn take_session(
+    /// Makes the host that starts a turn the owner of the session, under a new epoch.
+    fn change_owner(
         &mut self,
         session: &SessionId,
         host: NodeId,
@@ -120,13 +125,13 @@
 }
 
 impl ChainedPrograms {
-    /// The history up to and with a kept turn of any program here.
+    /// Returns the history up to and including a retained turn of any program in this shard.
     pub(super) fn history(&self, turn: &TurnId) -> Option<Bytes> {
-        self.programs.get(self.keepers.get(turn)?)?.history(turn)
+        self.programs.get(self.turn_programs.get(turn)?)?.history(turn)
     }
 
-    /// Ends a turn. Asked again it changes nothing.
-    pub(super) fn end_turn(&mut self, end: EndTurn, now: UnixMillis) -> Outcome {
+    /// Ends a turn. A repeated request changes nothing.
+    pub(super) fn end_turn(&mut self, end: EndTurn, now: UnixMillis) -> CommandResult {
         let program = self.programs.get_mut(&end.key.program).ok_or(ShardRefusal::NoProgram)?;
         let program = Arc::make_mut(program);
         let Some(open) = program.open.remove(&end.turn) else {
@@ -140,72 +145,75 @@
             program.open = LiteMap::new();
         }
         program.spent.0 = program.spent.0.saturating_add(end.tokens.0);
-        program.forgotten_at = program.forgotten_at.max(now.plus_millis(program.keep_ms));
+        program.expires_at = program.expires_at.max(now.plus_millis(program.keep_ms));
         let current = program.is_current(&open) && open.epoch == end.epoch;
-        let whole = current && end.output.is_some();
+        let complete = current && end.output.is_some();
         let text = match (open.input, &end.output) {
-            (Some(input), Some(output)) if whole => Some(joined(&input, output)),
+            (Some(input), Some(output)) if complete => Some(concat(&input, output)),
             _ => None,
         };
         if text.is_some() {
-            self.keepers.insert(end.turn.clone(), end.key.program);
+            self.turn_programs.insert(end.turn.clone(), end.key.program);
         }
         program.ended.insert(end.turn, EndedTurn { after: open.after, text });
-        match whole || end.output.is_none() {
+        match complete || end.output.is_none() {
             true => Ok(ShardReply::Done),
             false => Err(ShardRefusal::Superseded),
         }
     }
 }
 
-fn joined(first: &[u8], second: &[u8]) -> Bytes {
-    let mut whole = BytesMut::with_capacity(first.len() + second.len());
-    whole.extend_from_slice(first);
-    whole.extend_from_slice(second);
-    whole.freeze()
+fn concat(first: &[u8], second: &[u8]) -> Bytes {
+    let mut buffer = BytesMut::with_capacity(first.len() + second.len());
+    buffer.extend_from_slice(first);
+    buffer.extend_from_slice(second);
+    buffer.freeze()
 }
 
 impl ShardMachine {
-    /// Begins a turn. The same turn again gets the same epoch, as long as no later one has begun.
-    pub(super) fn start_turn(&mut self, start: StartTurn) -> Outcome {
+    /// Starts a turn. A resend of the same turn returns the same epoch, unless a later turn has
+    /// started.
+    pub(super) fn start_turn(&mut self, start: StartTurn) -> CommandResult {
         let (now, floor) = (self.state.clock, self.state.epoch_floor);
         let key = start.key.program.clone();
         let chained = &mut self.state.chained;
         let is_new = !chained.programs.contains_key(&key);
-        // A refusal must not leave an empty program behind.
-        let mut fresh = ChainedProgram::default();
+        // Insert a new program only after success, so that a refusal leaves no empty program
+        // behind.
+        let mut new_program = ChainedProgram::default();
         let program = match chained.programs.get_mut(&key) {
             Some(program) => Arc::make_mut(program),
-            None => &mut fresh,
+            None => &mut new_program,
         };
-        let started = begin(program, start, now, floor)?;
-        let forgotten_at = program.forgotten_at;
+        let started = start_in_program(program, start, now, floor)?;
+        let expires_at = program.expires_at;
         if is_new {
-            chained.programs.insert(key.clone(), fresh.into());
-            self.schedule(forgotten_at, ExpiryItem::ChainedProgram(key));
+            chained.programs.insert(key.clone(), new_program.into());
+            self.schedule_expiry(expires_at, ExpiryItem::ChainedProgram(key));
         }
         Ok(ShardReply::Started(started))
     }
 
-    /// Forgets a program that has not been used since its expiry was scheduled.
-    pub(super) fn forget_chained_program(&mut self, id: ProgramId) {
+    /// Deletes a program that has not been used since its expiry was scheduled, and reschedules the
+    /// expiry otherwise.
+    pub(super) fn expire_chained_program(&mut self, id: ProgramId) {
         let Some(program) = self.state.chained.programs.get(&id) else { return };
-        if program.forgotten_at > self.state.clock {
-            self.schedule(program.forgotten_at, ExpiryItem::ChainedProgram(id));
+        if program.expires_at > self.state.clock {
+            self.schedule_expiry(program.expires_at, ExpiryItem::ChainedProgram(id));
             return;
         }
         let Some(program) = self.state.chained.programs.remove(&id) else { return };
         let highest = program.sessions.values().map(|session| session.epoch).max();
         self.state.epoch_floor = self.state.epoch_floor.max(highest.unwrap_or_default());
         for turn in program.ended.keys() {
-            if self.state.chained.keepers.get(turn) == Some(&id) {
-                self.state.chained.keepers.remove(turn);
+            if self.state.chained.turn_programs.get(turn) == Some(&id) {
+                self.state.chained.turn_programs.remove(turn);
             }
         }
     }
 }
 
-fn begin(
+fn start_in_program(
     program: &mut ChainedProgram,
     start: StartTurn,
     now: UnixMillis,
@@ -219,25 +227,25 @@
         if !program.is_current(open) {
             return Err(ShardRefusal::Superseded);
         }
-        return Ok(StartedTurn { epoch, history: wanted_history(program, &start)? });
+        return Ok(StartedTurn { epoch, history: requested_history(program, &start)? });
     }
     if let (Some(after), Some(imported)) = (&start.after, &start.imported) {
         let import = || EndedTurn { after: None, text: Some(imported.clone()) };
         program.ended.entry(after.clone()).or_insert_with(import);
     }
-    let history = wanted_history(program, &start)?;
+    let history = requested_history(program, &start)?;
     if let Some(budget) = start.token_budget {
         program.check_budget(budget, now)?;
     }
-    let epoch = program.take_session(&start.key.session, start.host, floor);
+    let epoch = program.change_owner(&start.key.session, start.host, floor);
     program.keep_ms = program.keep_ms.max(start.keep_ms);
-    program.forgotten_at =
-        program.forgotten_at.max(now.plus_millis(program.keep_ms + start.time_limit_ms));
+    program.expires_at =
+        program.expires_at.max(now.plus_millis(program.keep_ms + start.time_limit_ms));
     let open = OpenTurn {
         session: start.key.session,
         epoch,
         reserved: start.max_tokens,
-        ends_by: now.plus_millis(start.time_limit_ms),
+        deadline: now.plus_millis(start.time_limit_ms),
         after: start.after,
         input: start.input,
     };
@@ -245,14 +253,15 @@
     Ok(StartedTurn { epoch, history })
 }
 
-/// The history that a turn goes on from, if its host asks for it; the turn named must be kept either way.
-fn wanted_history(
+/// Returns the history that a turn continues from, if its host requests it. The turn named by
+/// `after` must be retained in either case.
+fn requested_history(
     program: &ChainedProgram,
     start: &StartTurn,
 ) -> Result<Option<Bytes>, ShardRefusal> {
     let Some(after) = &start.after else { return Ok(None) };
     if !start.wants_history {
-        return program.kept(after).map(|_| None).ok_or(ShardRefusal::UnknownTurn);
+        return program.retained_text(after).map(|_| None).ok_or(ShardRefusal::UnknownTurn);
     }
     program.history(after).map(Some).ok_or(ShardRefusal::UnknownTurn)
 }
--- a/crates/state/src/shard/events.rs
+++ b/crates/state/src/shard/events.rs
@@ -1,17 +1,19 @@
-//! Appending to a session's stream and reading from it.
+//! Appends events to a session's stream and reads them.
 
 use hooklug_types::{EventSeq, SessionEpoch, SessionKey, TokenCount, TurnId};
 
 use super::command::{ShardRefusal, ShardReply};
 use super::event::{Event, EventBody};
-use super::machine::{Outcome, SessionEntry, ShardMachine};
+use super::machine::{CommandResult, SessionEntry, ShardMachine};
 use super::query::ShardAnswer;
 
-/// Bytes of event texts after which an answer is cut, with `more` set (ours); it holds at least one event.
-const ANSWER_BYTES: usize = 1 << 20;
+/// Maximum size in bytes of the event texts in one reply; a reply that is truncated sets `more`. A
+/// single event may exceed it.
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
 impl ShardMachine {
-    /// Appends events of the open turn, or tool results between turns: all of them or none.
+    /// Appends events of the open turn, or tool results between turns. Either all events are
+    /// appended or none.
     pub(super) fn append_events(
         &mut self,
         key: &SessionKey,
@@ -19,10 +21,10 @@
         turn: Option<&TurnId>,
         first_seq: EventSeq,
         bodies: Vec<EventBody>,
-    ) -> Outcome {
+    ) -> CommandResult {
         let session = self.session_mut(key)?;
         session.check_epoch(epoch)?;
-        if session.has_all(first_seq, turn, &bodies) {
+        if session.is_already_applied(first_seq, turn, &bodies) {
             return Ok(ShardReply::Appended { next_seq: session.record.next_seq });
         }
         session.check_append(turn, first_seq, &bodies)?;
@@ -30,7 +32,7 @@
         Ok(ShardReply::Appended { next_seq: session.record.next_seq })
     }
 
-    /// Events of a session after a place.
+    /// Reads the events of a session after a sequence number.
     pub(super) fn answer_events(
         &self,
         key: &SessionKey,
@@ -44,25 +46,31 @@
         };
         for event in session.log.after(after).take(limit as usize) {
             bytes += event.body.text_bytes();
-            if bytes > ANSWER_BYTES && !events.is_empty() {
+            if bytes > MAX_REPLY_BYTES && !events.is_empty() {
                 break;
             }
             events.push(event.clone());
         }
-        let known = after.0.saturating_add(events.len() as u64);
-        let more = known < session.log.len() as u64;
+        let last_read = after.0.saturating_add(events.len() as u64);
+        let more = last_read < session.log.len() as u64;
         ShardAnswer::Events { events, more }
     }
 }
 
 impl SessionEntry {
-    /// Whether an append changes nothing: it repeats what stands, or only brings results of calls
-    /// whose results stand already.
-    fn has_all(&self, first_seq: EventSeq, turn: Option<&TurnId>, bodies: &[EventBody]) -> bool {
-        bodies.iter().all(|body| self.has_result(body)) || self.log.repeats(first_seq, turn, bodies)
+    /// Whether an append has no effect, because its events are already committed or it contains
+    /// only results of calls that already have a result.
+    fn is_already_applied(
+        &self,
+        first_seq: EventSeq,
+        turn: Option<&TurnId>,
+        bodies: &[EventBody],
+    ) -> bool {
+        bodies.iter().all(|body| self.has_tool_result(body))
+            || self.log.contains_at(first_seq, turn, bodies)
     }
 
-    fn has_result(&self, body: &EventBody) -> bool {
+    fn has_tool_result(&self, body: &EventBody) -> bool {
         matches!(body, EventBody::ToolResult { call, .. } if self.tool_results.contains(call))
     }
 
@@ -76,17 +84,18 @@
             return Err(ShardRefusal::SessionClosed);
         }
         self.check_kinds(turn, bodies)?;
-        let brings_known_result = bodies.iter().any(|body| self.has_result(body));
-        if first_seq != self.record.next_seq || brings_known_result {
+        let has_duplicate_result = bodies.iter().any(|body| self.has_tool_result(body));
+        if first_seq != self.record.next_seq || has_duplicate_result {
             return Err(ShardRefusal::Gap { next_seq: self.record.next_seq });
         }
         self.check_reservation(turn, bodies)
     }
 
-    /// A turn's events need the turn open; between turns only tool results may come.
+    /// Checks that a turn's events are for the open turn, and that events between turns are tool
+    /// results.
     fn check_kinds(&self, turn: Option<&TurnId>, bodies: &[EventBody]) -> Result<(), ShardRefusal> {
         let allowed = match turn {
-            Some(_) => bodies.iter().all(EventBody::may_be_appended),
+            Some(_) => bodies.iter().all(EventBody::is_appendable),
             None => bodies.iter().all(|body| matches!(body, EventBody::ToolResult { .. })),
         };
         match (turn, &self.record.open_turn) {
@@ -123,7 +132,7 @@
     }
 }
 
-/// Tokens of some events; a sum beyond the type's range counts as its largest value.
+/// Returns the number of tokens in some events; the sum saturates.
 fn total_tokens(bodies: &[EventBody]) -> TokenCount {
     let counts = bodies.iter().map(|body| match body {
         EventBody::Tokens { count, .. } => count.0,
@@ -133,8 +142,9 @@
 }
 
 impl EventBody {
-    /// Whether an owner may append it; the others are written by the commands that they record.
-    fn may_be_appended(&self) -> bool {
+    /// Whether an owner may append this kind of event. The other kinds are written by the commands
+    /// that they record.
+    fn is_appendable(&self) -> bool {
         matches!(self, Self::Tokens { .. } | Self::ToolRequested { .. } | Self::ToolResult { .. })
     }
 
--- a/crates/state/src/shard/leases.rs
+++ b/crates/state/src/shard/leases.rs
@@ -1,14 +1,14 @@
-//! Engine leases. The machine holds counts of renewals only; time is the group leader's affair.
+//! Engine leases. The state machine only counts renewals; the group's leader measures time.
 
 use hooklug_types::{EngineIncarnation, Renewal};
 
 use super::command::{ShardRefusal, ShardReply};
-use super::machine::{Outcome, ShardMachine};
+use super::machine::{CommandResult, ShardMachine};
 use super::query::LeaseRecord;
 
 impl ShardMachine {
-    /// Renews a lease, or starts it. An expired one stays expired.
-    pub(super) fn renew_lease(&mut self, holder: EngineIncarnation) -> Outcome {
+    /// Renews a lease, or starts it. An expired lease stays expired.
+    pub(super) fn renew_lease(&mut self, holder: EngineIncarnation) -> CommandResult {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
             renewal: Renewal(0),
@@ -21,15 +21,20 @@
         Ok(ShardReply::Lease(lease.clone()))
     }
 
-    /// Ends a lease unless it was renewed after the renewal that was judged. One that was never
-    /// granted is recorded as expired, so that its holder can't start it afterwards.
-    pub(super) fn expire_lease(&mut self, holder: EngineIncarnation, judged: Renewal) -> Outcome {
+    /// Expires a lease, unless it was renewed after the renewal that the decision is based on. A
+    /// lease that was never granted is recorded as expired, so that its holder cannot start it
+    /// afterwards.
+    pub(super) fn expire_lease(
+        &mut self,
+        holder: EngineIncarnation,
+        observed: Renewal,
+    ) -> CommandResult {
         let lease = self.state.leases.entry(holder.clone()).or_insert(LeaseRecord {
             holder,
-            renewal: judged,
+            renewal: observed,
             expired: true,
         });
-        if !lease.expired && lease.renewal != judged {
+        if !lease.expired && lease.renewal != observed {
             return Err(ShardRefusal::LeaseRenewed);
         }
         lease.expired = true;
--- a/crates/state/src/shard/programs.rs
+++ b/crates/state/src/shard/programs.rs
@@ -1,4 +1,4 @@
-//! Programs and their ledgers: what is spent, what is reserved, what is left.
+//! Programs and their token ledgers: the budget with its spent and reserved parts.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,12 @@
 use super::query::ProgramRecord;
 
 impl ShardMachine {
-    /// Declares a program. The window group is no part of its identity: it follows from the tenant's
-    /// entry, which may change between a request and its resend; the first one stays.
+    /// Declares a program. The window group is not compared in a resend, because it comes from the
+    /// tenant's entry, which may change between a request and its resend; the first value is
+    /// retained.
     pub(super) fn put_program(&mut self, put: PutProgram) -> ShardReply {
         if let Some(entry) = self.state.programs.get(&put.program) {
-            return match entry.record.is_declared_by(&put) {
+            return match entry.record.matches_declaration(&put) {
                 true => ShardReply::Program(entry.record.clone()),
                 false => ShardReply::Refused(ShardRefusal::ProgramDiffers),
             };
@@ -28,8 +29,8 @@
             reserved: TokenCount(0),
             end_time: put.end_time,
         };
-        let forgotten = self.state.clock.max(put.end_time).plus(self.keep);
-        self.schedule(forgotten, ExpiryItem::Program(put.program.clone()));
+        let expires_at = self.state.clock.max(put.end_time).plus(self.retention);
+        self.schedule_expiry(expires_at, ExpiryItem::Program(put.program.clone()));
         let entry = ProgramEntry {
             record: record.clone(),
             sessions: BTreeMap::new(),
@@ -42,19 +43,19 @@
 }
 
 impl ProgramRecord {
-    fn is_declared_by(&self, put: &PutProgram) -> bool {
+    fn matches_declaration(&self, put: &PutProgram) -> bool {
         self.tenant == put.tenant
             && self.token_budget == put.token_budget
             && self.end_time == put.end_time
     }
 
-    /// Reserves up to `wanted` tokens for a turn that begins at `now`.
+    /// Reserves up to `requested` tokens for a turn that starts at `now`.
     ///
     /// # Errors
-    /// `ProgramEnded` and `BudgetSpent` are final; `BudgetReserved` may pass.
+    /// `ProgramEnded` and `BudgetSpent` are final; `BudgetReserved` is temporary.
     pub(super) fn reserve(
         &mut self,
-        wanted: TokenCount,
+        requested: TokenCount,
         now: UnixMillis,
     ) -> Result<TokenCount, ShardRefusal> {
         if now >= self.end_time {
@@ -68,12 +69,12 @@
         if free == 0 {
             return Err(ShardRefusal::BudgetReserved);
         }
-        let granted = TokenCount(wanted.0.min(free));
+        let granted = TokenCount(requested.0.min(free));
         self.reserved.0 += granted.0;
         Ok(granted)
     }
 
-    /// Gives a reservation back and books the tokens that were streamed under it.
+    /// Releases a reservation and adds the tokens that were streamed under it to the spent tokens.
     pub(super) fn settle(&mut self, reserved: TokenCount, streamed: TokenCount) {
         self.reserved.0 = self.reserved.0.saturating_sub(reserved.0);
         self.spent.0 = self.spent.0.saturating_add(streamed.0);
--- a/crates/state/src/shard/sessions.rs
+++ b/crates/state/src/shard/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: opening, take-over, hand-over and closing. The epoch fences every former owner.
+//! Sessions: open, takeover, hand-over and close. The epoch fences every former owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -9,16 +9,17 @@
 use super::event::EventBody;
 use super::event_log::EventLog;
 use super::expiry::ExpiryItem;
-use super::machine::{Outcome, SessionEntry, ShardMachine};
+use super::machine::{CommandResult, SessionEntry, ShardMachine};
 use super::query::SessionRecord;
 
 impl ShardMachine {
-    /// Opens a session at an owner. The first writer wins; one without an owner is taken.
-    pub(super) fn open_session(&mut self, open: OpenSession) -> Outcome {
+    /// Opens a session at an owner. If the session exists, it keeps its owner; if it has none, the
+    /// requesting engine becomes the owner.
+    pub(super) fn open_session(&mut self, open: OpenSession) -> CommandResult {
         let first_epoch = self.state.epoch_floor.next();
         let program = self.program_mut(&open.key.program)?;
         let Ok(session) = program.session_mut(&open.key.session) else {
-            let entry = SessionEntry::opened(open, first_epoch);
+            let entry = SessionEntry::new(open, first_epoch);
             let record = entry.record.clone();
             program.sessions.insert(record.key.session.clone(), entry.into());
             return Ok(ShardReply::Session(record));
@@ -34,21 +35,22 @@
         Ok(ShardReply::Session(session.record.clone()))
     }
 
-    /// Takes a session over; an open turn is sealed `interrupted`. That the former owner's lease has
-    /// expired is the taker's word: the lease lives in another shard, where its expiry is committed.
-    pub(super) fn take_session(&mut self, take: TakeSession) -> Outcome {
+    /// Takes over a session and ends its open turn as `Interrupted`. This does not check that the
+    /// former owner's lease has expired: the lease may be in another shard, and the sender must
+    /// have had its expiry committed there.
+    pub(super) fn take_session(&mut self, take: TakeSession) -> CommandResult {
         let session = self.session_mut(&take.key)?;
         let record = &session.record;
-        let taken_already = record.epoch == take.expected_epoch.next()
+        let already_taken = record.epoch == take.expected_epoch.next()
             && record.owner.as_ref() == Some(&take.new_owner);
-        if taken_already {
+        if already_taken {
             return Ok(ShardReply::Session(record.clone()));
         }
         if record.closed {
             return Err(ShardRefusal::SessionClosed);
         }
         if record.epoch != take.expected_epoch {
-            return Err(record.stale());
+            return Err(record.stale_epoch());
         }
         self.seal_open_turn(&take.key)?;
         let session = self.session_mut(&take.key)?;
@@ -58,7 +60,7 @@
         Ok(ShardReply::Session(session.record.clone()))
     }
 
-    /// Ends a session's open turn, if there is one, as `interrupted`.
+    /// Ends a session's open turn, if there is one, as `Interrupted`.
     pub(super) fn seal_open_turn(&mut self, key: &SessionKey) -> Result<(), ShardRefusal> {
         let session = self.session_mut(key)?;
         match session.record.open_turn.clone() {
@@ -67,20 +69,20 @@
         }
     }
 
-    /// Gives a session up between turns.
-    pub(super) fn hand_over(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
+    /// Releases ownership of a session between turns.
+    pub(super) fn hand_over(&mut self, key: &SessionKey, epoch: SessionEpoch) -> CommandResult {
         let session = self.session_mut(key)?;
         let record = &mut session.record;
         if record.closed {
             return Err(ShardRefusal::SessionClosed);
         }
-        let given_up_already =
+        let already_released =
             record.owner.is_none() && (record.epoch == epoch || record.epoch == epoch.next());
-        if given_up_already {
+        if already_released {
             return Ok(ShardReply::Session(record.clone()));
         }
         if record.epoch != epoch {
-            return Err(record.stale());
+            return Err(record.stale_epoch());
         }
         if let Some(turn) = record.open_turn.clone() {
             return Err(ShardRefusal::TurnOpen { turn });
@@ -90,17 +92,17 @@
         Ok(ShardReply::Session(record.clone()))
     }
 
-    /// Closes a session between turns. Closed is closed, whoever asks again.
-    pub(super) fn close_session(&mut self, key: &SessionKey, epoch: SessionEpoch) -> Outcome {
+    /// Closes a session between turns. Closing a closed session succeeds under any epoch.
+    pub(super) fn close_session(&mut self, key: &SessionKey, epoch: SessionEpoch) -> CommandResult {
         let clock = self.state.clock;
-        let forgotten = self.keep_until();
+        let expires_at = self.retention_end();
         let program = self.program_mut(&key.program)?;
         let session = program.session_mut(&key.session)?;
         if session.record.closed {
             return Ok(ShardReply::Session(session.record.clone()));
         }
         if session.record.epoch != epoch {
-            return Err(session.record.stale());
+            return Err(session.record.stale_epoch());
         }
         if let Some(turn) = session.record.open_turn.clone() {
             return Err(ShardRefusal::TurnOpen { turn });
@@ -110,11 +112,11 @@
         session.record.closed = true;
         let record = session.record.clone();
         program.last_ended = clock;
-        self.schedule(forgotten, ExpiryItem::Session(key.clone()));
+        self.schedule_expiry(expires_at, ExpiryItem::Session(key.clone()));
         Ok(ShardReply::Session(record))
     }
 
-    /// Sessions that are not closed, in key order, after a key.
+    /// Returns up to `limit` sessions that are not closed, in key order, after the given key.
     pub(super) fn open_sessions(
         &self,
         after: Option<&SessionKey>,
@@ -134,7 +136,7 @@
 }
 
 impl SessionEntry {
-    fn opened(open: OpenSession, epoch: SessionEpoch) -> Self {
+    fn new(open: OpenSession, epoch: SessionEpoch) -> Self {
         let log = EventLog::default();
         let record = SessionRecord {
             key: open.key,
@@ -151,7 +153,7 @@
         Self { record, turns: BTreeMap::new(), log, tool_results: BTreeSet::new() }
     }
 
-    /// Adds an event to the stream and returns its place.
+    /// Appends an event to the stream and returns its sequence number.
     pub(super) fn push_event(
         &mut self,
         turn: Option<hooklug_types::TurnId>,
@@ -162,15 +164,15 @@
         seq
     }
 
-    /// Whether a write under this epoch may pass: the session has an owner, and under this epoch.
+    /// Accepts a write only if the session is owned, or was closed, under this epoch.
     pub(super) fn check_epoch(&self, epoch: SessionEpoch) -> Result<(), ShardRefusal> {
         let owned = self.record.owner.is_some() || self.record.closed;
-        if owned && self.record.epoch == epoch { Ok(()) } else { Err(self.record.stale()) }
+        if owned && self.record.epoch == epoch { Ok(()) } else { Err(self.record.stale_epoch()) }
     }
 }
 
 impl SessionRecord {
-    pub(super) fn stale(&self) -> ShardRefusal {
+    pub(super) fn stale_epoch(&self) -> ShardRefusal {
         ShardRefusal::StaleEpoch { record: Box::new(self.clone()) }
     }
 }
--- a/crates/state/src/shard/turns.rs
+++ b/crates/state/src/shard/turns.rs
@@ -1,4 +1,5 @@
-//! Turns: each follows the head, holds a reservation while it is open, and ends once.
+//! Turns of a session. Each follows the session's head, holds a token reservation while it is open,
+//! and ends once.
 
 use std::sync::Arc;
 
@@ -7,12 +8,13 @@
 use super::command::{BeginTurn, FinishTurn, ShardRefusal, ShardReply, TurnGrant};
 use super::event::EventBody;
 use super::expiry::ExpiryItem;
-use super::machine::{Outcome, ProgramEntry, SessionEntry, ShardMachine};
+use super::machine::{CommandResult, ProgramEntry, SessionEntry, ShardMachine};
 use super::query::{TurnRecord, TurnState};
 
 impl ShardMachine {
-    /// Begins a turn and reserves budget for it; a resend finds the turn, or the recorded refusal.
-    pub(super) fn begin_turn(&mut self, begin: BeginTurn) -> Outcome {
+    /// Starts a turn and reserves tokens for it. A resend returns the existing turn or the recorded
+    /// refusal.
+    pub(super) fn begin_turn(&mut self, begin: BeginTurn) -> CommandResult {
         let clock = self.state.clock;
         let program = self.program_mut(&begin.key.program)?;
         let ProgramEntry { record: program_record, sessions, last_ended, .. } = program;
@@ -30,23 +32,23 @@
                 session.record_refused(&begin, refusal.clone());
                 *last_ended = clock;
                 let item = ExpiryItem::Turn(begin.key, begin.turn);
-                self.schedule(self.keep_until(), item);
+                self.schedule_expiry(self.retention_end(), item);
                 Err(refusal)
             }
         }
     }
 
-    /// Ends the open turn. Asked again, replies with the turn as it ended first.
-    pub(super) fn finish_turn(&mut self, finish: &FinishTurn) -> Outcome {
+    /// Ends the open turn. A repeated request returns the turn as it first ended.
+    pub(super) fn finish_turn(&mut self, finish: &FinishTurn) -> CommandResult {
         let session = self.session_mut(&finish.key)?;
         session.check_epoch(finish.epoch)?;
         if session.record.open_turn.as_ref() == Some(&finish.turn) {
             let ended = self.end_turn(&finish.key, &finish.turn, finish.reason.clone())?;
-            return Ok(ShardReply::Turn(ended.grant_existing()));
+            return Ok(ShardReply::Turn(ended.existing_grant()));
         }
         match session.turns.get(&finish.turn) {
             Some(turn) if matches!(turn.state, TurnState::Ended { .. }) => {
-                Ok(ShardReply::Turn(turn.grant_existing()))
+                Ok(ShardReply::Turn(turn.existing_grant()))
             }
             _ => Err(ShardRefusal::NoOpenTurn),
         }
@@ -60,13 +62,13 @@
         reason: EndReason,
     ) -> Result<TurnRecord, ShardRefusal> {
         let clock = self.state.clock;
-        let forgotten = self.keep_until();
+        let expires_at = self.retention_end();
         let program = self.program_mut(&key.program)?;
         let session = program.session_mut(&key.session)?;
         let ended = session.end_turn(turn, reason)?;
         program.record.settle(ended.reserved, ended.tokens);
         program.last_ended = clock;
-        self.schedule(forgotten, ExpiryItem::Turn(key.clone(), turn.clone()));
+        self.schedule_expiry(expires_at, ExpiryItem::Turn(key.clone(), turn.clone()));
         Ok(ended)
     }
 }
@@ -81,13 +83,13 @@
             return Err(ShardRefusal::TurnOpen { turn });
         }
         if begin.after != record.head {
-            let after_known = begin.after.as_ref().is_none_or(|turn| self.knows_ended(turn));
+            let after_known = begin.after.as_ref().is_none_or(|turn| self.has_ended_turn(turn));
             return Err(ShardRefusal::NotHead { head: record.head.clone(), after_known });
         }
         Ok(())
     }
 
-    fn knows_ended(&self, turn: &TurnId) -> bool {
+    fn has_ended_turn(&self, turn: &TurnId) -> bool {
         self.turns.get(turn).is_some_and(|t| matches!(t.state, TurnState::Ended { .. }))
     }
 
@@ -134,19 +136,19 @@
 }
 
 impl TurnRecord {
-    fn answer_resend(&self, begin: &BeginTurn) -> Outcome {
+    fn answer_resend(&self, begin: &BeginTurn) -> CommandResult {
         if self.digest != begin.digest || self.after != begin.after {
             return Err(ShardRefusal::TurnDiffers);
         }
         match &self.state {
             TurnState::Refused(refusal) => Err(refusal.clone()),
             TurnState::Open | TurnState::Ended { .. } => {
-                Ok(ShardReply::Turn(self.grant_existing()))
+                Ok(ShardReply::Turn(self.existing_grant()))
             }
         }
     }
 
-    fn grant_existing(&self) -> TurnGrant {
+    fn existing_grant(&self) -> TurnGrant {
         TurnGrant { reserved: self.reserved, started: self.started, existing: Some(self.clone()) }
     }
 }
--- a/crates/state/tests/bundle_costs.rs
+++ b/crates/state/tests/bundle_costs.rs
@@ -1,4 +1,4 @@
-//! What the meta group pays for many versions of a large bundle.
+//! Memory and log size of the meta group for many versions of a large bundle.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 };
 use hooklug_bundle::{Bundle, canonical_bytes};
 use hooklug_state::meta::{
-    BundleContent, BundleRecord, GroupPlacement, KEPT_BYTES, MetaAnswer, MetaCommand, MetaMachine,
-    MetaQuery, MetaRefusal, MetaReply, SubmitBundle,
+    BundleContent, BundleRecord, GroupPlacement, MetaAnswer, MetaCommand, MetaMachine, MetaQuery,
+    MetaRefusal, MetaReply, RETAINED_CONTENT_BYTES, SubmitBundle,
 };
 use hooklug_state::{StateMachine, encode};
 use hooklug_types::{BundleVersion, GroupId, RouteName, ServiceName};
 
-/// Routes of a large deployment.
+/// Number of routes of a large deployment.
 const ROUTES: u64 = 400;
 
-/// Changes of a long day.
+/// Number of bundle versions submitted in a busy day.
 const VERSIONS: u64 = 300;
 
-fn formed() -> MetaMachine {
+fn formed_cluster() -> MetaMachine {
     let mut meta = MetaMachine::new();
     let placements = vec![(GroupId(1), GroupPlacement::default())];
     meta.apply_command(MetaCommand::Form { cluster: 1, stores: Vec::new(), placements });
@@ -46,7 +46,8 @@
     }
 }
 
-/// A bundle of many routes with the operators' text; `timeout_of` tells what each route says.
+/// A bundle of many routes with the operators' document; `timeout_of` returns the timeout of each
+/// route.
 fn bundle(version: u64, timeout_of: impl Fn(u64) -> u64) -> Bundle {
     let name = |number| RouteName::new(format!("route-{number}")).expect("a name");
     let routes: BTreeMap<RouteName, HttpRoute> =
@@ -67,7 +68,7 @@
     }
 }
 
-/// Each version changes the time limit of one route.
+/// Bundle in which each version changes the timeout of one route.
 fn one_route_changed(version: u64) -> Bundle {
     bundle(version, |number| 1_000 + (number..version).step_by(ROUTES as usize).count() as u64)
 }
@@ -89,14 +90,15 @@
 fn newest(meta: &MetaMachine) -> Vec<u8> {
     match meta.answer(&MetaQuery::BundleBytes(None)) {
         MetaAnswer::BundleBytes(Some((_, bytes))) => bytes,
-        other => panic!("the newest bundle is gone: {other:?}"),
+        other => panic!("the newest bundle is missing: {other:?}"),
     }
 }
 
-/// Guards against stores that go over their memory because each version of a bundle is kept whole.
+/// Guards against stores that run out of memory because every version of a bundle is stored in
+/// full.
 #[test]
 fn hundreds_of_versions_cost_a_store_what_each_changed() {
-    let mut meta = formed();
+    let mut meta = formed_cluster();
     for version in 1..=VERSIONS {
         submit(&mut meta, &one_route_changed(version));
     }
@@ -106,10 +108,10 @@
     assert!(snapshot < 20 * whole.len(), "{snapshot} bytes for versions of {}", whole.len());
 }
 
-/// Guards against stores that go over their memory when no two versions share anything.
+/// Guards against stores that run out of memory when no two versions share any section.
 #[test]
 fn versions_that_share_nothing_are_kept_within_a_bound() {
-    let mut meta = formed();
+    let mut meta = formed_cluster();
     let everything_changed = |version| bundle(version, |number| 1_000 + version * 1_000 + number);
     for version in 1..=60 {
         submit(&mut meta, &everything_changed(version));
@@ -117,36 +119,36 @@
     let whole = canonical_bytes(&everything_changed(60));
     assert_eq!(newest(&meta), whole);
     let snapshot = meta.snapshot().len();
-    assert!(snapshot < KEPT_BYTES + 2 * whole.len(), "{snapshot} bytes");
+    assert!(snapshot < RETAINED_CONTENT_BYTES + 2 * whole.len(), "{snapshot} bytes");
     let first = meta.apply_command(submission(&everything_changed(1)));
     assert!(
         matches!(first, MetaReply::Bundle(_)),
-        "what was taken is acknowledged again: {first:?}"
+        "a resubmitted version was not acknowledged: {first:?}"
     );
 }
 
-/// What the sender of a bundle submits that holds the record of the one before.
-fn submitted_on(bundle: &Bundle, held: &BundleRecord) -> SubmitBundle {
+/// Submission of a bundle by a sender that has the record of the base version.
+fn submission_on(bundle: &Bundle, held: &BundleRecord) -> SubmitBundle {
     SubmitBundle::new(bundle, Some(held), Vec::new())
 }
 
-fn accepted(reply: MetaReply) -> BundleRecord {
+fn accepted_record(reply: MetaReply) -> BundleRecord {
     match reply {
         MetaReply::Bundle(record) => record,
-        other => panic!("not taken: {other:?}"),
+        other => panic!("the bundle was refused: {other:?}"),
     }
 }
 
-/// Guards against logs that hold the whole configuration once for each change of one route.
+/// Guards against logs that contain the full configuration for every change of one route.
 #[test]
 fn a_change_of_one_route_is_a_short_entry_of_the_log() {
-    let mut meta = formed();
-    let first = accepted(meta.apply_command(submission(&one_route_changed(1))));
+    let mut meta = formed_cluster();
+    let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let next = one_route_changed(2);
-    let command = MetaCommand::SubmitBundle(submitted_on(&next, &first));
+    let command = MetaCommand::SubmitBundle(submission_on(&next, &first));
     let (entry, whole) = (encode(&command).len(), canonical_bytes(&next));
     assert!(entry < whole.len() / 8, "{entry} bytes for a change in {}", whole.len());
-    let record = accepted(meta.apply_command(command.clone()));
+    let record = accepted_record(meta.apply_command(command.clone()));
     assert_eq!(newest(&meta), whole);
     let again = [command, submission(&next)].map(|command| meta.apply_command(command));
     assert!(again.iter().all(|reply| *reply == MetaReply::Bundle(record.clone())), "{again:?}");
@@ -154,9 +156,9 @@
 
 #[test]
 fn changes_that_do_not_give_the_named_whole_are_refused() {
-    let mut meta = formed();
-    let first = accepted(meta.apply_command(submission(&one_route_changed(1))));
-    let good = submitted_on(&one_route_changed(2), &first);
+    let mut meta = formed_cluster();
+    let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
+    let good = submission_on(&one_route_changed(2), &first);
     let BundleContent::Changes { digest, sections } = good.content.clone() else { panic!("whole") };
     let with = |digest, sections| {
         let content = BundleContent::Changes { digest, sections };
@@ -175,14 +177,14 @@
 
 #[test]
 fn changes_to_another_base_than_the_newest_are_refused() {
-    let mut meta = formed();
-    let first = accepted(meta.apply_command(submission(&one_route_changed(1))));
+    let mut meta = formed_cluster();
+    let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let (one, other) = (one_route_changed(2), bundle(2, |_| 9));
-    let late = MetaCommand::SubmitBundle(submitted_on(&other, &first));
-    accepted(meta.apply_command(MetaCommand::SubmitBundle(submitted_on(&one, &first))));
+    let late = MetaCommand::SubmitBundle(submission_on(&other, &first));
+    accepted_record(meta.apply_command(MetaCommand::SubmitBundle(submission_on(&one, &first))));
     let reply = meta.apply_command(late);
     assert!(matches!(reply, MetaReply::Refused(MetaRefusal::VersionTaken { .. })), "{reply:?}");
     let later = Bundle { version: BundleVersion(3), ..other };
-    let reply = meta.apply_command(MetaCommand::SubmitBundle(submitted_on(&later, &first)));
+    let reply = meta.apply_command(MetaCommand::SubmitBundle(submission_on(&later, &first)));
     assert!(matches!(reply, MetaReply::Refused(MetaRefusal::StaleBase { .. })), "{reply:?}");
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,7 @@
-//! Identifiers, counters and outcomes that every hooklug crate shares.
+//! Identifiers, counters and outcome types shared by all hooklug crates.
 //!
-//! They live apart from any behaviour so that two crates never need each other only for a name.
+//! The crate contains no logic of its own, so that crates can share these types without depending
+//! on each other.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -9,7 +10,7 @@
 mod ids;
 mod load;
 mod outcome;
-mod place;
+mod ownership;
 mod shard;
 
 pub use counters::{
@@ -23,5 +24,5 @@
 };
 pub use load::EngineLoad;
 pub use outcome::{CallOutcome, EndReason, FailureCode};
-pub use place::{EngineIncarnation, NodeRole, SessionKey, SessionPlace};
+pub use ownership::{EngineIncarnation, NodeRole, SessionKey, SessionPlace};
 pub use shard::{Digest, GroupId, META_GROUP, SHARD_COUNT, shard_of};
