--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -16,7 +16,7 @@
 use super::request::ApiRequest;
 use super::{refusals, views};
 use crate::backend::answer::Answer;
-use crate::calls::once::{Settled, unknown};
+use crate::calls::non_repeatable::{Settled, unknown};
 use crate::calls::repeat_history::Repeatability;
 use crate::calls::{CallRequest, content_digest};
 use crate::shards::ShardError;
--- a/crates/gateway/src/api/views.rs
+++ b/crates/gateway/src/api/views.rs
@@ -4,7 +4,7 @@
 use hooklug_types::{CallOutcome, EndReason, TurnId};
 use serde_json::{Value, json};
 
-use crate::calls::once::refused_status;
+use crate::calls::non_repeatable::refused_status;
 
 /// A program.
 #[must_use]
--- a/crates/gateway/src/backend/mod.rs
+++ b/crates/gateway/src/backend/mod.rs
@@ -4,13 +4,13 @@
 pub mod answer;
 pub mod balance;
 pub mod exchange;
-mod figures;
-pub mod gate;
 pub mod identity;
 pub mod lookup;
 pub mod pool;
+mod state;
 pub mod stats;
 pub mod table;
+pub mod wait_queue;
 
 use std::net::SocketAddr;
 
--- a/crates/gateway/src/backend/table.rs
+++ b/crates/gateway/src/backend/table.rs
@@ -12,10 +12,10 @@
 use tokio::time::Instant;
 
 use super::balance::choose;
-use super::figures::{Figures, is_listed};
-use super::gate::Gates;
 use super::pool::Pool;
+use super::state::{Figures, is_listed};
 use super::stats::CallEnd;
+use super::wait_queue::Gates;
 use super::{EngineRun, Target};
 use crate::versions::{RolloutClock, StoppedVersions, preferred_versions, time_since};
 
--- a/crates/gateway/src/calls/room.rs
+++ b/crates/gateway/src/calls/engine_slot.rs
@@ -11,9 +11,9 @@
 use crate::api::refusals::RETRY_SOON;
 use crate::backend::answer::Answer;
 use crate::backend::exchange::{Dispatch, ExchangeError};
-use crate::backend::gate::{Crowd, Shed, Waiter};
 use crate::backend::stats::CallEnd;
 use crate::backend::table::{Found, Outstanding, Wanted};
+use crate::backend::wait_queue::{Crowd, Shed, Waiter};
 use crate::backend::{EngineRun, Target};
 
 /// Time that a call must have left when its turn comes, by its route's average (ours): about half of the calls take
--- a/crates/gateway/src/calls/mod.rs
+++ b/crates/gateway/src/calls/mod.rs
@@ -1,11 +1,11 @@
 //! Tool calls: those that may be repeated, and those that may not.
 
-pub mod once;
+pub mod engine_slot;
+pub mod non_repeatable;
 pub mod record;
 pub mod repeat_history;
 pub mod repeatable;
 pub mod retry_budget;
-pub mod room;
 pub mod settle;
 
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 use crate::backend::exchange::{CallName, Dispatch};
 use crate::backend::table::Backends;
-use crate::evidence::Evidence;
 use crate::shards::Shards;
+use crate::version_monitor::Evidence;
 use repeat_history::RepeatHistory;
 use retry_budget::RetryBudget;
 
--- a/crates/gateway/src/calls/settle.rs
+++ b/crates/gateway/src/calls/settle.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::Calls;
-use super::once::answered_outcome;
+use super::non_repeatable::answered_outcome;
 use crate::backend::Target;
 use crate::backend::answer::Answer;
 use crate::backend::exchange::CallName;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,15 +13,15 @@
 pub mod backoff;
 pub mod calls;
 mod client_stream;
-mod evidence;
+pub mod engine_losses;
 mod gateway;
 pub mod limits;
-pub mod losses;
 mod programs;
 pub mod sessions;
 mod shards;
 mod shared;
 mod single_flight;
+mod version_monitor;
 pub mod versions;
 
 pub use gateway::Gateway;
--- a/crates/gateway/src/sessions/turns.rs
+++ b/crates/gateway/src/sessions/turns.rs
@@ -13,7 +13,7 @@
 use super::follower::{Feed, first_item};
 use super::owner_table::OwnerEntry;
 use super::owners::{MessageError, Owners};
-use crate::evidence::Evidence;
+use crate::version_monitor::Evidence;
 
 /// A turn as its caller asked for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -18,12 +18,12 @@
 use crate::calls::Calls;
 use crate::calls::repeat_history::RepeatHistory;
 use crate::calls::retry_budget::RetryBudget;
-use crate::evidence::Evidence;
 use crate::limits::tenants::Tenants;
 use crate::programs::{ProgramFacts, Programs};
 use crate::sessions::engines::Engines;
 use crate::sessions::owners::Owners;
 use crate::shards::Shards;
+use crate::version_monitor::Evidence;
 use crate::versions::StoppedVersions;
 
 /// Time for one read or command of a shard (ours): an election and some.
--- a/crates/gateway/src/evidence.rs
+++ b/crates/gateway/src/version_monitor.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-use crate::losses::Losses;
+use crate::engine_losses::Losses;
 use crate::versions::StoppedVersions;
 
 /// Evidence about versions. Cheap to clone.
