--- a/crates/gateway/src/api/admission.rs
+++ b/crates/gateway/src/api/admission.rs
@@ -1,4 +1,4 @@
-//! What every request passes first: the bundle that decides it, its tenant, and the tenant's limits.
+//! Admission middleware: attaches the bundle, authenticates the tenant and enforces its limits.
 
 use std::sync::Arc;
 use std::time::Instant as StdInstant;
@@ -17,28 +17,28 @@
 use crate::limits::tenants::TenantPermit;
 use crate::shared::Shared;
 
-/// Header with the version of the bundle that decided an answer.
+/// Response header with the version of the bundle that was applied.
 pub const BUNDLE_HEADER: HeaderName = HeaderName::from_static("x-hooklug-bundle");
 
-/// Held from a request's admission to the end of its answer.
+/// Held from a request's admission to the end of its response.
 #[derive(Debug)]
 pub struct RequestGuard {
     _permit: Option<TenantPermit>,
     _running: TaskTrackerToken,
 }
 
-/// An admitted request's surroundings.
+/// Context of an admitted request.
 #[derive(Debug, Clone)]
 pub struct Admitted {
-    /// The bundle that decides it.
+    /// The bundle that applies to the request.
     pub bundle: Arc<InstalledBundle>,
-    /// Who asks.
+    /// The authenticated caller.
     pub caller: Caller,
-    /// Keeps the tenant's place and holds the gateway's stop back; streams keep it to their end.
+    /// Holds the tenant's concurrency slot and delays shutdown; streams hold it until they end.
     pub guard: Arc<RequestGuard>,
 }
 
-/// Admits a request or answers it at once.
+/// Admits a request or rejects it at once.
 pub(crate) async fn admit(
     State(shared): State<Arc<Shared>>,
     mut request: Request,
@@ -72,7 +72,8 @@
     bundle: Option<Arc<InstalledBundle>>,
     request: &Request,
 ) -> Result<Admitted, Problem> {
-    let bundle = bundle.ok_or_else(|| Problem::try_again("no bundle is known yet", RETRY_STORE))?;
+    let bundle =
+        bundle.ok_or_else(|| Problem::try_again("no bundle is installed yet", RETRY_STORE))?;
     let caller = authorize(request.headers(), &bundle.bundle)?;
     let permit = match shared.ctx.settings.gateway.mode {
         GatewayMode::Plain => None,
@@ -82,7 +83,7 @@
     Ok(Admitted { bundle, caller, guard })
 }
 
-/// `429 tenant_limited`.
+/// Creates a `429 tenant_limited` error.
 pub(crate) fn tenant_limited(what: &str, after: std::time::Duration) -> Problem {
     Problem::claims_nothing(Code::TenantLimited, what, after)
 }
--- a/crates/gateway/src/api/auth.rs
+++ b/crates/gateway/src/api/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: the tenant and its key, compared in constant time.
+//! Caller authentication by tenant and key, compared in constant time.
 
 use hooklug_bundle::{Bundle, Tenant};
 use hooklug_types::TenantId;
@@ -7,10 +7,10 @@
 
 use super::problem::{Code, Problem};
 
-/// Header in which a caller names its tenant.
+/// Request header with the tenant.
 pub const TENANT_HEADER: &str = "x-hooklug-tenant";
 
-/// A caller whose tenant and key were accepted.
+/// An authenticated caller.
 #[derive(Debug, Clone)]
 pub struct Caller {
     /// The tenant.
@@ -19,12 +19,13 @@
     pub entry: Tenant,
 }
 
-/// Checks the tenant and, where the tenant has keys, the bearer key.
+/// Checks the tenant and, if the tenant has keys, the bearer key.
 ///
 /// # Errors
-/// `unauthorized`; the answer does not tell an unknown tenant from a wrong key.
+/// `unauthorized`; an unknown tenant and a wrong key yield the same response.
 pub fn authorize(headers: &HeaderMap, bundle: &Bundle) -> Result<Caller, Problem> {
-    let refused = || Problem::new(Code::Unauthorized, "name a known tenant and one of its keys");
+    let refused =
+        || Problem::new(Code::Unauthorized, "the tenant is unknown or the key does not match");
     let named = headers.get(TENANT_HEADER).and_then(|value| value.to_str().ok());
     let text = named.ok_or_else(|| {
         Problem::field(Code::Unauthorized, TENANT_HEADER, "the header is missing")
@@ -42,7 +43,7 @@
     value.and_then(|text| text.strip_prefix("Bearer ")).unwrap_or_default()
 }
 
-/// Compares with every digest, so that the time taken tells nothing about which one matched.
+/// Compares with every digest, so that the timing does not reveal which one matched.
 fn key_matches(key: &str, digests: &[String]) -> bool {
     let found = blake3::hash(key.as_bytes()).to_hex();
     let matches = digests.iter().fold(Choice::from(0), |seen, digest| {
--- a/crates/gateway/src/api/body.rs
+++ b/crates/gateway/src/api/body.rs
@@ -1,4 +1,4 @@
-//! Strict reading of request bodies and path identifiers: each fault gets a code and a field.
+//! Strict parsing of request bodies and path identifiers; each error has a code and a field.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,7 +12,7 @@
 
 use super::problem::{Code, Problem};
 
-/// A JSON object that names no field twice.
+/// A JSON object without duplicate fields.
 struct StrictObject(Map<String, Value>);
 
 impl<'de> Deserialize<'de> for StrictObject {
@@ -34,7 +34,7 @@
         let mut fields = Map::new();
         while let Some((name, value)) = access.next_entry::<String, Value>()? {
             if fields.contains_key(&name) {
-                return Err(A::Error::custom(format!("field {name:?} is given twice")));
+                return Err(A::Error::custom(format!("field {name:?} is duplicated")));
             }
             fields.insert(name, value);
         }
@@ -42,19 +42,18 @@
     }
 }
 
-/// The fields of a request body, taken one by one.
+/// The fields of a request body, removed one by one as they are parsed.
 #[derive(Debug)]
 pub struct Fields(Map<String, Value>);
 
 impl Fields {
-    /// Reads a body up to a limit in bytes.
+    /// Reads and parses a body up to a limit in bytes.
     ///
     /// # Errors
     /// `bad_content_type`, `body_too_large` or `bad_json`.
     pub async fn read(headers: &HeaderMap, body: Body, limit: usize) -> Result<Self, Problem> {
         check_content_type(headers)?;
-        let too_large =
-            || Problem::new(Code::BodyTooLarge, format!("at most {limit} bytes are read"));
+        let too_large = || Problem::new(Code::BodyTooLarge, format!("the limit is {limit} bytes"));
         if declared_length(headers).is_some_and(|length| length > limit as u64) {
             return Err(too_large());
         }
@@ -63,12 +62,14 @@
             Ok(bytes) if bytes.len() > limit => return Err(too_large()),
             Ok(bytes) => bytes,
             Err(error) if is_length_limit(&error) => return Err(too_large()),
-            Err(error) => return Err(Problem::new(Code::BadJson, format!("cut short: {error}"))),
+            Err(error) => {
+                return Err(Problem::new(Code::BadJson, format!("cannot read the body: {error}")));
+            }
         };
         Self::parse(&bytes)
     }
 
-    /// Parses a whole body.
+    /// Parses a complete body.
     ///
     /// # Errors
     /// `bad_json`.
@@ -79,7 +80,7 @@
             .map_err(|error| Problem::new(Code::BadJson, error.to_string()))
     }
 
-    /// Takes a field that must be there.
+    /// Removes and returns a required field.
     ///
     /// # Errors
     /// `bad_field` when it is missing or of another type.
@@ -87,7 +88,7 @@
         self.optional(name)?.ok_or_else(|| Problem::field(Code::BadField, name, "is missing"))
     }
 
-    /// Takes a field that may be left out or `null`.
+    /// Removes and returns a field that may be absent or `null`.
     ///
     /// # Errors
     /// `bad_field` when it is of another type.
@@ -100,7 +101,7 @@
             .map_err(|error| Problem::field(Code::BadField, name, error.to_string()))
     }
 
-    /// Takes a field that must be there but may hold any JSON value.
+    /// Removes and returns a required field that may hold any JSON value.
     ///
     /// # Errors
     /// `bad_field` when it is missing.
@@ -108,7 +109,7 @@
         self.0.remove(name).ok_or_else(|| Problem::field(Code::BadField, name, "is missing"))
     }
 
-    /// Takes an identifier that must be there.
+    /// Removes and returns a required identifier.
     ///
     /// # Errors
     /// `bad_field` or `bad_id`.
@@ -117,7 +118,7 @@
         parse_id(name, &text)
     }
 
-    /// Takes an identifier that may be left out or `null`.
+    /// Removes and returns an identifier that may be absent or `null`.
     ///
     /// # Errors
     /// `bad_field` or `bad_id`.
@@ -129,19 +130,21 @@
         text.map(|text| parse_id(name, &text)).transpose()
     }
 
-    /// Refuses what was not taken.
+    /// Rejects the remaining fields.
     ///
     /// # Errors
     /// `unknown_field`.
     pub fn finish(self) -> Result<(), Problem> {
         match self.0.keys().next() {
-            Some(name) => Err(Problem::field(Code::UnknownField, name, "is not known here")),
+            Some(name) => {
+                Err(Problem::field(Code::UnknownField, name, "is not a field of this request"))
+            }
             None => Ok(()),
         }
     }
 }
 
-/// Takes an identifier out of the path.
+/// Parses an identifier of the path.
 ///
 /// # Errors
 /// `bad_id` with the path parameter's full name.
--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}/calls/{call}`.
+//! Handlers of `/v1/programs/{program}/calls/{call}`.
 
 use std::time::Duration;
 
@@ -22,16 +22,16 @@
 use crate::shards::ShardError;
 use crate::shared::Shared;
 
-/// Header with a call's state.
+/// Response header with the call's state.
 const STATE_HEADER: HeaderName = HeaderName::from_static("x-hooklug-call-state");
 
-/// Longest deadline that a caller may ask for, in milliseconds (ours).
+/// Maximum deadline that a caller may request, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Longest name of a tool, in bytes (ours).
+/// Maximum length of a tool name, in bytes.
 const MAX_TOOL_BYTES: usize = 96;
 
-/// What a call's body says.
+/// Parsed body of a call.
 struct CallBody {
     tool: String,
     arguments: Value,
@@ -55,7 +55,7 @@
     let tool: String = fields.required("tool")?;
     let arguments: Value = fields.any("arguments")?;
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    // The tool becomes a part of a path.
+    // The tool becomes part of a request path.
     if tool.is_empty() || tool.len() > MAX_TOOL_BYTES || !tool.chars().all(plain) {
         let detail = format!("must have 1 to {MAX_TOOL_BYTES} letters, digits, '.', '_' or '-'");
         return Err(Problem::field(Code::BadField, "tool", detail));
@@ -102,7 +102,7 @@
     settled(shared.calls.once(request).await?)
 }
 
-/// The application's answer, as it came.
+/// Forwards the application's response unchanged.
 fn answered(answer: &Answer) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = (status, answer.body.clone()).into_response();
@@ -119,7 +119,7 @@
             let json = HeaderValue::from_static("application/problem+json");
             Ok((StatusCode::BAD_GATEWAY, [(header::CONTENT_TYPE, json)], problem).into_response())
         }
-        Settled::Unknown => Err(unknown("the call may have run; its answer was lost")),
+        Settled::Unknown => Err(unknown("the call may have run; its response was lost")),
         Settled::NotRun => {
             Err(Problem::not_run(Code::CallSealed, "the call was sealed: it did not run"))
         }
@@ -144,7 +144,12 @@
     let (_, route) = tool_route(&admitted.bundle.bundle, &tool)?;
     let digest = content_digest(&tool, &arguments);
     let record = match shared.calls.history.of(&admitted.bundle, &tool, route).await {
-        None => return Err(Problem::try_again("the bundle's history is not known", RETRY_STORE)),
+        None => {
+            return Err(Problem::try_again(
+                "the history of the installed bundle has not been read yet",
+                RETRY_STORE,
+            ));
+        }
         Some(Repeatability::Repeatable) => return Err(not_recorded()),
         Some(Repeatability::OnceOfLate) => {
             let read = shared.shards.call(&program, &call, Shared::state_deadline()).await?;
@@ -163,10 +168,10 @@
     Ok(axum::Json(views::call(&record)).into_response())
 }
 
-/// Of a call that left no record, "not run" cannot be said.
+/// Rejects sealing a call of a tool that does not record its calls: such a call may have run.
 fn not_recorded() -> Problem {
-    let detail = "calls of this tool may be repeated, or might under an earlier bundle, and are not \
-                  recorded: none can be sealed";
+    let detail = "calls of this tool are repeatable, now or under an earlier bundle, and are not recorded: \
+                  they cannot be sealed";
     Problem::field(Code::CallRepeatable, "tool", detail)
 }
 
--- a/crates/gateway/src/api/mod.rs
+++ b/crates/gateway/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' API (docs/API.md): one handler a line of its table.
+//! The callers' HTTP API (docs/API.md): one handler per row of its table.
 
 pub mod admission;
 pub mod auth;
@@ -21,7 +21,7 @@
 
 use crate::shared::Shared;
 
-/// The routes of docs/API.md.
+/// Builds the router with the routes of docs/API.md.
 pub(crate) fn router(shared: &Arc<Shared>) -> Router {
     Router::new()
         .route("/v1/programs/{program}", put(programs::put).get(programs::get))
--- a/crates/gateway/src/api/problem.rs
+++ b/crates/gateway/src/api/problem.rs
@@ -1,4 +1,4 @@
-//! Errors towards callers: `application/problem+json` with a stable code (docs/API.md).
+//! Error responses: `application/problem+json` with a stable code (docs/API.md).
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use serde::Serialize;
 
-/// Largest part of the time to come back that is added to it by chance (ours).
+/// Maximum jitter, as a fraction of the retry delay.
 const RETRY_SPREAD: f64 = 0.5;
 
 /// A stable error code.
@@ -49,7 +49,7 @@
 }
 
 impl Code {
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status of the code.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -98,7 +98,7 @@
             Self::SessionDiffers => "the session exists with other values",
             Self::TurnDiffers => "the turn exists with other content",
             Self::CallDiffers => "the call exists with other content",
-            Self::CallRepeatable => "a call that may be repeated is not recorded",
+            Self::CallRepeatable => "a repeatable call is not recorded",
             Self::CallSealed => "the call was sealed",
             Self::NotHead => "the turn does not follow the head",
             Self::TurnOpen => "another turn is open",
@@ -106,45 +106,45 @@
             Self::NoSuchTurn => "the earlier turn is not known",
             Self::BudgetSpent => "the token budget is spent",
             Self::ProgramEnded => "the program's end time has passed",
-            Self::BudgetReserved => "other turns hold what is left of the token budget",
+            Self::BudgetReserved => "the rest of the token budget is reserved by other turns",
             Self::TenantLimited => "the tenant's limit is reached",
-            Self::Overloaded => "too much work is waiting",
-            Self::TryAgain => "cannot be answered now",
+            Self::Overloaded => "the service is overloaded",
+            Self::TryAgain => "temporarily unavailable",
             Self::DeadlineExceeded => "the deadline has passed",
             Self::CallUnknown => "the call may have run",
-            Self::CallRefused => "no application engine took the call",
+            Self::CallRefused => "no application engine accepted the call",
         }
     }
 }
 
-/// What an error claims about the work that was asked for.
+/// What an error states about the requested work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Claim {
-    /// Sealed: it did not run and never will.
+    /// The work is sealed: it did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The work may have run.
     Unknown,
-    /// Claims nothing; the same request may be sent again anywhere.
+    /// No statement; the same request may be sent again to any gateway.
     TryAgain,
 }
 
-/// One error answer.
+/// An error response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Its stable code.
+    /// Stable error code.
     pub code: Code,
-    /// The faulty field.
+    /// Request field that caused the error.
     pub field: Option<String>,
-    /// What it claims.
+    /// Statement about the requested work.
     pub claim: Option<Claim>,
-    /// What happened, for people.
+    /// Human-readable explanation.
     pub detail: String,
-    /// When to come back.
+    /// Delay after which to retry.
     pub retry_after: Option<Duration>,
 }
 
-/// The wire form of a [`Problem`].
+/// JSON representation of a [`Problem`].
 #[derive(Debug, Serialize)]
 struct ProblemBody<'a> {
     r#type: &'static str,
@@ -161,45 +161,46 @@
 }
 
 impl Problem {
-    /// An error with a code and an explanation.
+    /// Creates an error with a code and an explanation.
     #[must_use]
     pub fn new(code: Code, detail: impl Into<String>) -> Self {
         Self { code, field: None, claim: None, detail: detail.into(), retry_after: None }
     }
 
-    /// An error of one field.
+    /// Creates an error about one request field.
     #[must_use]
     pub fn field(code: Code, field: impl Into<String>, detail: impl Into<String>) -> Self {
         Self { field: Some(field.into()), ..Self::new(code, detail) }
     }
 
-    /// `503 try_again`: claims nothing.
+    /// Creates a `503 try_again` error, which states nothing about the work.
     #[must_use]
     pub fn try_again(detail: impl Into<String>, after: Duration) -> Self {
         Self::claims_nothing(Code::TryAgain, detail, after)
     }
 
-    /// An error that claims nothing of the work: it may be sent again after the time named. That is at
-    /// least `after` and at most half as long again, so that callers do not all come back at once.
+    /// Creates an error that states nothing about the work, which may be requested again after a
+    /// delay. The delay is at least `after` and at most half as long again, so that callers do not
+    /// all retry at once.
     #[must_use]
     pub fn claims_nothing(code: Code, detail: impl Into<String>, after: Duration) -> Self {
         let after = after + after.mul_f64(rand::rng().random_range(0.0..=RETRY_SPREAD));
         Self { claim: Some(Claim::TryAgain), retry_after: Some(after), ..Self::new(code, detail) }
     }
 
-    /// An error of work that may have run.
+    /// Creates an error about work that may have run.
     #[must_use]
     pub fn unknown(code: Code, detail: impl Into<String>) -> Self {
         Self { claim: Some(Claim::Unknown), ..Self::new(code, detail) }
     }
 
-    /// An error of work that is sealed.
+    /// Creates an error about sealed work.
     #[must_use]
     pub fn not_run(code: Code, detail: impl Into<String>) -> Self {
         Self { claim: Some(Claim::NotRun), ..Self::new(code, detail) }
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         let body = ProblemBody {
@@ -214,7 +215,7 @@
                 .retry_after
                 .map(|d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX)),
         };
-        // Plain text fields into a growing buffer: the writer has no way to fail.
+        // Serializing plain text fields into a growing buffer cannot fail.
         serde_json::to_vec(&body).unwrap_or_default()
     }
 }
@@ -225,7 +226,7 @@
         let mut response =
             (self.code.status(), [(header::CONTENT_TYPE, json)], self.to_json()).into_response();
         if let Some(after) = self.retry_after {
-            // The header counts whole seconds; rounding down would ask callers back too early.
+            // The header is in seconds; rounding down would make callers retry too early.
             let seconds = after.as_millis().div_ceil(1000).max(1);
             if let Ok(value) = HeaderValue::from_str(&seconds.to_string()) {
                 response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/gateway/src/api/programs.rs
+++ b/crates/gateway/src/api/programs.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}`.
+//! Handlers of `/v1/programs/{program}`.
 
 use axum::response::{IntoResponse, Response};
 use hooklug_state::shard::{PutProgram, ShardCommand, ShardReply};
--- a/crates/gateway/src/api/refusals.rs
+++ b/crates/gateway/src/api/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals of engines and shards as problems towards callers.
+//! Maps refusals of engines and shards to problem responses.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 
 use super::problem::{Code, Problem};
 
-/// When to come back after a refusal that passes by itself (ours).
+/// Retry delay after a transient refusal.
 pub const RETRY_SOON: Duration = Duration::from_millis(250);
 
-/// When to come back after a shard could not be reached: about one election (ours).
+/// Retry delay when a shard is unreachable; about one leader election.
 pub const RETRY_STORE: Duration = Duration::from_secs(1);
 
-/// A committed refusal of the shard.
+/// Maps a refusal committed by the shard.
 #[must_use]
 pub fn ledger(refusal: &ShardRefusal) -> Problem {
     let detail = refusal.to_string();
@@ -56,7 +56,7 @@
     Problem::field(code, "after", detail)
 }
 
-/// A refusal of an engine that the gateway could not act on itself.
+/// Maps a refusal of an engine that the gateway could not handle itself.
 #[must_use]
 pub fn engine(refusal: &EngineRefusal) -> Problem {
     let detail = refusal.to_string();
--- a/crates/gateway/src/api/request.rs
+++ b/crates/gateway/src/api/request.rs
@@ -1,4 +1,4 @@
-//! What all handlers take: the admitted request with its path, and its body's fields.
+//! Extractors of all handlers: the admitted request with its path, and the fields of its body.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,20 +15,20 @@
 use super::refusals::RETRY_SOON;
 use crate::shared::Shared;
 
-/// An admitted request, before its body.
+/// An admitted request without its body.
 #[derive(Debug)]
 pub(crate) struct ApiRequest {
-    /// The gateway's parts.
+    /// State of the gateway.
     pub(crate) shared: Arc<Shared>,
-    /// The bundle that decides it, and who asks.
+    /// The bundle that applies to the request, and the caller.
     pub(crate) admitted: Admitted,
-    /// When it came; deadlines count from here, the reading of its body included.
+    /// Arrival time; deadlines start here and include reading the body.
     pub(crate) begun: Instant,
     params: RawPathParams,
 }
 
 impl ApiRequest {
-    /// An identifier of the path.
+    /// Parses an identifier of the path.
     ///
     /// # Errors
     /// `bad_id`.
@@ -36,7 +36,7 @@
         path_id(&self.params, name)
     }
 
-    /// The path's program, if it is the caller's own.
+    /// Returns the path's program if it belongs to the caller.
     ///
     /// # Errors
     /// `bad_id`, `no_program`, or `try_again` when its shard cannot be read.
@@ -46,7 +46,7 @@
         Ok(program)
     }
 
-    /// The path's session, if it belongs to a program of the caller.
+    /// Returns the path's session if its program belongs to the caller.
     ///
     /// # Errors
     /// As for [`Self::own_program`].
@@ -55,7 +55,7 @@
         Ok(SessionKey { program: self.own_program().await?, session })
     }
 
-    /// The path's call, if it belongs to a program of the caller.
+    /// Returns the path's call if its program belongs to the caller.
     ///
     /// # Errors
     /// As for [`Self::own_program`].
--- a/crates/gateway/src/api/sessions.rs
+++ b/crates/gateway/src/api/sessions.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}/sessions/{session}`.
+//! Handlers of `/v1/programs/{program}/sessions/{session}`.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 use crate::sessions::owners::{MessageError, OwnerError};
 use crate::shared::Shared;
 
-/// Longest call id of a tool result, in bytes (ours).
+/// Maximum length of a tool result's call id, in bytes.
 const MAX_CALL_NAME_BYTES: usize = 256;
 
 pub(super) async fn read(shared: &Shared, key: &SessionKey) -> Result<SessionRecord, Problem> {
@@ -74,7 +74,8 @@
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
-/// A close whose answer was lost, or that came second, has worked all the same.
+/// Handles a failed close: if the session turns out to be closed, by a lost reply or an earlier
+/// request, the close succeeded.
 async fn reread_closed(
     shared: &Shared,
     key: &SessionKey,
@@ -152,7 +153,10 @@
     };
     let whole = history.iter().zip(1..).all(|(event, place)| event.seq == EventSeq(place));
     if !whole {
-        return Err(Problem::try_again("the history is not whole", super::refusals::RETRY_SOON));
+        return Err(Problem::try_again(
+            "the session's history is incomplete",
+            super::refusals::RETRY_SOON,
+        ));
     }
     let last = history.last().map_or(EventSeq(0), |event| event.seq);
     let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
@@ -170,7 +174,7 @@
     Ok(event_stream(body))
 }
 
-/// All events of a session that nobody owns any more.
+/// Reads all events of a session without an owner.
 async fn closed_history(shared: &Shared, key: &SessionKey) -> Result<Vec<Event>, Problem> {
     let deadline = Shared::state_deadline();
     let mut history: Vec<Event> = Vec::new();
@@ -184,7 +188,7 @@
     }
 }
 
-/// The place in `Last-Event-ID`, if the header is there.
+/// Parses the `Last-Event-ID` header, if present.
 pub(super) fn last_event_id(headers: &HeaderMap) -> Result<Option<EventSeq>, Problem> {
     let Some(value) = headers.get("last-event-id") else { return Ok(None) };
     let place = value.to_str().ok().and_then(|text| text.trim().parse().ok());
@@ -192,7 +196,7 @@
     Ok(Some(EventSeq(place.ok_or_else(bad)?)))
 }
 
-/// Nobody can have an event that does not exist yet.
+/// Rejects the id of an event that does not exist yet.
 pub(super) fn check_last(last: EventSeq, record: &SessionRecord) -> Result<(), Problem> {
     if last < record.next_seq {
         return Ok(());
@@ -201,7 +205,7 @@
     Err(Problem::field(Code::BadField, "last-event-id", detail))
 }
 
-/// An answer that streams events.
+/// Builds a response that streams events.
 pub(super) fn event_stream(body: Body) -> Response {
     let mut response = Response::new(body);
     let headers = response.headers_mut();
@@ -210,7 +214,7 @@
     response
 }
 
-/// An answer of an owner that has nothing to do with ownership.
+/// Returns the code of an owner's refusal that is unrelated to ownership.
 pub(super) fn refused_code(error: &MessageError) -> Option<Code> {
     match error {
         MessageError::Engine(EngineError::Refused(refusal)) => {
--- a/crates/gateway/src/api/sse.rs
+++ b/crates/gateway/src/api/sse.rs
@@ -1,14 +1,14 @@
-//! Server-sent events as docs/API.md describes them.
+//! Server-sent events in the format of docs/API.md.
 
 use bytes::Bytes;
 use hooklug_state::shard::{Event, EventBody};
 use hooklug_types::{EndReason, EventSeq, SessionId, TurnId};
 use serde_json::{Value, json};
 
-/// A comment line that keeps an idle stream open and shows when its client has gone.
+/// A comment line that keeps an idle stream open and detects disconnected clients.
 pub const KEEP_ALIVE: Bytes = Bytes::from_static(b":\n\n");
 
-/// One event in its wire parts.
+/// Name and data of one event.
 #[derive(Debug, Clone, PartialEq)]
 struct Named {
     event: &'static str,
@@ -61,14 +61,14 @@
     Bytes::from(format!("id: {id}\nevent: {event}\ndata: {data}\n\n"))
 }
 
-/// One committed event as bytes of the stream.
+/// Encodes one committed event.
 #[must_use]
 pub fn event(event: &Event) -> Bytes {
     let Named { event: name, data } = named(event);
     write(event.seq, name, &data)
 }
 
-/// The first event of a joined session: all that happened so far. Its id is the place of the last one.
+/// Encodes the first event of a joined session: all events so far. Its id is that of the last one.
 #[must_use]
 pub fn sync(session: &SessionId, history: &[Event]) -> Bytes {
     let last = history.last().map_or(EventSeq(0), |e| e.seq);
--- a/crates/gateway/src/api/turns.rs
+++ b/crates/gateway/src/api/turns.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}/sessions/{session}/turns`.
+//! Handlers of `/v1/programs/{program}/sessions/{session}/turns`.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::sessions::turns::{TurnObserver, TurnRequest};
 use crate::shared::Shared;
 
-/// What a turn's body says.
+/// Parsed body of a turn.
 struct TurnBody {
     turn: TurnId,
     after: Option<TurnId>,
@@ -60,8 +60,10 @@
     let key = asked.own_session().await?;
     let group = shared.own_program(&admitted.caller, &key.program).await?.group;
     let entry = shared.owners.resolve(&key, None, Shared::session_deadline()).await?;
-    let (route_name, route) = session_route(&admitted.bundle.bundle, &entry.service)
-        .ok_or_else(|| Problem::new(Code::NoRoute, format!("no route to {}", entry.service)))?;
+    let (route_name, route) =
+        session_route(&admitted.bundle.bundle, &entry.service).ok_or_else(|| {
+            Problem::new(Code::NoRoute, format!("no session route for service {}", entry.service))
+        })?;
     let deadline = *begun + Duration::from_millis(route.deadline_ms);
     let request = TurnRequest {
         key: key.clone(),
@@ -96,12 +98,12 @@
     Ok(event_stream(body))
 }
 
-/// Whether the caller has the turn's terminal event already.
+/// Returns whether the caller already has the turn's terminal event.
 fn has_seen_end(record: &TurnRecord, last_seen: EventSeq) -> bool {
     matches!(&record.state, TurnState::Ended { last_seq, .. } if last_seen >= *last_seq)
 }
 
-/// Place before a turn's first event.
+/// Returns the sequence number before a turn's first event.
 fn start_of(record: &TurnRecord) -> EventSeq {
     EventSeq(record.started.0.saturating_sub(1))
 }
@@ -137,7 +139,8 @@
     let record = read_turn(shared, &key, &turn).await?;
     match &record.state {
         TurnState::Refused(refusal) => return Err(refusals::ledger(refusal)),
-        // The caller has the terminal event: "no content" tells an event source to stop asking.
+        // The caller has the terminal event; "204 No Content" makes an event source stop
+        // reconnecting.
         TurnState::Ended { last_seq, .. } if last == *last_seq => {
             return Ok(StatusCode::NO_CONTENT.into_response());
         }
@@ -172,7 +175,7 @@
     });
     let record = match sent.await {
         Ok((_, record)) => record,
-        // It ended before the abort came.
+        // The turn ended before the abort arrived.
         Err(error) if error.is_closed() || refused_code(&error) == Some(Code::NoTurn) => {
             read_turn(shared, &key, &turn).await?
         }
--- a/crates/gateway/src/api/views.rs
+++ b/crates/gateway/src/api/views.rs
@@ -1,4 +1,4 @@
-//! Records of the shard as JSON for callers.
+//! JSON representations of shard records.
 
 use hooklug_state::shard::{CallRecord, ProgramRecord, SessionRecord, TurnRecord, TurnState};
 use hooklug_types::{CallOutcome, EndReason, TurnId};
@@ -6,7 +6,7 @@
 
 use crate::calls::non_repeatable::refused_status;
 
-/// A program.
+/// Renders a program.
 #[must_use]
 pub fn program(record: &ProgramRecord) -> Value {
     json!({
@@ -19,7 +19,7 @@
     })
 }
 
-/// A session.
+/// Renders a session.
 #[must_use]
 pub fn session(record: &SessionRecord) -> Value {
     json!({
@@ -50,7 +50,7 @@
     }
 }
 
-/// A turn.
+/// Renders a turn.
 #[must_use]
 pub fn turn(record: &TurnRecord) -> Value {
     let last_seq = match &record.state {
@@ -73,7 +73,8 @@
     })
 }
 
-/// A call that may not be repeated. `running` also covers a call whose gateway has gone: nobody can tell.
+/// Renders a non-repeatable call. `running` also covers a call whose gateway has failed, which
+/// cannot be distinguished.
 #[must_use]
 pub fn call(record: &CallRecord) -> Value {
     let call = record.call.as_str();
--- a/crates/gateway/src/backend/answer.rs
+++ b/crates/gateway/src/backend/answer.rs
@@ -1,85 +1,85 @@
-//! Judges an answer: whether it is the expected engine's own, to this request, and whole. Pure.
+//! Validates a response: from the expected engine, to this request, and complete. Pure.
 
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode, header};
 use serde::de::IgnoredAny;
 
-/// Longest answer that is read, in bytes (ours).
+/// Maximum response body size, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Request id, echoed by the answer.
+/// Request id; the response echoes it.
 pub const REQUEST_HEADER: &str = "x-hooklug-request";
-/// Identity that a request means.
+/// Identity of the engine that the request is addressed to.
 pub const EXPECT_HEADER: &str = "x-hooklug-expect";
-/// Identity that answers.
+/// Identity of the engine that responds.
 pub const ENGINE_HEADER: &str = "x-hooklug-engine";
-/// Time left, in milliseconds.
+/// Time until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-hooklug-deadline-ms";
-/// The explicit refusal.
+/// Reason of an explicit refusal.
 pub const REFUSED_HEADER: &str = "x-hooklug-refused";
-/// The call, the same for every dispatch.
+/// Call id; the same for every attempt.
 pub const CALL_HEADER: &str = "x-hooklug-call";
-/// The attempt.
+/// Attempt id.
 pub const ATTEMPT_HEADER: &str = "x-hooklug-attempt";
 
-/// An application's own, whole answer.
+/// A complete response of the application.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// Its status: 2xx or 4xx.
+    /// HTTP status: 2xx or 4xx.
     pub status: u16,
-    /// Its JSON body; may be empty.
+    /// JSON body; may be empty.
     pub body: Bytes,
 }
 
-/// Why an engine says that it did not run a request and will not.
+/// Reason of an explicit refusal: the engine did not run the request and will not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It takes no new work.
+    /// The engine is draining and accepts no new work.
     Draining,
-    /// It has too much work.
+    /// The engine is overloaded.
     Overloaded,
-    /// The address belongs to another engine now.
+    /// The address now belongs to another engine.
     Identity,
 }
 
-/// Why an answer is none; leaves open whether the request ran.
+/// Why a response is invalid. The request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidAnswer {
-    /// The request id is missing or another one.
-    #[error("the request id is not echoed")]
+    /// The request id is missing or differs.
+    #[error("the response does not echo the request id")]
     WrongRequest,
-    /// The engine's identity is missing or another one.
-    #[error("another engine answers")]
+    /// The engine's identity is missing or differs.
+    #[error("the response comes from another engine")]
     WrongEngine,
-    /// There is no single `content-length`.
-    #[error("the length is not declared")]
+    /// There is no unique `content-length`.
+    #[error("the response has no valid content-length")]
     NoLength,
-    /// The body is longer than allowed.
-    #[error("the body is too long")]
+    /// The body exceeds the size limit.
+    #[error("the response body is too large")]
     TooLong,
-    /// The body is not as long as declared.
-    #[error("the body has another length than declared")]
+    /// The body length differs from the declared length.
+    #[error("the response body differs in length from its content-length")]
     WrongLength,
     /// The body is not JSON.
-    #[error("the body is not JSON")]
+    #[error("the response body is not JSON")]
     NotJson,
-    /// The status is none of an answer's.
-    #[error("status {0} is no answer")]
+    /// The status is not allowed for a response.
+    #[error("unexpected response status {0}")]
     Status(u16),
-    /// The refusal is not one of the contract's.
-    #[error("the refusal is not one of the contract's")]
+    /// The refusal reason is not part of the contract.
+    #[error("unknown refusal reason in the response")]
     UnknownRefusal,
 }
 
-/// What a head of an answer amounts to.
+/// A validated response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Head {
-    /// An answer, if its body is whole: of so many bytes.
+    /// An application response; valid if its body has the declared length.
     Answer {
-        /// The declared length.
+        /// Declared body length in bytes.
         length: usize,
     },
-    /// An explicit, identified refusal.
+    /// An explicit refusal.
     Refused(Refusal),
 }
 
@@ -92,10 +92,10 @@
     first.to_str().ok()
 }
 
-/// Judges an answer's head.
+/// Validates the status and headers of a response.
 ///
 /// # Errors
-/// [`InvalidAnswer`].
+/// [`InvalidAnswer`] with the first violation.
 pub fn judge_head(
     status: StatusCode,
     headers: &HeaderMap,
@@ -124,7 +124,7 @@
     Ok(Head::Answer { length })
 }
 
-/// An engine that is not the one meant may refuse by identity only.
+/// Parses a refusal. An engine other than the expected one may refuse by identity only.
 fn refusal(status: StatusCode, named: Option<&str>, own: bool) -> Result<Refusal, InvalidAnswer> {
     let refusal = match named {
         Some("draining") => Refusal::Draining,
@@ -141,10 +141,10 @@
     }
 }
 
-/// Judges the body that followed the head.
+/// Validates the body of a response.
 ///
 /// # Errors
-/// [`InvalidAnswer`].
+/// [`InvalidAnswer`] with the first violation.
 pub fn judge_body(status: StatusCode, length: usize, body: Bytes) -> Result<Answer, InvalidAnswer> {
     if body.len() != length {
         return Err(InvalidAnswer::WrongLength);
--- a/crates/gateway/src/backend/balance.rs
+++ b/crates/gateway/src/backend/balance.rs
@@ -1,5 +1,5 @@
-//! Which application engine gets a call (design section 5): power of two choices on outstanding calls
-//! and latency, own zone first, ejected ones last. Pure.
+//! Selects an application engine for a call (design document, section 5): power of two choices on
+//! outstanding calls and latency, local zone first, skipping ejected engines. Pure.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use super::Target;
 use super::stats::EngineStats;
 
-/// Largest share of a service's engines that may be ejected at once (ours): when more fail, the fault
-/// is more likely elsewhere.
+/// Maximum share of a service's engines that may be ejected at once. When more fail, the fault is
+/// more likely elsewhere.
 const LARGEST_EJECTED_SHARE: f64 = 0.5;
 
-/// An engine and its figures.
+/// An engine that is eligible for a call, with its statistics.
 #[derive(Debug, Clone)]
 pub struct Choice {
     /// The engine.
     pub target: Arc<Target>,
-    /// What calls have shown of it.
+    /// Statistics of its calls.
     pub stats: EngineStats,
-    /// Calls that it may have outstanding before others are preferred.
+    /// Maximum number of outstanding calls.
     pub limit: u32,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Chooses an engine: with room in the own zone, else with room anywhere, else none.
+/// Chooses an engine with a free slot, preferring the local zone; `None` when all are full.
 pub fn choose<'a>(
     among: &'a [Choice],
     own_zone: &ZoneName,
@@ -44,7 +44,7 @@
     better_of_two(if own.is_empty() { &roomy } else { &own }, now, random)
 }
 
-/// Leaves ejected engines out, but never more than the cap: those that come back first stay in.
+/// Filters out ejected engines up to the cap; those whose ejection ends first stay eligible.
 fn without_ejected(among: &[Choice], now: Instant) -> Vec<&Choice> {
     let cap = (among.len() as f64 * LARGEST_EJECTED_SHARE).floor() as usize;
     let mut ejected: Vec<&Choice> =
--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one application engine, and a judgement of what came back.
+//! Sends one request to one application engine and validates its response.
 
 use bytes::Bytes;
 use hooklug_types::{CallAttempt, CallId, ProgramId};
@@ -14,20 +14,20 @@
 };
 use super::pool::{Connection, Pool};
 
-/// What is sent to an application engine.
+/// A request to an application engine.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
-    /// `POST` for calls, `GET` for look-ups.
+    /// `POST` for calls, `GET` for lookups.
     pub method: Method,
     /// Path and query.
     pub path: String,
     /// JSON body.
     pub body: Bytes,
-    /// The call and its attempt, for calls.
+    /// Call and attempt; absent for lookups.
     pub call: Option<CallName>,
 }
 
-/// A call as its headers name it.
+/// Identifies a call and its attempt in request headers.
 #[derive(Debug, Clone)]
 pub struct CallName {
     /// The program.
@@ -38,17 +38,17 @@
     pub attempt: CallAttempt,
 }
 
-/// Why there is no answer.
+/// Why there is no valid response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// Not one byte of the request was written.
-    #[error("not sent: {0}")]
+    /// No byte of the request was written.
+    #[error("request to the application engine was not sent: {0}")]
     NotSent(String),
-    /// The engine said that it did not run the request and will not.
-    #[error("refused: {0:?}")]
+    /// The engine reported that it did not run the request and will not.
+    #[error("application engine refused the request: {0:?}")]
     Refused(Refusal),
-    /// Anything else: the request may have run.
-    #[error("no answer: {0}")]
+    /// Any other failure: the request may have run.
+    #[error("no valid response from the application engine: {0}")]
     Lost(String),
 }
 
@@ -61,10 +61,10 @@
 }
 
 impl Pool {
-    /// Sends a request and waits for its whole answer until the deadline.
+    /// Sends a request and waits for its complete response until the deadline.
     ///
     /// # Errors
-    /// [`ExchangeError`]; only `NotSent` and `Refused` say that the request did not run.
+    /// [`ExchangeError`]; only `NotSent` and `Refused` guarantee that the request did not run.
     pub async fn exchange(
         &self,
         target: &Target,
@@ -91,7 +91,7 @@
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut error) => {
-                // The request comes back only when the connection closed before taking it.
+                // The request is returned only if the connection closed before accepting it.
                 let unsent = error.take_message().is_some();
                 let error = error.into_error();
                 return Err(if unsent { not_sent(error) } else { lost(error) });
--- a/crates/gateway/src/backend/identity.rs
+++ b/crates/gateway/src/backend/identity.rs
@@ -1,17 +1,17 @@
-//! The first question on every new connection: who are you? (docs/BACKENDS.md)
+//! Identity check on each new connection (docs/BACKENDS.md).
 
 use hooklug_types::{EngineId, Incarnation, ServiceName, ServiceVersion};
 use serde::Deserialize;
 
 use super::Target;
 
-/// Path of the question.
+/// Path of the identity endpoint.
 pub const IDENTITY_PATH: &str = "/identity";
 
-/// Longest answer to the question, in bytes (ours).
+/// Maximum size of the identity response, in bytes.
 pub const MAX_IDENTITY_BYTES: usize = 16 << 10;
 
-/// Kind of a back end.
+/// Kind of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
@@ -21,14 +21,14 @@
     Application,
 }
 
-/// What a back end says that it is.
+/// Identity reported by a backend.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Identity {
     /// Its service.
     pub service: ServiceName,
     /// Its engine id.
     pub engine: EngineId,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its version.
     pub version: ServiceVersion,
@@ -37,7 +37,7 @@
 }
 
 impl Identity {
-    /// Whether this is the expected engine.
+    /// Returns whether this is the expected engine.
     #[must_use]
     pub fn is(&self, target: &Target) -> bool {
         self.kind == BackendKind::Application
--- a/crates/gateway/src/backend/lookup.rs
+++ b/crates/gateway/src/backend/lookup.rs
@@ -1,4 +1,4 @@
-//! Asks application engines what became of a call whose answer was lost (docs/BACKENDS.md).
+//! Queries application engines for the result of a call whose response was lost (docs/BACKENDS.md).
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 use super::exchange::Dispatch;
 use super::pool::Pool;
 
-/// Engines asked about one call at most (ours).
+/// Maximum number of engines queried per call.
 const MOST_ENGINES: usize = 16;
 
-/// An engine's word on a call. Only `done` settles anything.
+/// An engine's reply about a call. Only `done` determines the outcome.
 #[derive(Debug, Deserialize)]
 struct Found {
     state: FoundState,
@@ -27,7 +27,7 @@
     body: Option<Box<RawValue>>,
 }
 
-/// How the call stands at that engine; `never` there does not show that no other engine ran it.
+/// State of the call at that engine. `never` does not rule out that another engine ran it.
 #[derive(Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum FoundState {
@@ -36,7 +36,7 @@
     Never,
 }
 
-/// The answer that an engine gave to a call, if one of them knows it.
+/// Returns the response to a call, if one of the engines knows it.
 pub async fn find_answer(
     pool: &Pool,
     targets: &[Arc<Target>],
@@ -44,7 +44,7 @@
     call: &CallId,
     deadline: Instant,
 ) -> Option<Answer> {
-    // Identifiers hold no characters that a query would need escaped, but for ':', which it allows.
+    // Identifiers contain no characters that need escaping in a query; ':' is allowed there.
     let dispatch = Dispatch {
         method: Method::GET,
         path: format!("/calls?call={program}/{call}"),
--- a/crates/gateway/src/backend/mod.rs
+++ b/crates/gateway/src/backend/mod.rs
@@ -1,5 +1,5 @@
-//! Application engines: connections that prove whose they are, answers that prove to be whole, and
-//! the choice among engines (docs/BACKENDS.md).
+//! Application engines: identity-checked connections, response validation and load balancing
+//! (docs/BACKENDS.md).
 
 pub mod answer;
 pub mod balance;
@@ -17,33 +17,33 @@
 use hooklug_protocol::control::ApplicationEngine;
 use hooklug_types::{EngineId, Incarnation, ServiceName, ServiceVersion, ZoneName};
 
-/// One run of one application engine. Connections are pooled by it, so that a reused address never
-/// gets another engine's requests.
+/// One process run of an application engine. Connections are pooled by run, so that a reused
+/// address never gets another engine's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineRun {
     /// The engine.
     pub engine: EngineId,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// An application engine that calls may go to.
+/// An application engine that can receive calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Which run of which engine.
+    /// The engine and its run.
     pub run: EngineRun,
-    /// Service that it serves.
+    /// Service that it provides.
     pub service: ServiceName,
     /// Version that it runs.
     pub version: ServiceVersion,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
 }
 
 impl Target {
-    /// The target that an engine of the view is.
+    /// Creates the target for an engine of the cluster view.
     #[must_use]
     pub fn of(engine: &ApplicationEngine) -> Self {
         let run = EngineRun { engine: engine.engine.clone(), incarnation: engine.incarnation };
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The identity as headers carry it: `service/engine/incarnation`.
+    /// Returns the identity in header form: `service/engine/incarnation`.
     #[must_use]
     pub fn identity(&self) -> String {
         format!("{}/{}/{}", self.service, self.run.engine, self.run.incarnation)
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to application engines, kept by engine run.
+//! Connection pool for application engines, keyed by engine run.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,27 +18,27 @@
 use super::identity::{IDENTITY_PATH, Identity, MAX_IDENTITY_BYTES};
 use super::{EngineRun, Target};
 
-/// Longest time to open a connection and ask who answers (ours).
+/// Timeout for opening a connection and verifying the engine's identity.
 const CONNECT_TIME: Duration = Duration::from_millis(1500);
 
-/// How long an unused connection is kept (ours).
+/// Time after which an idle connection is closed.
 const IDLE_TIME: Duration = Duration::from_secs(15);
 
-/// Unused connections kept a run (ours).
+/// Maximum number of idle connections per engine run.
 const IDLE_CONNECTIONS: usize = 64;
 
-/// Why no connection could be had; not one byte of a request was written.
+/// Why no connection was established; no byte of a request was written.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The address could not be reached in time.
+    /// The connection could not be opened in time.
     #[error("cannot connect: {0}")]
     Connect(String),
-    /// Somebody else answers at the address.
-    #[error("another back end answers at {0}")]
+    /// Another process listens at the address.
+    #[error("the identity served at {0} is not the expected engine's")]
     OtherIdentity(SocketAddr),
 }
 
-/// An open connection to a proven engine run.
+/// An open connection to an engine run whose identity was verified.
 #[derive(Debug)]
 pub struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
@@ -50,7 +50,7 @@
     since: Instant,
 }
 
-/// Open connections by engine run.
+/// Idle connections by engine run.
 #[derive(Debug)]
 pub struct Pool {
     idle: Mutex<HashMap<EngineRun, Vec<Idle>>>,
@@ -59,13 +59,14 @@
 }
 
 impl Pool {
-    /// An empty pool; connections start from the node's own address.
+    /// Creates an empty pool; connections are opened from the node's own address.
     #[must_use]
     pub fn new(own_ip: IpAddr, faults: Arc<LinkFaults>) -> Self {
         Self { idle: Mutex::default(), own_ip, faults }
     }
 
-    /// Holds back while the link towards an address is cut, as a network that drops packets would.
+    /// Waits while an injected fault blocks the link to an address, as a network that drops packets
+    /// would.
     pub async fn passable(&self, ip: IpAddr) {
         self.faults.passable(ip).await;
         let delay = self.faults.delay_to(ip);
@@ -74,10 +75,11 @@
         }
     }
 
-    /// A connection that can take a request: an unused one, else a new one that has proven whose it is.
+    /// Returns a connection that is ready for a request: an idle one, or a new one after verifying
+    /// the engine's identity.
     ///
     /// # Errors
-    /// [`ConnectError`].
+    /// [`ConnectError`] when neither is available in time.
     pub async fn get(
         &self,
         target: &Target,
@@ -91,10 +93,14 @@
             }
         }
         let opened = tokio::time::timeout_at(until, self.open(target)).await;
-        opened.map_err(|_| ConnectError::Connect("not in time".to_owned()))?
+        opened.map_err(|_| {
+            ConnectError::Connect(
+                "timed out while connecting or verifying the engine's identity".to_owned(),
+            )
+        })?
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn put_back(&self, run: &EngineRun, connection: Connection) {
         if connection.sender.is_closed() {
             return;
@@ -106,7 +112,8 @@
         }
     }
 
-    /// Closes what has been unused for long, or belongs to runs that the view no longer lists.
+    /// Closes connections that have been idle too long or belong to runs that the view no longer
+    /// lists.
     pub fn sweep(&self, is_listed: impl Fn(&EngineRun) -> bool) {
         let now = Instant::now();
         self.lock().retain(|run, kept| {
@@ -119,7 +126,7 @@
         let now = Instant::now();
         let mut idle = self.lock();
         let kept = idle.get_mut(run)?;
-        // The last one used is the likeliest to be open still.
+        // The most recently used connection is the most likely to be open still.
         while let Some(found) = kept.pop() {
             if now.duration_since(found.since) < IDLE_TIME && !found.connection.sender.is_closed() {
                 return Some(found.connection);
@@ -134,7 +141,7 @@
             handshake(TokioIo::new(stream)).await.map_err(|e| connect_error(&e))?;
         tokio::spawn(async move {
             if let Err(error) = driver.await {
-                debug!(%error, "connection to an application engine ended");
+                debug!(%error, "connection to an application engine failed");
             }
         });
         let identity = ask_identity(&mut sender, target.address).await?;
--- a/crates/gateway/src/backend/state.rs
+++ b/crates/gateway/src/backend/state.rs
@@ -1,5 +1,4 @@
-//! What is known of the engines of a view and of routes: which could take a call, and what calls have
-//! shown of them. Pure.
+//! State of engines and routes: eligibility, statistics, adaptive limits and circuits. Pure.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,18 +18,18 @@
 use crate::limits::baseline::Baseline;
 use crate::limits::circuit::Circuit;
 
-/// Share of an engine's limit that only urgent calls may use (ours).
+/// Share of an engine's limit reserved for urgent calls.
 const URGENT_SHARE: f64 = 0.2;
 
-/// Average time of a call before any has ended (ours).
+/// Average call duration assumed before any call has ended.
 const FIRST_AVERAGE: Duration = Duration::from_millis(20);
 
-/// What is known of one engine run beyond the view.
+/// Local state of one engine run.
 #[derive(Debug, Clone)]
 struct Known {
     stats: EngineStats,
     limit: AdaptiveLimit,
-    /// It said that it drains: no new work, before the view tells.
+    /// The engine reported that it is draining, possibly before the view does.
     draining: bool,
 }
 
@@ -41,7 +40,7 @@
     }
 }
 
-/// An engine as the view lists it.
+/// An engine listed by the view.
 #[derive(Debug)]
 struct Listed {
     target: Arc<Target>,
@@ -49,14 +48,14 @@
     open: bool,
 }
 
-/// What is known of one route.
+/// Latency baseline and circuit of one route.
 #[derive(Debug, Clone, Default)]
 struct RouteState {
     baseline: Option<Baseline>,
     circuit: Circuit,
 }
 
-/// Engines by service, with their figures, and routes.
+/// Engines by service, state by engine run, and state by route.
 #[derive(Debug, Default)]
 pub(super) struct Figures {
     view: Arc<ClusterView>,
@@ -66,7 +65,7 @@
 }
 
 impl Figures {
-    /// Takes a view, if it is another one: engines that are new start slowly.
+    /// Applies a view if it changed; new engines get a slow start.
     pub(super) fn follow(&mut self, view: &Arc<ClusterView>, now: Instant) {
         if !Arc::ptr_eq(&self.view, view) {
             self.view = view.clone();
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Forgets engines that have left the view, once they have no call any more.
+    /// Removes engines that the view no longer lists once they have no outstanding calls.
     pub(super) fn forget_unlisted(&mut self) {
         let view = &self.view;
         self.engines.retain(|run, known| is_listed(view, run) || known.stats.outstanding() > 0);
@@ -95,17 +94,18 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// All engines of a service, whatever their state.
+    /// Returns all engines of a service, whatever their state.
     pub(super) fn all_of(&self, service: &ServiceName) -> impl Iterator<Item = &Arc<Target>> {
         self.listed(service).iter().map(|listed| &listed.target)
     }
 
-    /// Whether an engine said that it drains.
+    /// Returns whether an engine reported that it is draining.
     pub(super) fn is_draining(&self, run: &EngineRun) -> bool {
         self.engines.get(run).is_some_and(|known| known.draining)
     }
 
-    /// Engines of one version that can take the call, whether or not they have room.
+    /// Returns the engines of one version that are eligible for the call, including those at
+    /// capacity.
     pub(super) fn open_engines(
         &self,
         wanted: &Wanted<'_>,
@@ -125,7 +125,8 @@
             .collect()
     }
 
-    /// Calls that run at once when all of a service's engines are full, and their number.
+    /// Returns the number of concurrent calls when all engines of a service are full, and the
+    /// number of engines.
     pub(super) fn capacity(&self, name: &ServiceName, service: &Service) -> (u32, usize) {
         let most = service.concurrency_per_engine;
         let listed = self.listed(name);
@@ -133,14 +134,14 @@
         (known.map(|known| known.limit.steady(most)).sum(), listed.len())
     }
 
-    /// Notes a call to an engine.
+    /// Records the start of a call to an engine.
     pub(super) fn begin(&mut self, run: &EngineRun) {
         if let Some(known) = self.engines.get_mut(run) {
             known.stats.begin();
         }
     }
 
-    /// Notes how a call ended.
+    /// Records how a call ended.
     pub(super) fn ended(&mut self, call: &Outstanding, now: Instant) {
         let sign = self.observe_route(call.route(), call.end(), now);
         let Some(known) = self.engines.get_mut(&call.target.run) else { return };
@@ -149,12 +150,13 @@
             known.limit.learn(sign, outstanding, call.most(), call.began(), now);
         }
         known.stats.end(call.end(), now);
-        // An engine that drains, or whose address is another one's now, gets nothing more from here.
+        // This run gets no more calls from here if it is draining or its address belongs to another
+        // engine.
         let refusal = matches!(call.end(), CallEnd::Refused(Refusal::Draining | Refusal::Identity));
         known.draining |= refusal;
     }
 
-    /// Notes how a call of a route ended, and what that says of its engine's load.
+    /// Records how a call of a route ended and returns what it indicates about the engine's load.
     fn observe_route(&mut self, route: &RouteName, end: CallEnd, now: Instant) -> Option<Sign> {
         let state = self.routes.entry(route.clone()).or_default();
         match end {
@@ -172,21 +174,21 @@
         }
     }
 
-    /// Whether a route's circuit lets a call out.
+    /// Checks a route's circuit breaker.
     ///
     /// # Errors
-    /// When to come back.
+    /// The time after which to retry.
     pub(super) fn admit(&mut self, route: &RouteName, now: Instant) -> Result<(), Duration> {
         self.routes.get_mut(route).map_or(Ok(()), |state| state.circuit.admit(now))
     }
 
-    /// Average time of a route's calls of late.
+    /// Returns the recent average duration of a route's calls.
     pub(super) fn average(&self, route: &RouteName) -> Duration {
         let baseline = self.routes.get(route).and_then(|r| r.baseline.as_ref());
         baseline.map_or(FIRST_AVERAGE, Baseline::average)
     }
 
-    /// Forgets routes that are no more.
+    /// Removes routes that the bundle no longer lists.
     pub(super) fn keep_routes(&mut self, is_route: impl Fn(&RouteName) -> bool) {
         self.routes.retain(|route, _| is_route(route));
     }
@@ -197,12 +199,12 @@
     }
 }
 
-/// Whether a view lists an engine's run.
+/// Returns whether a view lists an engine run.
 pub(super) fn is_listed(view: &ClusterView, run: &EngineRun) -> bool {
     view.engines.get(&run.engine).is_some_and(|e| e.incarnation == run.incarnation)
 }
 
-/// The part of a limit that calls without urgency may use; at least 1.
+/// Returns the part of a limit available to non-urgent calls; at least 1.
 fn without_reserve(limit: u32) -> u32 {
     let reserve = (f64::from(limit) * URGENT_SHARE) as u32;
     (limit - reserve).max(1)
--- a/crates/gateway/src/backend/stats.rs
+++ b/crates/gateway/src/backend/stats.rs
@@ -1,4 +1,4 @@
-//! What calls have shown of each application engine: outstanding calls, latency, failures. Pure.
+//! Call statistics of an application engine: outstanding calls, latency and failures. Pure.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 
 use super::answer::Refusal;
 
-/// Half-life of the latency average (ours).
+/// Half-life of the latency average.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Latency that an engine without any answer is thought to have (ours).
+/// Latency assumed for an engine before its first response.
 const FIRST_LATENCY: Duration = Duration::from_millis(10);
 
-/// Failures in a row after which an engine is ejected (ours).
+/// Consecutive failures after which an engine is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
 
-/// First ejection time; doubles with each further one up to the longest (ours).
+/// Initial ejection time; doubles with each further ejection up to the maximum.
 const FIRST_EJECTION: Duration = Duration::from_secs(2);
 const LONGEST_EJECTION: Duration = Duration::from_secs(30);
 
-/// Time over which a new engine's share of calls grows to its full one (ours).
+/// Time over which a new engine's share of calls grows to the full share.
 const SLOW_START_TIME: Duration = Duration::from_secs(5);
 
-/// Share of calls that a new engine starts with (ours).
+/// Initial share of calls of a new engine.
 const SLOW_START_SHARE: f64 = 0.1;
 
 /// How a call to an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// A whole answer, after this time.
+    /// A complete response, after this time.
     Answered(Duration),
-    /// The engine said no: nothing wrong with it.
+    /// The engine refused the call; not a failure.
     Refused(Refusal),
-    /// No answer.
+    /// No valid response.
     Failed,
-    /// The caller gave up.
+    /// The caller cancelled the call.
     Cancelled,
 }
 
-/// Figures of one engine run.
+/// Statistics of one engine run.
 #[derive(Debug, Clone)]
 pub struct EngineStats {
     outstanding: u32,
@@ -51,7 +51,8 @@
 }
 
 impl EngineStats {
-    /// Figures of an engine that came into view at an instant; `None` when it was there at the start.
+    /// Creates statistics for an engine first seen at an instant; `None` when it was listed at
+    /// startup.
     #[must_use]
     pub fn new(first_seen: Option<Instant>) -> Self {
         Self {
@@ -65,24 +66,24 @@
         }
     }
 
-    /// Calls under way.
+    /// Returns the number of outstanding calls.
     #[must_use]
     pub fn outstanding(&self) -> u32 {
         self.outstanding
     }
 
-    /// Until when the engine is ejected, if it is.
+    /// Returns the end of the engine's ejection, if it is ejected.
     #[must_use]
     pub fn ejected_until(&self, now: Instant) -> Option<Instant> {
         self.ejected_until.filter(|until| now < *until)
     }
 
-    /// A call begins.
+    /// Records the start of a call.
     pub fn begin(&mut self) {
         self.outstanding += 1;
     }
 
-    /// A call has ended.
+    /// Records the end of a call.
     pub fn end(&mut self, end: CallEnd, now: Instant) {
         self.outstanding = self.outstanding.saturating_sub(1);
         match end {
@@ -105,7 +106,8 @@
                 0.5_f64.powf(age / LATENCY_HALF_LIFE.as_secs_f64()).min(0.9)
             }
         };
-        // A slower answer counts at once (peak EWMA): a queue shows in the first late answer.
+        // A slower response counts at once (peak EWMA), so that a queue shows in the first late
+        // response.
         self.latency = if latency > self.latency {
             latency
         } else {
@@ -124,7 +126,7 @@
         self.ejected_until = Some(now + time);
     }
 
-    /// Share of its full traffic that the engine should get: below 1 while it is new.
+    /// Returns the share of its full traffic that the engine should get; below 1 during slow start.
     #[must_use]
     pub fn share(&self, now: Instant) -> f64 {
         let Some(first_seen) = self.first_seen else { return 1.0 };
@@ -132,7 +134,8 @@
         (age / SLOW_START_TIME.as_secs_f64()).clamp(SLOW_START_SHARE, 1.0)
     }
 
-    /// What one more call would cost: the work ahead of it times the latency, more for a new engine.
+    /// Returns the cost of one more call: the queue length times the latency, scaled up during slow
+    /// start.
     #[must_use]
     pub fn cost(&self, now: Instant) -> f64 {
         f64::from(self.outstanding + 1) * self.latency.as_secs_f64().max(1e-4) / self.share(now)
--- a/crates/gateway/src/backend/table.rs
+++ b/crates/gateway/src/backend/table.rs
@@ -1,4 +1,5 @@
-//! The application engines of the view, with what calls have shown of them.
+//! Application engines of the cluster view: selection of an engine for a call and tracking of
+//! outstanding calls.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,36 +20,36 @@
 use super::{EngineRun, Target};
 use crate::versions::{RolloutClock, StoppedVersions, preferred_versions, time_since};
 
-/// A call that looks for an engine.
+/// Criteria for selecting an engine for a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted<'a> {
-    /// Its route.
+    /// Route of the call.
     pub route: &'a RouteName,
-    /// Service that takes it.
+    /// Service that handles the call.
     pub service: &'a ServiceName,
-    /// Whether it may use the urgent reserve.
+    /// Whether the call may use the capacity reserved for urgent calls.
     pub urgent: bool,
-    /// Engines that it has tried already.
+    /// Engines that were already tried.
     pub tried: &'a [EngineRun],
 }
 
-/// What a look for an engine found.
+/// Result of selecting an engine.
 #[derive(Debug)]
 pub enum Found {
-    /// An engine with room, which is now taken up.
+    /// An engine with a free slot, which is now occupied.
     Engine(Outstanding),
-    /// Engines without room.
+    /// All eligible engines are at capacity.
     Full,
-    /// No engine that could take the call.
+    /// No eligible engine.
     None,
 }
 
-/// The application engines.
+/// The application engines of a node's view, with their connections and queues.
 #[derive(Debug)]
 pub struct Backends {
-    /// Open connections.
+    /// Connection pool.
     pub pool: Pool,
-    /// Calls that wait for room.
+    /// Calls that wait for a free slot.
     pub gates: Gates,
     node: NodeHandle,
     zone: ZoneName,
@@ -59,7 +60,7 @@
 }
 
 impl Backends {
-    /// The application engines of a node's view.
+    /// Creates the table for a node.
     #[must_use]
     pub fn new(pool: Pool, node: NodeHandle, zone: ZoneName, stopped: StoppedVersions) -> Self {
         Self {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Notes a bundle that came into force: the steps of its new versions count from its commit.
+    /// Applies an installed bundle. Rollout steps of its new versions count from its commit.
     pub fn installed(&self, installed: &InstalledBundle) {
         let bundle = &installed.bundle;
         let committed_for = time_since(installed.record.committed, UnixMillis::now());
@@ -86,12 +87,12 @@
         self.gates.wake_all();
     }
 
-    /// Closes all circuits: the versions that calls go to have changed, and with them the cause.
+    /// Closes all circuits, because the set of versions that receive calls has changed.
     pub fn close_circuits(&self) {
         self.lock().close_circuits();
     }
 
-    /// Notes the engines of a view: those that are new start slowly, those that are gone are forgotten.
+    /// Applies a cluster view: new engines get a slow start, removed ones are dropped.
     pub fn listed(&self, view: &Arc<ClusterView>) {
         {
             let mut figures = self.lock();
@@ -102,14 +103,14 @@
         self.gates.wake_all();
     }
 
-    /// All engines of a service that the view lists, whatever their state.
+    /// Returns all engines of a service that the view lists, whatever their state.
     #[must_use]
     pub fn all_of(&self, service: &ServiceName) -> Vec<Arc<Target>> {
         self.lock_with_view().all_of(service).cloned().collect()
     }
 
-    /// Whether an engine may get a call now: the view lists this run of it as well, and neither the
-    /// view nor its own refusals say that it drains.
+    /// Returns whether an engine may get a call now: the view lists this run as healthy, and
+    /// neither the view nor the engine's own refusals report that it is draining.
     #[must_use]
     pub fn is_open(&self, target: &Target) -> bool {
         let view = self.node.view.borrow().clone();
@@ -120,7 +121,7 @@
         listed && !self.lock().is_draining(&target.run)
     }
 
-    /// Looks for an engine with room and takes it up.
+    /// Selects an engine with a free slot and occupies the slot.
     pub fn find(self: &Arc<Self>, wanted: &Wanted<'_>, service: &Service) -> Found {
         let now = Instant::now();
         let versions = self.versions(wanted.service, service, now);
@@ -137,7 +138,7 @@
         if full { Found::Full } else { Found::None }
     }
 
-    /// Takes engines in turn, whatever their figures: the baseline.
+    /// Selects engines round-robin, ignoring their statistics (baseline mode).
     pub fn next_in_turn(self: &Arc<Self>, wanted: &Wanted<'_>, service: &Service) -> Found {
         let mut all = self.all_of(wanted.service);
         all.retain(|target| service.is_sound(&target.version));
@@ -149,22 +150,23 @@
         Found::Engine(self.begin(&mut self.lock(), target, wanted.route, service))
     }
 
-    /// Calls that run at once when all of a service's engines are full, and their number.
+    /// Returns the number of concurrent calls when all engines of a service are full, and the
+    /// number of engines.
     #[must_use]
     pub fn capacity(&self, name: &ServiceName, service: &Service) -> (u32, usize) {
         self.lock_with_view().capacity(name, service)
     }
 
-    /// Average time of a route's calls of late.
+    /// Returns the recent average duration of a route's calls.
     #[must_use]
     pub fn average(&self, route: &RouteName) -> Duration {
         self.lock().average(route)
     }
 
-    /// Whether the route's circuit lets a call out.
+    /// Checks the route's circuit breaker.
     ///
     /// # Errors
-    /// When to come back.
+    /// The time after which to retry.
     pub fn admit(&self, route: &RouteName) -> Result<(), Duration> {
         self.lock().admit(route, Instant::now())
     }
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Figures that know the present view.
+    /// Locks the state after updating it to the current view.
     fn lock_with_view(&self) -> MutexGuard<'_, Figures> {
         let view = self.node.view.borrow().clone();
         let mut figures = self.lock();
@@ -211,7 +213,8 @@
     }
 }
 
-/// A call's room at an engine; counted as cancelled unless it is told otherwise.
+/// An occupied engine slot of a call. Counts as cancelled unless [`Outstanding::ended`] records
+/// another outcome.
 #[derive(Debug)]
 pub struct Outstanding {
     backends: Arc<Backends>,
@@ -228,7 +231,7 @@
         &self.route
     }
 
-    /// Most calls that the engine gets at once, by the bundle.
+    /// Maximum concurrency of the engine, from the bundle.
     pub(super) fn most(&self) -> u32 {
         self.most
     }
@@ -241,7 +244,7 @@
         self.end
     }
 
-    /// Notes how the call ended.
+    /// Records how the call ended.
     pub fn ended(&mut self, end: CallEnd) {
         self.end = end;
     }
--- a/crates/gateway/src/backend/wait_queue.rs
+++ b/crates/gateway/src/backend/wait_queue.rs
@@ -1,4 +1,5 @@
-//! Lets calls of one service wait until an engine has room, and tells at once when waiting is of no use.
+//! Per-service queues of calls waiting for a free engine slot. A call that cannot finish before its
+//! deadline is rejected at once.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -10,75 +11,75 @@
 
 use crate::limits::queue::{CallQueue, Pushed, Ticket};
 
-/// Least time named to a call that is shed (ours).
+/// Minimum retry delay sent with a shed call.
 const LEAST_RETRY: Duration = Duration::from_millis(200);
 
-/// Longest time named to a call that is shed (ours).
+/// Maximum retry delay sent with a shed call.
 const LONGEST_RETRY: Duration = Duration::from_secs(10);
 
-/// What a waiting call hears.
+/// Notification to a queued call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wake {
-    /// An engine may have room.
+    /// An engine may have a free slot.
     Look,
-    /// Another call took its place.
+    /// Another call displaced this one.
     Shed,
 }
 
-/// A call that is not let in.
+/// Why a queued call did not get its turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Shed {
-    /// It could not end in time, or others go first.
-    #[error("too much work is waiting")]
+    /// The call could not finish in time, or the queue is full.
+    #[error("the service's request queue is full or the call cannot finish before its deadline")]
     Refused {
-        /// When to come back.
+        /// Time after which to retry.
         after: Duration,
     },
-    /// Its deadline passed while it waited.
-    #[error("the deadline passed while the call waited")]
+    /// The deadline passed while the call was queued.
+    #[error("the deadline passed while the call was queued")]
     TimedOut,
 }
 
-/// Who waits, and for how long at most.
+/// Queueing parameters of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Waiter<'a> {
-    /// Whose call.
+    /// Tenant of the call.
     pub tenant: &'a TenantId,
-    /// Whether it goes before others.
+    /// Whether the call precedes non-urgent ones.
     pub urgent: bool,
-    /// When its caller stops waiting.
+    /// Deadline of the call.
     pub deadline: Instant,
 }
 
-/// What is known of a service when a call has to wait.
+/// Queue bound, capacity and call duration of a service when a call has to wait.
 #[derive(Debug, Clone, Copy)]
 pub struct Crowd {
-    /// Calls that may wait.
+    /// Maximum number of queued calls.
     pub bound: usize,
-    /// Calls that run at once when all engines are full; at least 1.
+    /// Concurrent calls when all engines are full; at least 1.
     pub capacity: u32,
-    /// Average time of one call.
+    /// Average duration of one call.
     pub average: Duration,
 }
 
-/// Queues by service.
+/// Wait queues by service.
 #[derive(Debug, Default)]
 pub struct Gates {
     queues: Mutex<HashMap<ServiceName, CallQueue<oneshot::Sender<Wake>>>>,
 }
 
 impl Gates {
-    /// Whether calls of a service wait: a newcomer has to wait behind them.
+    /// Returns whether calls of a service are queued; a new call must then wait behind them.
     #[must_use]
     pub fn is_crowded(&self, service: &ServiceName) -> bool {
         self.lock().get(service).is_some_and(|queue| !queue.is_empty())
     }
 
-    /// Waits until an engine may have room. `look_again` runs once the call is in the queue: room
-    /// that came free just before has woken nobody.
+    /// Waits until an engine may have a free slot. `look_again` runs once the call is queued,
+    /// because a slot released just before notified no waiter.
     ///
     /// # Errors
-    /// [`Shed`], at once when the call could not end in time anyway.
+    /// [`Shed`], returned at once when the call could not finish in time anyway.
     pub async fn wait(
         &self,
         service: &ServiceName,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Wakes the next waiting call of a service, if there is one.
+    /// Notifies the next queued call of a service, if there is one.
     pub fn wake(&self, service: &ServiceName) {
         let mut queues = self.lock();
         let Some(queue) = queues.get_mut(service) else { return };
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Wakes one waiting call of each service: engines may have come, or limits grown.
+    /// Notifies one queued call of each service, after engines may have joined or limits may have
+    /// grown.
     pub fn wake_all(&self) {
         let services: Vec<ServiceName> = self.lock().keys().cloned().collect();
         services.iter().for_each(|service| self.wake(service));
@@ -148,7 +150,7 @@
     }
 }
 
-/// A place in a queue; given up when its caller goes away.
+/// A queued call; dropping it removes the call from its queue.
 struct Entered<'a> {
     gates: &'a Gates,
     service: &'a ServiceName,
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, RngExt};
 
-/// Growing waits between tries.
+/// Delays between attempts, doubling up to a maximum.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     next: Duration,
@@ -12,18 +12,18 @@
 }
 
 impl Backoff {
-    /// Waits from `first`, doubling up to `longest`.
+    /// Creates a backoff that starts at `first` and doubles up to `longest`.
     #[must_use]
     pub fn new(first: Duration, longest: Duration) -> Self {
         Self { next: first, longest }
     }
 
-    /// The next wait, drawn by this thread's generator.
+    /// Returns the next delay, with jitter from the thread-local generator.
     pub fn next_wait(&mut self) -> Duration {
         self.wait(&mut rand::rng())
     }
 
-    /// The next wait: between half of the present step and the whole of it.
+    /// Returns the next delay: between 50% and 100% of the current step.
     pub fn wait(&mut self, random: &mut impl Rng) -> Duration {
         let step = self.next;
         self.next = (step * 2).min(self.longest);
@@ -31,7 +31,7 @@
     }
 }
 
-/// A span between half of `span` and the whole of it, so that many callers do not come back at once.
+/// Returns between 50% and 100% of `span`, so that many callers do not retry at the same instant.
 pub fn jittered(span: Duration, random: &mut impl Rng) -> Duration {
     span.mul_f64(random.random_range(0.5..=1.0))
 }
--- a/crates/gateway/src/calls/engine_slot.rs
+++ b/crates/gateway/src/calls/engine_slot.rs
@@ -1,4 +1,4 @@
-//! Finds room for a call at an application engine, and sends it there.
+//! Acquires a slot at an application engine for a call and sends the call.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,24 +16,25 @@
 use crate::backend::wait_queue::{Crowd, Shed, Waiter};
 use crate::backend::{EngineRun, Target};
 
-/// Time that a call must have left when its turn comes, by its route's average (ours): about half of the calls take
-/// longer than the average, and one that ends late has cost an engine's time for nothing.
+/// Time that must remain to a queued call when it gets a slot, as a multiple of the route's
+/// average: about half of the calls take longer than the average, and a late result wastes the
+/// engine's time.
 const TIME_NEEDED: f64 = 1.5;
 
-/// Why a call gets no engine. Nothing was sent.
+/// Why a call gets no engine slot. Nothing was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NoRoom {
-    /// No engine could take it.
-    #[error("no application engine is open for the call now")]
+    /// No engine is eligible.
+    #[error("no application engine of the service is available")]
     NoEngine,
-    /// Too much is waiting, or it could not end in time.
-    #[error("too much work is waiting")]
+    /// The queue is full, or the call could not finish in time.
+    #[error("the service's request queue is full or the call cannot finish before its deadline")]
     Shed(Duration),
-    /// Its deadline passed while it waited.
-    #[error("the deadline passed while the call waited")]
+    /// The deadline passed while the call was queued.
+    #[error("the deadline passed while the call was queued")]
     TimedOut,
-    /// Nearly all calls of the route fail.
-    #[error("calls of this route fail at present")]
+    /// The route's circuit is open because nearly all of its calls fail.
+    #[error("the route's circuit breaker is open because nearly all of its calls fail")]
     CircuitOpen(Duration),
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl Calls {
-    /// Whether calls of the request's route may go out at all.
+    /// Checks the circuit breaker of the request's route.
     pub(super) fn check_circuit(&self, request: &CallRequest) -> Result<(), NoRoom> {
         match self.mode {
             GatewayMode::Plain => Ok(()),
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes up room at an engine that was not tried, waiting for it in turn.
+    /// Acquires a slot at an engine that was not tried yet, waiting in the queue if necessary.
     pub(super) async fn room(
         &self,
         request: &CallRequest,
@@ -69,10 +70,11 @@
             let crowded = !in_turn && self.backends.gates.is_crowded(&request.service);
             match self.look(request, tried) {
                 Found::None => return Err(NoRoom::NoEngine),
-                // A newcomer goes behind those who wait; the room that it gives back wakes one of them.
+                // A new call goes behind the queued ones; releasing its slot notifies the next of
+                // them.
                 Found::Engine(room) if crowded && !request.urgent => drop(room),
                 Found::Engine(room) if in_turn && !self.can_end_in_time(request) => {
-                    // The room wakes the next one.
+                    // Releasing the slot notifies the next queued call.
                     drop(room);
                     return Err(shed(RETRY_SOON));
                 }
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Whether a call that has waited has time enough left. One that finds room at once goes whatever the average
-    /// says, so that the average can fall again.
+    /// Returns whether a queued call has enough time left. A call that gets a slot at once is sent
+    /// whatever the average, so that the average can fall again.
     fn can_end_in_time(&self, request: &CallRequest) -> bool {
         let needed = self.backends.average(&request.route).mul_f64(TIME_NEEDED);
         self.mode == GatewayMode::Plain || Instant::now() + needed <= request.deadline
@@ -112,7 +114,7 @@
         let crowd = self.crowd(request).ok_or(NoRoom::NoEngine)?;
         let waiter =
             Waiter { tenant: &request.tenant, urgent: request.urgent, deadline: request.deadline };
-        // Room that is found and given back wakes the first in the queue.
+        // A slot that is found and released notifies the first call in the queue.
         let look_again = || drop(self.look(request, tried));
         let waited = self.backends.gates.wait(&request.service, waiter, crowd, look_again).await;
         waited.map_err(|refused| match refused {
@@ -132,7 +134,7 @@
         Some(Crowd { bound, capacity, average: self.backends.average(&request.route) })
     }
 
-    /// Sends a call to the engine that has room for it, and counts what that shows.
+    /// Sends a call to the engine of its slot and records the result.
     pub(super) async fn send(
         &self,
         request: &CallRequest,
@@ -153,8 +155,8 @@
         (target, answered)
     }
 
-    /// Counts what a dispatch showed of its engine's version. Refusals and connections that could
-    /// not be had show nothing of it.
+    /// Records the result for the engine's version. Refusals and failed connections do not reflect
+    /// on the version.
     fn observe(
         &self,
         request: &CallRequest,
--- a/crates/gateway/src/calls/mod.rs
+++ b/crates/gateway/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Tool calls: those that may be repeated, and those that may not.
+//! Tool calls, repeatable and non-repeatable.
 
 pub mod engine_slot;
 pub mod non_repeatable;
@@ -26,7 +26,7 @@
 use repeat_history::RepeatHistory;
 use retry_budget::RetryBudget;
 
-/// Everything that calls need.
+/// Shared state for making tool calls.
 #[derive(Debug)]
 pub struct Calls {
     pub(crate) backends: Arc<Backends>,
@@ -35,37 +35,37 @@
     pub(crate) node: hooklug_control::NodeHandle,
     pub(crate) retries: RetryBudget,
     pub(crate) mode: GatewayMode,
-    /// Which tools' calls left no record under earlier bundles.
+    /// Tools whose calls left no record under earlier bundles.
     pub(crate) history: RepeatHistory,
-    /// Calls that go on when their caller has gone.
+    /// Tracks calls that continue after their caller disconnected.
     pub(crate) running: TaskTracker,
 }
 
-/// A call as its caller asked for it, and the route it goes by.
+/// A tool call with its route and deadline.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
     /// The program.
     pub program: ProgramId,
     /// The call.
     pub call: CallId,
-    /// Whose it is.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
     /// Name of the tool.
     pub tool: String,
-    /// Its arguments, as canonical JSON.
+    /// Arguments as canonical JSON.
     pub arguments: Bytes,
     /// The route.
     pub route: RouteName,
-    /// Service that takes it.
+    /// Service that handles the call.
     pub service: ServiceName,
-    /// Whether it may use the urgent reserve.
+    /// Whether the call may use the capacity reserved for urgent calls.
     pub urgent: bool,
-    /// When its caller stops waiting.
+    /// Deadline of the call.
     pub deadline: Instant,
 }
 
-/// Digest of a call's content: the tool and its arguments with sorted keys, so that a resend is
-/// recognised whatever its spelling.
+/// Returns the digest of a call's content: the tool and its arguments with sorted keys, so that a
+/// resend is recognised regardless of JSON formatting.
 #[must_use]
 pub fn content_digest(tool: &str, arguments: &Value) -> Digest {
     digest_of(tool, arguments.to_string().as_bytes())
@@ -75,7 +75,7 @@
     Digest::of(&[tool.as_bytes(), &[0], canonical_arguments].concat())
 }
 
-/// A new claim to dispatch a call.
+/// Generates a random attempt id.
 #[must_use]
 pub fn draw_attempt() -> CallAttempt {
     let text = format!("{:032x}", rand::rng().random::<u128>());
@@ -83,7 +83,7 @@
 }
 
 impl CallRequest {
-    /// Digest of tool and arguments; only calls that are recorded need it.
+    /// Digest of the tool and its arguments; needed only for recorded calls.
     pub(crate) fn digest(&self) -> Digest {
         digest_of(&self.tool, &self.arguments)
     }
--- a/crates/gateway/src/calls/non_repeatable.rs
+++ b/crates/gateway/src/calls/non_repeatable.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated: claimed, dispatched at most once, recorded, and only then answered.
+//! Non-repeatable calls: claimed, dispatched at most once, recorded, and answered only after the
+//! outcome is recorded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,43 +23,44 @@
 const FIRST_WAIT: Duration = Duration::from_millis(20);
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
 
-/// How long an outcome is tried to be recorded, whether or not its caller still waits (ours).
+/// Time limit for recording an outcome, even after the caller disconnected.
 const RECORD_TIME: Duration = Duration::from_secs(120);
 
-/// Wait between look-ups of a call that another gateway runs, or ran (ours).
+/// Interval between lookups of a call that another gateway dispatched.
 const LOOK_UP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Left of a call's time when its record is no longer waited for, but a quarter of it at most (ours): its caller is
-/// told what is known, and not that the time is over.
+/// Time reserved at the end of a call's deadline, capped at a quarter of the remaining time, in
+/// which the gateway still reports the known state instead of `deadline_exceeded`.
 const ANSWER_TIME: Duration = Duration::from_secs(1);
 
-/// How long a claim of unknown fate is followed up after its caller was told to try again (ours).
+/// How long a claim with an unknown result is followed up after its caller was told to retry.
 const CLAIM_FOLLOW_UP_TIME: Duration = Duration::from_secs(60);
 
-/// Least time that an engine gets for a call whose claim was granted late (ours).
+/// Minimum time that an engine gets for a call whose claim was granted late.
 const LEAST_DISPATCH_TIME: Duration = Duration::from_secs(2);
 
-/// Time for the record of a call that has no room (ours): what is shed is told so soon.
+/// Timeout for reading the record of a call that gets no engine slot, so that a shed call is
+/// rejected quickly.
 const RECORD_LOOK_TIME: Duration = Duration::from_secs(1);
 
-/// What a call meets before its claim.
+/// Result of preparing a call before its claim.
 enum Entered {
-    /// Room at an engine.
+    /// A slot at an engine.
     Room(Outstanding),
-    /// It was begun or sealed before.
+    /// The call was claimed or sealed before.
     Recorded(Box<CallRecord>),
 }
 
-/// How a call stands, for its caller.
+/// Outcome of a call, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Settled {
     /// The application's recorded answer.
     Answered(Answer),
-    /// Every engine refused it before it ran; recorded, so it never will.
+    /// Every engine refused it before it ran. The refusal is recorded, so the call will never run.
     Refused(Vec<u8>),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// Sealed.
+    /// The call was sealed and did not run.
     NotRun,
 }
 
@@ -77,16 +79,17 @@
     }
 }
 
-/// Status under which a refusal by all engines is recorded; never an application's own (docs/BACKENDS.md).
+/// Status under which a refusal by all engines is recorded; an application cannot return it
+/// (docs/BACKENDS.md).
 pub(crate) fn refused_status() -> u16 {
     Code::CallRefused.status().as_u16()
 }
 
 impl Calls {
-    /// Makes a call that may not be repeated. The work goes on when the caller goes away.
+    /// Makes a non-repeatable call. The work continues when the caller disconnects.
     ///
     /// # Errors
-    /// A problem that claims no more than the record does.
+    /// A problem whose `outcome` is consistent with the record.
     pub async fn once(self: &Arc<Self>, request: CallRequest) -> Result<Settled, Problem> {
         let deadline = request.deadline;
         let span = info_span!("call", program = %request.program, call = %request.call);
@@ -95,8 +98,11 @@
         let running = self.running.spawn(work);
         match timeout_at(deadline, running).await {
             Ok(Ok(settled)) => settled,
-            Ok(Err(_)) => Err(unknown("the gateway failed while the call ran")),
-            Err(_) => Err(Problem::unknown(Code::DeadlineExceeded, "no recorded answer in time")),
+            Ok(Err(_)) => Err(unknown("the gateway failed internally while the call was running")),
+            Err(_) => Err(Problem::unknown(
+                Code::DeadlineExceeded,
+                "the call's outcome was not recorded before the deadline",
+            )),
         }
     }
 
@@ -129,9 +135,10 @@
         }
     }
 
-    /// Room comes before the claim: a call that is shed must not leave one behind. A call that has to
-    /// wait, or is turned away, may be a resend that needs no engine: its record decides then. One
-    /// that finds room at once is not looked up, as its claim tells the same.
+    /// Acquires an engine slot before the claim, so that a shed call leaves no claim behind. A call
+    /// that has to wait or is rejected may be a resend that needs no engine, so its record is read
+    /// in that case. A call that gets a slot at once needs no lookup, because its claim returns the
+    /// same record.
     async fn enter(&self, request: &CallRequest) -> Result<Entered, Problem> {
         let entering = async {
             self.check_circuit(request)?;
@@ -140,7 +147,7 @@
         let looking = self.recorded(request);
         tokio::pin!(entering, looking);
         tokio::select! {
-            // Room is looked for first, so that no look-up begins while there is some.
+            // The slot is polled first, so that no lookup starts while one is free.
             biased;
             entered = &mut entering => match entered {
                 Ok(room) => Ok(Entered::Room(room)),
@@ -156,15 +163,15 @@
         }
     }
 
-    /// The call's record, if its shard tells one soon.
+    /// Reads the call's record; `None` when it does not exist or cannot be read in time.
     async fn recorded(&self, request: &CallRequest) -> Option<Box<CallRecord>> {
         let until = request.deadline.min(Instant::now() + RECORD_LOOK_TIME);
         let read = self.shards.call(&request.program, &request.call, until).await;
         read.ok().flatten().map(Box::new)
     }
 
-    /// The claim may be committed yet, and would then hold the call for ever: it is carried through,
-    /// so that a resend finds an outcome.
+    /// Completes a claim with an unknown result. The claim may still be committed and would then
+    /// hold the call forever; a resend has to find an outcome.
     async fn follow_up(self: Arc<Self>, mut request: CallRequest, attempt: CallAttempt) {
         let until = Instant::now() + CLAIM_FOLLOW_UP_TIME;
         let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
@@ -179,11 +186,11 @@
                 Err(ClaimError::Uncertain(_)) => sleep(backoff.next_wait()).await,
             }
         }
-        warn!(call = %request.call, "a claim's fate is not known");
+        warn!(call = %request.call, "could not determine whether the call's claim was committed; giving up");
     }
 
-    /// Room that was taken before the claim, unless its engine has left or begun to drain since: a
-    /// claim may wait as long as its shard cannot be reached.
+    /// Keeps the slot acquired before the claim unless its engine was removed or started draining
+    /// since; a claim may wait as long as its shard is unreachable.
     fn still_open(&self, room: Outstanding) -> Option<Outstanding> {
         match self.mode {
             GatewayMode::Plain => Some(room),
@@ -191,7 +198,7 @@
         }
     }
 
-    /// Dispatches a claimed call and records how it ended.
+    /// Dispatches a claimed call and records its outcome.
     async fn run_claimed(
         &self,
         request: &CallRequest,
@@ -204,7 +211,7 @@
         recorded.map_or(Settled::Unknown, Settled::of)
     }
 
-    /// Tries engines until one has taken the call. After that, no other is tried.
+    /// Tries engines until one accepts the call; no other engine is tried after that.
     async fn dispatch_once(
         &self,
         request: &CallRequest,
@@ -223,7 +230,7 @@
                 match answered {
                     Ok(answer) => return answered_outcome(&answer),
                     Err(ExchangeError::Lost(reason)) => {
-                        warn!(call = %request.call, engine = %target.run.engine, %reason, "answer lost");
+                        warn!(call = %request.call, engine = %target.run.engine, %reason, "response to a non-repeatable call was lost");
                         return self.after_lost(request, &target).await;
                     }
                     Err(ExchangeError::NotSent(_) | ExchangeError::Refused(_)) => {
@@ -241,15 +248,15 @@
         }
     }
 
-    /// The engine that lost its answer may still know it.
+    /// Looks up the call at the engine whose response was lost, which may still know the result.
     async fn after_lost(&self, request: &CallRequest, target: &Arc<Target>) -> CallOutcome {
         let asked = std::slice::from_ref(target);
         let found = self.ask_engines(asked, &request.program, &request.call).await;
         found.map_or(CallOutcome::Unknown, |answer| answered_outcome(&answer))
     }
 
-    /// Waits for the outcome of another gateway's attempt, and looks for it at the engines in case
-    /// that gateway has gone.
+    /// Waits for the outcome of another attempt, and queries the engines for it in case that
+    /// attempt's gateway has failed.
     async fn await_other(
         &self,
         request: &CallRequest,
@@ -279,7 +286,7 @@
             }
             sleep(wait).await;
             let read = self.shards.call(&request.program, &request.call, until).await?;
-            record = read.ok_or_else(|| unknown("the call's keep time is over"))?;
+            record = read.ok_or_else(|| unknown("the call's record has expired"))?;
         }
     }
 }
@@ -288,11 +295,11 @@
     CallOutcome::Answered { status: answer.status, body: answer.body.to_vec() }
 }
 
-/// No engine took the call and none will: the attempt is over with this record.
+/// The recorded outcome when no engine accepted the call: this attempt will never run.
 fn refused_outcome() -> CallOutcome {
     let problem = Problem::new(
         Code::CallRefused,
-        "no application engine took the call in time; use a new call id to try again",
+        "no application engine accepted the call before its deadline; use a new call id to retry",
     );
     CallOutcome::Answered { status: refused_status(), body: problem.to_json() }
 }
--- a/crates/gateway/src/calls/record.rs
+++ b/crates/gateway/src/calls/record.rs
@@ -1,4 +1,4 @@
-//! The shard's record of calls that may not be repeated, as commands and their replies.
+//! Claims non-repeatable calls and records their outcomes in the program's shard.
 
 use std::time::Duration;
 
@@ -11,26 +11,26 @@
 use crate::backoff::Backoff;
 use crate::shards::ShardError;
 
-/// One try to record an outcome; tries go on for the time below.
+/// Timeout of one attempt to record an outcome.
 const RECORD_TRY_TIME: Duration = Duration::from_secs(5);
 
 const FIRST_WAIT: Duration = Duration::from_millis(50);
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
-/// What a claim came to.
+/// Result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claimed {
     /// This attempt may dispatch the call, once.
     Granted,
-    /// Another attempt holds it, or it is over.
+    /// Another attempt holds the call, or the call has an outcome.
     Held(Box<CallRecord>),
 }
 
 impl Calls {
-    /// Claims a call's one dispatch.
+    /// Claims the right to dispatch a call once.
     ///
     /// # Errors
-    /// The shard's refusal, or `try_again` when the claim's fate is not known.
+    /// The shard's refusal, or [`ClaimError::Uncertain`] when the result of the claim is unknown.
     pub(crate) async fn claim(
         &self,
         request: &CallRequest,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Records an outcome until it is committed or another one turns out to be. Returns what is
-    /// recorded, or `None` when the shard could not be reached within `time`.
+    /// Retries recording an outcome until it or another outcome is committed. Returns the recorded
+    /// outcome, or `None` when the shard could not be reached within `time`.
     pub(crate) async fn finish(
         &self,
         name: &CallName,
@@ -85,13 +85,13 @@
     }
 }
 
-/// Why a claim is not known to be granted.
+/// Why a claim was not confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
-    /// The shard refused; nothing is claimed.
+    /// The shard refused the claim; nothing is claimed.
     #[error(transparent)]
     Refused(#[from] ShardRefusal),
-    /// Not known; the claim may be committed yet.
+    /// The result is unknown; the claim may still be committed.
     #[error(transparent)]
     Uncertain(#[from] ShardError),
 }
--- a/crates/gateway/src/calls/repeat_history.rs
+++ b/crates/gateway/src/calls/repeat_history.rs
@@ -1,10 +1,11 @@
-//! Which tools' calls could and could not be repeated under earlier bundles.
+//! Tracks which tools were repeatable and non-repeatable under earlier bundles.
 //!
-//! Only calls that may not be repeated leave records. Where a bundle changes that for a tool, its calls
-//! lie on both sides: one that was claimed or sealed before must not run again, and one that ran without a
-//! record must not be called "not run". So a tool that was ever not repeatable stays so, and a tool that
-//! ever was is sealed by no one. The meta group keeps the last bundles, which is where a gateway that
-//! starts learns what it has not seen itself.
+//! Only non-repeatable calls leave records. When a bundle changes a tool's setting, calls exist
+//! under both: a call that was claimed or sealed before must not run again, and a call that ran
+//! without a record must not be reported as "not run". A tool that was ever non-repeatable is
+//! therefore always treated as non-repeatable, and calls of a tool that was ever repeatable can
+//! never be sealed. The meta group retains the latest bundles, from which a gateway that starts
+//! learns the settings it has not seen itself.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -21,25 +22,25 @@
 
 use crate::backoff::Backoff;
 
-/// Time for one read of the meta group (ours).
+/// Timeout of one query of the meta group.
 const READ_TIME: Duration = Duration::from_secs(5);
 
-/// Longest time for which a call waits until the history of a new bundle is read (ours).
+/// Maximum time for which a call waits until the history of a new bundle is read.
 const LEARN_TIME: Duration = Duration::from_secs(1);
 
 const FIRST_WAIT: Duration = Duration::from_millis(50);
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
-/// What the bundles up to one version say of tools.
+/// Repeat settings of tools in all bundles up to a version.
 #[derive(Debug, Default)]
 struct Learnt {
-    /// All bundles up to here are looked at; `None` before the first.
+    /// All bundles up to this version are covered; `None` before the first.
     up_to: Option<BundleVersion>,
-    /// Sections of routes that were looked at.
+    /// Route sections that were read.
     sections: HashSet<Digest>,
-    /// Tools whose calls could not be repeated under one of them.
+    /// Tools that were non-repeatable under any of them.
     once: HashSet<String>,
-    /// Tools whose calls could.
+    /// Tools that were repeatable under any of them.
     repeatable: HashSet<String>,
 }
 
@@ -57,25 +58,26 @@
     }
 }
 
-/// How a tool's calls are treated, and whether its records tell all.
+/// How a tool's calls are treated, and whether all of them are recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeatability {
-    /// They may be repeated, and always could.
+    /// Repeatable under every known bundle.
     Repeatable,
-    /// They may not, and never could.
+    /// Non-repeatable under every known bundle.
     Once,
-    /// They may not; under another bundle they could, and left no record.
+    /// Non-repeatable now; repeatable under another bundle, where calls left no record.
     OnceOfLate,
 }
 
-/// What this gateway knows of its bundles' history.
+/// The repeat settings of tools over all known bundles.
 #[derive(Debug, Default)]
 pub struct RepeatHistory {
     learnt: watch::Sender<Learnt>,
 }
 
 impl RepeatHistory {
-    /// How calls of a route's tool are treated under a bundle; `None` while its history is not known.
+    /// Returns how calls of a tool are treated under a bundle; `None` while the bundle's history is
+    /// unknown.
     pub async fn of(
         &self,
         bundle: &InstalledBundle,
@@ -98,7 +100,7 @@
         })
     }
 
-    /// Learns of each bundle that comes into force, until there are no more.
+    /// Reads the history of each installed bundle until the bundle channel closes.
     pub async fn follow(
         &self,
         state: &dyn StateAccess,
@@ -118,7 +120,7 @@
     async fn learn_until_known(&self, state: &dyn StateAccess, installed: &InstalledBundle) {
         let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
         while let Err(error) = self.learn(state, installed).await {
-            warn!(%error, "the history of bundles is not known yet");
+            warn!(%error, "cannot read the history of bundles; retrying");
             sleep(backoff.next_wait()).await;
         }
     }
@@ -149,20 +151,21 @@
     }
 }
 
-/// Why the history is not known.
+/// Why the history could not be read.
 #[derive(Debug, thiserror::Error)]
 enum HistoryError {
     #[error(transparent)]
     Unavailable(#[from] hooklug_store::Unavailable),
-    #[error("a section of routes does not decode: {0}")]
+    #[error("a bundle's route section is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("the meta group's answer does not fit the question")]
+    #[error("the meta group's reply does not match the query")]
     Unexpected,
 }
 
-/// Records of the bundles after a version, newest first; all that are kept when there is none. A bundle built on the
-/// last one learnt asks for none, as no version lies between: with thousands of changes a day and a long record
-/// each, reading them at every gateway would cost more than all other control traffic.
+/// Reads the records of the bundles after a version, newest first; all retained ones when there is
+/// none. A bundle based on the last known one needs no query, as no version lies between them: with
+/// thousands of changes a day and a long record each, reading them at every gateway would cost more
+/// than all other control traffic.
 async fn read_records(
     state: &dyn StateAccess,
     after: Option<BundleVersion>,
@@ -189,7 +192,7 @@
     }
 }
 
-/// The routes of a section; none when it is not kept any more.
+/// Reads the routes of a section; none when it is no longer retained.
 async fn read_routes(
     state: &dyn StateAccess,
     digest: Digest,
--- a/crates/gateway/src/calls/repeatable.rs
+++ b/crates/gateway/src/calls/repeatable.rs
@@ -1,4 +1,5 @@
-//! Calls that may be repeated: not recorded, tried elsewhere within the deadline and the retry budget.
+//! Repeatable calls: not recorded, retried on other engines within the deadline and the retry
+//! budget.
 
 use std::time::Duration;
 
@@ -14,14 +15,14 @@
 const FIRST_WAIT: Duration = Duration::from_millis(10);
 const LONGEST_WAIT: Duration = Duration::from_millis(250);
 
-/// Tries of the baseline, whatever came back before.
+/// Number of attempts in baseline mode, whatever the error.
 const PLAIN_TRIES: usize = 3;
 
 impl Calls {
-    /// Makes a call that may be repeated.
+    /// Makes a repeatable call.
     ///
     /// # Errors
-    /// `try_again`, `overloaded` or `deadline_exceeded`; none claims that the call did not run.
+    /// `try_again`, `overloaded` or `deadline_exceeded`; none guarantees that the call did not run.
     pub async fn repeatable(&self, request: &CallRequest) -> Result<Answer, Problem> {
         self.check_circuit(request)?;
         let attempt = draw_attempt();
@@ -57,7 +58,8 @@
         }
     }
 
-    /// A refusal costs the engines nothing and is no retry of work; all else is.
+    /// Returns whether another attempt is allowed. A draining or identity refusal costs the engine
+    /// no work and is free; any other retry is taken from the budget.
     fn may_try_again(&self, error: &ExchangeError, tries: usize) -> bool {
         if self.mode == hooklug_settings::GatewayMode::Plain {
             return tries < PLAIN_TRIES;
@@ -73,7 +75,7 @@
 
 fn failed(error: &ExchangeError, deadline: Instant) -> Problem {
     if Instant::now() >= deadline {
-        let detail = format!("no answer in time: {error}");
+        let detail = format!("the deadline has passed; last attempt: {error}");
         return Problem::claims_nothing(Code::DeadlineExceeded, detail, RETRY_SOON);
     }
     match error {
--- a/crates/gateway/src/calls/retry_budget.rs
+++ b/crates/gateway/src/calls/retry_budget.rs
@@ -1,11 +1,11 @@
-//! Retries as a share of live traffic, so that a failing service is not buried under them.
+//! Limits retries to a share of live traffic, so that they do not overload a failing service.
 
 use std::sync::{Mutex, PoisonError};
 
-/// Retries that may be saved up (ours): enough for one engine's loss at low traffic.
+/// Maximum balance; enough to cover the loss of one engine at low traffic.
 const MOST_SAVED: f64 = 20.0;
 
-/// Each request adds a share of a retry; each retry costs a whole one.
+/// A retry budget: each request deposits a share of a retry; each retry withdraws one.
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -13,19 +13,19 @@
 }
 
 impl RetryBudget {
-    /// A budget for a share of live traffic, full at the start.
+    /// Creates a budget for a share of live traffic, full at the start.
     #[must_use]
     pub fn new(share: f64) -> Self {
         Self { share: share.max(0.0), saved: Mutex::new(MOST_SAVED) }
     }
 
-    /// A first try was sent.
+    /// Deposits for a first attempt.
     pub fn sent(&self) {
         let mut saved = self.lock();
         *saved = (*saved + self.share).min(MOST_SAVED);
     }
 
-    /// Takes one retry, if there is one.
+    /// Withdraws one retry if the balance allows it.
     #[must_use]
     pub fn take(&self) -> bool {
         let mut saved = self.lock();
--- a/crates/gateway/src/calls/settle.rs
+++ b/crates/gateway/src/calls/settle.rs
@@ -1,4 +1,4 @@
-//! Settles calls whose answer was lost, by the application engines' own look-up.
+//! Determines the outcome of calls whose response was lost, by querying the application engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::backend::exchange::CallName;
 use crate::backend::lookup::find_answer;
 
-/// Time for one look-up at application engines (ours).
+/// Timeout of one lookup at application engines.
 const LOOK_UP_TIME: Duration = Duration::from_secs(1);
 
-/// Time to record what a look-up found (ours); the next look-up finds it again.
+/// Timeout for recording the result of a lookup; the next lookup can find it again.
 const RECORD_TIME: Duration = Duration::from_secs(2);
 
 impl Calls {
-    /// Asks engines what became of a call.
+    /// Queries engines for the response to a call.
     pub(super) async fn ask_engines(
         &self,
         targets: &[Arc<Target>],
@@ -32,8 +32,9 @@
         find_answer(&self.backends.pool, targets, program, call, deadline).await
     }
 
-    /// The record, with the answer where it had none and an engine knows it. The answer is given
-    /// only once it is recorded; else the record stays as it is.
+    /// Returns the record, completed with the response if it had no outcome and an engine knows the
+    /// response. A response is used only once it is recorded; otherwise the record is returned
+    /// unchanged.
     pub(crate) async fn refreshed(&self, program: &ProgramId, record: CallRecord) -> CallRecord {
         if !matches!(record.outcome, None | Some(CallOutcome::Unknown)) {
             return record;
--- a/crates/gateway/src/client_stream.rs
+++ b/crates/gateway/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! A stream towards a caller: bounded, with an end that shows whether it is whole.
+//! A bounded response stream to a caller that is aborted unless it was finished explicitly.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,23 +12,24 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Pieces that may wait for a slow caller.
+/// Number of chunks that may be queued for a slow caller.
 const QUEUE_PIECES: usize = 64;
 
-/// Time that a caller may leave a full queue untouched before its stream is cut (ours); it can resume.
+/// Time for which a caller may leave a full queue unread before its stream is aborted; the caller
+/// can resume.
 const SLOW_CLIENT_TIME: Duration = Duration::from_secs(20);
 
-/// The caller has gone, takes nothing, or its stream was cut at the gateway's stop.
+/// The caller disconnected or stopped reading, or the stream was aborted at shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the caller has gone")]
+#[error("the caller disconnected or stopped reading")]
 pub struct ClientGone;
 
-/// The stream was cut: the connection is closed without a proper end of the body.
+/// The stream was aborted: the connection is closed without a proper end of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the stream was cut")]
+#[error("the stream was aborted")]
 pub struct StreamCut;
 
-/// The gateway's end of a caller's stream. Dropped without [`ClientSink::finish`], it cuts the stream.
+/// Sending half of a caller's stream. Dropping it without [`ClientSink::finish`] aborts the stream.
 #[derive(Debug)]
 pub struct ClientSink {
     pieces: mpsc::Sender<Bytes>,
@@ -36,7 +37,7 @@
     stop: CancellationToken,
 }
 
-/// The caller's end.
+/// Receiving half of a caller's stream, used as the response body.
 struct ClientBody<G> {
     pieces: mpsc::Receiver<Bytes>,
     whole: Arc<AtomicBool>,
@@ -44,7 +45,8 @@
     _guard: G,
 }
 
-/// A sink and the body that it feeds. `guard` lives as long as the body; `stop` cuts the stream.
+/// Creates a sink and the body that it feeds. `guard` lives as long as the body; `stop` aborts the
+/// stream.
 pub fn client_stream<G: Send + Unpin + 'static>(
     stop: CancellationToken,
     guard: G,
@@ -56,10 +58,10 @@
 }
 
 impl ClientSink {
-    /// Sends one piece; waits a while for a slow caller.
+    /// Sends one chunk, waiting up to [`SLOW_CLIENT_TIME`] for queue capacity.
     ///
     /// # Errors
-    /// [`ClientGone`].
+    /// [`ClientGone`] when the chunk could not be queued.
     pub async fn send(&self, piece: Bytes) -> Result<(), ClientGone> {
         tokio::select! {
             biased;
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Waits until the caller has gone or the stream is to be cut.
+    /// Waits until the caller disconnects or the stream is aborted.
     pub async fn closed(&self) {
         tokio::select! {
             () = self.stop.cancelled() => {}
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Ends a whole stream.
+    /// Marks the stream as complete and ends it.
     pub fn finish(self) {
         self.whole.store(true, Ordering::Release);
     }
@@ -95,7 +97,8 @@
             return Poll::Ready(Some(Ok(piece)));
         }
         self.ended = true;
-        // The sink sets the mark before it is dropped, and the channel's end shows the drop.
+        // The sink sets the flag before it is dropped, and the end of the channel makes the drop
+        // visible.
         let whole = self.whole.load(Ordering::Acquire);
         Poll::Ready((!whole).then_some(Err(StreamCut)))
     }
--- a/crates/gateway/src/engine_losses.rs
+++ b/crates/gateway/src/engine_losses.rs
@@ -1,4 +1,5 @@
-//! Versions that lost an engine lately: what fails with a lost engine is no harm by its version. Pure.
+//! Versions that recently lost an engine. Failures caused by a lost engine must not count as a
+//! regression of its version. Pure.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -7,13 +8,13 @@
 use hooklug_protocol::control::{ClusterView, MemberHealth};
 use hooklug_types::{EngineId, Incarnation};
 
-/// How long a loss counts as lately (ours): until the lost engine's turns have been taken over.
+/// How long a loss counts as recent; must cover the takeover of the lost engine's turns.
 const LATELY: Duration = Duration::from_secs(10);
 
-/// Live engine runs of a view, with their versions.
+/// Live engine runs of a view and their versions.
 type Live = BTreeMap<(EngineId, Incarnation), JudgedVersion>;
 
-/// Losses seen in the views of one node.
+/// Engine losses seen in the cluster views of one node.
 #[derive(Debug, Default)]
 pub struct Losses {
     live: Live,
@@ -21,7 +22,8 @@
 }
 
 impl Losses {
-    /// Notes the engines of a view: those that lived before and do not now are lost.
+    /// Updates the live engines from a view. Engines that were live before and are missing now
+    /// count as lost.
     pub fn take_view(&mut self, view: &ClusterView, now: Instant) {
         let live = live_engines(view);
         for (run, version) in &self.live {
@@ -32,7 +34,7 @@
         self.live = live;
     }
 
-    /// Versions that lost an engine lately.
+    /// Returns the versions that recently lost an engine.
     pub fn lately(&mut self, now: Instant) -> BTreeSet<JudgedVersion> {
         self.lost.retain(|_, at| now.saturating_duration_since(*at) < LATELY);
         self.lost.keys().cloned().collect()
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway role: its HTTP router, and the work between requests.
+//! The gateway role: its HTTP router and its background maintenance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,36 +11,38 @@
 use crate::api;
 use crate::shared::Shared;
 
-/// How often versions are judged and tables swept (ours): well below the 5 s in which a bad version
-/// has to lose its traffic.
+/// Interval at which versions are judged and tables are swept. Must be well below the 5 s within
+/// which a bad version has to lose its traffic.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time left of the grace period when streams that still run are cut, so that callers see it.
+/// Part of the grace period reserved for aborting the remaining streams, so that callers see the
+/// connection close.
 const CUT_TIME: Duration = Duration::from_millis(500);
 
-/// Component name in the node's readiness.
+/// Component name in the node's readiness report.
 const COMPONENT: &str = "gateway";
 
-/// A gateway of one node.
+/// The gateway of one node.
 #[derive(Debug)]
 pub struct Gateway {
     shared: Arc<Shared>,
 }
 
 impl Gateway {
-    /// A gateway on a node's context; nothing runs before [`Gateway::run`].
+    /// Creates a gateway for a node; no task starts before [`Gateway::run`].
     #[must_use]
     pub fn new(ctx: NodeContext) -> Self {
         ctx.node.readiness.unready(COMPONENT, "not started yet");
         Self { shared: Arc::new(Shared::new(ctx)) }
     }
 
-    /// The callers' API (docs/API.md).
+    /// Router of the callers' API (docs/API.md).
     pub fn http_router(&self) -> Router {
         api::router(&self.shared)
     }
 
-    /// Runs until the node stops: unready at once, then what is under way gets the grace period.
+    /// Runs until the node stops. The gateway then reports unready at once and gives running
+    /// requests the grace period.
     pub async fn run(self) {
         let stop = self.shared.ctx.stop.clone();
         tokio::select! {
@@ -95,7 +97,7 @@
                 self.shared.backends.installed(&bundle);
                 readiness.ready(COMPONENT);
             }
-            None => readiness.unready(COMPONENT, "no bundle is known yet"),
+            None => readiness.unready(COMPONENT, "no bundle is installed yet"),
         }
     }
 
@@ -120,7 +122,7 @@
         if timeout(grace.saturating_sub(CUT_TIME), shared.running.wait()).await.is_ok() {
             return;
         }
-        info!(left = shared.running.len(), "cutting what still runs");
+        info!(left = shared.running.len(), "grace period is over; aborting the remaining streams");
         shared.cut.cancel();
         let _ = timeout(CUT_TIME.min(grace), shared.running.wait()).await;
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway: callers' HTTP API, owner table, placement, routing, limits, retries, calls and
-//! version statistics.
+//! The gateway role: the HTTP API for callers, session ownership and placement, routing, limits,
+//! retries, tool calls and version statistics.
 //!
-//! A gateway holds nothing that has to survive it: owners, budgets and calls are decided by the
-//! shards; what is kept here are caches, connection pools, limiters and figures. See
-//! docs/ARCHITECTURE.md and docs/API.md.
+//! A gateway keeps no durable state. Shards decide ownership, budgets and calls; the gateway holds
+//! only caches, connection pools, limiters and statistics. See docs/ARCHITECTURE.md and
+//! docs/API.md.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/gateway/src/limits/adaptive.rs
+++ b/crates/gateway/src/limits/adaptive.rs
@@ -1,50 +1,51 @@
-//! How many calls one application engine gets at once from this gateway: additive increase,
-//! multiplicative decrease on latency and on the engine's own word. Pure.
+//! Adaptive concurrency limit of one application engine at this gateway: additive increase,
+//! multiplicative decrease on latency and on overload responses of the engine. Pure.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Calls at once that an engine starts with (ours); doubles with each round until the first sign of load.
+/// Initial concurrency limit; doubles with each round until the first sign of load.
 const FIRST_LIMIT: f64 = 8.0;
 
-/// Latency over the route's baseline that counts as load (ours).
+/// Ratio of latency to the route's baseline above which the engine counts as loaded.
 const LATENCY_FACTOR: f64 = 2.5;
 
-/// Share of the limit that must be in use before it grows: an idle limit proves nothing (ours).
+/// Share of the limit that must be in use before it grows; an unused limit is no evidence of
+/// capacity.
 const USED_SHARE: f64 = 0.8;
 
-/// Decrease on late answers, and on refusals and lost answers (ours).
+/// Factors applied to the limit on late responses, and on refusals and lost responses.
 const DECREASE_LATE: f64 = 0.9;
 const DECREASE_REFUSED: f64 = 0.7;
 
-/// Time between probes (ours): half of the baseline's window, so that each window holds calls that ran
-/// without load. Without them the baseline would creep up with the load that it is to show.
+/// Time between probes: half of the baseline's window, so that each window holds calls that ran
+/// without load. Otherwise the baseline would rise with the load that it should reveal.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Share of the limit that a probe leaves (ours): below the engine's capacity even when the limit is
-/// as far above it as [`LATENCY_FACTOR`] lets it grow.
+/// Share of the limit that a probe keeps. It must stay below the engine's capacity even when the
+/// limit has grown as far above it as [`LATENCY_FACTOR`] allows.
 const PROBE_SHARE: f64 = 0.25;
 
-/// What one call showed.
+/// What one call indicates about the engine's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sign {
-    /// Answered, after this multiple of the route's baseline latency.
+    /// The engine answered.
     Answered {
-        /// Latency over baseline.
+        /// Latency divided by the route's baseline latency.
         ratio: f64,
     },
-    /// The engine refused because of load, or its answer was lost or late.
+    /// The engine refused because of load, or its response was lost or late.
     Overloaded,
 }
 
-/// The limit of one engine run.
+/// The concurrency limit of one engine run.
 #[derive(Debug, Clone)]
 pub struct AdaptiveLimit {
     limit: f64,
-    /// While below this, the limit grows with each answer; above it, with each round of answers.
+    /// Below this, the limit grows with each response; above it, with each round of responses.
     slow_above: f64,
-    /// Last decrease or probe: calls that began before it show the former limit.
+    /// Last decrease or probe; calls started before it reflect the former limit.
     reduced: Option<Instant>,
     probed: Option<Instant>,
 }
@@ -56,14 +57,14 @@
 }
 
 impl AdaptiveLimit {
-    /// The limit now, at least 1 and at most what operators allow.
+    /// Returns the current limit, at least 1 and at most the operators' limit.
     #[must_use]
     pub fn get(&self, most: u32) -> u32 {
-        // Both bounds are small positive numbers: the cast cannot lose more than the fraction.
+        // Both bounds are small positive numbers, so the cast loses only the fraction.
         (self.limit as u32).clamp(1, most.max(1))
     }
 
-    /// The limit that a probe under way will come back to, for estimates of waiting times.
+    /// Returns the limit without the effect of a running probe, for estimates of waiting times.
     #[must_use]
     pub fn steady(&self, most: u32) -> u32 {
         let probing = self.slow_above.is_finite() && self.slow_above > self.limit;
@@ -71,8 +72,8 @@
         (steady as u32).clamp(1, most.max(1))
     }
 
-    /// Learns from a call that began and ended at these instants, while so many were outstanding at its
-    /// end, itself included.
+    /// Updates the limit from a call that ran from `began` to `now`, with `outstanding` calls at
+    /// its end, itself included.
     pub fn learn(&mut self, sign: Sign, outstanding: u32, most: u32, began: Instant, now: Instant) {
         if self.reduced.is_some_and(|reduced| began < reduced) {
             return;
@@ -80,7 +81,7 @@
         match sign {
             Sign::Overloaded => self.decrease(DECREASE_REFUSED, now),
             Sign::Answered { ratio } if ratio > LATENCY_FACTOR => {
-                // Latency without a full limit has another cause than this gateway's calls.
+                // High latency below the limit is not caused by this gateway's calls.
                 if self.is_used(outstanding) {
                     self.decrease(DECREASE_LATE, now);
                 }
--- a/crates/gateway/src/limits/baseline.rs
+++ b/crates/gateway/src/limits/baseline.rs
@@ -1,19 +1,19 @@
-//! The latency that a route's calls have without load. Pure.
+//! Baseline latency of a route: the latency of its calls without load. Pure.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time after which a lower latency that is not seen any more is forgotten (ours).
+/// Window of the minimum: a lower latency that is no longer seen expires after at most two windows.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Least baseline (ours): below it, latency is noise of timers and of the network.
+/// Minimum baseline; below it, timer and network noise dominate.
 const LEAST: Duration = Duration::from_millis(5);
 
-/// Weight of one answer in the average (ours).
+/// Weight of one response in the moving average.
 const WEIGHT: f64 = 0.1;
 
-/// Lowest and average latency of a route.
+/// Minimum and average latency of a route.
 #[derive(Debug, Clone)]
 pub struct Baseline {
     lowest: Duration,
@@ -23,13 +23,13 @@
 }
 
 impl Baseline {
-    /// A baseline from a first answer.
+    /// Creates a baseline from a first response.
     #[must_use]
     pub fn new(latency: Duration, now: Instant) -> Self {
         Self { lowest: latency, lowest_before: latency, window_began: now, average: latency }
     }
 
-    /// Notes an answer and returns its latency as a multiple of the baseline.
+    /// Records a response and returns its latency as a multiple of the baseline.
     pub fn observe(&mut self, latency: Duration, now: Instant) -> f64 {
         if now.saturating_duration_since(self.window_began) >= WINDOW {
             self.lowest_before = self.lowest;
@@ -42,13 +42,13 @@
         latency.as_secs_f64() / baseline.as_secs_f64()
     }
 
-    /// Average latency of late.
+    /// Returns the moving average of the latency.
     #[must_use]
     pub fn average(&self) -> Duration {
         self.average
     }
 
-    /// Lowest latency of late.
+    /// Returns the minimum latency of the last two windows.
     #[must_use]
     pub fn lowest(&self) -> Duration {
         self.lowest.min(self.lowest_before)
--- a/crates/gateway/src/limits/circuit.rs
+++ b/crates/gateway/src/limits/circuit.rs
@@ -1,24 +1,24 @@
-//! A circuit breaker: while nearly all calls of a route fail, its callers hear so at once. Pure.
+//! A circuit breaker that rejects a route's calls at once while nearly all of them fail. Pure.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Ends that are judged: the last ones within this time (ours).
+/// Time window of the outcomes that are evaluated.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Ends needed before the circuit may open (ours).
+/// Minimum number of outcomes before the circuit may open.
 const LEAST_ENDS: usize = 20;
 
-/// Ends kept.
+/// Maximum number of retained outcomes.
 const MOST_ENDS: usize = 200;
 
-/// Share of failures that opens the circuit (ours): far above what one bad engine or version causes,
-/// which ejection and the judge of versions deal with.
+/// Failure share that opens the circuit. It is far above what one bad engine or version causes,
+/// which outlier ejection and the version judge handle.
 const OPEN_AT: f64 = 0.9;
 
-/// First time that the circuit stays open; doubles while probes fail (ours).
+/// Initial time in the open state; doubles while probes fail.
 const FIRST_OPEN: Duration = Duration::from_millis(500);
 const LONGEST_OPEN: Duration = Duration::from_secs(5);
 
@@ -29,14 +29,14 @@
         until: Instant,
         time: Duration,
     },
-    /// One probe is under way; a lost probe is replaced after its time.
+    /// One probe is running; a lost probe is replaced after `time`.
     Probing {
         since: Instant,
         time: Duration,
     },
 }
 
-/// The circuit of one route.
+/// The circuit breaker of one route.
 #[derive(Debug, Clone)]
 pub struct Circuit {
     state: State,
@@ -50,10 +50,10 @@
 }
 
 impl Circuit {
-    /// Whether a call may go out.
+    /// Admits a call or rejects it while the circuit is open.
     ///
     /// # Errors
-    /// When to come back.
+    /// The time after which to retry.
     pub fn admit(&mut self, now: Instant) -> Result<(), Duration> {
         match self.state {
             State::Closed => Ok(()),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Notes how a call ended: with an answer, or with none.
+    /// Records whether a call was answered.
     pub fn ended(&mut self, answered: bool, now: Instant) {
         if answered && self.state != State::Closed {
             self.state = State::Closed;
--- a/crates/gateway/src/limits/mod.rs
+++ b/crates/gateway/src/limits/mod.rs
@@ -1,4 +1,5 @@
-//! Limits: what a tenant may ask, what application engines can take, and what waits meanwhile.
+//! Limits: tenant rate and concurrency, adaptive engine concurrency, circuit breaking and request
+//! queues.
 
 pub mod adaptive;
 pub mod baseline;
--- a/crates/gateway/src/limits/queue.rs
+++ b/crates/gateway/src/limits/queue.rs
@@ -1,38 +1,38 @@
-//! Calls that wait for room at an application engine: bounded, urgent ones first, fair by tenant,
-//! earliest deadline first within a tenant. Pure.
+//! A bounded queue of calls waiting for a free slot at an application engine: urgent calls first,
+//! fair between tenants, earliest deadline first within a tenant. Pure.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use hooklug_types::TenantId;
 use tokio::time::Instant;
 
-/// A waiting call's place; earlier deadlines come first, then earlier arrivals.
+/// Sort key of a queued call: by deadline, then by arrival.
 type Place = (Instant, u64);
 
-/// Names a waiting call.
+/// Identifies a queued call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     tenant: Option<TenantId>,
     place: Place,
 }
 
-/// What came of a call that asked to wait.
+/// Result of queueing a call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Pushed<T> {
-    /// It waits.
+    /// The call is queued.
     Waiting(Ticket),
-    /// It waits, in place of another one, which has to go.
+    /// The call is queued and replaced another one, which is returned.
     Displaced(Ticket, T),
-    /// The queue is full, and nobody has more waiting than this tenant.
+    /// The queue is full and no tenant has more queued calls than this one.
     Full(T),
 }
 
-/// Waiting calls.
+/// Queue of calls.
 #[derive(Debug)]
 pub struct CallQueue<T> {
     urgent: BTreeMap<Place, T>,
     tenants: BTreeMap<TenantId, BTreeMap<Place, T>>,
-    /// Tenants with waiting calls, in the order of their next turns.
+    /// Tenants with queued calls, in round-robin order.
     turns: VecDeque<TenantId>,
     arrivals: u64,
 }
@@ -49,20 +49,21 @@
 }
 
 impl<T> CallQueue<T> {
-    /// Calls that wait.
+    /// Returns the number of queued calls.
     #[must_use]
     pub fn len(&self) -> usize {
         self.urgent.len() + self.tenants.values().map(BTreeMap::len).sum::<usize>()
     }
 
-    /// Whether no call waits.
+    /// Returns whether no call is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.urgent.is_empty() && self.turns.is_empty()
     }
 
-    /// Lets a call wait, within a bound on all of them. At the bound, the tenant with the most
-    /// waiting loses its call with the latest deadline: one tenant's crowd costs the others nothing.
+    /// Queues a call within a bound on the total number of calls. At the bound, the tenant with the
+    /// most queued calls loses its call with the latest deadline, so that one tenant's burst does
+    /// not displace other tenants.
     pub fn push(
         &mut self,
         tenant: &TenantId,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes the next call: urgent ones first, then each tenant in turn.
+    /// Removes the next call: urgent calls first, then round-robin between tenants.
     pub fn pop(&mut self) -> Option<T> {
         if let Some((_, item)) = self.urgent.pop_first() {
             return Some(item);
@@ -112,7 +113,7 @@
         item
     }
 
-    /// Takes a call out that waits no longer.
+    /// Removes a call that no longer waits.
     pub fn remove(&mut self, ticket: &Ticket) -> Option<T> {
         let Some(tenant) = &ticket.tenant else { return self.urgent.remove(&ticket.place) };
         let waiting = self.tenants.get_mut(tenant)?;
@@ -128,7 +129,8 @@
         self.turns.retain(|waiting| waiting != tenant);
     }
 
-    /// Makes room, unless nobody has more waiting than the newcomer's tenant would have.
+    /// Removes a call of the tenant with the most queued calls, unless the new call's tenant would
+    /// have as many.
     fn displace(&mut self, newcomer: &TenantId, urgent: bool) -> Option<T> {
         let own = self.tenants.get(newcomer).map_or(0, BTreeMap::len);
         let (largest, waiting) = self.tenants.iter_mut().max_by_key(|(_, w)| w.len())?;
--- a/crates/gateway/src/limits/tenants.rs
+++ b/crates/gateway/src/limits/tenants.rs
@@ -1,4 +1,4 @@
-//! Rate and concurrency of each tenant at this gateway.
+//! Rate and concurrency limits of each tenant at this gateway.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,10 +12,10 @@
 use crate::api::admission::tenant_limited;
 use crate::api::problem::Problem;
 
-/// When to come back after the concurrency limit (ours): about the length of a call.
+/// Retry delay after the concurrency limit is reached; about the duration of a call.
 const RETRY_CONCURRENCY: Duration = Duration::from_millis(500);
 
-/// Least time named in a refusal, so that its jitter spreads callers (ours).
+/// Minimum retry delay in a refusal, so that its jitter spreads callers.
 const LEAST_RETRY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
@@ -24,13 +24,13 @@
     running: u32,
 }
 
-/// Requests of all tenants. Cheap to clone.
+/// Limiter state of all tenants. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Tenants {
     states: Arc<Mutex<HashMap<TenantId, TenantState>>>,
 }
 
-/// One admitted request; dropping it frees the tenant's place.
+/// One admitted request; dropping it releases the tenant's concurrency slot.
 #[derive(Debug)]
 pub struct TenantPermit {
     tenants: Tenants,
@@ -38,10 +38,10 @@
 }
 
 impl Tenants {
-    /// Admits a request, or refuses it at once.
+    /// Admits a request or rejects it at once.
     ///
     /// # Errors
-    /// `429 tenant_limited` with when to come back.
+    /// `429 tenant_limited` with the time after which to retry.
     pub fn admit(&self, tenant: &TenantId, limits: &TenantLimits) -> Result<TenantPermit, Problem> {
         let now = Instant::now();
         let mut states = self.lock();
@@ -50,16 +50,22 @@
             running: 0,
         });
         if state.running >= limits.concurrency {
-            return Err(tenant_limited("too many requests at once", RETRY_CONCURRENCY));
+            return Err(tenant_limited(
+                "the tenant's concurrency limit is reached",
+                RETRY_CONCURRENCY,
+            ));
         }
         if let Err(wait) = state.bucket.take(limits.requests_per_second, now) {
-            return Err(tenant_limited("too many requests a second", wait.max(LEAST_RETRY)));
+            return Err(tenant_limited(
+                "the tenant's request rate limit is reached",
+                wait.max(LEAST_RETRY),
+            ));
         }
         state.running += 1;
         Ok(TenantPermit { tenants: self.clone(), tenant: tenant.clone() })
     }
 
-    /// Forgets tenants without requests whose buckets are full again.
+    /// Removes tenants without running requests whose buckets are full again.
     pub fn sweep(&self, rate_of: impl Fn(&TenantId) -> f64) {
         let now = Instant::now();
         self.lock().retain(|tenant, state| {
--- a/crates/gateway/src/limits/token_bucket.rs
+++ b/crates/gateway/src/limits/token_bucket.rs
@@ -4,10 +4,10 @@
 
 use tokio::time::Instant;
 
-/// Requests that may come at once, as a span of the sustained rate (ours).
+/// Burst size, as a span of the sustained rate.
 const BURST_TIME: Duration = Duration::from_secs(1);
 
-/// Allows a sustained rate, and a burst of what one second of it brings.
+/// Allows a sustained rate and a burst of [`BURST_TIME`] worth of requests.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     tokens: f64,
@@ -15,7 +15,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(per_second: f64, now: Instant) -> Self {
         Self { tokens: burst(per_second), at: now }
@@ -24,7 +24,7 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// The time until there is one.
+    /// The time until a token is available.
     pub fn take(&mut self, per_second: f64, now: Instant) -> Result<(), Duration> {
         let gained = now.saturating_duration_since(self.at).as_secs_f64() * per_second.max(0.0);
         self.tokens = (self.tokens + gained).min(burst(per_second));
@@ -36,7 +36,7 @@
         Err(wait_for(1.0 - self.tokens, per_second))
     }
 
-    /// Whether nothing has been taken for so long that the bucket is full.
+    /// Returns whether the bucket has refilled completely.
     #[must_use]
     pub fn is_full(&self, per_second: f64, now: Instant) -> bool {
         let gained = now.saturating_duration_since(self.at).as_secs_f64() * per_second.max(0.0);
@@ -48,7 +48,7 @@
     (per_second.max(0.0) * BURST_TIME.as_secs_f64()).max(1.0)
 }
 
-/// Longest wait that a refusal names (ours), also for a rate of nothing.
+/// Maximum wait in a refusal, also used for a rate of zero.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
 
 fn wait_for(tokens: f64, per_second: f64) -> Duration {
--- a/crates/gateway/src/programs.rs
+++ b/crates/gateway/src/programs.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of what never changes about a program: whose it is, and its group.
+//! A bounded cache of a program's immutable attributes: its tenant and its window group.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,32 +6,33 @@
 use hooklug_state::shard::ProgramRecord;
 use hooklug_types::{ProgramId, TenantId, WindowGroup};
 
-/// Programs that one gateway remembers (ours).
+/// Capacity of the cache.
 const CACHED_PROGRAMS: usize = 65_536;
 
-/// What never changes about a program.
+/// Immutable attributes of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramFacts {
-    /// Whose it is.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
-    /// Group for windows.
+    /// Group for window placement.
     pub group: Option<WindowGroup>,
 }
 
-/// The cache.
+/// Cache of program attributes by program.
 #[derive(Debug, Default)]
 pub struct Programs {
     known: Mutex<HashMap<ProgramId, ProgramFacts>>,
 }
 
 impl Programs {
-    /// What is known of a program.
+    /// Returns the cached attributes of a program.
     #[must_use]
     pub fn get(&self, program: &ProgramId) -> Option<ProgramFacts> {
         self.lock().get(program).cloned()
     }
 
-    /// Notes a record. A full cache starts anew: what it held costs one read each.
+    /// Caches the attributes from a record. A full cache is cleared, which costs one query per
+    /// program.
     pub fn learn(&self, record: &ProgramRecord) -> ProgramFacts {
         let facts = ProgramFacts { tenant: record.tenant.clone(), group: record.group.clone() };
         let mut known = self.lock();
--- a/crates/gateway/src/sessions/cursor.rs
+++ b/crates/gateway/src/sessions/cursor.rs
@@ -1,38 +1,39 @@
-//! Keeps a stream whole: each event once, in order, without a gap.
+//! Tracks the position in a stream, so that each event is forwarded once, in order and without
+//! gaps.
 
 use hooklug_types::EventSeq;
 
-/// What to do with an event that arrived.
+/// Position of an event relative to the cursor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// It is the next one.
+    /// The next event.
     Next,
-    /// It was passed on before.
+    /// An event that was already forwarded.
     Seen,
-    /// Events between the last one and this one have not arrived.
+    /// Events between the last forwarded one and this one are missing.
     Gap,
 }
 
-/// Place of the last event passed on in a session's stream.
+/// Sequence number of the last forwarded event of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cursor {
     last: EventSeq,
 }
 
 impl Cursor {
-    /// A cursor after an event that the client has; 0 for none.
+    /// Creates a cursor after an event that the client has; 0 for none.
     #[must_use]
     pub fn after(last: EventSeq) -> Self {
         Self { last }
     }
 
-    /// The last event passed on.
+    /// Returns the last forwarded event.
     #[must_use]
     pub fn last(&self) -> EventSeq {
         self.last
     }
 
-    /// Judges an event without moving.
+    /// Classifies an event without advancing.
     #[must_use]
     pub fn judge(&self, seq: EventSeq) -> Step {
         if seq <= self.last {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Moves on to the next event. Returns false, unmoved, when `seq` is not the next one.
+    /// Advances to the next event. Returns false and does not advance if `seq` is not the next one.
     #[must_use]
     pub fn advance(&mut self, seq: EventSeq) -> bool {
         let next = self.judge(seq) == Step::Next;
--- a/crates/gateway/src/sessions/engines.rs
+++ b/crates/gateway/src/sessions/engines.rs
@@ -1,4 +1,4 @@
-//! Messages to session-host engines, with what each answer tells of the engine itself.
+//! Client of session-host engines that tracks their load and recent failures.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,36 +18,36 @@
 use super::load::LoadTable;
 use super::placement::address_of;
 
-/// How long an engine that could not be reached gets no new session from here (ours).
+/// How long an engine gets no new session from this gateway after a failed message.
 const SUSPECT_TIME: Duration = Duration::from_secs(2);
 
-/// Why an engine did not do what it was asked.
+/// Why a message to an engine failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// It is not listed, or no connection could be had: it has not seen the message.
-    #[error("engine cannot be reached: {0}")]
+    /// The engine is not listed or could not be connected to; it has not received the message.
+    #[error("cannot reach the session's engine: {0}")]
     Unreachable(String),
-    /// The connection or the answer was lost: it may have seen the message.
-    #[error("the engine's answer was lost: {0}")]
+    /// The connection or the reply was lost; the engine may have received the message.
+    #[error("the engine's reply was lost: {0}")]
     Lost(String),
-    /// It refused.
+    /// The engine refused.
     #[error(transparent)]
     Refused(#[from] EngineRefusal),
 }
 
-/// What an error says about the session's owner.
+/// What an error implies about the session's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerFault {
-    /// The owner cannot be reached, runs anew, or lost its lease: its lease must be ended first.
+    /// The owner is unreachable, restarted or lost its lease; its lease must be expired first.
     Gone,
-    /// The connection broke: the owner may well live.
+    /// The connection failed; the owner may still be alive.
     Interrupted,
-    /// The owner is another one, or none; the record, if the engine knew it.
+    /// The session has another owner or none; holds the record if the engine knew it.
     Moved(Option<Box<SessionRecord>>),
 }
 
 impl EngineError {
-    /// What the error says about the owner; `None` when it has nothing to do with ownership.
+    /// Returns what the error implies about the owner; `None` when it is unrelated to ownership.
     #[must_use]
     pub fn owner_fault(&self) -> Option<OwnerFault> {
         match self {
@@ -74,18 +74,18 @@
     }
 }
 
-/// The session-host engines.
+/// Client of the session-host engines.
 #[derive(Debug)]
 pub struct Engines {
     client: RpcClient,
     node: NodeHandle,
-    /// Load by engine.
+    /// Load of each engine.
     pub load: LoadTable,
     suspects: Mutex<HashMap<EngineIncarnation, Instant>>,
 }
 
 impl Engines {
-    /// Engines of a node's view.
+    /// Creates a client for the engines of a node's view.
     #[must_use]
     pub fn new(client: RpcClient, node: NodeHandle) -> Self {
         Self { client, node, load: LoadTable::default(), suspects: Mutex::default() }
@@ -94,7 +94,7 @@
     /// Sends a message and waits for its reply until the deadline.
     ///
     /// # Errors
-    /// [`EngineError`].
+    /// [`EngineError`] when there is no successful reply.
     pub async fn call<R, T>(
         &self,
         engine: &EngineIncarnation,
@@ -113,10 +113,10 @@
         reply.result.map_err(EngineError::Refused)
     }
 
-    /// Opens a stream; the deadline is for the opening only.
+    /// Opens a stream; the deadline applies to opening it only.
     ///
     /// # Errors
-    /// [`EngineError`].
+    /// [`EngineError`] when there is no successful reply.
     pub async fn open<R: StreamRequest>(
         &self,
         engine: &EngineIncarnation,
@@ -128,19 +128,19 @@
         opened.map_err(|error| self.failed(engine, error))
     }
 
-    /// Notes that a message to an engine failed.
+    /// Records that a message to an engine failed.
     pub fn failed(&self, engine: &EngineIncarnation, error: RpcError) -> EngineError {
         self.lock().insert(engine.clone(), Instant::now() + SUSPECT_TIME);
         error.into()
     }
 
-    /// Whether an engine failed just now.
+    /// Returns whether an engine failed recently.
     #[must_use]
     pub fn is_suspect(&self, engine: &EngineIncarnation) -> bool {
         self.lock().get(engine).is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Forgets engines that the view no longer lists, so that the tables stay bounded.
+    /// Removes engines that the view no longer lists, so that the tables stay bounded.
     pub fn forget_unlisted(&self) {
         let view = self.node.view.borrow().clone();
         let now = Instant::now();
@@ -155,7 +155,7 @@
     fn address(&self, engine: &EngineIncarnation) -> Result<SocketAddr, EngineError> {
         let view = self.node.view.borrow().clone();
         address_of(&view, engine)
-            .ok_or_else(|| EngineError::Unreachable(format!("{engine} is not listed")))
+            .ok_or_else(|| EngineError::Unreachable(format!("{engine} is not in the cluster view")))
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<EngineIncarnation, Instant>> {
--- a/crates/gateway/src/sessions/follower.rs
+++ b/crates/gateway/src/sessions/follower.rs
@@ -1,5 +1,5 @@
-//! Follows a session's stream for one caller: from its owner while there is one within reach, from
-//! the shard's committed events otherwise, without losing, repeating or splicing an event.
+//! Streams a session's events to one caller, from the owner while it is reachable and from the
+//! shard's committed events otherwise, without lost, duplicate or mixed-up events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,51 +21,51 @@
 use crate::client_stream::{ClientGone, ClientSink};
 use crate::sessions::turns::TurnObserver;
 
-/// Longest time to find a broken stream's session again before the caller's stream is cut (ours):
-/// the lease time, one election of a shard, and one taker that does not answer.
+/// Maximum time to recover a broken stream before the caller's stream is aborted; covers the lease
+/// time, one leader election and one engine that does not reply to a takeover request.
 const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
-/// Time between signs of life on an idle stream (ours).
+/// Interval of keep-alive comments on an idle stream.
 const KEEP_ALIVE_TIME: Duration = Duration::from_secs(10);
 
 const FIRST_WAIT: Duration = Duration::from_millis(10);
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
 
-/// Where events come from at the moment.
+/// Current source of events.
 pub enum Feed {
-    /// The owner's answer to a turn: only this turn's events.
+    /// The owner's reply stream of a turn; only this turn's events.
     Turn(ItemStream<TurnItem>),
-    /// The owner's common stream.
+    /// The owner's session stream, shared by all followers.
     Session(ItemStream<JoinItem>),
 }
 
-/// An item of either feed.
+/// An item of either kind of feed.
 enum FeedItem {
     Event(Event),
     Sync(Vec<Event>),
-    /// The owner refused or let the session go.
+    /// The owner refused, or released the session.
     Left(EngineRefusal),
-    /// Nothing to pass on.
+    /// An item that is not forwarded.
     Nothing,
 }
 
-/// Why the relay of a feed ended.
+/// Why relaying a feed ended.
 enum Ended {
-    /// The stream's terminal event was passed on.
+    /// The stream's terminal event was forwarded.
     Whole,
-    /// The caller has gone, or takes nothing.
+    /// The caller disconnected or stopped reading.
     ClientGone,
-    /// Something does not fit: the stream must be cut.
+    /// The events are inconsistent; the stream must be aborted.
     Doubt(&'static str),
-    /// The feed broke; the session may go on elsewhere.
+    /// The feed failed; the session may continue at another owner.
     Broken(OwnerFault),
 }
 
-/// One caller's view of a session's stream.
+/// Streams a session's events to one caller.
 pub struct Follower {
     owners: Arc<Owners>,
     key: SessionKey,
-    /// The turn to follow; `None` for the whole session.
+    /// The followed turn; `None` for the complete session.
     turn: Option<TurnId>,
     cursor: Cursor,
     sink: ClientSink,
@@ -74,7 +74,8 @@
 }
 
 impl Follower {
-    /// A follower of a turn (or, without one, of the session) after an event that the caller has.
+    /// Creates a follower of a turn, or of the session without one, that starts after an event that
+    /// the caller has.
     #[must_use]
     pub fn new(
         owners: Arc<Owners>,
@@ -87,14 +88,14 @@
         Self { owners, key, turn, cursor, sink, observer: None, recovering_since: None }
     }
 
-    /// Reports what the turn shows of its engine's version.
+    /// Records the turn's progress for its engine's version.
     #[must_use]
     pub fn observed_by(mut self, observer: TurnObserver) -> Self {
         self.observer = Some(observer);
         self
     }
 
-    /// Runs to the stream's end. A stream that must be cut ends without its terminal event.
+    /// Runs until the stream ends. An aborted stream ends without its terminal event.
     pub async fn run(mut self, first: Option<(OwnerEntry, Feed)>) {
         let mut feed = first;
         let mut failed = None;
@@ -103,7 +104,7 @@
                 let routed = self.owners.engines.load.route(&entry.owner);
                 match self.relay(&entry.owner, feed, routed).await {
                     Ended::Whole => return self.sink.finish(),
-                    Ended::ClientGone => return self.abandon("its caller has gone"),
+                    Ended::ClientGone => return self.abandon("the caller disconnected"),
                     Ended::Doubt(why) => return self.abandon(why),
                     Ended::Broken(fault) => failed = Some(FailedOwner { entry, fault }),
                 }
@@ -118,7 +119,7 @@
     }
 
     fn abandon(self, why: &'static str) {
-        debug!(session = %self.key, last = %self.cursor.last(), why, "stream cut");
+        debug!(session = %self.key, last = %self.cursor.last(), why, "caller's event stream aborted");
         metrics::counter!("hooklug_gateway_streams_cut_total").increment(1);
     }
 
@@ -155,7 +156,8 @@
         }
     }
 
-    /// What a broken feed says about the owner. One whose connection failed is suspected from now on.
+    /// Returns what a failed feed implies about the owner; marks the owner as suspect if its
+    /// connection failed.
     fn fault(&self, owner: &EngineIncarnation, broken: FeedBroken) -> OwnerFault {
         if let FeedBroken::Rpc(error @ RpcError::ConnectionLost) = broken {
             self.owners.engines.failed(owner, error);
@@ -163,7 +165,7 @@
         OwnerFault::Interrupted
     }
 
-    /// A sync in the middle of a stream only serves to close a gap.
+    /// Handles a sync in the middle of a stream, which only fills gaps.
     async fn take_sync(&mut self, history: &[Event]) -> Result<bool, Ended> {
         for event in history {
             if self.take(event.clone()).await? {
@@ -173,7 +175,7 @@
         Ok(false)
     }
 
-    /// Takes an event that is known to be committed. Returns whether the stream is whole with it.
+    /// Handles a committed event. Returns whether it completed the stream.
     async fn take(&mut self, event: Event) -> Result<bool, Ended> {
         match self.cursor.judge(event.seq) {
             Step::Seen => return Ok(false),
@@ -184,17 +186,18 @@
                     return Ok(true);
                 }
                 if self.cursor.judge(event.seq) != Step::Next {
-                    return Err(Ended::Doubt("events are missing"));
+                    return Err(Ended::Doubt("events are missing from the feed"));
                 }
             }
         }
         self.pass(&event).await
     }
 
-    /// Passes the next event on, if the caller follows it.
+    /// Forwards the next event if it belongs to the followed turn. Returns whether it completed the
+    /// stream.
     async fn pass(&mut self, event: &Event) -> Result<bool, Ended> {
         if !self.cursor.advance(event.seq) {
-            return Err(Ended::Doubt("events do not follow each other"));
+            return Err(Ended::Doubt("events are out of order"));
         }
         if !self.follows(event)? {
             return Ok(false);
@@ -212,7 +215,7 @@
             (None, _) => Ok(true),
             (Some(wanted), Some(found)) if wanted == found => Ok(true),
             (Some(_), None) => Ok(false),
-            (Some(_), Some(_)) => Err(Ended::Doubt("another turn's event")),
+            (Some(_), Some(_)) => Err(Ended::Doubt("the feed contains an event of another turn")),
         }
     }
 
@@ -224,7 +227,8 @@
         }
     }
 
-    /// Passes on committed events from the shard, up to (not with) a place, or all there are.
+    /// Forwards committed events from the shard, up to but excluding `before` or all of them.
+    /// Returns whether the stream is complete.
     async fn catch_up(
         &mut self,
         before: Option<EventSeq>,
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Finds the session again after its feed broke, and goes on after the last event passed on.
+    /// Finds the session's owner after its feed failed and resumes after the last forwarded event.
     async fn recover(
         &mut self,
         mut failed: Option<FailedOwner>,
@@ -263,7 +267,7 @@
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= deadline {
-                warn!(session = %self.key, "stream not recovered in time");
+                warn!(session = %self.key, "event stream not recovered in time");
                 return Err(Ended::Doubt("not recovered in time"));
             }
             tokio::select! {
@@ -300,18 +304,18 @@
         }
     }
 
-    /// The session has closed: its last events are committed.
+    /// Forwards the last events of a closed session, all of which are committed.
     async fn closed(&mut self, deadline: Instant) -> Retry {
         match self.catch_up(None, deadline).await {
             Ok(true) => Retry::No(Ended::Whole),
-            Ok(false) => Retry::No(Ended::Doubt("closed without the terminal event")),
+            Ok(false) => Retry::No(Ended::Doubt("the session closed without the terminal event")),
             Err(Ended::Broken(_)) => Retry::Yes(None),
             Err(ended) => Retry::No(ended),
         }
     }
 }
 
-/// Whether to try to recover again.
+/// Why a recovery attempt failed, and whether to retry.
 enum Retry {
     Yes(Option<FailedOwner>),
     No(Ended),
@@ -322,11 +326,11 @@
     Ended::Broken(fault.unwrap_or(OwnerFault::Interrupted))
 }
 
-/// Why a feed gives no more.
+/// Why a feed ended.
 enum FeedBroken {
-    /// The owner ended it, as it does with a client that is too slow.
+    /// The owner ended it, as it does for a slow client.
     Ended,
-    /// Its connection failed.
+    /// The connection failed.
     Rpc(RpcError),
 }
 
@@ -353,14 +357,14 @@
     }
 }
 
-/// The next item of a stream within a time, for first answers.
+/// Returns the next item of a stream before the deadline; used for the first reply.
 pub async fn first_item<T: serde::de::DeserializeOwned>(
     items: &mut ItemStream<T>,
     deadline: Instant,
 ) -> Result<T, EngineError> {
     let left = deadline.saturating_duration_since(Instant::now());
     match timeout(left, items.next()).await {
-        Err(_) => Err(EngineError::Lost("no answer in time".to_owned())),
+        Err(_) => Err(EngineError::Lost("no reply before the deadline".to_owned())),
         Ok(Err(error)) => Err(error.into()),
         Ok(Ok(None)) => Err(EngineError::Lost("the stream ended".to_owned())),
         Ok(Ok(Some(item))) => Ok(item),
--- a/crates/gateway/src/sessions/load.rs
+++ b/crates/gateway/src/sessions/load.rs
@@ -1,5 +1,5 @@
-//! Load of session-host engines: the streams that this gateway routes, joined with what engines tell
-//! on replies (design section 5; no broadcast of load).
+//! Load of session-host engines: the streams that this gateway routes, combined with the load that
+//! engines report in replies (design document, section 5; load is not broadcast).
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,9 +8,9 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct EngineState {
-    /// Streams that this gateway routes to the engine now.
+    /// Streams currently routed to the engine by this gateway.
     routed: u32,
-    /// The last report, and how many streams were routed when it came.
+    /// The last report and the number of routed streams when it arrived.
     reported: Option<(EngineLoad, u32)>,
 }
 
@@ -25,13 +25,13 @@
     }
 }
 
-/// What is known of the engines' load. Cheap to clone.
+/// Load of engines by incarnation. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTable {
     engines: Arc<Mutex<HashMap<EngineIncarnation, EngineState>>>,
 }
 
-/// A stream under way; dropping it lowers the engine's load.
+/// A running stream; dropping it lowers the engine's load.
 #[derive(Debug)]
 pub struct RoutedStream {
     table: LoadTable,
@@ -46,27 +46,27 @@
         RoutedStream { table: self.clone(), engine: engine.clone() }
     }
 
-    /// Notes what an engine told on a reply.
+    /// Records the load that an engine reported in a reply.
     pub fn report(&self, engine: &EngineIncarnation, load: EngineLoad) {
         let mut engines = self.lock();
         let state = engines.entry(engine.clone()).or_default();
         state.reported = Some((load, state.routed));
     }
 
-    /// Turns that run or wait at an engine, as far as this gateway can tell.
+    /// Returns the estimated number of running and queued turns at an engine.
     #[must_use]
     pub fn work(&self, engine: &EngineIncarnation) -> u32 {
         self.lock().get(engine).map_or(0, EngineState::work)
     }
 
-    /// Whether the engine said that it is draining.
+    /// Returns whether the engine reported that it is draining.
     #[must_use]
     pub fn is_draining(&self, engine: &EngineIncarnation) -> bool {
         let engines = self.lock();
         engines.get(engine).and_then(|state| state.reported).is_some_and(|(load, _)| load.draining)
     }
 
-    /// Forgets engines that the cluster no longer lists and no stream runs to.
+    /// Removes engines that the cluster no longer lists and that have no routed stream.
     pub fn retain(&self, listed: impl Fn(&EngineIncarnation) -> bool) {
         self.lock().retain(|engine, state| state.routed > 0 || listed(engine));
     }
--- a/crates/gateway/src/sessions/messages.rs
+++ b/crates/gateway/src/sessions/messages.rs
@@ -1,4 +1,4 @@
-//! Sends a message to a session's owner, following the session until the deadline.
+//! Sends messages to a session's owner, following ownership changes until the deadline.
 
 use std::future::Future;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 const LONGEST_WAIT: Duration = Duration::from_millis(200);
 
 impl Owners {
-    /// Sends a message to the owner. It is sent again when the owner has changed or the answer was
-    /// lost, so the message must be idempotent.
+    /// Sends a message to the owner. The message must be idempotent: it is sent again when the
+    /// owner changed or the reply was lost.
     ///
     /// # Errors
-    /// [`MessageError`]: the last refusal, or why no owner could be asked in time.
+    /// [`MessageError`]: the last refusal, or why no owner could be reached in time.
     pub async fn send<T, F, Sent>(
         &self,
         key: &SessionKey,
@@ -64,7 +64,7 @@
 }
 
 impl MessageError {
-    /// The closed session's record, when the session turned out to be closed.
+    /// Returns whether the session turned out to be closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         matches!(self, Self::Owner(OwnerError::Closed(_)))
--- a/crates/gateway/src/sessions/mod.rs
+++ b/crates/gateway/src/sessions/mod.rs
@@ -1,4 +1,4 @@
-//! Sessions: their owners, placement, takeover, and the streams that callers follow.
+//! Sessions: ownership, placement, takeover and event streams.
 
 pub mod cursor;
 pub mod engines;
--- a/crates/gateway/src/sessions/opening.rs
+++ b/crates/gateway/src/sessions/opening.rs
@@ -1,4 +1,4 @@
-//! Opens sessions: chooses an engine, which writes the ownership itself; the first writer wins.
+//! Opens sessions: selects an engine, which records its ownership itself; the first writer wins.
 
 use hooklug_protocol::engine::{EngineRefusal, OpenSession};
 use hooklug_state::shard::{SessionRecord, ShardRefusal};
@@ -14,22 +14,22 @@
 use crate::api::refusals;
 use crate::backoff::Backoff;
 
-/// What a session is opened with.
+/// Parameters of a new session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Opening {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Service that its model runs on.
+    /// Service that runs its model.
     pub service: ServiceName,
-    /// Shared prefix of its prompt.
+    /// Shared prefix of its prompts.
     pub prefix: Option<PrefixId>,
 }
 
 impl Owners {
-    /// Opens a session, or finds that it is open already.
+    /// Opens a session, or returns the record if it is already open.
     ///
     /// # Errors
-    /// A problem for the caller; `try_again` when no engine could be asked in time.
+    /// A problem for the caller; `try_again` when no engine accepted the session in time.
     pub async fn open(
         &self,
         opening: &Opening,
@@ -56,14 +56,14 @@
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= deadline {
-                return Err(not_now("no engine can take the session now").into());
+                return Err(not_now("no engine is available for the session").into());
             }
             sleep(wait).await;
             tried.clear();
         }
     }
 
-    /// Asks one engine; `None` when another one should be asked.
+    /// Asks one engine to open the session; `None` when another engine should be tried.
     async fn ask_to_open(
         &self,
         opening: &Opening,
@@ -96,24 +96,28 @@
             Err(EngineError::Refused(EngineRefusal::Ledger(refusal))) => {
                 Err(refusals::ledger(&refusal))
             }
-            // The engine may have written the ownership: whoever reads next finds it.
+            // The engine may have recorded its ownership: read the record.
             Err(EngineError::Lost(_)) => Ok(self.shards.session(&opening.key, deadline).await?),
             Err(EngineError::Refused(_) | EngineError::Unreachable(_)) => Ok(None),
         }
     }
 }
 
-/// A session that is there already must be the one that was asked for.
+/// Checks that an existing session matches the request.
 fn existing(opening: &Opening, record: SessionRecord) -> Result<SessionRecord, Problem> {
     if record.closed {
         return Err(OwnerError::Closed(Box::new(record)).into());
     }
     if record.service != opening.service {
-        let detail = format!("it runs on service {}", record.service);
+        let detail = format!("the session uses service {}", record.service);
         return Err(Problem::field(Code::SessionDiffers, "model", detail));
     }
     if record.prefix != opening.prefix {
-        return Err(Problem::field(Code::SessionDiffers, "prefix", "it has another prefix"));
+        return Err(Problem::field(
+            Code::SessionDiffers,
+            "prefix",
+            "the session has another prefix",
+        ));
     }
     Ok(record)
 }
--- a/crates/gateway/src/sessions/owner_table.rs
+++ b/crates/gateway/src/sessions/owner_table.rs
@@ -1,5 +1,5 @@
-//! The owner table: a bounded cache of the shards' session records (design note: looked up for every
-//! message). The shard's record is the truth; a wrong entry costs one refusal and is then corrected.
+//! The owner table: a bounded cache of the shards' session records, read for every message. The
+//! shard's record is authoritative; a stale entry costs one refusal and is then corrected.
 
 use std::collections::HashMap;
 
@@ -8,24 +8,24 @@
     EngineIncarnation, ServiceName, ServiceVersion, SessionEpoch, SessionKey, SessionPlace,
 };
 
-/// Sessions that one gateway remembers (ours).
+/// Capacity of the table.
 pub const OWNER_TABLE_ENTRIES: usize = 65_536;
 
-/// Where a session is, as far as this gateway knows.
+/// A session's owner as cached by this gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerEntry {
     /// The owner.
     pub owner: EngineIncarnation,
-    /// The epoch that it holds the session under.
+    /// The epoch under which it owns the session.
     pub epoch: SessionEpoch,
-    /// Service that the session runs on.
+    /// Service of the session.
     pub service: ServiceName,
     /// Version of the owner.
     pub version: ServiceVersion,
 }
 
 impl OwnerEntry {
-    /// The entry of a record; `None` when nobody owns the session.
+    /// Creates the entry for a record; `None` when the session has no owner.
     #[must_use]
     pub fn of(record: &SessionRecord) -> Option<Self> {
         if record.closed {
@@ -39,7 +39,7 @@
         })
     }
 
-    /// The place that messages to the owner carry.
+    /// Returns the session, owner and epoch that messages to the owner carry.
     #[must_use]
     pub fn place(&self, key: &SessionKey) -> SessionPlace {
         SessionPlace { key: key.clone(), owner: self.owner.clone(), epoch: self.epoch }
@@ -52,7 +52,7 @@
     used: u64,
 }
 
-/// The cache. Pure: it counts its own uses in place of a clock.
+/// The cache. Pure: it orders entries by a use counter instead of a clock.
 #[derive(Debug)]
 pub struct OwnerTable {
     slots: HashMap<SessionKey, Slot>,
@@ -61,13 +61,13 @@
 }
 
 impl OwnerTable {
-    /// An empty table for so many sessions, at least one.
+    /// Creates an empty table with a capacity of at least one.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self { slots: HashMap::new(), capacity: capacity.max(1), uses: 0 }
     }
 
-    /// The entry of a session.
+    /// Returns the entry of a session.
     pub fn get(&mut self, key: &SessionKey) -> Option<OwnerEntry> {
         self.uses += 1;
         let slot = self.slots.get_mut(key)?;
@@ -75,8 +75,8 @@
         Some(slot.entry.clone())
     }
 
-    /// Notes what a record says. An older epoch than the known one changes nothing; a record
-    /// without an owner drops the entry.
+    /// Updates the table from a record. A record with an older epoch than the cached one is
+    /// ignored; a record without an owner removes the entry.
     pub fn learn(&mut self, record: &SessionRecord) {
         let known = self.slots.get(&record.key).map(|slot| slot.entry.epoch);
         if known.is_some_and(|epoch| epoch > record.epoch) {
@@ -88,25 +88,25 @@
         }
     }
 
-    /// Drops a session's entry.
+    /// Removes a session's entry.
     pub fn forget(&mut self, key: &SessionKey) {
         self.slots.remove(key);
     }
 
-    /// Drops a session's entry if it still names an epoch.
+    /// Removes a session's entry if it has the given epoch.
     pub fn forget_epoch(&mut self, key: &SessionKey, epoch: SessionEpoch) {
         if self.slots.get(key).is_some_and(|slot| slot.entry.epoch == epoch) {
             self.slots.remove(key);
         }
     }
 
-    /// Sessions in the table.
+    /// Returns the number of sessions in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether the table is empty.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Drops the older half by last use: rare, so that the common path needs no ordered index.
+    /// Evicts the least recently used half. This is rare, so the common path needs no ordered
+    /// index.
     fn evict(&mut self) {
         let mut used: Vec<u64> = self.slots.values().map(|slot| slot.used).collect();
         let middle = used.len() / 2;
--- a/crates/gateway/src/sessions/owners.rs
+++ b/crates/gateway/src/sessions/owners.rs
@@ -1,4 +1,5 @@
-//! Who owns a session now: the table first, else the shard's record, else a takeover.
+//! Resolves a session's owner: from the owner table, then from the shard's record, then by a
+//! takeover.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -18,27 +19,27 @@
 use crate::single_flight::SingleFlight;
 use crate::versions::StoppedVersions;
 
-/// Wait before a session that is being handed over is looked up again (ours).
+/// Wait before the record of a session that is being handed over is read again.
 const HAND_OVER_WAIT: Duration = Duration::from_millis(20);
 
-/// Why a session has no owner that can be asked.
+/// Why no owner is available for a session.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OwnerError {
-    /// No such session.
+    /// The session does not exist.
     #[error("no such session")]
     NoSession,
-    /// It is closed.
+    /// The session is closed.
     #[error("the session is closed")]
     Closed(Box<SessionRecord>),
-    /// Its shard gave no answer.
+    /// Its shard returned no usable reply.
     #[error(transparent)]
     Shard(#[from] ShardError),
-    /// The former owner's lease still runs, or no engine could take the session.
+    /// The former owner's lease has not expired, or no engine accepted the session.
     #[error("{detail}")]
     NotNow {
-        /// Why.
+        /// The reason.
         detail: String,
-        /// When to come back.
+        /// Delay after which to retry.
         after: Duration,
     },
 }
@@ -55,22 +56,22 @@
     }
 }
 
-/// An owner that failed, and how.
+/// A failed owner and the kind of failure.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FailedOwner {
-    /// The entry that was used.
+    /// The owner entry that was used.
     pub entry: OwnerEntry,
-    /// How it failed.
+    /// The kind of failure.
     pub fault: OwnerFault,
 }
 
-/// The owners of sessions.
+/// Resolves and caches the owners of sessions.
 #[derive(Debug)]
 pub struct Owners {
     table: Mutex<OwnerTable>,
     flights: SingleFlight<SessionKey>,
     pub(super) shards: Shards,
-    /// The engines.
+    /// Client of the session-host engines.
     pub engines: Arc<Engines>,
     pub(super) node: NodeHandle,
     pub(super) zone: ZoneName,
@@ -78,7 +79,7 @@
 }
 
 impl Owners {
-    /// Owners as a node's shards and engines know them.
+    /// Creates a resolver for a node.
     #[must_use]
     pub fn new(
         shards: Shards,
@@ -91,20 +92,20 @@
         Self { table, flights: SingleFlight::default(), shards, engines, node, zone, stopped }
     }
 
-    /// Notes a record that was read or replied.
+    /// Updates the owner table from a record.
     pub fn learn(&self, record: &SessionRecord) {
         self.lock().learn(record);
     }
 
-    /// Drops a session's entry.
+    /// Removes a session from the owner table.
     pub fn forget(&self, key: &SessionKey) {
         self.lock().forget(key);
     }
 
-    /// Finds the owner; after a failure, another one where the failed one is gone.
+    /// Returns the owner. After a failure, returns another one if the failed one is unavailable.
     ///
     /// # Errors
-    /// [`OwnerError`]; claims nothing about any turn.
+    /// [`OwnerError`]; it states nothing about any turn.
     pub async fn resolve(
         &self,
         key: &SessionKey,
@@ -119,7 +120,7 @@
         }
         let flight = tokio::time::timeout_at(deadline, self.flights.enter(key));
         let _flight = flight.await.map_err(|_| not_now("the session is being taken over"))?;
-        // Whoever went first has found the owner.
+        // The task that held the lock before may have found the owner.
         if let Some(entry) = self.known(key) {
             return Ok(entry);
         }
@@ -139,7 +140,7 @@
         self.settle(&record, failed.as_ref(), deadline).await
     }
 
-    /// The owner that a fresh record names, or a new one.
+    /// Returns the owner in a freshly read record, or has the session taken over.
     async fn settle(
         &self,
         record: &SessionRecord,
@@ -166,7 +167,7 @@
         Ok(entry)
     }
 
-    /// Engines that may get a session of a service now.
+    /// Returns the engines that are eligible for a session of a service.
     pub(super) fn candidates(&self, service: &ServiceName) -> Vec<Candidate> {
         let Some(bundle) = self.node.bundle.borrow().clone() else { return Vec::new() };
         let Some(entry) = bundle.bundle.services.get(service) else { return Vec::new() };
@@ -178,8 +179,9 @@
         super::placement::address_of(&self.node.view.borrow(), engine).is_some()
     }
 
-    /// The entry of the table, unless its owner is gone or failed just now: then the record is read, since a frozen
-    /// engine stays listed for seconds, and each message sent to it would wait for a connection in vain.
+    /// Returns the cached entry unless its owner is no longer listed or failed recently. In that
+    /// case the record is read, because a frozen engine stays listed for seconds, and each message
+    /// sent to it would wait for a connection in vain.
     fn known(&self, key: &SessionKey) -> Option<OwnerEntry> {
         let entry = self.lock().get(key)?;
         let is_sound = self.is_listed(&entry.owner) && !self.engines.is_suspect(&entry.owner);
@@ -191,7 +193,7 @@
         match &failed.fault {
             OwnerFault::Moved(Some(record)) => {
                 table.forget_epoch(key, failed.entry.epoch);
-                // An engine that still names itself has an older view than its own refusal.
+                // A refusing engine that reports itself as owner has an outdated record.
                 if record.owner.as_ref() != Some(&failed.entry.owner) {
                     table.learn(record);
                 }
@@ -211,7 +213,7 @@
     failed.is_some_and(|f| matches!(f.fault, OwnerFault::Moved(None)))
 }
 
-/// Nothing can be said now, but soon.
+/// Creates a transient error.
 pub(super) fn not_now(detail: &str) -> OwnerError {
     OwnerError::NotNow { detail: detail.to_owned(), after: RETRY_SOON }
 }
@@ -230,13 +232,13 @@
     }
 }
 
-/// What a message to an owner came to, when it was not answered well.
+/// Why a message to a session's owner failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// No owner could be asked.
+    /// No owner is available.
     #[error(transparent)]
     Owner(#[from] OwnerError),
-    /// The owner refused for a reason other than ownership.
+    /// The owner refused, or the message failed.
     #[error(transparent)]
     Engine(#[from] EngineError),
 }
--- a/crates/gateway/src/sessions/placement.rs
+++ b/crates/gateway/src/sessions/placement.rs
@@ -1,4 +1,5 @@
-//! Where a new session goes (design section 5). Pure: candidates, load and randomness are passed in.
+//! Placement of new sessions (design document, section 5). Pure: candidates, load and randomness
+//! are passed in.
 
 use std::net::SocketAddr;
 
@@ -7,27 +8,27 @@
 use hooklug_types::{EngineIncarnation, PrefixId, ServiceName, ServiceVersion, ZoneName};
 use rand::{Rng, RngExt};
 
-/// An engine may hold this share of the average load before its prefixes go elsewhere (ours; the
-/// usual factor of consistent hashing with bounded loads).
+/// Multiple of the average load that an engine may have before its prefixes go elsewhere; the usual
+/// factor of consistent hashing with bounded loads.
 const PREFIX_LOAD_FACTOR: f64 = 1.25;
 
-/// Work a slot at which an own-zone engine counts as full and other zones are asked too (ours).
+/// Load per slot at which engines of the local zone count as full and other zones are considered.
 const ZONE_OVERFLOW_AT: f64 = 1.0;
 
-/// An engine that may get a session.
+/// An engine that is eligible for a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its run.
+    /// The engine and its incarnation.
     pub engine: EngineIncarnation,
-    /// Its rpc address.
+    /// Its RPC address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
     /// Version that it runs.
     pub version: ServiceVersion,
-    /// Turns that it runs at once; at least 1.
+    /// Number of turns that it can run concurrently; at least 1.
     pub slots: u32,
-    /// Turns that run or wait there.
+    /// Number of running and queued turns.
     pub work: u32,
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// The run of a session-host engine that a member is; `None` for other roles.
+/// Returns the incarnation of a member's session-host engine; `None` for other roles.
 #[must_use]
 pub fn engine_of(member: &Member) -> Option<EngineIncarnation> {
     let hosted = member.engine.as_ref()?;
@@ -47,7 +48,7 @@
     })
 }
 
-/// Where an engine listens, if the view lists this run of it and has not given it up.
+/// Returns an engine's address if the view lists this incarnation and does not consider it failed.
 #[must_use]
 pub fn address_of(view: &ClusterView, engine: &EngineIncarnation) -> Option<SocketAddr> {
     let alive = view.members.values().filter(|m| m.health != MemberHealth::Dead);
@@ -55,18 +56,19 @@
     found.next().map(|m| m.address.rpc)
 }
 
-/// What a gateway knows of engines beyond the view.
+/// Local information about engines beyond the cluster view.
 pub trait EngineKnowledge {
-    /// Turns that run or wait at the engine.
+    /// Number of running and queued turns at the engine.
     fn work(&self, engine: &EngineIncarnation) -> u32;
-    /// Whether the engine must get no new session from here: it said that it drains, or just failed.
+    /// Whether the engine must get no new session from this gateway: it reported that it is
+    /// draining, or it failed recently.
     fn is_excluded(&self, engine: &EngineIncarnation) -> bool;
-    /// Whether this gateway stopped sending new traffic to a version on its own evidence.
+    /// Whether this gateway stopped sending new traffic to a version, based on its own statistics.
     fn is_stopped(&self, service: &ServiceName, version: &ServiceVersion) -> bool;
 }
 
-/// Engines of the service's newest sound version that can take a session now. While the newest has
-/// none (it is not started yet, or not ready), the next older sound version that has some.
+/// Returns the engines of the service's newest sound version that can accept a session now. If it
+/// has none (not started or not ready yet), those of the next older sound version that has some.
 #[must_use]
 pub fn candidates(
     view: &ClusterView,
@@ -110,7 +112,8 @@
         .collect()
 }
 
-/// Chooses an engine: by prefix where there is one, else the better of two in the own zone first.
+/// Selects an engine: by prefix if there is one, otherwise the less loaded of two random ones,
+/// preferring the local zone.
 pub fn choose(
     candidates: &[Candidate],
     prefix: Option<&PrefixId>,
@@ -124,8 +127,8 @@
     .cloned()
 }
 
-/// Rendezvous hashing with bounded load: the highest-ranked engine that is not over its share, so
-/// that every gateway sends a prefix to the same engine as long as it can take it.
+/// Rendezvous hashing with bounded load: selects the highest-ranked engine within its bound, so
+/// that all gateways send a prefix to the same engine while it has capacity.
 fn by_prefix<'a>(candidates: &'a [Candidate], prefix: &PrefixId) -> Option<&'a Candidate> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by_key(|c| std::cmp::Reverse(rank(prefix, c)));
@@ -143,7 +146,8 @@
     let mut hasher = blake3::Hasher::new();
     hasher.update(prefix.as_str().as_bytes());
     hasher.update(&[0]);
-    // The engine's name, not its run: a restarted engine gets its prefixes back.
+    // Hash the engine's name, not its incarnation, so that a restarted engine gets its prefixes
+    // back.
     hasher.update(candidate.engine.engine.as_str().as_bytes());
     let mut rank = [0_u8; 8];
     rank.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
--- a/crates/gateway/src/sessions/takeover.rs
+++ b/crates/gateway/src/sessions/takeover.rs
@@ -1,4 +1,5 @@
-//! Gives a session a new owner once the former one's lease has ended (design section 3).
+//! Assigns a session to a new owner after the former owner's lease has ended (design document,
+//! section 3).
 
 use std::time::Duration;
 
@@ -15,37 +16,37 @@
 use super::placement::{Candidate, choose};
 use crate::backoff::Backoff;
 
-/// Time one engine has to take or open a session before another is asked (ours).
+/// Time one engine has to open or take over a session before another is tried.
 pub(super) const PLACE_TRY_TIME: Duration = Duration::from_secs(2);
 
-/// Added to the time that a lease has left, so that the next question finds it ended (ours).
+/// Margin added to a lease's remaining time, so that it has expired at the next check.
 const LEASE_MARGIN: Duration = Duration::from_millis(20);
 
 const FIRST_WAIT: Duration = Duration::from_millis(20);
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
 
-/// Whether a lease that still runs is waited for.
+/// Whether to wait for a lease that has not expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Waiting {
-    /// Yes: the owner is gone.
+    /// Wait until it expires: the owner has failed.
     ForLease,
-    /// No: only a connection broke, and an owner with a lease is asked again.
+    /// Do not wait: only a connection failed, and an owner with a valid lease is contacted again.
     Not,
 }
 
-/// What one engine made of the wish that it take a session.
+/// Result of asking one engine to take over a session.
 enum Taken {
-    /// It, or another one, owns the session.
+    /// This engine or another one owns the session.
     Owned(OwnerEntry),
-    /// It did not; another one may.
+    /// The engine refused; another one may accept.
     Refused,
-    /// Nobody can take it: the session is closed or gone.
+    /// No engine can take over: the session is closed, missing or changing its owner.
     Over(OwnerError),
 }
 
 impl Owners {
-    /// Ends the recorded owner's lease, then has the session taken. Returns the recorded owner
-    /// itself when its lease turns out to be renewed, and the view lists it.
+    /// Expires the recorded owner's lease, then has the session taken over. Returns the recorded
+    /// owner if its lease was renewed and the view lists it.
     pub(super) async fn replace(
         &self,
         record: &SessionRecord,
@@ -64,17 +65,18 @@
                 return Ok(entry.clone());
             }
             if Instant::now() + left >= deadline {
-                let detail = format!("the lease of {} still runs", entry.owner);
+                let detail =
+                    format!("the lease of the former owner {} has not expired yet", entry.owner);
                 return Err(OwnerError::NotNow { detail, after: left });
             }
             sleep(left).await;
-            // Held after its whole time means renewed: the owner lives.
+            // A lease still held after its remaining time was renewed: the owner is alive.
             may_live = true;
         }
         self.take_over(record, deadline).await
     }
 
-    /// Has a session without a live owner taken by a placed engine.
+    /// Has a session without a live owner taken over by a selected engine.
     pub(super) async fn take_over(
         &self,
         record: &SessionRecord,
@@ -84,7 +86,8 @@
         let mut tried: Vec<EngineIncarnation> = Vec::new();
         loop {
             let mut open = self.candidates(&record.service);
-            // A former owner is gone for ever, though the view may list it yet and its prefix points to it.
+            // An incarnation that lost ownership never regains it, even if the view still lists it
+            // and the prefix maps to it.
             open.retain(|c| !tried.contains(&c.engine) && record.owner.as_ref() != Some(&c.engine));
             let chosen = choose(&open, record.prefix.as_ref(), &self.zone, &mut rand::rng());
             match chosen {
@@ -96,7 +99,7 @@
                 None => {
                     let wait = backoff.next_wait();
                     if Instant::now() + wait >= deadline {
-                        return Err(not_now("no engine can take the session now"));
+                        return Err(not_now("no engine is available to take over the session"));
                     }
                     sleep(wait).await;
                     tried.clear();
@@ -120,12 +123,12 @@
         let taken = self.engines.call(&candidate.engine, &request, try_until).await;
         match taken {
             Ok(record) => {
-                info!(session = %record.key, engine = %candidate.engine, epoch = %record.epoch, "session taken");
+                info!(session = %record.key, engine = %candidate.engine, epoch = %record.epoch, "session taken over");
                 metrics::counter!("hooklug_gateway_takeovers_total").increment(1);
                 Ok(self.owned(&record))
             }
             Err(EngineError::Refused(refusal)) => self.refused(record, refusal, deadline).await,
-            // The message may have been acted on: only the record can tell.
+            // The engine may have processed the message: only the record shows the result.
             Err(EngineError::Lost(_)) => self.reread(&record.key, record, deadline).await,
             Err(EngineError::Unreachable(_)) => Ok(Taken::Refused),
         }
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Reads the record again: somebody may own the session under a newer epoch.
+    /// Reads the record again; another engine may own the session under a newer epoch.
     async fn reread(
         &self,
         key: &SessionKey,
@@ -168,7 +171,7 @@
         }
         match OwnerEntry::of(&now) {
             Some(_) => Ok(self.owned(&now)),
-            None => Ok(Taken::Over(not_now("the session changes its owner"))),
+            None => Ok(Taken::Over(not_now("the session is changing its owner"))),
         }
     }
 
@@ -176,7 +179,7 @@
         self.learn(record);
         match OwnerEntry::of(record) {
             Some(entry) => Taken::Owned(entry),
-            None => Taken::Over(not_now("the session changes its owner")),
+            None => Taken::Over(not_now("the session is changing its owner")),
         }
     }
 }
--- a/crates/gateway/src/sessions/turns.rs
+++ b/crates/gateway/src/sessions/turns.rs
@@ -1,4 +1,4 @@
-//! Starts turns at their owner and follows turns and sessions for callers.
+//! Starts turns at a session's owner and joins sessions.
 
 use hooklug_protocol::engine::{Join, JoinItem, RunTurn, TurnItem};
 use hooklug_rpc::ItemStream;
@@ -15,24 +15,24 @@
 use super::owners::{MessageError, Owners};
 use crate::version_monitor::Evidence;
 
-/// A turn as its caller asked for it.
+/// A turn request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnRequest {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
     /// The turn.
     pub turn: TurnId,
-    /// The turn that it follows.
+    /// The preceding turn.
     pub after: Option<TurnId>,
     /// The new input.
     pub input: String,
-    /// Tokens that it may stream.
+    /// Maximum number of tokens to generate.
     pub max_tokens: TokenCount,
-    /// Whose it is.
+    /// Tenant of the caller.
     pub tenant: TenantId,
-    /// Its group for windows.
+    /// Group for window placement.
     pub group: Option<WindowGroup>,
-    /// Whether it may use the urgent reserve.
+    /// Whether the turn may use the capacity reserved for urgent work.
     pub urgent: bool,
     /// Last event that the caller already has; 0 for none.
     pub last_seen: EventSeq,
@@ -56,21 +56,21 @@
     }
 }
 
-/// A turn that its owner has accepted: committed, and streaming.
+/// A turn that its owner accepted, committed and is streaming.
 pub struct RunningTurn {
     /// The owner.
     pub entry: OwnerEntry,
-    /// The turn as recorded.
+    /// The turn's record.
     pub record: TurnRecord,
-    /// Its events.
+    /// The turn's events.
     pub feed: Feed,
 }
 
 impl Owners {
-    /// Starts a turn. A resend of the same turn attaches to it, so the message may be sent again.
+    /// Starts a turn. Resending the same turn attaches to it, so the message may be sent again.
     ///
     /// # Errors
-    /// [`MessageError`].
+    /// [`MessageError`] when no owner accepted the request in time.
     pub async fn run_turn(
         &self,
         request: &TurnRequest,
@@ -102,14 +102,16 @@
                 self.engines.load.report(&entry.owner, load);
                 Err(refusal.into())
             }
-            TurnItem::Event(_) => Err(EngineError::Lost("an event came first".to_owned())),
+            TurnItem::Event(_) => {
+                Err(EngineError::Lost("an event arrived before the turn was accepted".to_owned()))
+            }
         }
     }
 
-    /// Joins a session from its beginning: all events so far, and the common stream after them.
+    /// Joins a session from its beginning: returns all events so far and the stream of later ones.
     ///
     /// # Errors
-    /// [`MessageError`].
+    /// [`MessageError`] when no owner accepted the request in time.
     pub async fn join(
         &self,
         key: &SessionKey,
@@ -121,7 +123,9 @@
             match first_item(&mut items, deadline).await? {
                 JoinItem::Sync { history, .. } => Ok((history, Feed::Session(items))),
                 JoinItem::Refused(refusal) => Err(refusal.into()),
-                JoinItem::Event(_) => Err(EngineError::Lost("no sync came first".to_owned())),
+                JoinItem::Event(_) => Err(EngineError::Lost(
+                    "an event arrived before the session's history".to_owned(),
+                )),
             }
         });
         let (entry, (history, feed)) = sent.await?;
@@ -129,7 +133,7 @@
     }
 }
 
-/// What a turn shows of its engine's version: the time to the first token, and how it ends.
+/// Records a turn's time to first token and its failures for the engine's version.
 #[derive(Debug)]
 pub struct TurnObserver {
     evidence: Evidence,
@@ -141,7 +145,7 @@
 }
 
 impl TurnObserver {
-    /// An observer of a turn that was asked for at an instant.
+    /// Creates an observer of a turn requested at an instant.
     #[must_use]
     pub fn new(
         evidence: Evidence,
@@ -158,7 +162,7 @@
         self.evidence.record(&self.service, &self.version, &self.route, success, latency);
     }
 
-    /// Notes an event of the turn.
+    /// Records an event of the turn.
     pub fn saw(&mut self, body: &EventBody) {
         match body {
             EventBody::Tokens { .. } | EventBody::ToolRequested { .. } if !self.seen_token => {
@@ -173,7 +177,7 @@
     }
 }
 
-/// Whether a turn's end counts against its engine's version.
+/// Returns whether the end of a turn counts against its engine's version.
 fn is_engine_fault(reason: &EndReason) -> bool {
     match reason {
         EndReason::Finished | EndReason::Aborted => false,
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -1,4 +1,4 @@
-//! Typed reads and commands of the shards, on top of [`StateAccess`].
+//! Typed shard queries and commands on top of [`StateAccess`].
 
 use std::sync::Arc;
 
@@ -16,17 +16,17 @@
 use crate::api::problem::Problem;
 use crate::api::refusals::RETRY_STORE;
 
-/// Events read at once (ours).
+/// Maximum number of events per query.
 const EVENT_PAGE: u32 = 256;
 
-/// A shard gave no usable answer; claims nothing.
+/// A shard returned no usable reply; the outcome of a command is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ShardError {
-    /// It could not be reached.
+    /// The shard could not be reached.
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
-    /// It answered something that does not fit the question.
-    #[error("the shard's answer does not fit the question")]
+    /// The reply has a type that does not match the query.
+    #[error("the shard's reply does not match the query")]
     Unexpected,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The shards. Cheap to clone.
+/// Client of all shards. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shards {
     state: Arc<dyn StateAccess>,
@@ -47,16 +47,17 @@
 }
 
 impl Shards {
-    /// Shards behind an access.
+    /// Creates a client on top of a state access.
     #[must_use]
     pub fn new(state: Arc<dyn StateAccess>) -> Self {
         Self { state }
     }
 
-    /// Applies a command of a program's shard. Commands are idempotent by their key.
+    /// Applies a command to a program's shard. Commands are idempotent by their key.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing: the command may have been applied, or may be yet.
+    /// [`ShardError`]: the outcome is unknown; the command may have been applied or may still be
+    /// applied.
     pub async fn execute(
         &self,
         program: &ProgramId,
@@ -78,7 +79,7 @@
     /// Reads a program.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing.
+    /// [`ShardError`] when the shard cannot be read.
     pub async fn program(
         &self,
         program: &ProgramId,
@@ -93,7 +94,7 @@
     /// Reads a session.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing.
+    /// [`ShardError`] when the shard cannot be read.
     pub async fn session(
         &self,
         key: &SessionKey,
@@ -108,7 +109,7 @@
     /// Reads a turn.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing.
+    /// [`ShardError`] when the shard cannot be read.
     pub async fn turn(
         &self,
         key: &SessionKey,
@@ -122,10 +123,11 @@
         }
     }
 
-    /// Reads one page of a session's events after a place; the flag tells whether more are there.
+    /// Reads one page of a session's events after a sequence number; the flag reports whether more
+    /// follow.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing.
+    /// [`ShardError`] when the shard cannot be read.
     pub async fn events(
         &self,
         key: &SessionKey,
@@ -142,7 +144,7 @@
     /// Reads a call.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing.
+    /// [`ShardError`] when the shard cannot be read.
     pub async fn call(
         &self,
         program: &ProgramId,
@@ -156,10 +158,10 @@
         }
     }
 
-    /// Asks for an engine's lease to be ended.
+    /// Requests that an engine's lease be expired.
     ///
     /// # Errors
-    /// [`ShardError`] claims nothing.
+    /// [`ShardError`] when the shard cannot be read.
     pub async fn expire_lease(
         &self,
         engine: &EngineIncarnation,
