--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of one gateway share.
+//! State shared by all requests of one gateway.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -26,13 +26,14 @@
 use crate::version_monitor::Evidence;
 use crate::versions::StoppedVersions;
 
-/// Time for one read or command of a shard (ours): an election and some.
+/// Timeout of one shard query or command; covers a leader election with a margin.
 const STATE_TIME: Duration = Duration::from_secs(5);
 
-/// Time for one message to a session's owner (ours): lease time, margin, an election, a taker.
+/// Timeout of one message to a session's owner; covers the lease time with its margin, a leader
+/// election and one takeover attempt.
 const SESSION_TIME: Duration = Duration::from_secs(10);
 
-/// One gateway's parts.
+/// Components of one gateway.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) ctx: NodeContext,
@@ -43,9 +44,9 @@
     pub(crate) evidence: Evidence,
     pub(crate) programs: Programs,
     pub(crate) tenants: Tenants,
-    /// Requests and tasks under way; the gateway's stop waits for them.
+    /// Running requests and tasks; shutdown waits for them.
     pub(crate) running: TaskTracker,
-    /// Cuts the streams that are left when the grace period is over.
+    /// Aborts the streams that remain when the grace period is over.
     pub(crate) cut: CancellationToken,
 }
 
@@ -90,27 +91,28 @@
         }
     }
 
-    /// When a read or command of a shard is given up.
+    /// Deadline of a shard query or command that starts now.
     pub(crate) fn state_deadline() -> Instant {
         Instant::now() + STATE_TIME
     }
 
-    /// When a message to a session's owner is given up.
+    /// Deadline of a message to a session's owner that starts now.
     pub(crate) fn session_deadline() -> Instant {
         Instant::now() + SESSION_TIME
     }
 
-    /// Longest request body, in bytes.
+    /// Maximum request body size, in bytes.
     pub(crate) fn body_limit(&self) -> usize {
         self.ctx.settings.gateway.body_bytes
     }
 
-    /// Runs a task that the gateway's stop waits for.
+    /// Spawns a task that shutdown waits for.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.running.spawn(task);
     }
 
-    /// The program's facts, if it is the caller's own. Another tenant's program does not exist for it.
+    /// Returns the program's cached facts if the caller owns the program. For any other tenant the
+    /// program does not exist.
     pub(crate) async fn own_program(
         &self,
         caller: &Caller,
@@ -128,11 +130,11 @@
             .ok_or_else(|| Problem::new(Code::NoProgram, "no such program"))
     }
 
-    /// Without a store in reach, nothing begins that a store has to record.
+    /// Rejects work that a store has to record while no store is reachable.
     pub(crate) fn check_store_reach(&self) -> Result<(), Problem> {
         if self.ctx.node.reach.borrow().store {
             return Ok(());
         }
-        Err(Problem::try_again("this gateway reaches no store", RETRY_STORE))
+        Err(Problem::try_again("no store is reachable from this gateway", RETRY_STORE))
     }
 }
--- a/crates/gateway/src/single_flight.rs
+++ b/crates/gateway/src/single_flight.rs
@@ -1,4 +1,4 @@
-//! One task at a time a key; the others wait and then look at what the first one found.
+//! Runs one task per key at a time; waiting tasks then reuse the result of the first.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,7 +6,7 @@
 
 use tokio::sync::{Mutex as AsyncMutex, OwnedMutexGuard};
 
-/// Locks by key. Entries vanish when nobody holds or awaits them.
+/// Locks by key. Entries without holders or waiters are removed.
 #[derive(Debug)]
 pub struct SingleFlight<K> {
     locks: Mutex<HashMap<K, Weak<AsyncMutex<()>>>>,
@@ -18,11 +18,11 @@
     }
 }
 
-/// Entries at which dead ones are swept out.
+/// Number of entries at which unused ones are removed.
 const SWEEP_AT: usize = 1024;
 
 impl<K: Hash + Eq + Clone> SingleFlight<K> {
-    /// Waits for the key's turn.
+    /// Waits for the key's lock.
     pub async fn enter(&self, key: &K) -> OwnedMutexGuard<()> {
         let lock = self.lock_of(key);
         lock.lock_owned().await
--- a/crates/gateway/src/version_monitor.rs
+++ b/crates/gateway/src/version_monitor.rs
@@ -1,5 +1,6 @@
-//! What this gateway sees of versions: told to the cluster, and judged here by the same rules as the
-//! core leader's, so that a version that does clear harm loses this gateway's traffic at once.
+//! Request statistics of service versions as seen by this gateway. They are reported to the cluster
+//! and judged here by the core leader's rules, so that a clearly failing version loses this
+//! gateway's traffic at once.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -16,12 +17,12 @@
 use crate::engine_losses::Losses;
 use crate::versions::StoppedVersions;
 
-/// Evidence about versions. Cheap to clone.
+/// Request statistics of versions and the local judge. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Evidence {
-    /// For the cluster; emptied by heartbeats.
+    /// Statistics for the cluster; drained by heartbeats.
     told: Statistics,
-    /// For the judge here; emptied by each judgement.
+    /// Statistics for the local judge; drained by each judgement.
     own: Statistics,
     judge: Arc<Mutex<Judgement>>,
     stopped: StoppedVersions,
@@ -35,13 +36,13 @@
 }
 
 impl Evidence {
-    /// Evidence that goes to a node's statistics and harm channel.
+    /// Creates a monitor that reports to a node's statistics and regression channel.
     #[must_use]
     pub fn new(told: Statistics, stopped: StoppedVersions, harm: mpsc::Sender<HarmReport>) -> Self {
         Self { told, own: Statistics::default(), judge: Arc::default(), stopped, harm }
     }
 
-    /// Counts one request that a back end answered, or failed to.
+    /// Records one request that a backend answered or failed to answer.
     pub fn record(
         &self,
         service: &ServiceName,
@@ -54,13 +55,13 @@
         self.own.record(service, version, route, success, latency);
     }
 
-    /// Notes the engines of a view.
+    /// Updates the engines from a cluster view.
     pub fn take_view(&self, view: &ClusterView) {
         self.lock().losses.take_view(view, Instant::now());
     }
 
-    /// Judges the newest version of each service; stops a harmful one here at once and tells the
-    /// cluster. Returns whether one was stopped.
+    /// Judges the newest version of each service, stops a failing one locally at once and reports
+    /// it to the cluster. Returns whether a version was stopped.
     pub fn judge(&self, bundle: &Bundle) -> bool {
         self.stopped.retain(|name, version| {
             bundle.services.get(name).is_some_and(|service| service.is_sound(version))
@@ -69,9 +70,10 @@
         let mut any = false;
         for harm in found {
             if self.stopped.stop(&harm.service, &harm.version) {
-                warn!(service = %harm.service, version = %harm.version, reason = %harm.reason, "version stopped");
+                warn!(service = %harm.service, version = %harm.version, reason = %harm.reason, "stopped routing traffic to a failing version");
                 metrics::counter!("hooklug_gateway_versions_stopped_total").increment(1);
-                // A full channel means that the cluster has not taken earlier reports; the statistics tell it too.
+                // The channel is full while the cluster has not accepted earlier reports. Dropping
+                // this one is safe because the statistics carry the same information.
                 let _ = self.harm.try_send(harm);
                 any = true;
             }
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -1,4 +1,5 @@
-//! Which versions of a service get traffic: the bundle's steps, and versions stopped on own evidence.
+//! Selects the versions of a service that get traffic, from the bundle's rollout steps and the
+//! versions stopped locally.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,26 +9,28 @@
 use hooklug_types::{ServiceName, ServiceVersion, UnixMillis};
 use tokio::time::Instant;
 
-/// Versions that this gateway sends no new traffic to, by its own evidence. Cheap to clone.
+/// Versions that this gateway stopped sending new traffic to, based on its own statistics. Cheap to
+/// clone.
 #[derive(Debug, Clone, Default)]
 pub struct StoppedVersions {
     stopped: Arc<Mutex<HashSet<(ServiceName, ServiceVersion)>>>,
 }
 
 impl StoppedVersions {
-    /// Stops a version; returns whether it was not stopped before.
+    /// Stops a version. Returns whether it was not stopped before.
     pub fn stop(&self, service: &ServiceName, version: &ServiceVersion) -> bool {
         self.lock().insert((service.clone(), version.clone()))
     }
 
-    /// Whether a version is stopped.
+    /// Returns whether a version is stopped.
     #[must_use]
     pub fn contains(&self, service: &ServiceName, version: &ServiceVersion) -> bool {
         let stopped = self.lock();
         !stopped.is_empty() && stopped.contains(&(service.clone(), version.clone()))
     }
 
-    /// Forgets versions that the bundle no longer lists as sound: operators may name them anew.
+    /// Removes versions that the bundle no longer lists as sound, since operators may reuse their
+    /// names.
     pub fn retain(&self, is_sound: impl Fn(&ServiceName, &ServiceVersion) -> bool) {
         self.lock().retain(|(service, version)| is_sound(service, version));
     }
@@ -37,16 +40,17 @@
     }
 }
 
-/// When each service's newest sound version came; steps count from there. For the first bundle that a
-/// node sees, that is taken to be the bundle's commit, so that a restarted gateway does not skip steps.
+/// Rollout start of each service's newest sound version; steps count from there. For the first
+/// bundle that a node sees, the start is the bundle's commit time, so that a restarted gateway does
+/// not begin the steps anew.
 #[derive(Debug, Default)]
 pub struct RolloutClock {
     since: HashMap<(ServiceName, ServiceVersion), Option<Instant>>,
 }
 
 impl RolloutClock {
-    /// Notes the newest sound versions of a bundle that came into force at an instant, and how long
-    /// before it was committed.
+    /// Records the newest sound versions of a bundle installed at `now` and committed
+    /// `committed_for` earlier.
     pub fn installed<'a>(
         &mut self,
         newest: impl Iterator<Item = (&'a ServiceName, &'a ServiceVersion)>,
@@ -56,7 +60,7 @@
         let mut since = HashMap::new();
         for (service, version) in newest {
             let key = (service.clone(), version.clone());
-            // Too long ago for this clock is over and done.
+            // `None` if the start lies before this clock's range: the rollout is complete.
             let begun = match self.since.get(&key) {
                 Some(begun) => *begun,
                 None => now.checked_sub(committed_for),
@@ -66,7 +70,7 @@
         self.since = since;
     }
 
-    /// How long a version has been rolled out; `None` when that is over and done.
+    /// Returns how long a version has been rolled out; `None` when its rollout is complete.
     #[must_use]
     pub fn age(
         &self,
@@ -79,14 +83,15 @@
     }
 }
 
-/// How long ago a bundle was committed. The first of a cluster may have been committed before the group's
-/// clock was first set: it counts from now on, so that no step of its versions is skipped.
+/// Returns how long ago a bundle was committed. A cluster's first bundle may have been committed
+/// before the group's clock was first set; it counts from now on, so that no step of its versions
+/// is skipped.
 #[must_use]
 pub fn time_since(committed: UnixMillis, now: UnixMillis) -> Duration {
     if committed == UnixMillis::default() { Duration::ZERO } else { committed.until(now) }
 }
 
-/// Percentage of traffic for a version that has been rolled out for a while.
+/// Returns the percentage of traffic for a version that has been rolled out for `age`.
 #[must_use]
 pub fn step_percentage(service: &Service, age: Option<Duration>) -> u8 {
     let Some(age) = age else { return 100 };
@@ -95,9 +100,9 @@
     service.steps.get(step).or(service.steps.last()).copied().unwrap_or(100).min(100)
 }
 
-/// Versions in the order in which a call should try them: `draw` in 0..100 decides between the
-/// newest and the one before; the others follow as fall-backs, newest first, and the newest of all last
-/// where the draw is against it.
+/// Returns versions in the order in which a call should try them. `draw` in 0..100 decides whether
+/// the newest one comes first. The others follow as fallbacks, newest first; the newest goes last
+/// when the draw excludes it.
 #[must_use]
 pub fn preferred_versions(
     service: &Service,
@@ -112,7 +117,8 @@
         all.iter().filter(|v| !is_stopped(v)).map(|v| (*v).clone()).collect();
     let newest_is_open = open.first() == newest;
     if newest_is_open && open.len() > 1 && draw >= step_percentage(service, age_of_newest) {
-        // Last, not second: the one before may have no engine, and its calls then go to older ones.
+        // Last, not second: the previous version may have no engine, and its calls must then go to
+        // older ones.
         open.rotate_left(1);
     }
     open
