--- a/crates/gateway/examples/overload.rs
+++ b/crates/gateway/examples/overload.rs
@@ -20,7 +20,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use support::{World, bundle, id, loopback};
+use support::{TestEnv, bundle, id, loopback};
 use tokio::time::Instant;
 
 const ENGINES: u32 = 3;
@@ -34,18 +34,18 @@
 type Caller = Client<HttpConnector, Full<Bytes>>;
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Counts {
     sent: u64,
     good_ms: Vec<f64>,
     shed_ms: Vec<f64>,
     late: u64,
 }
 
-async fn world(mode: GatewayMode) -> (World, Vec<StandIn>) {
+async fn start_env(mode: GatewayMode) -> (TestEnv, Vec<StandIn>) {
     let mut bundle = bundle();
     let farm = bundle.services.get_mut(&id::<ServiceName>("farm")).expect("listed");
     farm.queue_per_engine = 64;
-    let mut world = World::with(bundle, mode, 1).await;
+    let mut env = TestEnv::with(bundle, mode, 1).await;
     let mut engines = Vec::new();
     for number in 0..ENGINES {
         let app = App::start(ApplicationOptions {
@@ -68,15 +68,21 @@
             draining: false,
             healthy: true,
         };
-        world.view.engines.insert(listed.engine.clone(), listed);
+        env.view.engines.insert(listed.engine.clone(), listed);
         engines.push(app);
     }
-    world.publish();
-    world.put_program("p1").await;
-    (world, engines)
+    env.publish();
+    env.put_program("p1").await;
+    (env, engines)
 }
 
-async fn one(caller: Caller, to: SocketAddr, number: u64, counted: bool, seen: Arc<Mutex<Seen>>) {
+async fn send_call(
+    caller: Caller,
+    to: SocketAddr,
+    number: u64,
+    counted: bool,
+    counts: Arc<Mutex<Counts>>,
+) {
     let body = format!(
         r#"{{"tool":"read_sensor","arguments":{{"house":{number}}},"deadline_ms":{}}}"#,
         DEADLINE.as_millis()
@@ -86,40 +92,40 @@
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
         .expect("a request");
-    let begun = Instant::now();
-    let asked = async {
+    let started = Instant::now();
+    let exchange = async {
         let response = caller.request(request).await.ok()?;
         let status = response.status().as_u16();
         response.into_body().collect().await.ok()?;
         Some(status)
     };
-    let status = tokio::time::timeout(DEADLINE * 2, asked).await.ok().flatten();
-    let ms = begun.elapsed().as_secs_f64() * 1000.0;
+    let status = tokio::time::timeout(DEADLINE * 2, exchange).await.ok().flatten();
+    let ms = started.elapsed().as_secs_f64() * 1000.0;
     if !counted {
         return;
     }
-    let mut seen = seen.lock().expect("no panic under the lock");
-    seen.sent += 1;
+    let mut counts = counts.lock().expect("no panic under the lock");
+    counts.sent += 1;
     match status {
-        Some(200) if begun.elapsed() <= DEADLINE => seen.good_ms.push(ms),
-        Some(429 | 503) => seen.shed_ms.push(ms),
-        _ => seen.late += 1,
+        Some(200) if started.elapsed() <= DEADLINE => counts.good_ms.push(ms),
+        Some(429 | 503) => counts.shed_ms.push(ms),
+        _ => counts.late += 1,
     }
 }
 
-async fn load(to: SocketAddr, per_second: f64) -> Seen {
+async fn generate_load(to: SocketAddr, per_second: f64) -> Counts {
     let caller: Caller = Client::builder(TokioExecutor::new()).build_http();
-    let seen: Arc<Mutex<Seen>> = Arc::default();
+    let counts: Arc<Mutex<Counts>> = Arc::default();
     let (start, mut tasks) = (Instant::now(), tokio::task::JoinSet::new());
     let count = (per_second * SPAN.as_secs_f64()) as u64;
     for number in 0..count {
         let at = Duration::from_secs_f64(number as f64 / per_second);
         tokio::time::sleep_until(start + at).await;
-        tasks.spawn(one(caller.clone(), to, number, at >= WARM_UP, seen.clone()));
+        tasks.spawn(send_call(caller.clone(), to, number, at >= WARM_UP, counts.clone()));
     }
     while tasks.join_next().await.is_some() {}
-    let mut seen = seen.lock().expect("no panic under the lock");
-    std::mem::take(&mut *seen)
+    let mut counts = counts.lock().expect("no panic under the lock");
+    std::mem::take(&mut *counts)
 }
 
 fn percentile(list: &mut [f64], share: f64) -> f64 {
@@ -135,20 +141,20 @@
     println!("mode   load  sent/s  good/s  good p50/p99 ms  shed/s  shed p50/p99 ms  late/s");
     for mode in [GatewayMode::Full, GatewayMode::Plain] {
         for times in [0.8, 1.0, 3.0] {
-            let (world, _engines) = world(mode).await;
-            let mut seen = load(world.url(0), capacity * times).await;
+            let (env, _engines) = start_env(mode).await;
+            let mut counts = generate_load(env.url(0), capacity * times).await;
             let seconds = (SPAN - WARM_UP).as_secs_f64();
             println!(
                 "{:<6} {times:>3.1}x {:>7.0} {:>7.0}  {:>6.1} / {:>6.1}  {:>6.0}  {:>6.1} / {:>6.1}  {:>6.0}",
                 format!("{mode:?}"),
-                seen.sent as f64 / seconds,
-                seen.good_ms.len() as f64 / seconds,
-                percentile(&mut seen.good_ms, 0.5),
-                percentile(&mut seen.good_ms, 0.99),
-                seen.shed_ms.len() as f64 / seconds,
-                percentile(&mut seen.shed_ms, 0.5),
-                percentile(&mut seen.shed_ms, 0.99),
-                seen.late as f64 / seconds,
+                counts.sent as f64 / seconds,
+                counts.good_ms.len() as f64 / seconds,
+                percentile(&mut counts.good_ms, 0.5),
+                percentile(&mut counts.good_ms, 0.99),
+                counts.shed_ms.len() as f64 / seconds,
+                percentile(&mut counts.shed_ms, 0.5),
+                percentile(&mut counts.shed_ms, 0.99),
+                counts.late as f64 / seconds,
             );
         }
     }
--- a/crates/gateway/src/api/admission.rs
+++ b/crates/gateway/src/api/admission.rs
@@ -44,14 +44,14 @@
     mut request: Request,
     next: Next,
 ) -> Response {
-    let begun = StdInstant::now();
+    let started = StdInstant::now();
     let bundle = shared.ctx.node.bundle.borrow().clone();
     let version = bundle.as_ref().map_or(0, |b| b.record.version.0);
     let route = request
         .extensions()
         .get::<MatchedPath>()
         .map_or_else(|| "none".to_owned(), |path| path.as_str().to_owned());
-    let mut response = match admitted(&shared, bundle, &request) {
+    let mut response = match check_admission(&shared, bundle, &request) {
         Ok(admitted) => {
             request.extensions_mut().insert(admitted);
             next.run(request).await
@@ -63,11 +63,11 @@
     metrics::counter!("hooklug_gateway_requests_total", "route" => route.clone(), "status" => status)
         .increment(1);
     metrics::histogram!("hooklug_gateway_answer_seconds", "route" => route)
-        .record(begun.elapsed().as_secs_f64());
+        .record(started.elapsed().as_secs_f64());
     response
 }
 
-fn admitted(
+fn check_admission(
     shared: &Shared,
     bundle: Option<Arc<InstalledBundle>>,
     request: &Request,
--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -54,9 +54,9 @@
 fn tool_and_arguments(fields: &mut Fields) -> Result<(String, Value), Problem> {
     let tool: String = fields.required("tool")?;
     let arguments: Value = fields.any("arguments")?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     // The tool becomes part of a request path.
-    if tool.is_empty() || tool.len() > MAX_TOOL_BYTES || !tool.chars().all(plain) {
+    if tool.is_empty() || tool.len() > MAX_TOOL_BYTES || !tool.chars().all(is_allowed) {
         let detail = format!("must have 1 to {MAX_TOOL_BYTES} letters, digits, '.', '_' or '-'");
         return Err(Problem::field(Code::BadField, "tool", detail));
     }
@@ -72,13 +72,13 @@
     })
 }
 
-pub(crate) async fn put(asked: ApiRequest, fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, begun, .. } = &asked;
+pub(crate) async fn put(req: ApiRequest, fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, received_at, .. } = &req;
     let body = parse(fields)?;
-    let (program, call) = asked.own_call().await?;
+    let (program, call) = req.own_call().await?;
     let (route_name, route) = tool_route(&admitted.bundle.bundle, &body.tool)?;
-    let most = route.deadline_ms;
-    let allowed = Duration::from_millis(body.deadline_ms.map_or(most, |ms| ms.min(most)));
+    let max_ms = route.deadline_ms;
+    let allowed = Duration::from_millis(body.deadline_ms.map_or(max_ms, |ms| ms.min(max_ms)));
     let request = CallRequest {
         program,
         call,
@@ -88,18 +88,18 @@
         route: route_name.clone(),
         service: route.service.clone(),
         urgent: route.urgent,
-        deadline: *begun + allowed,
+        deadline: *received_at + allowed,
     };
     let history = &shared.calls.history;
     if route.may_repeat
         && body.repeat != Some(false)
-        && history.of(&admitted.bundle, &request.tool, route).await
+        && history.repeatability(&admitted.bundle, &request.tool, route).await
             == Some(Repeatability::Repeatable)
     {
-        return Ok(answered(&shared.calls.repeatable(&request).await?));
+        return Ok(answered(&shared.calls.call_repeatable(&request).await?));
     }
-    shared.check_store_reach()?;
-    settled(shared.calls.once(request).await?)
+    shared.check_store_reachable()?;
+    settled(shared.calls.call_non_repeatable(request).await?)
 }
 
 /// Forwards the application's response unchanged.
@@ -126,50 +126,50 @@
     }
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let (program, call) = asked.own_call().await?;
-    let deadline = Shared::state_deadline();
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let (program, call) = req.own_call().await?;
+    let deadline = Shared::shard_deadline();
     let record = shared.shards.call(&program, &call, deadline).await?;
     let record = record.ok_or_else(|| Problem::new(Code::NoCall, "no such call is recorded"))?;
-    let record = shared.calls.refreshed(&program, record).await;
+    let record = shared.calls.complete_record(&program, record).await;
     Ok(axum::Json(views::call(&record)).into_response())
 }
 
-pub(crate) async fn seal(asked: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
+pub(crate) async fn seal(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, .. } = &req;
     let (tool, arguments) = tool_and_arguments(&mut fields)?;
     fields.finish()?;
-    let (program, call) = asked.own_call().await?;
+    let (program, call) = req.own_call().await?;
     let (_, route) = tool_route(&admitted.bundle.bundle, &tool)?;
     let digest = content_digest(&tool, &arguments);
-    let record = match shared.calls.history.of(&admitted.bundle, &tool, route).await {
+    let record = match shared.calls.history.repeatability(&admitted.bundle, &tool, route).await {
         None => {
             return Err(Problem::try_again(
                 "the history of the installed bundle has not been read yet",
                 RETRY_STORE,
             ));
         }
-        Some(Repeatability::Repeatable) => return Err(not_recorded()),
-        Some(Repeatability::OnceOfLate) => {
-            let read = shared.shards.call(&program, &call, Shared::state_deadline()).await?;
-            let record = read.ok_or_else(not_recorded)?;
+        Some(Repeatability::Repeatable) => return Err(calls_not_recorded()),
+        Some(Repeatability::FormerlyRepeatable) => {
+            let read = shared.shards.call(&program, &call, Shared::shard_deadline()).await?;
+            let record = read.ok_or_else(calls_not_recorded)?;
             if record.digest != digest {
                 return Err(refusals::ledger(&ShardRefusal::CallDiffers));
             }
             record
         }
-        Some(Repeatability::Once) => {
+        Some(Repeatability::NonRepeatable) => {
             let command = ShardCommand::SealCall { program: program.clone(), call, digest };
-            sealed(shared.shards.execute(&program, &command, Shared::state_deadline()).await?)?
+            sealed(shared.shards.execute(&program, &command, Shared::shard_deadline()).await?)?
         }
     };
-    let record = shared.calls.refreshed(&program, record).await;
+    let record = shared.calls.complete_record(&program, record).await;
     Ok(axum::Json(views::call(&record)).into_response())
 }
 
 /// Rejects sealing a call of a tool that does not record its calls: such a call may have run.
-fn not_recorded() -> Problem {
+fn calls_not_recorded() -> Problem {
     let detail = "calls of this tool are repeatable, now or under an earlier bundle, and are not recorded: \
                   they cannot be sealed";
     Problem::field(Code::CallRepeatable, "tool", detail)
--- a/crates/gateway/src/api/programs.rs
+++ b/crates/gateway/src/api/programs.rs
@@ -11,9 +11,9 @@
 use crate::shards::ShardError;
 use crate::shared::Shared;
 
-pub(crate) async fn put(asked: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
-    let program: ProgramId = asked.id("program")?;
+pub(crate) async fn put(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, .. } = &req;
+    let program: ProgramId = req.id("program")?;
     let token_budget = TokenCount(fields.required("token_budget")?);
     let end_time = UnixMillis(fields.required("end_time_ms")?);
     fields.finish()?;
@@ -24,7 +24,7 @@
         token_budget,
         end_time,
     });
-    match shared.shards.execute(&program, &command, Shared::state_deadline()).await? {
+    match shared.shards.execute(&program, &command, Shared::shard_deadline()).await? {
         ShardReply::Program(record) => {
             shared.programs.learn(&record);
             Ok(axum::Json(views::program(&record)).into_response())
@@ -34,10 +34,10 @@
     }
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
-    let program: ProgramId = asked.id("program")?;
-    let record = shared.shards.program(&program, Shared::state_deadline()).await?;
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, .. } = &req;
+    let program: ProgramId = req.id("program")?;
+    let record = shared.shards.program(&program, Shared::shard_deadline()).await?;
     let own = record.filter(|record| record.tenant == admitted.caller.tenant);
     let record = own.ok_or_else(|| Problem::new(Code::NoProgram, "no such program"))?;
     Ok(axum::Json(views::program(&record)).into_response())
--- a/crates/gateway/src/api/request.rs
+++ b/crates/gateway/src/api/request.rs
@@ -23,7 +23,7 @@
     /// The bundle that applies to the request, and the caller.
     pub(crate) admitted: Admitted,
     /// Arrival time; deadlines start here and include reading the body.
-    pub(crate) begun: Instant,
+    pub(crate) received_at: Instant,
     params: RawPathParams,
 }
 
@@ -75,7 +75,7 @@
         let admitted = parts.extensions.get::<Admitted>().cloned();
         let admitted = admitted
             .ok_or_else(|| Problem::try_again("the request was not admitted", RETRY_SOON))?;
-        Ok(Self { shared: shared.clone(), admitted, begun: Instant::now(), params })
+        Ok(Self { shared: shared.clone(), admitted, received_at: Instant::now(), params })
     }
 }
 
--- a/crates/gateway/src/api/sessions.rs
+++ b/crates/gateway/src/api/sessions.rs
@@ -27,16 +27,16 @@
 const MAX_CALL_NAME_BYTES: usize = 256;
 
 pub(super) async fn read(shared: &Shared, key: &SessionKey) -> Result<SessionRecord, Problem> {
-    let record = shared.shards.session(key, Shared::state_deadline()).await?;
+    let record = shared.shards.session(key, Shared::shard_deadline()).await?;
     record.ok_or_else(|| Problem::new(Code::NoSession, "no such session"))
 }
 
-pub(crate) async fn put(asked: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
+pub(crate) async fn put(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, .. } = &req;
     let model: ModelName = fields.id("model")?;
     let prefix: Option<PrefixId> = fields.optional_id("prefix")?;
     fields.finish()?;
-    let key = asked.own_session().await?;
+    let key = req.own_session().await?;
     let (_, route) = admitted.bundle.bundle.session_route(&model).ok_or_else(|| {
         Problem::field(Code::NoRoute, "model", format!("no route serves model {model}"))
     })?;
@@ -45,16 +45,16 @@
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let key = asked.own_session().await?;
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let key = req.own_session().await?;
     let record = read(shared, &key).await?;
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
-pub(crate) async fn delete(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let key = asked.own_session().await?;
+pub(crate) async fn delete(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let key = req.own_session().await?;
     let deadline = Shared::session_deadline();
     let closed = shared.owners.send(&key, deadline, |entry| {
         let place = entry.place(&key);
@@ -89,11 +89,8 @@
     if record.closed { Ok(record) } else { Err(problem) }
 }
 
-pub(crate) async fn tool_result(
-    asked: ApiRequest,
-    mut fields: Fields,
-) -> Result<Response, Problem> {
-    let shared = &asked.shared;
+pub(crate) async fn tool_result(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let shared = &req.shared;
     let call: String = fields.required("call")?;
     let result: Value = fields.any("result")?;
     fields.finish()?;
@@ -101,7 +98,7 @@
         let detail = format!("must have 1 to {MAX_CALL_NAME_BYTES} bytes");
         return Err(Problem::field(Code::BadId, "call", detail));
     }
-    let key = asked.own_session().await?;
+    let key = req.own_session().await?;
     let deadline = Shared::session_deadline();
     let result = result.to_string();
     let sent = shared.owners.send(&key, deadline, |entry| {
@@ -114,9 +111,9 @@
     Ok(axum::Json(json!({"seq": seq.0})).into_response())
 }
 
-pub(crate) async fn events(asked: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
-    let key = asked.own_session().await?;
+pub(crate) async fn events(req: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, .. } = &req;
+    let key = req.own_session().await?;
     match last_event_id(&headers)? {
         Some(last) => resume(shared, admitted, key, last).await,
         None => join(shared, admitted, key).await,
@@ -130,11 +127,11 @@
     last: EventSeq,
 ) -> Result<Response, Problem> {
     let record = read(shared, &key).await?;
-    check_last(last, &record)?;
+    check_last_event_id(last, &record)?;
     if record.closed && last.next() >= record.next_seq {
         return Ok(StatusCode::NO_CONTENT.into_response());
     }
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, None, last, sink);
     shared.spawn(follower.run(None));
     Ok(event_stream(body))
@@ -151,15 +148,15 @@
         Err(error) if error.is_closed() => (closed_history(shared, &key).await?, None),
         Err(error) => return Err(error.into()),
     };
-    let whole = history.iter().zip(1..).all(|(event, place)| event.seq == EventSeq(place));
-    if !whole {
+    let is_contiguous = history.iter().zip(1..).all(|(event, seq)| event.seq == EventSeq(seq));
+    if !is_contiguous {
         return Err(Problem::try_again(
             "the session's history is incomplete",
             super::refusals::RETRY_SOON,
         ));
     }
     let last = history.last().map_or(EventSeq(0), |event| event.seq);
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
     let first = sse::sync(&key.session, &history);
     let owners = shared.owners.clone();
     shared.spawn(async move {
@@ -176,7 +173,7 @@
 
 /// Reads all events of a session without an owner.
 async fn closed_history(shared: &Shared, key: &SessionKey) -> Result<Vec<Event>, Problem> {
-    let deadline = Shared::state_deadline();
+    let deadline = Shared::shard_deadline();
     let mut history: Vec<Event> = Vec::new();
     loop {
         let last = history.last().map_or(EventSeq(0), |event| event.seq);
@@ -191,13 +188,13 @@
 /// Parses the `Last-Event-ID` header, if present.
 pub(super) fn last_event_id(headers: &HeaderMap) -> Result<Option<EventSeq>, Problem> {
     let Some(value) = headers.get("last-event-id") else { return Ok(None) };
-    let place = value.to_str().ok().and_then(|text| text.trim().parse().ok());
+    let seq = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     let bad = || Problem::field(Code::BadField, "last-event-id", "must be the id of an event");
-    Ok(Some(EventSeq(place.ok_or_else(bad)?)))
+    Ok(Some(EventSeq(seq.ok_or_else(bad)?)))
 }
 
 /// Rejects the id of an event that does not exist yet.
-pub(super) fn check_last(last: EventSeq, record: &SessionRecord) -> Result<(), Problem> {
+pub(super) fn check_last_event_id(last: EventSeq, record: &SessionRecord) -> Result<(), Problem> {
     if last < record.next_seq {
         return Ok(());
     }
--- a/crates/gateway/src/api/turns.rs
+++ b/crates/gateway/src/api/turns.rs
@@ -13,7 +13,7 @@
 use super::body::Fields;
 use super::problem::{Code, Problem};
 use super::request::ApiRequest;
-use super::sessions::{check_last, event_stream, last_event_id, read, refused_code};
+use super::sessions::{check_last_event_id, event_stream, last_event_id, read, refused_code};
 use super::{refusals, views};
 use crate::client_stream::client_stream;
 use crate::sessions::follower::Follower;
@@ -49,22 +49,22 @@
 }
 
 pub(crate) async fn post(
-    asked: ApiRequest,
+    req: ApiRequest,
     headers: HeaderMap,
     fields: Fields,
 ) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, begun, .. } = &asked;
+    let ApiRequest { shared, admitted, received_at, .. } = &req;
     let TurnBody { turn, after, input, max_tokens } = parse(fields)?;
     let last_seen = last_event_id(&headers)?.unwrap_or_default();
-    shared.check_store_reach()?;
-    let key = asked.own_session().await?;
+    shared.check_store_reachable()?;
+    let key = req.own_session().await?;
     let group = shared.own_program(&admitted.caller, &key.program).await?.group;
     let entry = shared.owners.resolve(&key, None, Shared::session_deadline()).await?;
     let (route_name, route) =
         session_route(&admitted.bundle.bundle, &entry.service).ok_or_else(|| {
             Problem::new(Code::NoRoute, format!("no session route for service {}", entry.service))
         })?;
-    let deadline = *begun + Duration::from_millis(route.deadline_ms);
+    let deadline = *received_at + Duration::from_millis(route.deadline_ms);
     let request = TurnRequest {
         key: key.clone(),
         turn: turn.clone(),
@@ -84,14 +84,14 @@
     let span = info_span!("turn", program = %key.program, session = %key.session, turn = %turn,
         epoch = %entry.epoch, engine = %entry.owner);
     let observer = TurnObserver::new(
-        shared.evidence.clone(),
+        shared.version_monitor.clone(),
         entry.service.clone(),
         entry.version.clone(),
         route_name.clone(),
-        *begun,
+        *received_at,
     );
     let after = start_of(&running.record).max(last_seen);
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, Some(turn), after, sink);
     let follower = follower.observed_by(observer);
     shared.spawn(follower.run(Some((entry, running.feed))).instrument(span));
@@ -113,7 +113,7 @@
     key: &SessionKey,
     turn: &TurnId,
 ) -> Result<TurnRecord, Problem> {
-    let record = shared.shards.turn(key, turn, Shared::state_deadline()).await?;
+    let record = shared.shards.turn(key, turn, Shared::shard_deadline()).await?;
     match record {
         Some(record) => Ok(record),
         None => {
@@ -123,19 +123,19 @@
     }
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let turn: TurnId = asked.id("turn")?;
-    let key = asked.own_session().await?;
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let turn: TurnId = req.id("turn")?;
+    let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     Ok(axum::Json(views::turn(&record)).into_response())
 }
 
-pub(crate) async fn events(asked: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
-    let turn: TurnId = asked.id("turn")?;
+pub(crate) async fn events(req: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
+    let ApiRequest { shared, admitted, .. } = &req;
+    let turn: TurnId = req.id("turn")?;
     let last = last_event_id(&headers)?.unwrap_or_default();
-    let key = asked.own_session().await?;
+    let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     match &record.state {
         TurnState::Refused(refusal) => return Err(refusals::ledger(refusal)),
@@ -149,20 +149,20 @@
             return Err(Problem::field(Code::BadField, "last-event-id", detail));
         }
         TurnState::Ended { .. } => {}
-        TurnState::Open => check_last(last, &read(shared, &key).await?)?,
+        TurnState::Open => check_last_event_id(last, &read(shared, &key).await?)?,
     }
     let span = info_span!("turn", program = %key.program, session = %key.session, turn = %turn);
     let after = start_of(&record).max(last);
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, Some(turn), after, sink);
     shared.spawn(follower.run(None).instrument(span));
     Ok(event_stream(body))
 }
 
-pub(crate) async fn abort(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let turn: TurnId = asked.id("turn")?;
-    let key = asked.own_session().await?;
+pub(crate) async fn abort(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let turn: TurnId = req.id("turn")?;
+    let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     if record.state != TurnState::Open {
         return Ok(axum::Json(views::turn(&record)).into_response());
--- a/crates/gateway/src/backend/answer.rs
+++ b/crates/gateway/src/backend/answer.rs
@@ -73,7 +73,7 @@
 
 /// A validated response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Head {
+pub enum ResponseHead {
     /// An application response; valid if its body has the declared length.
     Answer {
         /// Declared body length in bytes.
@@ -96,20 +96,21 @@
 ///
 /// # Errors
 /// [`InvalidAnswer`] with the first violation.
-pub fn judge_head(
+pub fn validate_head(
     status: StatusCode,
     headers: &HeaderMap,
     request_id: &str,
     identity: &str,
-) -> Result<Head, InvalidAnswer> {
+) -> Result<ResponseHead, InvalidAnswer> {
     if single(headers, REQUEST_HEADER) != Some(request_id) {
         return Err(InvalidAnswer::WrongRequest);
     }
-    let own = single(headers, ENGINE_HEADER) == Some(identity);
+    let is_expected = single(headers, ENGINE_HEADER) == Some(identity);
     if headers.contains_key(REFUSED_HEADER) {
-        return refusal(status, single(headers, REFUSED_HEADER), own).map(Head::Refused);
+        return refusal(status, single(headers, REFUSED_HEADER), is_expected)
+            .map(ResponseHead::Refused);
     }
-    if !own {
+    if !is_expected {
         return Err(InvalidAnswer::WrongEngine);
     }
     if !status.is_success() && !status.is_client_error() {
@@ -121,18 +122,22 @@
     if length > MAX_ANSWER_BYTES {
         return Err(InvalidAnswer::TooLong);
     }
-    Ok(Head::Answer { length })
+    Ok(ResponseHead::Answer { length })
 }
 
 /// Parses a refusal. An engine other than the expected one may refuse by identity only.
-fn refusal(status: StatusCode, named: Option<&str>, own: bool) -> Result<Refusal, InvalidAnswer> {
-    let refusal = match named {
+fn refusal(
+    status: StatusCode,
+    reason: Option<&str>,
+    is_expected: bool,
+) -> Result<Refusal, InvalidAnswer> {
+    let refusal = match reason {
         Some("draining") => Refusal::Draining,
         Some("overloaded") => Refusal::Overloaded,
         Some("identity") => Refusal::Identity,
         _ => return Err(InvalidAnswer::UnknownRefusal),
     };
-    if !own && refusal != Refusal::Identity {
+    if !is_expected && refusal != Refusal::Identity {
         return Err(InvalidAnswer::WrongEngine);
     }
     match status {
@@ -145,7 +150,11 @@
 ///
 /// # Errors
 /// [`InvalidAnswer`] with the first violation.
-pub fn judge_body(status: StatusCode, length: usize, body: Bytes) -> Result<Answer, InvalidAnswer> {
+pub fn validate_body(
+    status: StatusCode,
+    length: usize,
+    body: Bytes,
+) -> Result<Answer, InvalidAnswer> {
     if body.len() != length {
         return Err(InvalidAnswer::WrongLength);
     }
--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -9,8 +9,8 @@
 
 use super::Target;
 use super::answer::{
-    ATTEMPT_HEADER, Answer, CALL_HEADER, DEADLINE_HEADER, EXPECT_HEADER, Head, MAX_ANSWER_BYTES,
-    REQUEST_HEADER, Refusal, judge_body, judge_head,
+    ATTEMPT_HEADER, Answer, CALL_HEADER, DEADLINE_HEADER, EXPECT_HEADER, MAX_ANSWER_BYTES,
+    REQUEST_HEADER, Refusal, ResponseHead, validate_body, validate_head,
 };
 use super::pool::{Connection, Pool};
 
@@ -72,13 +72,13 @@
         deadline: Instant,
     ) -> Result<Answer, ExchangeError> {
         let connection = self.get(target, deadline).await.map_err(not_sent)?;
-        timeout_at(deadline, self.passable(target.address.ip()))
+        timeout_at(deadline, self.wait_for_link(target.address.ip()))
             .await
             .map_err(|_| not_sent("the deadline has passed"))?;
         let request_id = format!("{:032x}", rand::rng().random::<u128>());
         let request = build(target, dispatch, &request_id, deadline).map_err(not_sent)?;
-        let answering = self.send(target, connection, request, &request_id);
-        timeout_at(deadline, answering).await.map_err(|_| lost("the deadline has passed"))?
+        let exchange = self.send(target, connection, request, &request_id);
+        timeout_at(deadline, exchange).await.map_err(|_| lost("the deadline has passed"))?
     }
 
     async fn send(
@@ -97,15 +97,15 @@
                 return Err(if unsent { not_sent(error) } else { lost(error) });
             }
         };
-        self.passable(target.address.ip()).await;
+        self.wait_for_link(target.address.ip()).await;
         let (head, body) = response.into_parts();
-        let judged = judge_head(head.status, &head.headers, request_id, &target.identity());
-        let length = match judged.map_err(lost)? {
-            Head::Answer { length } => length,
-            Head::Refused(refusal) => return Err(ExchangeError::Refused(refusal)),
+        let validated = validate_head(head.status, &head.headers, request_id, &target.identity());
+        let length = match validated.map_err(lost)? {
+            ResponseHead::Answer { length } => length,
+            ResponseHead::Refused(refusal) => return Err(ExchangeError::Refused(refusal)),
         };
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(lost)?;
-        let answer = judge_body(head.status, length, body.to_bytes()).map_err(lost)?;
+        let answer = validate_body(head.status, length, body.to_bytes()).map_err(lost)?;
         self.put_back(&target.run, connection);
         Ok(answer)
     }
--- a/crates/gateway/src/backend/identity.rs
+++ b/crates/gateway/src/backend/identity.rs
@@ -39,7 +39,7 @@
 impl Identity {
     /// Returns whether this is the expected engine.
     #[must_use]
-    pub fn is(&self, target: &Target) -> bool {
+    pub fn matches(&self, target: &Target) -> bool {
         self.kind == BackendKind::Application
             && self.service == target.service
             && self.engine == target.run.engine
--- a/crates/gateway/src/backend/lookup.rs
+++ b/crates/gateway/src/backend/lookup.rs
@@ -17,12 +17,12 @@
 use super::pool::Pool;
 
 /// Maximum number of engines queried per call.
-const MOST_ENGINES: usize = 16;
+const MAX_ENGINES: usize = 16;
 
 /// An engine's reply about a call. Only `done` determines the outcome.
 #[derive(Debug, Deserialize)]
-struct Found {
-    state: FoundState,
+struct LookupReply {
+    state: LookupState,
     status: Option<u16>,
     body: Option<Box<RawValue>>,
 }
@@ -30,7 +30,7 @@
 /// State of the call at that engine. `never` does not rule out that another engine ran it.
 #[derive(Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum FoundState {
+enum LookupState {
     Done,
     Running,
     Never,
@@ -51,23 +51,23 @@
         body: Bytes::new(),
         call: None,
     };
-    let asked = targets.iter().take(MOST_ENGINES);
-    let mut asked: FuturesUnordered<_> =
-        asked.map(|target| pool.exchange(target, &dispatch, deadline)).collect();
-    while let Some(answered) = asked.next().await {
-        if let Some(answer) = answered.ok().and_then(|answer| settled(&answer)) {
+    let queries = targets.iter().take(MAX_ENGINES);
+    let mut queries: FuturesUnordered<_> =
+        queries.map(|target| pool.exchange(target, &dispatch, deadline)).collect();
+    while let Some(answered) = queries.next().await {
+        if let Some(answer) = answered.ok().and_then(|answer| final_answer(&answer)) {
             return Some(answer);
         }
     }
     None
 }
 
-fn settled(answer: &Answer) -> Option<Answer> {
+fn final_answer(answer: &Answer) -> Option<Answer> {
     if answer.status != 200 {
         return None;
     }
-    let found: Found = serde_json::from_slice(&answer.body).ok()?;
-    let status = found.status.filter(|s| matches!(s, 200..=299 | 400..=499))?;
-    let body = found.body.map_or_else(Bytes::new, |body| Bytes::from(body.get().to_owned()));
-    (found.state == FoundState::Done).then_some(Answer { status, body })
+    let reply: LookupReply = serde_json::from_slice(&answer.body).ok()?;
+    let status = reply.status.filter(|s| matches!(s, 200..=299 | 400..=499))?;
+    let body = reply.body.map_or_else(Bytes::new, |body| Bytes::from(body.get().to_owned()));
+    (reply.state == LookupState::Done).then_some(Answer { status, body })
 }
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -19,13 +19,13 @@
 use super::{EngineRun, Target};
 
 /// Timeout for opening a connection and verifying the engine's identity.
-const CONNECT_TIME: Duration = Duration::from_millis(1500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time after which an idle connection is closed.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Maximum number of idle connections per engine run.
-const IDLE_CONNECTIONS: usize = 64;
+const MAX_IDLE_PER_RUN: usize = 64;
 
 /// Why no connection was established; no byte of a request was written.
 #[derive(Debug, thiserror::Error)]
@@ -67,7 +67,7 @@
 
     /// Waits while an injected fault blocks the link to an address, as a network that drops packets
     /// would.
-    pub async fn passable(&self, ip: IpAddr) {
+    pub async fn wait_for_link(&self, ip: IpAddr) {
         self.faults.passable(ip).await;
         let delay = self.faults.delay_to(ip);
         if !delay.is_zero() {
@@ -85,7 +85,7 @@
         target: &Target,
         deadline: Instant,
     ) -> Result<Connection, ConnectError> {
-        let until = deadline.min(Instant::now() + CONNECT_TIME);
+        let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         while let Some(mut connection) = self.take_idle(&target.run) {
             let ready = tokio::time::timeout_at(until, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
@@ -106,9 +106,9 @@
             return;
         }
         let mut idle = self.lock();
-        let kept = idle.entry(run.clone()).or_default();
-        if kept.len() < IDLE_CONNECTIONS {
-            kept.push(Idle { connection, since: Instant::now() });
+        let connections = idle.entry(run.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_RUN {
+            connections.push(Idle { connection, since: Instant::now() });
         }
     }
 
@@ -116,19 +116,21 @@
     /// lists.
     pub fn sweep(&self, is_listed: impl Fn(&EngineRun) -> bool) {
         let now = Instant::now();
-        self.lock().retain(|run, kept| {
-            kept.retain(|idle| now.duration_since(idle.since) < IDLE_TIME);
-            !kept.is_empty() && is_listed(run)
+        self.lock().retain(|run, connections| {
+            connections.retain(|idle| now.duration_since(idle.since) < IDLE_TIMEOUT);
+            !connections.is_empty() && is_listed(run)
         });
     }
 
     fn take_idle(&self, run: &EngineRun) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.lock();
-        let kept = idle.get_mut(run)?;
+        let connections = idle.get_mut(run)?;
         // The most recently used connection is the most likely to be open still.
-        while let Some(found) = kept.pop() {
-            if now.duration_since(found.since) < IDLE_TIME && !found.connection.sender.is_closed() {
+        while let Some(found) = connections.pop() {
+            if now.duration_since(found.since) < IDLE_TIMEOUT
+                && !found.connection.sender.is_closed()
+            {
                 return Some(found.connection);
             }
         }
@@ -144,8 +146,8 @@
                 debug!(%error, "connection to an application engine failed");
             }
         });
-        let identity = ask_identity(&mut sender, target.address).await?;
-        if !identity.is(target) {
+        let identity = fetch_identity(&mut sender, target.address).await?;
+        if !identity.matches(target) {
             metrics::counter!("hooklug_gateway_identity_mismatches_total").increment(1);
             return Err(ConnectError::OtherIdentity(target.address));
         }
@@ -154,7 +156,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<TcpStream, ConnectError> {
-        self.passable(to.ip()).await;
+        self.wait_for_link(to.ip()).await;
         let socket = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
         let socket = socket.map_err(|e| connect_error(&e))?;
         if self.own_ip.is_ipv4() == to.is_ipv4() && !self.own_ip.is_unspecified() {
@@ -174,7 +176,7 @@
     ConnectError::Connect(error.to_string())
 }
 
-async fn ask_identity(
+async fn fetch_identity(
     sender: &mut SendRequest<Full<Bytes>>,
     address: SocketAddr,
 ) -> Result<Identity, ConnectError> {
--- a/crates/gateway/src/backend/state.rs
+++ b/crates/gateway/src/backend/state.rs
@@ -10,11 +10,11 @@
 use tokio::time::Instant;
 
 use super::answer::Refusal;
-use super::balance::Choice;
+use super::balance::EligibleEngine;
 use super::stats::{CallEnd, EngineStats};
-use super::table::{Outstanding, Wanted};
+use super::table::{EngineCriteria, EngineSlot};
 use super::{EngineRun, Target};
-use crate::limits::adaptive::{AdaptiveLimit, Sign};
+use crate::limits::adaptive::{AdaptiveLimit, LoadSignal};
 use crate::limits::baseline::Baseline;
 use crate::limits::circuit::Circuit;
 
@@ -22,18 +22,18 @@
 const URGENT_SHARE: f64 = 0.2;
 
 /// Average call duration assumed before any call has ended.
-const FIRST_AVERAGE: Duration = Duration::from_millis(20);
+const INITIAL_AVERAGE: Duration = Duration::from_millis(20);
 
 /// Local state of one engine run.
 #[derive(Debug, Clone)]
-struct Known {
+struct EngineState {
     stats: EngineStats,
     limit: AdaptiveLimit,
     /// The engine reported that it is draining, possibly before the view does.
     draining: bool,
 }
 
-impl Known {
+impl EngineState {
     fn new(first_seen: Option<Instant>) -> Self {
         let limit = AdaptiveLimit::default();
         Self { stats: EngineStats::new(first_seen), limit, draining: false }
@@ -42,10 +42,10 @@
 
 /// An engine listed by the view.
 #[derive(Debug)]
-struct Listed {
+struct ListedEngine {
     target: Arc<Target>,
     /// Healthy and not draining.
-    open: bool,
+    eligible: bool,
 }
 
 /// Latency baseline and circuit of one route.
@@ -57,70 +57,71 @@
 
 /// Engines by service, state by engine run, and state by route.
 #[derive(Debug, Default)]
-pub(super) struct Figures {
+pub(super) struct BackendState {
     view: Arc<ClusterView>,
-    services: HashMap<ServiceName, Vec<Listed>>,
-    engines: HashMap<EngineRun, Known>,
+    services: HashMap<ServiceName, Vec<ListedEngine>>,
+    engines: HashMap<EngineRun, EngineState>,
     routes: HashMap<RouteName, RouteState>,
 }
 
-impl Figures {
+impl BackendState {
     /// Applies a view if it changed; new engines get a slow start.
-    pub(super) fn follow(&mut self, view: &Arc<ClusterView>, now: Instant) {
+    pub(super) fn update_view(&mut self, view: &Arc<ClusterView>, now: Instant) {
         if !Arc::ptr_eq(&self.view, view) {
             self.view = view.clone();
-            self.list(now);
+            self.rebuild(now);
         }
     }
 
     /// Removes engines that the view no longer lists once they have no outstanding calls.
     pub(super) fn forget_unlisted(&mut self) {
         let view = &self.view;
-        self.engines.retain(|run, known| is_listed(view, run) || known.stats.outstanding() > 0);
+        self.engines.retain(|run, state| is_listed(view, run) || state.stats.outstanding() > 0);
     }
 
-    fn list(&mut self, now: Instant) {
+    fn rebuild(&mut self, now: Instant) {
         let first_seen = (!self.engines.is_empty()).then_some(now);
         self.services.clear();
         for engine in self.view.engines.values() {
             let target = Arc::new(Target::of(engine));
-            self.engines.entry(target.run.clone()).or_insert_with(|| Known::new(first_seen));
-            let listed = Listed { target, open: engine.healthy && !engine.draining };
+            self.engines.entry(target.run.clone()).or_insert_with(|| EngineState::new(first_seen));
+            let listed = ListedEngine { target, eligible: engine.healthy && !engine.draining };
             self.services.entry(engine.service.clone()).or_default().push(listed);
         }
     }
 
-    fn listed(&self, service: &ServiceName) -> &[Listed] {
+    fn listed(&self, service: &ServiceName) -> &[ListedEngine] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Returns all engines of a service, whatever their state.
-    pub(super) fn all_of(&self, service: &ServiceName) -> impl Iterator<Item = &Arc<Target>> {
+    pub(super) fn engines_of(&self, service: &ServiceName) -> impl Iterator<Item = &Arc<Target>> {
         self.listed(service).iter().map(|listed| &listed.target)
     }
 
     /// Returns whether an engine reported that it is draining.
     pub(super) fn is_draining(&self, run: &EngineRun) -> bool {
-        self.engines.get(run).is_some_and(|known| known.draining)
+        self.engines.get(run).is_some_and(|state| state.draining)
     }
 
     /// Returns the engines of one version that are eligible for the call, including those at
     /// capacity.
-    pub(super) fn open_engines(
+    pub(super) fn eligible_engines(
         &self,
-        wanted: &Wanted<'_>,
+        criteria: &EngineCriteria<'_>,
         version: &ServiceVersion,
         service: &Service,
-    ) -> Vec<Choice> {
-        let listed = self.listed(wanted.service).iter();
-        let open = listed.filter(|e| e.open && e.target.version == *version);
-        open.filter(|e| !wanted.tried.contains(&e.target.run))
+    ) -> Vec<EligibleEngine> {
+        let listed = self.listed(criteria.service).iter();
+        let eligible = listed.filter(|e| e.eligible && e.target.version == *version);
+        eligible
+            .filter(|e| !criteria.tried.contains(&e.target.run))
             .filter_map(|e| Some((&e.target, self.engines.get(&e.target.run)?)))
-            .filter(|(_, known)| !known.draining)
-            .map(|(target, known)| {
-                let limit = known.limit.get(service.concurrency_per_engine);
-                let limit = if wanted.urgent { limit } else { without_reserve(limit) };
-                Choice { target: target.clone(), stats: known.stats.clone(), limit }
+            .filter(|(_, state)| !state.draining)
+            .map(|(target, state)| {
+                let limit = state.limit.get(service.concurrency_per_engine);
+                let limit = if criteria.urgent { limit } else { without_reserve(limit) };
+                EligibleEngine { target: target.clone(), stats: state.stats.clone(), limit }
             })
             .collect()
     }
@@ -128,48 +129,53 @@
     /// Returns the number of concurrent calls when all engines of a service are full, and the
     /// number of engines.
     pub(super) fn capacity(&self, name: &ServiceName, service: &Service) -> (u32, usize) {
-        let most = service.concurrency_per_engine;
+        let max_concurrency = service.concurrency_per_engine;
         let listed = self.listed(name);
-        let known = listed.iter().filter_map(|e| self.engines.get(&e.target.run));
-        (known.map(|known| known.limit.steady(most)).sum(), listed.len())
+        let state = listed.iter().filter_map(|e| self.engines.get(&e.target.run));
+        (state.map(|state| state.limit.steady(max_concurrency)).sum(), listed.len())
     }
 
     /// Records the start of a call to an engine.
-    pub(super) fn begin(&mut self, run: &EngineRun) {
-        if let Some(known) = self.engines.get_mut(run) {
-            known.stats.begin();
+    pub(super) fn call_started(&mut self, run: &EngineRun) {
+        if let Some(state) = self.engines.get_mut(run) {
+            state.stats.call_started();
         }
     }
 
     /// Records how a call ended.
-    pub(super) fn ended(&mut self, call: &Outstanding, now: Instant) {
-        let sign = self.observe_route(call.route(), call.end(), now);
-        let Some(known) = self.engines.get_mut(&call.target.run) else { return };
-        if let Some(sign) = sign {
-            let outstanding = known.stats.outstanding();
-            known.limit.learn(sign, outstanding, call.most(), call.began(), now);
+    pub(super) fn call_ended(&mut self, call: &EngineSlot, now: Instant) {
+        let signal = self.observe_route(call.route(), call.end(), now);
+        let Some(state) = self.engines.get_mut(&call.target.run) else { return };
+        if let Some(signal) = signal {
+            let outstanding = state.stats.outstanding();
+            state.limit.record(signal, outstanding, call.max_concurrency(), call.started(), now);
         }
-        known.stats.end(call.end(), now);
+        state.stats.call_ended(call.end(), now);
         // This run gets no more calls from here if it is draining or its address belongs to another
         // engine.
         let refusal = matches!(call.end(), CallEnd::Refused(Refusal::Draining | Refusal::Identity));
-        known.draining |= refusal;
+        state.draining |= refusal;
     }
 
     /// Records how a call of a route ended and returns what it indicates about the engine's load.
-    fn observe_route(&mut self, route: &RouteName, end: CallEnd, now: Instant) -> Option<Sign> {
+    fn observe_route(
+        &mut self,
+        route: &RouteName,
+        end: CallEnd,
+        now: Instant,
+    ) -> Option<LoadSignal> {
         let state = self.routes.entry(route.clone()).or_default();
         match end {
             CallEnd::Answered(latency) => {
-                state.circuit.ended(true, now);
+                state.circuit.record(true, now);
                 let baseline = state.baseline.get_or_insert_with(|| Baseline::new(latency, now));
-                Some(Sign::Answered { ratio: baseline.observe(latency, now) })
+                Some(LoadSignal::Answered { ratio: baseline.observe(latency, now) })
             }
             CallEnd::Failed => {
-                state.circuit.ended(false, now);
-                Some(Sign::Overloaded)
+                state.circuit.record(false, now);
+                Some(LoadSignal::Overloaded)
             }
-            CallEnd::Refused(Refusal::Overloaded) => Some(Sign::Overloaded),
+            CallEnd::Refused(Refusal::Overloaded) => Some(LoadSignal::Overloaded),
             CallEnd::Refused(Refusal::Draining | Refusal::Identity) | CallEnd::Cancelled => None,
         }
     }
@@ -185,11 +191,11 @@
     /// Returns the recent average duration of a route's calls.
     pub(super) fn average(&self, route: &RouteName) -> Duration {
         let baseline = self.routes.get(route).and_then(|r| r.baseline.as_ref());
-        baseline.map_or(FIRST_AVERAGE, Baseline::average)
+        baseline.map_or(INITIAL_AVERAGE, Baseline::average)
     }
 
     /// Removes routes that the bundle no longer lists.
-    pub(super) fn keep_routes(&mut self, is_route: impl Fn(&RouteName) -> bool) {
+    pub(super) fn retain_routes(&mut self, is_route: impl Fn(&RouteName) -> bool) {
         self.routes.retain(|route, _| is_route(route));
     }
 
--- a/crates/gateway/src/backend/stats.rs
+++ b/crates/gateway/src/backend/stats.rs
@@ -10,14 +10,14 @@
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Latency assumed for an engine before its first response.
-const FIRST_LATENCY: Duration = Duration::from_millis(10);
+const INITIAL_LATENCY: Duration = Duration::from_millis(10);
 
 /// Consecutive failures after which an engine is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
 
 /// Initial ejection time; doubles with each further ejection up to the maximum.
-const FIRST_EJECTION: Duration = Duration::from_secs(2);
-const LONGEST_EJECTION: Duration = Duration::from_secs(30);
+const INITIAL_EJECTION: Duration = Duration::from_secs(2);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
 /// Time over which a new engine's share of calls grows to the full share.
 const SLOW_START_TIME: Duration = Duration::from_secs(5);
@@ -44,7 +44,7 @@
     outstanding: u32,
     latency: Duration,
     latency_at: Option<Instant>,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
     first_seen: Option<Instant>,
@@ -57,9 +57,9 @@
     pub fn new(first_seen: Option<Instant>) -> Self {
         Self {
             outstanding: 0,
-            latency: FIRST_LATENCY,
+            latency: INITIAL_LATENCY,
             latency_at: None,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             ejections: 0,
             ejected_until: None,
             first_seen,
@@ -79,27 +79,27 @@
     }
 
     /// Records the start of a call.
-    pub fn begin(&mut self) {
+    pub fn call_started(&mut self) {
         self.outstanding += 1;
     }
 
     /// Records the end of a call.
-    pub fn end(&mut self, end: CallEnd, now: Instant) {
+    pub fn call_ended(&mut self, end: CallEnd, now: Instant) {
         self.outstanding = self.outstanding.saturating_sub(1);
         match end {
             CallEnd::Answered(latency) => {
-                self.average(latency, now);
-                self.failures_in_row = 0;
+                self.update_latency(latency, now);
+                self.consecutive_failures = 0;
                 self.ejections = 0;
                 self.ejected_until = None;
             }
-            CallEnd::Failed => self.failed(now),
+            CallEnd::Failed => self.record_failure(now),
             CallEnd::Refused(_) | CallEnd::Cancelled => {}
         }
     }
 
-    fn average(&mut self, latency: Duration, now: Instant) {
-        let keep = match self.latency_at {
+    fn update_latency(&mut self, latency: Duration, now: Instant) {
+        let old_weight = match self.latency_at {
             None => 0.0,
             Some(at) => {
                 let age = now.saturating_duration_since(at).as_secs_f64();
@@ -111,24 +111,24 @@
         self.latency = if latency > self.latency {
             latency
         } else {
-            self.latency.mul_f64(keep) + latency.mul_f64(1.0 - keep)
+            self.latency.mul_f64(old_weight) + latency.mul_f64(1.0 - old_weight)
         };
         self.latency_at = Some(now);
     }
 
-    fn failed(&mut self, now: Instant) {
-        self.failures_in_row += 1;
-        if self.failures_in_row < FAILURES_TO_EJECT || self.ejected_until(now).is_some() {
+    fn record_failure(&mut self, now: Instant) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < FAILURES_TO_EJECT || self.ejected_until(now).is_some() {
             return;
         }
-        let time = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(4)).min(LONGEST_EJECTION);
+        let time = INITIAL_EJECTION.saturating_mul(1 << self.ejections.min(4)).min(MAX_EJECTION);
         self.ejections += 1;
         self.ejected_until = Some(now + time);
     }
 
     /// Returns the share of its full traffic that the engine should get; below 1 during slow start.
     #[must_use]
-    pub fn share(&self, now: Instant) -> f64 {
+    pub fn slow_start_share(&self, now: Instant) -> f64 {
         let Some(first_seen) = self.first_seen else { return 1.0 };
         let age = now.saturating_duration_since(first_seen).as_secs_f64();
         (age / SLOW_START_TIME.as_secs_f64()).clamp(SLOW_START_SHARE, 1.0)
@@ -138,6 +138,7 @@
     /// start.
     #[must_use]
     pub fn cost(&self, now: Instant) -> f64 {
-        f64::from(self.outstanding + 1) * self.latency.as_secs_f64().max(1e-4) / self.share(now)
+        f64::from(self.outstanding + 1) * self.latency.as_secs_f64().max(1e-4)
+            / self.slow_start_share(now)
     }
 }
--- a/crates/gateway/src/backend/table.rs
+++ b/crates/gateway/src/backend/table.rs
@@ -14,15 +14,15 @@
 
 use super::balance::choose;
 use super::pool::Pool;
-use super::state::{Figures, is_listed};
+use super::state::{BackendState, is_listed};
 use super::stats::CallEnd;
-use super::wait_queue::Gates;
+use super::wait_queue::WaitQueues;
 use super::{EngineRun, Target};
-use crate::versions::{RolloutClock, StoppedVersions, preferred_versions, time_since};
+use crate::version_order::{RolloutClock, StoppedVersions, preferred_versions, time_since_commit};
 
 /// Criteria for selecting an engine for a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct EngineCriteria<'a> {
     /// Route of the call.
     pub route: &'a RouteName,
     /// Service that handles the call.
@@ -35,9 +35,9 @@
 
 /// Result of selecting an engine.
 #[derive(Debug)]
-pub enum Found {
+pub enum Selection {
     /// An engine with a free slot, which is now occupied.
-    Engine(Outstanding),
+    Engine(EngineSlot),
     /// All eligible engines are at capacity.
     Full,
     /// No eligible engine.
@@ -50,13 +50,13 @@
     /// Connection pool.
     pub pool: Pool,
     /// Calls that wait for a free slot.
-    pub gates: Gates,
+    pub wait_queues: WaitQueues,
     node: NodeHandle,
     zone: ZoneName,
     stopped: StoppedVersions,
-    figures: Mutex<Figures>,
+    state: Mutex<BackendState>,
     rollouts: Mutex<RolloutClock>,
-    turns: AtomicUsize,
+    round_robin: AtomicUsize,
 }
 
 impl Backends {
@@ -65,26 +65,26 @@
     pub fn new(pool: Pool, node: NodeHandle, zone: ZoneName, stopped: StoppedVersions) -> Self {
         Self {
             pool,
-            gates: Gates::default(),
+            wait_queues: WaitQueues::default(),
             node,
             zone,
             stopped,
-            figures: Mutex::default(),
+            state: Mutex::default(),
             rollouts: Mutex::default(),
-            turns: AtomicUsize::new(0),
+            round_robin: AtomicUsize::new(0),
         }
     }
 
     /// Applies an installed bundle. Rollout steps of its new versions count from its commit.
-    pub fn installed(&self, installed: &InstalledBundle) {
+    pub fn apply_bundle(&self, installed: &InstalledBundle) {
         let bundle = &installed.bundle;
-        let committed_for = time_since(installed.record.committed, UnixMillis::now());
+        let committed_for = time_since_commit(installed.record.committed, UnixMillis::now());
         let newest = bundle.services.iter();
         let newest = newest.filter_map(|(name, s)| s.newest_sound().map(|version| (name, version)));
-        self.rollouts().installed(newest, committed_for, Instant::now());
-        self.lock().keep_routes(|route| bundle.routes.contains_key(route));
+        self.rollouts().record_versions(newest, committed_for, Instant::now());
+        self.lock().retain_routes(|route| bundle.routes.contains_key(route));
         self.close_circuits();
-        self.gates.wake_all();
+        self.wait_queues.wake_one_per_service();
     }
 
     /// Closes all circuits, because the set of versions that receive calls has changed.
@@ -93,20 +93,20 @@
     }
 
     /// Applies a cluster view: new engines get a slow start, removed ones are dropped.
-    pub fn listed(&self, view: &Arc<ClusterView>) {
+    pub fn apply_view(&self, view: &Arc<ClusterView>) {
         {
-            let mut figures = self.lock();
-            figures.follow(view, Instant::now());
-            figures.forget_unlisted();
+            let mut state = self.lock();
+            state.update_view(view, Instant::now());
+            state.forget_unlisted();
         }
         self.pool.sweep(|run| is_listed(view, run));
-        self.gates.wake_all();
+        self.wait_queues.wake_one_per_service();
     }
 
     /// Returns all engines of a service that the view lists, whatever their state.
     #[must_use]
-    pub fn all_of(&self, service: &ServiceName) -> Vec<Arc<Target>> {
-        self.lock_with_view().all_of(service).cloned().collect()
+    pub fn engines_of(&self, service: &ServiceName) -> Vec<Arc<Target>> {
+        self.lock_with_view().engines_of(service).cloned().collect()
     }
 
     /// Returns whether an engine may get a call now: the view lists this run as healthy, and
@@ -122,32 +122,36 @@
     }
 
     /// Selects an engine with a free slot and occupies the slot.
-    pub fn find(self: &Arc<Self>, wanted: &Wanted<'_>, service: &Service) -> Found {
+    pub fn select(self: &Arc<Self>, criteria: &EngineCriteria<'_>, service: &Service) -> Selection {
         let now = Instant::now();
-        let versions = self.versions(wanted.service, service, now);
-        let mut figures = self.lock_with_view();
+        let version_order = self.version_order(criteria.service, service, now);
+        let mut state = self.lock_with_view();
         let mut full = false;
-        for version in versions {
-            let open = figures.open_engines(wanted, &version, service);
-            full |= !open.is_empty();
-            if let Some(choice) = choose(&open, &self.zone, now, &mut rand::rng()) {
+        for version in version_order {
+            let eligible = state.eligible_engines(criteria, &version, service);
+            full |= !eligible.is_empty();
+            if let Some(choice) = choose(&eligible, &self.zone, now, &mut rand::rng()) {
                 let target = choice.target.clone();
-                return Found::Engine(self.begin(&mut figures, target, wanted.route, service));
+                return Selection::Engine(self.occupy(&mut state, target, criteria.route, service));
             }
         }
-        if full { Found::Full } else { Found::None }
+        if full { Selection::Full } else { Selection::None }
     }
 
     /// Selects engines round-robin, ignoring their statistics (baseline mode).
-    pub fn next_in_turn(self: &Arc<Self>, wanted: &Wanted<'_>, service: &Service) -> Found {
-        let mut all = self.all_of(wanted.service);
+    pub fn select_round_robin(
+        self: &Arc<Self>,
+        criteria: &EngineCriteria<'_>,
+        service: &Service,
+    ) -> Selection {
+        let mut all = self.engines_of(criteria.service);
         all.retain(|target| service.is_sound(&target.version));
         if all.is_empty() {
-            return Found::None;
+            return Selection::None;
         }
-        let turn = self.turns.fetch_add(1, Ordering::Relaxed);
-        let target = all.swap_remove(turn % all.len());
-        Found::Engine(self.begin(&mut self.lock(), target, wanted.route, service))
+        let position = self.round_robin.fetch_add(1, Ordering::Relaxed);
+        let target = all.swap_remove(position % all.len());
+        Selection::Engine(self.occupy(&mut self.lock(), target, criteria.route, service))
     }
 
     /// Returns the number of concurrent calls when all engines of a service are full, and the
@@ -171,73 +175,78 @@
         self.lock().admit(route, Instant::now())
     }
 
-    fn versions(&self, name: &ServiceName, service: &Service, now: Instant) -> Vec<ServiceVersion> {
+    fn version_order(
+        &self,
+        name: &ServiceName,
+        service: &Service,
+        now: Instant,
+    ) -> Vec<ServiceVersion> {
         let newest = service.newest_sound();
         let age = newest.and_then(|version| self.rollouts().age(name, version, now));
         let draw = rand::rng().random_range(0..100);
         preferred_versions(service, age, draw, |version| self.stopped.contains(name, version))
     }
 
-    fn begin(
+    fn occupy(
         self: &Arc<Self>,
-        figures: &mut Figures,
+        state: &mut BackendState,
         target: Arc<Target>,
         route: &RouteName,
         service: &Service,
-    ) -> Outstanding {
-        figures.begin(&target.run);
-        Outstanding {
+    ) -> EngineSlot {
+        state.call_started(&target.run);
+        EngineSlot {
             backends: self.clone(),
             target,
             route: route.clone(),
-            most: service.concurrency_per_engine,
-            began: Instant::now(),
+            max_concurrency: service.concurrency_per_engine,
+            started: Instant::now(),
             end: CallEnd::Cancelled,
         }
     }
 
     /// Locks the state after updating it to the current view.
-    fn lock_with_view(&self) -> MutexGuard<'_, Figures> {
+    fn lock_with_view(&self) -> MutexGuard<'_, BackendState> {
         let view = self.node.view.borrow().clone();
-        let mut figures = self.lock();
-        figures.follow(&view, Instant::now());
-        figures
+        let mut state = self.lock();
+        state.update_view(&view, Instant::now());
+        state
     }
 
     fn rollouts(&self) -> MutexGuard<'_, RolloutClock> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Figures> {
-        self.figures.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BackendState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// An occupied engine slot of a call. Counts as cancelled unless [`Outstanding::ended`] records
+/// An occupied engine slot of a call. Counts as cancelled unless [`EngineSlot::set_end`] records
 /// another outcome.
 #[derive(Debug)]
-pub struct Outstanding {
+pub struct EngineSlot {
     backends: Arc<Backends>,
     /// The engine.
     pub target: Arc<Target>,
     route: RouteName,
-    most: u32,
-    began: Instant,
+    max_concurrency: u32,
+    started: Instant,
     end: CallEnd,
 }
 
-impl Outstanding {
+impl EngineSlot {
     pub(super) fn route(&self) -> &RouteName {
         &self.route
     }
 
     /// Maximum concurrency of the engine, from the bundle.
-    pub(super) fn most(&self) -> u32 {
-        self.most
+    pub(super) fn max_concurrency(&self) -> u32 {
+        self.max_concurrency
     }
 
-    pub(super) fn began(&self) -> Instant {
-        self.began
+    pub(super) fn started(&self) -> Instant {
+        self.started
     }
 
     pub(super) fn end(&self) -> CallEnd {
@@ -245,14 +254,14 @@
     }
 
     /// Records how the call ended.
-    pub fn ended(&mut self, end: CallEnd) {
+    pub fn set_end(&mut self, end: CallEnd) {
         self.end = end;
     }
 }
 
-impl Drop for Outstanding {
+impl Drop for EngineSlot {
     fn drop(&mut self) {
-        self.backends.lock().ended(self, Instant::now());
-        self.backends.gates.wake(&self.target.service);
+        self.backends.lock().call_ended(self, Instant::now());
+        self.backends.wait_queues.wake_next(&self.target.service);
     }
 }
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -8,25 +8,25 @@
 #[derive(Debug, Clone)]
 pub struct Backoff {
     next: Duration,
-    longest: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    /// Creates a backoff that starts at `first` and doubles up to `longest`.
+    /// Creates a backoff that starts at `first` and doubles up to `max`.
     #[must_use]
-    pub fn new(first: Duration, longest: Duration) -> Self {
-        Self { next: first, longest }
+    pub fn new(first: Duration, max: Duration) -> Self {
+        Self { next: first, max }
     }
 
     /// Returns the next delay, with jitter from the thread-local generator.
     pub fn next_wait(&mut self) -> Duration {
-        self.wait(&mut rand::rng())
+        self.next_wait_with(&mut rand::rng())
     }
 
     /// Returns the next delay: between 50% and 100% of the current step.
-    pub fn wait(&mut self, random: &mut impl Rng) -> Duration {
+    pub fn next_wait_with(&mut self, random: &mut impl Rng) -> Duration {
         let step = self.next;
-        self.next = (step * 2).min(self.longest);
+        self.next = (step * 2).min(self.max);
         jittered(step, random)
     }
 }
--- a/crates/gateway/src/calls/mod.rs
+++ b/crates/gateway/src/calls/mod.rs
@@ -22,7 +22,7 @@
 use crate::backend::exchange::{CallName, Dispatch};
 use crate::backend::table::Backends;
 use crate::shards::Shards;
-use crate::version_monitor::Evidence;
+use crate::version_monitor::VersionMonitor;
 use repeat_history::RepeatHistory;
 use retry_budget::RetryBudget;
 
@@ -31,7 +31,7 @@
 pub struct Calls {
     pub(crate) backends: Arc<Backends>,
     pub(crate) shards: Shards,
-    pub(crate) evidence: Evidence,
+    pub(crate) version_monitor: VersionMonitor,
     pub(crate) node: hooklug_control::NodeHandle,
     pub(crate) retries: RetryBudget,
     pub(crate) mode: GatewayMode,
@@ -77,7 +77,7 @@
 
 /// Generates a random attempt id.
 #[must_use]
-pub fn draw_attempt() -> CallAttempt {
+pub fn new_attempt() -> CallAttempt {
     let text = format!("{:032x}", rand::rng().random::<u128>());
     CallAttempt::new(text).unwrap_or_else(|_| unreachable!("hexadecimal digits are an identifier"))
 }
--- a/crates/gateway/src/calls/non_repeatable.rs
+++ b/crates/gateway/src/calls/non_repeatable.rs
@@ -11,42 +11,42 @@
 use tracing::{Instrument, info_span, warn};
 
 use super::record::{ClaimError, Claimed};
-use super::{CallRequest, Calls, draw_attempt};
+use super::{CallRequest, Calls, new_attempt};
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals;
 use crate::backend::Target;
 use crate::backend::answer::Answer;
 use crate::backend::exchange::ExchangeError;
-use crate::backend::table::Outstanding;
+use crate::backend::table::EngineSlot;
 use crate::backoff::Backoff;
 
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Time limit for recording an outcome, even after the caller disconnected.
-const RECORD_TIME: Duration = Duration::from_secs(120);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Interval between lookups of a call that another gateway dispatched.
-const LOOK_UP_INTERVAL: Duration = Duration::from_secs(1);
+const LOOKUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time reserved at the end of a call's deadline, capped at a quarter of the remaining time, in
 /// which the gateway still reports the known state instead of `deadline_exceeded`.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+const REPLY_MARGIN: Duration = Duration::from_secs(1);
 
 /// How long a claim with an unknown result is followed up after its caller was told to retry.
 const CLAIM_FOLLOW_UP_TIME: Duration = Duration::from_secs(60);
 
 /// Minimum time that an engine gets for a call whose claim was granted late.
-const LEAST_DISPATCH_TIME: Duration = Duration::from_secs(2);
+const MIN_DISPATCH_TIME: Duration = Duration::from_secs(2);
 
 /// Timeout for reading the record of a call that gets no engine slot, so that a shed call is
 /// rejected quickly.
-const RECORD_LOOK_TIME: Duration = Duration::from_secs(1);
+const RECORD_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Result of preparing a call before its claim.
-enum Entered {
+enum Preparation {
     /// A slot at an engine.
-    Room(Outstanding),
+    Slot(EngineSlot),
     /// The call was claimed or sealed before.
     Recorded(Box<CallRecord>),
 }
@@ -90,7 +90,10 @@
     ///
     /// # Errors
     /// A problem whose `outcome` is consistent with the record.
-    pub async fn once(self: &Arc<Self>, request: CallRequest) -> Result<Settled, Problem> {
+    pub async fn call_non_repeatable(
+        self: &Arc<Self>,
+        request: CallRequest,
+    ) -> Result<Settled, Problem> {
         let deadline = request.deadline;
         let span = info_span!("call", program = %request.program, call = %request.call);
         let calls = self.clone();
@@ -107,20 +110,22 @@
     }
 
     async fn claim_and_run(self: Arc<Self>, request: CallRequest) -> Result<Settled, Problem> {
-        let room = match self.enter(&request).await? {
-            Entered::Room(room) => room,
-            Entered::Recorded(record) => return self.await_other(&request, *record).await,
+        let slot = match self.acquire_or_find_record(&request).await? {
+            Preparation::Slot(slot) => slot,
+            Preparation::Recorded(record) => {
+                return self.await_other_attempt(&request, *record).await;
+            }
         };
-        let attempt = draw_attempt();
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let attempt = new_attempt();
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         loop {
             let error = match self.claim(&request, &attempt, request.deadline).await {
                 Ok(Claimed::Granted) => {
-                    return Ok(self.run_claimed(&request, &attempt, self.still_open(room)).await);
+                    return Ok(self.run_claimed(&request, &attempt, self.keep_if_open(slot)).await);
                 }
                 Ok(Claimed::Held(record)) => {
-                    drop(room);
-                    return self.await_other(&request, *record).await;
+                    drop(slot);
+                    return self.await_other_attempt(&request, *record).await;
                 }
                 Err(ClaimError::Refused(refusal)) => return Err(refusals::ledger(&refusal)),
                 Err(ClaimError::Uncertain(error)) => error,
@@ -139,33 +144,33 @@
     /// that has to wait or is rejected may be a resend that needs no engine, so its record is read
     /// in that case. A call that gets a slot at once needs no lookup, because its claim returns the
     /// same record.
-    async fn enter(&self, request: &CallRequest) -> Result<Entered, Problem> {
-        let entering = async {
+    async fn acquire_or_find_record(&self, request: &CallRequest) -> Result<Preparation, Problem> {
+        let acquiring = async {
             self.check_circuit(request)?;
-            self.room(request, &[]).await
+            self.acquire_slot(request, &[]).await
         };
-        let looking = self.recorded(request);
-        tokio::pin!(entering, looking);
+        let reading = self.read_record(request);
+        tokio::pin!(acquiring, reading);
         tokio::select! {
             // The slot is polled first, so that no lookup starts while one is free.
             biased;
-            entered = &mut entering => match entered {
-                Ok(room) => Ok(Entered::Room(room)),
-                Err(reason) => match looking.await {
-                    Some(record) => Ok(Entered::Recorded(record)),
+            acquired = &mut acquiring => match acquired {
+                Ok(slot) => Ok(Preparation::Slot(slot)),
+                Err(reason) => match reading.await {
+                    Some(record) => Ok(Preparation::Recorded(record)),
                     None => Err(reason.into()),
                 },
             },
-            recorded = &mut looking => match recorded {
-                Some(record) => Ok(Entered::Recorded(record)),
-                None => Ok(Entered::Room(entering.await?)),
+            found = &mut reading => match found {
+                Some(record) => Ok(Preparation::Recorded(record)),
+                None => Ok(Preparation::Slot(acquiring.await?)),
             },
         }
     }
 
     /// Reads the call's record; `None` when it does not exist or cannot be read in time.
-    async fn recorded(&self, request: &CallRequest) -> Option<Box<CallRecord>> {
-        let until = request.deadline.min(Instant::now() + RECORD_LOOK_TIME);
+    async fn read_record(&self, request: &CallRequest) -> Option<Box<CallRecord>> {
+        let until = request.deadline.min(Instant::now() + RECORD_READ_TIMEOUT);
         let read = self.shards.call(&request.program, &request.call, until).await;
         read.ok().flatten().map(Box::new)
     }
@@ -174,11 +179,11 @@
     /// hold the call forever; a resend has to find an outcome.
     async fn follow_up(self: Arc<Self>, mut request: CallRequest, attempt: CallAttempt) {
         let until = Instant::now() + CLAIM_FOLLOW_UP_TIME;
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         while Instant::now() < until {
             match self.claim(&request, &attempt, until).await {
                 Ok(Claimed::Granted) => {
-                    request.deadline = request.deadline.max(Instant::now() + LEAST_DISPATCH_TIME);
+                    request.deadline = request.deadline.max(Instant::now() + MIN_DISPATCH_TIME);
                     self.run_claimed(&request, &attempt, None).await;
                     return;
                 }
@@ -191,10 +196,10 @@
 
     /// Keeps the slot acquired before the claim unless its engine was removed or started draining
     /// since; a claim may wait as long as its shard is unreachable.
-    fn still_open(&self, room: Outstanding) -> Option<Outstanding> {
+    fn keep_if_open(&self, slot: EngineSlot) -> Option<EngineSlot> {
         match self.mode {
-            GatewayMode::Plain => Some(room),
-            GatewayMode::Full => self.backends.is_open(&room.target).then_some(room),
+            GatewayMode::Plain => Some(slot),
+            GatewayMode::Full => self.backends.is_open(&slot.target).then_some(slot),
         }
     }
 
@@ -203,12 +208,12 @@
         &self,
         request: &CallRequest,
         attempt: &CallAttempt,
-        room: Option<Outstanding>,
+        slot: Option<EngineSlot>,
     ) -> Settled {
-        let outcome = self.dispatch_once(request, attempt, room).await;
+        let outcome = self.dispatch_once(request, attempt, slot).await;
         let name = request.name(attempt);
-        let recorded = self.finish(&name, &outcome, RECORD_TIME).await;
-        recorded.map_or(Settled::Unknown, Settled::of)
+        let committed = self.finish(&name, &outcome, RECORD_TIMEOUT).await;
+        committed.map_or(Settled::Unknown, Settled::of)
     }
 
     /// Tries engines until one accepts the call; no other engine is tried after that.
@@ -216,22 +221,22 @@
         &self,
         request: &CallRequest,
         attempt: &CallAttempt,
-        mut room: Option<Outstanding>,
+        mut slot: Option<EngineSlot>,
     ) -> CallOutcome {
         let dispatch = request.dispatch(attempt);
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut tried = Vec::new();
         loop {
-            if room.is_none() {
-                room = self.room(request, &tried).await.ok();
+            if slot.is_none() {
+                slot = self.acquire_slot(request, &tried).await.ok();
             }
-            if let Some(taken) = room.take() {
+            if let Some(taken) = slot.take() {
                 let (target, answered) = self.send(request, taken, &dispatch).await;
                 match answered {
                     Ok(answer) => return answered_outcome(&answer),
                     Err(ExchangeError::Lost(reason)) => {
                         warn!(call = %request.call, engine = %target.run.engine, %reason, "response to a non-repeatable call was lost");
-                        return self.after_lost(request, &target).await;
+                        return self.outcome_after_loss(request, &target).await;
                     }
                     Err(ExchangeError::NotSent(_) | ExchangeError::Refused(_)) => {
                         tried.push(target.run.clone());
@@ -249,33 +254,33 @@
     }
 
     /// Looks up the call at the engine whose response was lost, which may still know the result.
-    async fn after_lost(&self, request: &CallRequest, target: &Arc<Target>) -> CallOutcome {
-        let asked = std::slice::from_ref(target);
-        let found = self.ask_engines(asked, &request.program, &request.call).await;
+    async fn outcome_after_loss(&self, request: &CallRequest, target: &Arc<Target>) -> CallOutcome {
+        let targets = std::slice::from_ref(target);
+        let found = self.query_engines(targets, &request.program, &request.call).await;
         found.map_or(CallOutcome::Unknown, |answer| answered_outcome(&answer))
     }
 
     /// Waits for the outcome of another attempt, and queries the engines for it in case that
     /// attempt's gateway has failed.
-    async fn await_other(
+    async fn await_other_attempt(
         &self,
         request: &CallRequest,
         mut record: CallRecord,
     ) -> Result<Settled, Problem> {
         let digest = request.digest();
         let left = request.deadline.saturating_duration_since(Instant::now());
-        let until = Instant::now() + left.saturating_sub(ANSWER_TIME.min(left / 4));
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
-        let mut look_up_at = Instant::now() + LOOK_UP_INTERVAL;
+        let until = Instant::now() + left.saturating_sub(REPLY_MARGIN.min(left / 4));
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
+        let mut next_lookup = Instant::now() + LOOKUP_INTERVAL;
         loop {
             if record.digest != digest {
                 return Err(Problem::new(Code::CallDiffers, "the call exists with other content"));
             }
             let is_unknown = record.outcome == Some(CallOutcome::Unknown);
-            if is_unknown || (record.outcome.is_none() && Instant::now() >= look_up_at) {
-                let refreshed = self.refreshed(&request.program, record.clone());
-                record = timeout_at(until, refreshed).await.unwrap_or(record);
-                look_up_at = Instant::now() + LOOK_UP_INTERVAL;
+            if is_unknown || (record.outcome.is_none() && Instant::now() >= next_lookup) {
+                let completed = self.complete_record(&request.program, record.clone());
+                record = timeout_at(until, completed).await.unwrap_or(record);
+                next_lookup = Instant::now() + LOOKUP_INTERVAL;
             }
             if let Some(outcome) = record.outcome.clone() {
                 return Ok(Settled::of(outcome));
--- a/crates/gateway/src/calls/record.rs
+++ b/crates/gateway/src/calls/record.rs
@@ -12,10 +12,10 @@
 use crate::shards::ShardError;
 
 /// Timeout of one attempt to record an outcome.
-const RECORD_TRY_TIME: Duration = Duration::from_secs(5);
+const RECORD_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -68,9 +68,9 @@
             outcome: outcome.clone(),
         };
         let until = Instant::now() + time;
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         while Instant::now() < until {
-            let deadline = until.min(Instant::now() + RECORD_TRY_TIME);
+            let deadline = until.min(Instant::now() + RECORD_ATTEMPT_TIMEOUT);
             match self.shards.execute(&name.program, &command, deadline).await {
                 Ok(ShardReply::Call(record)) => return record.outcome,
                 Ok(ShardReply::Done) => return Some(outcome.clone()),
--- a/crates/gateway/src/calls/repeat_history.rs
+++ b/crates/gateway/src/calls/repeat_history.rs
@@ -23,28 +23,28 @@
 use crate::backoff::Backoff;
 
 /// Timeout of one query of the meta group.
-const READ_TIME: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Maximum time for which a call waits until the history of a new bundle is read.
-const LEARN_TIME: Duration = Duration::from_secs(1);
+const LEARN_TIMEOUT: Duration = Duration::from_secs(1);
 
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Repeat settings of tools in all bundles up to a version.
 #[derive(Debug, Default)]
-struct Learnt {
+struct KnownTools {
     /// All bundles up to this version are covered; `None` before the first.
     up_to: Option<BundleVersion>,
     /// Route sections that were read.
     sections: HashSet<Digest>,
     /// Tools that were non-repeatable under any of them.
-    once: HashSet<String>,
+    non_repeatable: HashSet<String>,
     /// Tools that were repeatable under any of them.
     repeatable: HashSet<String>,
 }
 
-impl Learnt {
+impl KnownTools {
     fn covers(&self, version: BundleVersion) -> bool {
         self.up_to.is_some_and(|up_to| up_to >= version)
     }
@@ -52,7 +52,8 @@
     fn add<'a>(&mut self, routes: impl Iterator<Item = &'a Route>) {
         for route in routes {
             let RouteMatch::Tool { tool } = &route.matches else { continue };
-            let tools = if route.may_repeat { &mut self.repeatable } else { &mut self.once };
+            let tools =
+                if route.may_repeat { &mut self.repeatable } else { &mut self.non_repeatable };
             tools.insert(tool.clone());
         }
     }
@@ -64,39 +65,39 @@
     /// Repeatable under every known bundle.
     Repeatable,
     /// Non-repeatable under every known bundle.
-    Once,
+    NonRepeatable,
     /// Non-repeatable now; repeatable under another bundle, where calls left no record.
-    OnceOfLate,
+    FormerlyRepeatable,
 }
 
 /// The repeat settings of tools over all known bundles.
 #[derive(Debug, Default)]
 pub struct RepeatHistory {
-    learnt: watch::Sender<Learnt>,
+    known: watch::Sender<KnownTools>,
 }
 
 impl RepeatHistory {
     /// Returns how calls of a tool are treated under a bundle; `None` while the bundle's history is
     /// unknown.
-    pub async fn of(
+    pub async fn repeatability(
         &self,
         bundle: &InstalledBundle,
         tool: &str,
         route: &Route,
     ) -> Option<Repeatability> {
         let version = bundle.record.version;
-        if !self.learnt.borrow().covers(version) {
-            let mut changes = self.learnt.subscribe();
-            let learning = changes.wait_for(|learnt| learnt.covers(version));
-            timeout(LEARN_TIME, learning).await.ok()?.ok()?;
+        if !self.known.borrow().covers(version) {
+            let mut changes = self.known.subscribe();
+            let covered = changes.wait_for(|known| known.covers(version));
+            timeout(LEARN_TIMEOUT, covered).await.ok()?.ok()?;
         }
-        let learnt = self.learnt.borrow();
-        Some(if route.may_repeat && !learnt.once.contains(tool) {
+        let known = self.known.borrow();
+        Some(if route.may_repeat && !known.non_repeatable.contains(tool) {
             Repeatability::Repeatable
-        } else if learnt.repeatable.contains(tool) {
-            Repeatability::OnceOfLate
+        } else if known.repeatable.contains(tool) {
+            Repeatability::FormerlyRepeatable
         } else {
-            Repeatability::Once
+            Repeatability::NonRepeatable
         })
     }
 
@@ -109,7 +110,7 @@
         loop {
             let installed = bundles.borrow_and_update().clone();
             if let Some(installed) = installed {
-                self.learn_until_known(state, &installed).await;
+                self.learn_with_retries(state, &installed).await;
             }
             if bundles.changed().await.is_err() {
                 return;
@@ -117,8 +118,8 @@
         }
     }
 
-    async fn learn_until_known(&self, state: &dyn StateAccess, installed: &InstalledBundle) {
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+    async fn learn_with_retries(&self, state: &dyn StateAccess, installed: &InstalledBundle) {
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         while let Err(error) = self.learn(state, installed).await {
             warn!(%error, "cannot read the history of bundles; retrying");
             sleep(backoff.next_wait()).await;
@@ -130,22 +131,22 @@
         state: &dyn StateAccess,
         installed: &InstalledBundle,
     ) -> Result<(), HistoryError> {
-        let from = self.learnt.borrow().up_to;
+        let from = self.known.borrow().up_to;
         let records = read_records(state, from, &installed.record).await?;
         let newest = records.first().map(|record| record.version);
         let mut found = Vec::new();
         for digest in records.iter().filter_map(|record| record.sections.get(ROUTES_SECTION)) {
-            if !self.learnt.borrow().sections.contains(digest) {
+            if !self.known.borrow().sections.contains(digest) {
                 found.push((*digest, read_routes(state, *digest).await?));
             }
         }
-        self.learnt.send_modify(|learnt| {
-            learnt.add(installed.bundle.routes.values());
+        self.known.send_modify(|known| {
+            known.add(installed.bundle.routes.values());
             for (digest, routes) in found {
-                learnt.add(routes.values());
-                learnt.sections.insert(digest);
+                known.add(routes.values());
+                known.sections.insert(digest);
             }
-            learnt.up_to = learnt.up_to.max(newest).max(Some(installed.record.version));
+            known.up_to = known.up_to.max(newest).max(Some(installed.record.version));
         });
         Ok(())
     }
@@ -185,7 +186,7 @@
 }
 
 async fn history(state: &dyn StateAccess, limit: u32) -> Result<Vec<BundleRecord>, HistoryError> {
-    let deadline = Instant::now() + READ_TIME;
+    let deadline = Instant::now() + READ_TIMEOUT;
     match state.query_meta(&MetaQuery::History(limit), deadline).await? {
         MetaAnswer::History(records) => Ok(records),
         _ => Err(HistoryError::Unexpected),
@@ -197,7 +198,7 @@
     state: &dyn StateAccess,
     digest: Digest,
 ) -> Result<BTreeMap<RouteName, Route>, HistoryError> {
-    let deadline = Instant::now() + READ_TIME;
+    let deadline = Instant::now() + READ_TIMEOUT;
     match state.query_meta(&MetaQuery::Section(digest), deadline).await? {
         MetaAnswer::Section(Some(bytes)) => Ok(serde_json::from_slice(&bytes)?),
         MetaAnswer::Section(None) => Ok(BTreeMap::new()),
--- a/crates/gateway/src/calls/repeatable.rs
+++ b/crates/gateway/src/calls/repeatable.rs
@@ -5,45 +5,45 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::{CallRequest, Calls, draw_attempt};
+use super::{CallRequest, Calls, new_attempt};
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals::RETRY_SOON;
 use crate::backend::answer::{Answer, Refusal};
 use crate::backend::exchange::ExchangeError;
 use crate::backoff::Backoff;
 
-const FIRST_WAIT: Duration = Duration::from_millis(10);
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Number of attempts in baseline mode, whatever the error.
-const PLAIN_TRIES: usize = 3;
+const BASELINE_ATTEMPTS: usize = 3;
 
 impl Calls {
     /// Makes a repeatable call.
     ///
     /// # Errors
     /// `try_again`, `overloaded` or `deadline_exceeded`; none guarantees that the call did not run.
-    pub async fn repeatable(&self, request: &CallRequest) -> Result<Answer, Problem> {
+    pub async fn call_repeatable(&self, request: &CallRequest) -> Result<Answer, Problem> {
         self.check_circuit(request)?;
-        let attempt = draw_attempt();
+        let attempt = new_attempt();
         let dispatch = request.dispatch(&attempt);
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut tried = Vec::new();
-        let mut last = None;
-        self.retries.sent();
+        let mut last_error = None;
+        self.retries.deposit();
         loop {
-            let room = match (self.room(request, &tried).await, last.take()) {
-                (Ok(room), _) => room,
+            let slot = match (self.acquire_slot(request, &tried).await, last_error.take()) {
+                (Ok(slot), _) => slot,
                 (Err(_), Some(error)) => return Err(failed(&error, request.deadline)),
                 (Err(reason), None) => return Err(reason.into()),
             };
-            let (target, answered) = self.send(request, room, &dispatch).await;
+            let (target, answered) = self.send(request, slot, &dispatch).await;
             let error = match answered {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
             tried.push(target.run.clone());
-            if !self.may_try_again(&error, tried.len()) {
+            if !self.may_retry(&error, tried.len()) {
                 return Err(failed(&error, request.deadline));
             }
             if matches!(error, ExchangeError::Lost(_)) {
@@ -53,22 +53,22 @@
                 }
                 sleep(wait).await;
             }
-            last = Some(error);
+            last_error = Some(error);
             metrics::counter!("hooklug_gateway_retries_total").increment(1);
         }
     }
 
     /// Returns whether another attempt is allowed. A draining or identity refusal costs the engine
     /// no work and is free; any other retry is taken from the budget.
-    fn may_try_again(&self, error: &ExchangeError, tries: usize) -> bool {
+    fn may_retry(&self, error: &ExchangeError, attempts: usize) -> bool {
         if self.mode == hooklug_settings::GatewayMode::Plain {
-            return tries < PLAIN_TRIES;
+            return attempts < BASELINE_ATTEMPTS;
         }
         match error {
             ExchangeError::Refused(Refusal::Draining | Refusal::Identity) => true,
             ExchangeError::Refused(Refusal::Overloaded)
             | ExchangeError::NotSent(_)
-            | ExchangeError::Lost(_) => self.retries.take(),
+            | ExchangeError::Lost(_) => self.retries.withdraw(),
         }
     }
 }
--- a/crates/gateway/src/calls/settle.rs
+++ b/crates/gateway/src/calls/settle.rs
@@ -15,45 +15,49 @@
 use crate::backend::lookup::find_answer;
 
 /// Timeout of one lookup at application engines.
-const LOOK_UP_TIME: Duration = Duration::from_secs(1);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Timeout for recording the result of a lookup; the next lookup can find it again.
-const RECORD_TIME: Duration = Duration::from_secs(2);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Calls {
     /// Queries engines for the response to a call.
-    pub(super) async fn ask_engines(
+    pub(super) async fn query_engines(
         &self,
         targets: &[Arc<Target>],
         program: &ProgramId,
         call: &CallId,
     ) -> Option<Answer> {
-        let deadline = Instant::now() + LOOK_UP_TIME;
+        let deadline = Instant::now() + LOOKUP_TIMEOUT;
         find_answer(&self.backends.pool, targets, program, call, deadline).await
     }
 
     /// Returns the record, completed with the response if it had no outcome and an engine knows the
     /// response. A response is used only once it is recorded; otherwise the record is returned
     /// unchanged.
-    pub(crate) async fn refreshed(&self, program: &ProgramId, record: CallRecord) -> CallRecord {
+    pub(crate) async fn complete_record(
+        &self,
+        program: &ProgramId,
+        record: CallRecord,
+    ) -> CallRecord {
         if !matches!(record.outcome, None | Some(CallOutcome::Unknown)) {
             return record;
         }
         let Some(name) = name_of(program, &record) else { return record };
-        let targets = self.targets_of(&record);
-        let Some(answer) = self.ask_engines(&targets, program, &record.call).await else {
+        let targets = self.engines_of_route(&record);
+        let Some(answer) = self.query_engines(&targets, program, &record.call).await else {
             return record;
         };
-        match self.finish(&name, &answered_outcome(&answer), RECORD_TIME).await {
+        match self.finish(&name, &answered_outcome(&answer), RECORD_TIMEOUT).await {
             Some(outcome) => CallRecord { outcome: Some(outcome), ..record },
             None => record,
         }
     }
 
-    fn targets_of(&self, record: &CallRecord) -> Vec<Arc<Target>> {
+    fn engines_of_route(&self, record: &CallRecord) -> Vec<Arc<Target>> {
         let Some(bundle) = self.node.bundle.borrow().clone() else { return Vec::new() };
         let route = record.route.as_ref().and_then(|name| bundle.bundle.routes.get(name));
-        route.map(|route| self.backends.all_of(&route.service)).unwrap_or_default()
+        route.map(|route| self.backends.engines_of(&route.service)).unwrap_or_default()
     }
 }
 
--- a/crates/gateway/src/client_stream.rs
+++ b/crates/gateway/src/client_stream.rs
@@ -13,34 +13,34 @@
 use tokio_util::sync::CancellationToken;
 
 /// Number of chunks that may be queued for a slow caller.
-const QUEUE_PIECES: usize = 64;
+const QUEUE_CHUNKS: usize = 64;
 
 /// Time for which a caller may leave a full queue unread before its stream is aborted; the caller
 /// can resume.
-const SLOW_CLIENT_TIME: Duration = Duration::from_secs(20);
+const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The caller disconnected or stopped reading, or the stream was aborted at shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the caller disconnected or stopped reading")]
-pub struct ClientGone;
+pub struct ClientDisconnected;
 
 /// The stream was aborted: the connection is closed without a proper end of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the stream was aborted")]
-pub struct StreamCut;
+pub struct StreamAborted;
 
 /// Sending half of a caller's stream. Dropping it without [`ClientSink::finish`] aborts the stream.
 #[derive(Debug)]
 pub struct ClientSink {
-    pieces: mpsc::Sender<Bytes>,
-    whole: Arc<AtomicBool>,
+    chunks: mpsc::Sender<Bytes>,
+    complete: Arc<AtomicBool>,
     stop: CancellationToken,
 }
 
 /// Receiving half of a caller's stream, used as the response body.
 struct ClientBody<G> {
-    pieces: mpsc::Receiver<Bytes>,
-    whole: Arc<AtomicBool>,
+    chunks: mpsc::Receiver<Bytes>,
+    complete: Arc<AtomicBool>,
     ended: bool,
     _guard: G,
 }
@@ -51,23 +51,23 @@
     stop: CancellationToken,
     guard: G,
 ) -> (ClientSink, Body) {
-    let (sender, pieces) = mpsc::channel(QUEUE_PIECES);
-    let whole = Arc::new(AtomicBool::new(false));
-    let body = ClientBody { pieces, whole: whole.clone(), ended: false, _guard: guard };
-    (ClientSink { pieces: sender, whole, stop }, Body::from_stream(body))
+    let (sender, chunks) = mpsc::channel(QUEUE_CHUNKS);
+    let complete = Arc::new(AtomicBool::new(false));
+    let body = ClientBody { chunks, complete: complete.clone(), ended: false, _guard: guard };
+    (ClientSink { chunks: sender, complete, stop }, Body::from_stream(body))
 }
 
 impl ClientSink {
-    /// Sends one chunk, waiting up to [`SLOW_CLIENT_TIME`] for queue capacity.
+    /// Sends one chunk, waiting up to [`SLOW_CLIENT_TIMEOUT`] for queue capacity.
     ///
     /// # Errors
-    /// [`ClientGone`] when the chunk could not be queued.
-    pub async fn send(&self, piece: Bytes) -> Result<(), ClientGone> {
+    /// [`ClientDisconnected`] when the chunk could not be queued.
+    pub async fn send(&self, chunk: Bytes) -> Result<(), ClientDisconnected> {
         tokio::select! {
             biased;
-            () = self.stop.cancelled() => Err(ClientGone),
-            sent = self.pieces.send_timeout(piece, SLOW_CLIENT_TIME) => {
-                sent.map_err(|_| ClientGone)
+            () = self.stop.cancelled() => Err(ClientDisconnected),
+            sent = self.chunks.send_timeout(chunk, SLOW_CLIENT_TIMEOUT) => {
+                sent.map_err(|_| ClientDisconnected)
             }
         }
     }
@@ -76,30 +76,30 @@
     pub async fn closed(&self) {
         tokio::select! {
             () = self.stop.cancelled() => {}
-            () = self.pieces.closed() => {}
+            () = self.chunks.closed() => {}
         }
     }
 
     /// Marks the stream as complete and ends it.
     pub fn finish(self) {
-        self.whole.store(true, Ordering::Release);
+        self.complete.store(true, Ordering::Release);
     }
 }
 
 impl<G: Send + Unpin> Stream for ClientBody<G> {
-    type Item = Result<Bytes, StreamCut>;
+    type Item = Result<Bytes, StreamAborted>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         if self.ended {
             return Poll::Ready(None);
         }
-        if let Some(piece) = std::task::ready!(self.pieces.poll_recv(cx)) {
-            return Poll::Ready(Some(Ok(piece)));
+        if let Some(chunk) = std::task::ready!(self.chunks.poll_recv(cx)) {
+            return Poll::Ready(Some(Ok(chunk)));
         }
         self.ended = true;
         // The sink sets the flag before it is dropped, and the end of the channel makes the drop
         // visible.
-        let whole = self.whole.load(Ordering::Acquire);
-        Poll::Ready((!whole).then_some(Err(StreamCut)))
+        let complete = self.complete.load(Ordering::Acquire);
+        Poll::Ready((!complete).then_some(Err(StreamAborted)))
     }
 }
--- a/crates/gateway/src/engine_losses.rs
+++ b/crates/gateway/src/engine_losses.rs
@@ -9,22 +9,22 @@
 use hooklug_types::{EngineId, Incarnation};
 
 /// How long a loss counts as recent; must cover the takeover of the lost engine's turns.
-const LATELY: Duration = Duration::from_secs(10);
+const RECENT_WINDOW: Duration = Duration::from_secs(10);
 
 /// Live engine runs of a view and their versions.
 type Live = BTreeMap<(EngineId, Incarnation), JudgedVersion>;
 
 /// Engine losses seen in the cluster views of one node.
 #[derive(Debug, Default)]
-pub struct Losses {
+pub struct EngineLosses {
     live: Live,
     lost: BTreeMap<JudgedVersion, Instant>,
 }
 
-impl Losses {
+impl EngineLosses {
     /// Updates the live engines from a view. Engines that were live before and are missing now
     /// count as lost.
-    pub fn take_view(&mut self, view: &ClusterView, now: Instant) {
+    pub fn apply_view(&mut self, view: &ClusterView, now: Instant) {
         let live = live_engines(view);
         for (run, version) in &self.live {
             if !live.contains_key(run) {
@@ -35,8 +35,8 @@
     }
 
     /// Returns the versions that recently lost an engine.
-    pub fn lately(&mut self, now: Instant) -> BTreeSet<JudgedVersion> {
-        self.lost.retain(|_, at| now.saturating_duration_since(*at) < LATELY);
+    pub fn recent(&mut self, now: Instant) -> BTreeSet<JudgedVersion> {
+        self.lost.retain(|_, at| now.saturating_duration_since(*at) < RECENT_WINDOW);
         self.lost.keys().cloned().collect()
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,11 +13,11 @@
 
 /// Interval at which versions are judged and tables are swept. Must be well below the 5 s within
 /// which a bad version has to lose its traffic.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Part of the grace period reserved for aborting the remaining streams, so that callers see the
 /// connection close.
-const CUT_TIME: Duration = Duration::from_millis(500);
+const ABORT_TIME: Duration = Duration::from_millis(500);
 
 /// Component name in the node's readiness report.
 const COMPONENT: &str = "gateway";
@@ -46,11 +46,11 @@
     pub async fn run(self) {
         let stop = self.shared.ctx.stop.clone();
         tokio::select! {
-            () = self.upkeep() => {}
+            () = self.run_maintenance() => {}
             () = self.follow_history() => {}
             () = stop.cancelled() => {}
         }
-        self.wind_down().await;
+        self.shut_down().await;
     }
 
     async fn follow_history(&self) {
@@ -58,43 +58,43 @@
         self.shared.calls.history.follow(&*ctx.state, ctx.node.bundle.clone()).await;
     }
 
-    async fn upkeep(&self) {
+    async fn run_maintenance(&self) {
         let shared = &self.shared;
         let mut view = shared.ctx.node.view.clone();
         let mut bundle = shared.ctx.node.bundle.clone();
-        let mut ticks = interval(UPKEEP_INTERVAL);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        self.take_view();
-        self.take_bundle();
+        self.apply_view();
+        self.apply_bundle();
         loop {
             tokio::select! {
                 changed = view.changed() => {
                     if changed.is_err() { return; }
                     view.mark_unchanged();
-                    self.take_view();
+                    self.apply_view();
                 }
                 changed = bundle.changed() => {
                     if changed.is_err() { return; }
                     bundle.mark_unchanged();
-                    self.take_bundle();
+                    self.apply_bundle();
                 }
                 _ = ticks.tick() => self.tick(),
             }
         }
     }
 
-    fn take_view(&self) {
+    fn apply_view(&self) {
         let view = self.shared.ctx.node.view.borrow().clone();
-        self.shared.backends.listed(&view);
-        self.shared.evidence.take_view(&view);
+        self.shared.backends.apply_view(&view);
+        self.shared.version_monitor.apply_view(&view);
     }
 
-    fn take_bundle(&self) {
+    fn apply_bundle(&self) {
         let readiness = &self.shared.ctx.node.readiness;
         let bundle = self.shared.ctx.node.bundle.borrow().clone();
         match bundle {
             Some(bundle) => {
-                self.shared.backends.installed(&bundle);
+                self.shared.backends.apply_bundle(&bundle);
                 readiness.ready(COMPONENT);
             }
             None => readiness.unready(COMPONENT, "no bundle is installed yet"),
@@ -105,25 +105,25 @@
         let shared = &self.shared;
         shared.owners.engines.forget_unlisted();
         let Some(bundle) = shared.ctx.node.bundle.borrow().clone() else { return };
-        if shared.evidence.judge(&bundle.bundle) {
+        if shared.version_monitor.judge(&bundle.bundle) {
             shared.backends.close_circuits();
         }
         shared.tenants.sweep(|tenant| {
             bundle.bundle.tenants.get(tenant).map_or(0.0, |t| t.limits.requests_per_second)
         });
-        self.take_view();
+        self.apply_view();
     }
 
-    async fn wind_down(&self) {
+    async fn shut_down(&self) {
         let shared = &self.shared;
         shared.ctx.node.readiness.unready(COMPONENT, "stopping");
         shared.running.close();
         let grace = Duration::from_millis(shared.ctx.settings.grace_ms);
-        if timeout(grace.saturating_sub(CUT_TIME), shared.running.wait()).await.is_ok() {
+        if timeout(grace.saturating_sub(ABORT_TIME), shared.running.wait()).await.is_ok() {
             return;
         }
         info!(left = shared.running.len(), "grace period is over; aborting the remaining streams");
-        shared.cut.cancel();
-        let _ = timeout(CUT_TIME.min(grace), shared.running.wait()).await;
+        shared.abort_streams.cancel();
+        let _ = timeout(ABORT_TIME.min(grace), shared.running.wait()).await;
     }
 }
--- a/crates/gateway/src/limits/adaptive.rs
+++ b/crates/gateway/src/limits/adaptive.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// Initial concurrency limit; doubles with each round until the first sign of load.
-const FIRST_LIMIT: f64 = 8.0;
+const INITIAL_LIMIT: f64 = 8.0;
 
 /// Ratio of latency to the route's baseline above which the engine counts as loaded.
 const LATENCY_FACTOR: f64 = 2.5;
@@ -16,8 +16,8 @@
 const USED_SHARE: f64 = 0.8;
 
 /// Factors applied to the limit on late responses, and on refusals and lost responses.
-const DECREASE_LATE: f64 = 0.9;
-const DECREASE_REFUSED: f64 = 0.7;
+const LATENCY_DECREASE: f64 = 0.9;
+const OVERLOAD_DECREASE: f64 = 0.7;
 
 /// Time between probes: half of the baseline's window, so that each window holds calls that ran
 /// without load. Otherwise the baseline would rise with the load that it should reveal.
@@ -29,7 +29,7 @@
 
 /// What one call indicates about the engine's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sign {
+pub enum LoadSignal {
     /// The engine answered.
     Answered {
         /// Latency divided by the route's baseline latency.
@@ -44,73 +44,85 @@
 pub struct AdaptiveLimit {
     limit: f64,
     /// Below this, the limit grows with each response; above it, with each round of responses.
-    slow_above: f64,
+    slow_growth_above: f64,
     /// Last decrease or probe; calls started before it reflect the former limit.
-    reduced: Option<Instant>,
-    probed: Option<Instant>,
+    reduced_at: Option<Instant>,
+    probed_at: Option<Instant>,
 }
 
 impl Default for AdaptiveLimit {
     fn default() -> Self {
-        Self { limit: FIRST_LIMIT, slow_above: f64::INFINITY, reduced: None, probed: None }
+        Self {
+            limit: INITIAL_LIMIT,
+            slow_growth_above: f64::INFINITY,
+            reduced_at: None,
+            probed_at: None,
+        }
     }
 }
 
 impl AdaptiveLimit {
     /// Returns the current limit, at least 1 and at most the operators' limit.
     #[must_use]
-    pub fn get(&self, most: u32) -> u32 {
+    pub fn get(&self, max: u32) -> u32 {
         // Both bounds are small positive numbers, so the cast loses only the fraction.
-        (self.limit as u32).clamp(1, most.max(1))
+        (self.limit as u32).clamp(1, max.max(1))
     }
 
     /// Returns the limit without the effect of a running probe, for estimates of waiting times.
     #[must_use]
-    pub fn steady(&self, most: u32) -> u32 {
-        let probing = self.slow_above.is_finite() && self.slow_above > self.limit;
-        let steady = if probing { self.slow_above } else { self.limit };
-        (steady as u32).clamp(1, most.max(1))
+    pub fn steady(&self, max: u32) -> u32 {
+        let probing = self.slow_growth_above.is_finite() && self.slow_growth_above > self.limit;
+        let steady = if probing { self.slow_growth_above } else { self.limit };
+        (steady as u32).clamp(1, max.max(1))
     }
 
-    /// Updates the limit from a call that ran from `began` to `now`, with `outstanding` calls at
+    /// Updates the limit from a call that ran from `started` to `now`, with `outstanding` calls at
     /// its end, itself included.
-    pub fn learn(&mut self, sign: Sign, outstanding: u32, most: u32, began: Instant, now: Instant) {
-        if self.reduced.is_some_and(|reduced| began < reduced) {
+    pub fn record(
+        &mut self,
+        signal: LoadSignal,
+        outstanding: u32,
+        max: u32,
+        started: Instant,
+        now: Instant,
+    ) {
+        if self.reduced_at.is_some_and(|reduced_at| started < reduced_at) {
             return;
         }
-        match sign {
-            Sign::Overloaded => self.decrease(DECREASE_REFUSED, now),
-            Sign::Answered { ratio } if ratio > LATENCY_FACTOR => {
+        match signal {
+            LoadSignal::Overloaded => self.decrease(OVERLOAD_DECREASE, now),
+            LoadSignal::Answered { ratio } if ratio > LATENCY_FACTOR => {
                 // High latency below the limit is not caused by this gateway's calls.
-                if self.is_used(outstanding) {
-                    self.decrease(DECREASE_LATE, now);
+                if self.is_utilized(outstanding) {
+                    self.decrease(LATENCY_DECREASE, now);
                 }
             }
-            Sign::Answered { .. } if self.is_used(outstanding) => self.increase(most, now),
-            Sign::Answered { .. } => {}
+            LoadSignal::Answered { .. } if self.is_utilized(outstanding) => self.increase(max, now),
+            LoadSignal::Answered { .. } => {}
         }
     }
 
-    fn is_used(&self, outstanding: u32) -> bool {
+    fn is_utilized(&self, outstanding: u32) -> bool {
         f64::from(outstanding) >= self.limit * USED_SHARE
     }
 
-    fn increase(&mut self, most: u32, now: Instant) {
-        let probed = *self.probed.get_or_insert(now);
-        if now.saturating_duration_since(probed) >= PROBE_INTERVAL {
-            self.probed = Some(now);
-            self.slow_above = self.limit;
+    fn increase(&mut self, max: u32, now: Instant) {
+        let probed_at = *self.probed_at.get_or_insert(now);
+        if now.saturating_duration_since(probed_at) >= PROBE_INTERVAL {
+            self.probed_at = Some(now);
+            self.slow_growth_above = self.limit;
             self.limit = (self.limit * PROBE_SHARE).max(1.0);
-            self.reduced = Some(now);
+            self.reduced_at = Some(now);
             return;
         }
-        let step = if self.limit < self.slow_above { 1.0 } else { 1.0 / self.limit };
-        self.limit = (self.limit + step).min(f64::from(most.max(1)));
+        let step = if self.limit < self.slow_growth_above { 1.0 } else { 1.0 / self.limit };
+        self.limit = (self.limit + step).min(f64::from(max.max(1)));
     }
 
     fn decrease(&mut self, factor: f64, now: Instant) {
         self.limit = (self.limit * factor).max(1.0);
-        self.slow_above = self.limit;
-        self.reduced = Some(now);
+        self.slow_growth_above = self.limit;
+        self.reduced_at = Some(now);
     }
 }
--- a/crates/gateway/src/limits/baseline.rs
+++ b/crates/gateway/src/limits/baseline.rs
@@ -8,17 +8,17 @@
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// Minimum baseline; below it, timer and network noise dominate.
-const LEAST: Duration = Duration::from_millis(5);
+const MIN_BASELINE: Duration = Duration::from_millis(5);
 
 /// Weight of one response in the moving average.
-const WEIGHT: f64 = 0.1;
+const AVERAGE_WEIGHT: f64 = 0.1;
 
 /// Minimum and average latency of a route.
 #[derive(Debug, Clone)]
 pub struct Baseline {
-    lowest: Duration,
-    lowest_before: Duration,
-    window_began: Instant,
+    minimum: Duration,
+    previous_minimum: Duration,
+    window_start: Instant,
     average: Duration,
 }
 
@@ -26,19 +26,19 @@
     /// Creates a baseline from a first response.
     #[must_use]
     pub fn new(latency: Duration, now: Instant) -> Self {
-        Self { lowest: latency, lowest_before: latency, window_began: now, average: latency }
+        Self { minimum: latency, previous_minimum: latency, window_start: now, average: latency }
     }
 
     /// Records a response and returns its latency as a multiple of the baseline.
     pub fn observe(&mut self, latency: Duration, now: Instant) -> f64 {
-        if now.saturating_duration_since(self.window_began) >= WINDOW {
-            self.lowest_before = self.lowest;
-            self.lowest = latency;
-            self.window_began = now;
+        if now.saturating_duration_since(self.window_start) >= WINDOW {
+            self.previous_minimum = self.minimum;
+            self.minimum = latency;
+            self.window_start = now;
         }
-        self.lowest = self.lowest.min(latency);
-        self.average = self.average.mul_f64(1.0 - WEIGHT) + latency.mul_f64(WEIGHT);
-        let baseline = self.lowest.min(self.lowest_before).max(LEAST);
+        self.minimum = self.minimum.min(latency);
+        self.average = self.average.mul_f64(1.0 - AVERAGE_WEIGHT) + latency.mul_f64(AVERAGE_WEIGHT);
+        let baseline = self.minimum.min(self.previous_minimum).max(MIN_BASELINE);
         latency.as_secs_f64() / baseline.as_secs_f64()
     }
 
@@ -50,7 +50,7 @@
 
     /// Returns the minimum latency of the last two windows.
     #[must_use]
-    pub fn lowest(&self) -> Duration {
-        self.lowest.min(self.lowest_before)
+    pub fn minimum(&self) -> Duration {
+        self.minimum.min(self.previous_minimum)
     }
 }
--- a/crates/gateway/src/limits/circuit.rs
+++ b/crates/gateway/src/limits/circuit.rs
@@ -9,18 +9,18 @@
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// Minimum number of outcomes before the circuit may open.
-const LEAST_ENDS: usize = 20;
+const MIN_OUTCOMES: usize = 20;
 
 /// Maximum number of retained outcomes.
-const MOST_ENDS: usize = 200;
+const MAX_OUTCOMES: usize = 200;
 
 /// Failure share that opens the circuit. It is far above what one bad engine or version causes,
 /// which outlier ejection and the version judge handle.
-const OPEN_AT: f64 = 0.9;
+const FAILURE_THRESHOLD: f64 = 0.9;
 
 /// Initial time in the open state; doubles while probes fail.
-const FIRST_OPEN: Duration = Duration::from_millis(500);
-const LONGEST_OPEN: Duration = Duration::from_secs(5);
+const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
+const MAX_OPEN_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
@@ -40,12 +40,12 @@
 #[derive(Debug, Clone)]
 pub struct Circuit {
     state: State,
-    ends: VecDeque<(Instant, bool)>,
+    outcomes: VecDeque<(Instant, bool)>,
 }
 
 impl Default for Circuit {
     fn default() -> Self {
-        Self { state: State::Closed, ends: VecDeque::new() }
+        Self { state: State::Closed, outcomes: VecDeque::new() }
     }
 }
 
@@ -74,21 +74,23 @@
     }
 
     /// Records whether a call was answered.
-    pub fn ended(&mut self, answered: bool, now: Instant) {
+    pub fn record(&mut self, answered: bool, now: Instant) {
         if answered && self.state != State::Closed {
             self.state = State::Closed;
-            self.ends.clear();
+            self.outcomes.clear();
         }
         if let (false, State::Probing { time, .. }) = (answered, self.state) {
-            self.open((time * 2).min(LONGEST_OPEN), now);
+            self.open((time * 2).min(MAX_OPEN_TIME), now);
         }
-        self.ends.push_back((now, answered));
+        self.outcomes.push_back((now, answered));
         let is_old = |at: Instant| now.saturating_duration_since(at) > WINDOW;
-        while self.ends.len() > MOST_ENDS || self.ends.front().is_some_and(|(at, _)| is_old(*at)) {
-            self.ends.pop_front();
+        while self.outcomes.len() > MAX_OUTCOMES
+            || self.outcomes.front().is_some_and(|(at, _)| is_old(*at))
+        {
+            self.outcomes.pop_front();
         }
-        if self.state == State::Closed && self.fails() {
-            self.open(FIRST_OPEN, now);
+        if self.state == State::Closed && self.is_failing() {
+            self.open(INITIAL_OPEN_TIME, now);
         }
     }
 
@@ -96,8 +98,9 @@
         self.state = State::Open { until: now + time, time };
     }
 
-    fn fails(&self) -> bool {
-        let failures = self.ends.iter().filter(|(_, answered)| !answered).count();
-        self.ends.len() >= LEAST_ENDS && failures as f64 >= self.ends.len() as f64 * OPEN_AT
+    fn is_failing(&self) -> bool {
+        let failures = self.outcomes.iter().filter(|(_, answered)| !answered).count();
+        self.outcomes.len() >= MIN_OUTCOMES
+            && failures as f64 >= self.outcomes.len() as f64 * FAILURE_THRESHOLD
     }
 }
--- a/crates/gateway/src/limits/queue.rs
+++ b/crates/gateway/src/limits/queue.rs
@@ -7,18 +7,18 @@
 use tokio::time::Instant;
 
 /// Sort key of a queued call: by deadline, then by arrival.
-type Place = (Instant, u64);
+type Position = (Instant, u64);
 
 /// Identifies a queued call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     tenant: Option<TenantId>,
-    place: Place,
+    position: Position,
 }
 
 /// Result of queueing a call.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Pushed<T> {
+pub enum PushResult<T> {
     /// The call is queued.
     Waiting(Ticket),
     /// The call is queued and replaced another one, which is returned.
@@ -30,10 +30,10 @@
 /// Queue of calls.
 #[derive(Debug)]
 pub struct CallQueue<T> {
-    urgent: BTreeMap<Place, T>,
-    tenants: BTreeMap<TenantId, BTreeMap<Place, T>>,
+    urgent: BTreeMap<Position, T>,
+    tenants: BTreeMap<TenantId, BTreeMap<Position, T>>,
     /// Tenants with queued calls, in round-robin order.
-    turns: VecDeque<TenantId>,
+    rotation: VecDeque<TenantId>,
     arrivals: u64,
 }
 
@@ -42,7 +42,7 @@
         Self {
             urgent: BTreeMap::new(),
             tenants: BTreeMap::new(),
-            turns: VecDeque::new(),
+            rotation: VecDeque::new(),
             arrivals: 0,
         }
     }
@@ -58,7 +58,7 @@
     /// Returns whether no call is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.urgent.is_empty() && self.turns.is_empty()
+        self.urgent.is_empty() && self.rotation.is_empty()
     }
 
     /// Queues a call within a bound on the total number of calls. At the bound, the tenant with the
@@ -71,29 +71,29 @@
         deadline: Instant,
         bound: usize,
         item: T,
-    ) -> Pushed<T> {
+    ) -> PushResult<T> {
         let displaced = if self.len() < bound {
             None
         } else {
             match self.displace(tenant, urgent) {
                 Some(displaced) => Some(displaced),
-                None => return Pushed::Full(item),
+                None => return PushResult::Full(item),
             }
         };
         self.arrivals += 1;
-        let place = (deadline, self.arrivals);
-        let ticket = Ticket { tenant: (!urgent).then(|| tenant.clone()), place };
+        let position = (deadline, self.arrivals);
+        let ticket = Ticket { tenant: (!urgent).then(|| tenant.clone()), position };
         if urgent {
-            self.urgent.insert(place, item);
+            self.urgent.insert(position, item);
         } else {
             if !self.tenants.contains_key(tenant) {
-                self.turns.push_back(tenant.clone());
+                self.rotation.push_back(tenant.clone());
             }
-            self.tenants.entry(tenant.clone()).or_default().insert(place, item);
+            self.tenants.entry(tenant.clone()).or_default().insert(position, item);
         }
         match displaced {
-            Some(displaced) => Pushed::Displaced(ticket, displaced),
-            None => Pushed::Waiting(ticket),
+            Some(displaced) => PushResult::Displaced(ticket, displaced),
+            None => PushResult::Waiting(ticket),
         }
     }
 
@@ -102,22 +102,22 @@
         if let Some((_, item)) = self.urgent.pop_first() {
             return Some(item);
         }
-        let tenant = self.turns.pop_front()?;
+        let tenant = self.rotation.pop_front()?;
         let waiting = self.tenants.get_mut(&tenant)?;
         let item = waiting.pop_first().map(|(_, item)| item);
         if waiting.is_empty() {
             self.tenants.remove(&tenant);
         } else {
-            self.turns.push_back(tenant);
+            self.rotation.push_back(tenant);
         }
         item
     }
 
     /// Removes a call that no longer waits.
     pub fn remove(&mut self, ticket: &Ticket) -> Option<T> {
-        let Some(tenant) = &ticket.tenant else { return self.urgent.remove(&ticket.place) };
+        let Some(tenant) = &ticket.tenant else { return self.urgent.remove(&ticket.position) };
         let waiting = self.tenants.get_mut(tenant)?;
-        let item = waiting.remove(&ticket.place);
+        let item = waiting.remove(&ticket.position);
         if waiting.is_empty() {
             self.forget(&tenant.clone());
         }
@@ -126,7 +126,7 @@
 
     fn forget(&mut self, tenant: &TenantId) {
         self.tenants.remove(tenant);
-        self.turns.retain(|waiting| waiting != tenant);
+        self.rotation.retain(|waiting| waiting != tenant);
     }
 
     /// Removes a call of the tenant with the most queued calls, unless the new call's tenant would
--- a/crates/gateway/src/limits/tenants.rs
+++ b/crates/gateway/src/limits/tenants.rs
@@ -13,10 +13,10 @@
 use crate::api::problem::Problem;
 
 /// Retry delay after the concurrency limit is reached; about the duration of a call.
-const RETRY_CONCURRENCY: Duration = Duration::from_millis(500);
+const CONCURRENCY_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Minimum retry delay in a refusal, so that its jitter spreads callers.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
 struct TenantState {
@@ -52,13 +52,13 @@
         if state.running >= limits.concurrency {
             return Err(tenant_limited(
                 "the tenant's concurrency limit is reached",
-                RETRY_CONCURRENCY,
+                CONCURRENCY_RETRY_DELAY,
             ));
         }
         if let Err(wait) = state.bucket.take(limits.requests_per_second, now) {
             return Err(tenant_limited(
                 "the tenant's request rate limit is reached",
-                wait.max(LEAST_RETRY),
+                wait.max(MIN_RETRY_DELAY),
             ));
         }
         state.running += 1;
--- a/crates/gateway/src/limits/token_bucket.rs
+++ b/crates/gateway/src/limits/token_bucket.rs
@@ -11,14 +11,14 @@
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
     /// Creates a full bucket.
     #[must_use]
     pub fn new(per_second: f64, now: Instant) -> Self {
-        Self { tokens: burst(per_second), at: now }
+        Self { tokens: burst(per_second), refilled_at: now }
     }
 
     /// Takes one token.
@@ -26,20 +26,22 @@
     /// # Errors
     /// The time until a token is available.
     pub fn take(&mut self, per_second: f64, now: Instant) -> Result<(), Duration> {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * per_second.max(0.0);
+        let gained =
+            now.saturating_duration_since(self.refilled_at).as_secs_f64() * per_second.max(0.0);
         self.tokens = (self.tokens + gained).min(burst(per_second));
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        Err(wait_for(1.0 - self.tokens, per_second))
+        Err(refill_time(1.0 - self.tokens, per_second))
     }
 
     /// Returns whether the bucket has refilled completely.
     #[must_use]
     pub fn is_full(&self, per_second: f64, now: Instant) -> bool {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * per_second.max(0.0);
+        let gained =
+            now.saturating_duration_since(self.refilled_at).as_secs_f64() * per_second.max(0.0);
         self.tokens + gained >= burst(per_second)
     }
 }
@@ -49,11 +51,11 @@
 }
 
 /// Maximum wait in a refusal, also used for a rate of zero.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-fn wait_for(tokens: f64, per_second: f64) -> Duration {
+fn refill_time(tokens: f64, per_second: f64) -> Duration {
     if per_second <= 0.0 {
-        return LONGEST_WAIT;
+        return MAX_WAIT;
     }
-    Duration::try_from_secs_f64(tokens / per_second).unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT)
+    Duration::try_from_secs_f64(tokens / per_second).unwrap_or(MAX_WAIT).min(MAX_WAIT)
 }
--- a/crates/gateway/src/sessions/cursor.rs
+++ b/crates/gateway/src/sessions/cursor.rs
@@ -5,11 +5,11 @@
 
 /// Position of an event relative to the cursor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum EventPosition {
     /// The next event.
     Next,
     /// An event that was already forwarded.
-    Seen,
+    Duplicate,
     /// Events between the last forwarded one and this one are missing.
     Gap,
 }
@@ -35,20 +35,20 @@
 
     /// Classifies an event without advancing.
     #[must_use]
-    pub fn judge(&self, seq: EventSeq) -> Step {
+    pub fn classify(&self, seq: EventSeq) -> EventPosition {
         if seq <= self.last {
-            Step::Seen
+            EventPosition::Duplicate
         } else if seq == self.last.next() {
-            Step::Next
+            EventPosition::Next
         } else {
-            Step::Gap
+            EventPosition::Gap
         }
     }
 
     /// Advances to the next event. Returns false and does not advance if `seq` is not the next one.
     #[must_use]
     pub fn advance(&mut self, seq: EventSeq) -> bool {
-        let next = self.judge(seq) == Step::Next;
+        let next = self.classify(seq) == EventPosition::Next;
         if next {
             self.last = seq;
         }
--- a/crates/gateway/src/sessions/engines.rs
+++ b/crates/gateway/src/sessions/engines.rs
@@ -39,9 +39,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerFault {
     /// The owner is unreachable, restarted or lost its lease; its lease must be expired first.
-    Gone,
+    Failed,
     /// The connection failed; the owner may still be alive.
-    Interrupted,
+    ConnectionLost,
     /// The session has another owner or none; holds the record if the engine knew it.
     Moved(Option<Box<SessionRecord>>),
 }
@@ -51,14 +51,14 @@
     #[must_use]
     pub fn owner_fault(&self) -> Option<OwnerFault> {
         match self {
-            Self::Unreachable(_) => Some(OwnerFault::Gone),
-            Self::Lost(_) => Some(OwnerFault::Interrupted),
+            Self::Unreachable(_) => Some(OwnerFault::Failed),
+            Self::Lost(_) => Some(OwnerFault::ConnectionLost),
             Self::Refused(EngineRefusal::NotOwner { record }) => {
                 Some(OwnerFault::Moved(record.clone()))
             }
             Self::Refused(EngineRefusal::HandedOver) => Some(OwnerFault::Moved(None)),
             Self::Refused(EngineRefusal::WrongIncarnation { .. } | EngineRefusal::LeaseLost) => {
-                Some(OwnerFault::Gone)
+                Some(OwnerFault::Failed)
             }
             Self::Refused(_) => None,
         }
@@ -107,8 +107,8 @@
     {
         let address = self.address(engine)?;
         let reply = self.client.call(address, request, deadline).await;
-        let reply = reply.map_err(|error| self.failed(engine, error))?;
-        self.heard(engine);
+        let reply = reply.map_err(|error| self.mark_failed(engine, error))?;
+        self.clear_suspect(engine);
         self.load.report(engine, reply.load);
         reply.result.map_err(EngineError::Refused)
     }
@@ -125,11 +125,11 @@
     ) -> Result<ItemStream<R::Item>, EngineError> {
         let address = self.address(engine)?;
         let opened = self.client.open(address, request, deadline).await;
-        opened.map_err(|error| self.failed(engine, error))
+        opened.map_err(|error| self.mark_failed(engine, error))
     }
 
     /// Records that a message to an engine failed.
-    pub fn failed(&self, engine: &EngineIncarnation, error: RpcError) -> EngineError {
+    pub fn mark_failed(&self, engine: &EngineIncarnation, error: RpcError) -> EngineError {
         self.lock().insert(engine.clone(), Instant::now() + SUSPECT_TIME);
         error.into()
     }
@@ -148,7 +148,7 @@
         self.load.retain(|engine| address_of(&view, engine).is_some());
     }
 
-    fn heard(&self, engine: &EngineIncarnation) {
+    fn clear_suspect(&self, engine: &EngineIncarnation) {
         self.lock().remove(engine);
     }
 
--- a/crates/gateway/src/sessions/follower.rs
+++ b/crates/gateway/src/sessions/follower.rs
@@ -11,25 +11,25 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{debug, warn};
 
-use super::cursor::{Cursor, Step};
+use super::cursor::{Cursor, EventPosition};
 use super::engines::{EngineError, OwnerFault};
 use super::load::RoutedStream;
 use super::owner_table::OwnerEntry;
 use super::owners::{FailedOwner, OwnerError, Owners};
 use crate::api::sse;
 use crate::backoff::Backoff;
-use crate::client_stream::{ClientGone, ClientSink};
+use crate::client_stream::{ClientDisconnected, ClientSink};
 use crate::sessions::turns::TurnObserver;
 
 /// Maximum time to recover a broken stream before the caller's stream is aborted; covers the lease
 /// time, one leader election and one engine that does not reply to a takeover request.
-const RECOVERY_TIME: Duration = Duration::from_secs(15);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Interval of keep-alive comments on an idle stream.
-const KEEP_ALIVE_TIME: Duration = Duration::from_secs(10);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-const FIRST_WAIT: Duration = Duration::from_millis(10);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Current source of events.
 pub enum Feed {
@@ -44,21 +44,21 @@
     Event(Event),
     Sync(Vec<Event>),
     /// The owner refused, or released the session.
-    Left(EngineRefusal),
+    Refused(EngineRefusal),
     /// An item that is not forwarded.
-    Nothing,
+    Ignored,
 }
 
 /// Why relaying a feed ended.
-enum Ended {
+enum RelayEnd {
     /// The stream's terminal event was forwarded.
-    Whole,
+    Complete,
     /// The caller disconnected or stopped reading.
-    ClientGone,
+    ClientDisconnected,
     /// The events are inconsistent; the stream must be aborted.
-    Doubt(&'static str),
+    Inconsistent(&'static str),
     /// The feed failed; the session may continue at another owner.
-    Broken(OwnerFault),
+    FeedFailed(OwnerFault),
 }
 
 /// Streams a session's events to one caller.
@@ -103,23 +103,25 @@
             if let Some((entry, feed)) = feed.take() {
                 let routed = self.owners.engines.load.route(&entry.owner);
                 match self.relay(&entry.owner, feed, routed).await {
-                    Ended::Whole => return self.sink.finish(),
-                    Ended::ClientGone => return self.abandon("the caller disconnected"),
-                    Ended::Doubt(why) => return self.abandon(why),
-                    Ended::Broken(fault) => failed = Some(FailedOwner { entry, fault }),
+                    RelayEnd::Complete => return self.sink.finish(),
+                    RelayEnd::ClientDisconnected => return self.abort("the caller disconnected"),
+                    RelayEnd::Inconsistent(reason) => return self.abort(reason),
+                    RelayEnd::FeedFailed(fault) => failed = Some(FailedOwner { entry, fault }),
                 }
             }
             match self.recover(failed.take()).await {
                 Ok(found) => feed = Some(found),
-                Err(Ended::Whole) => return self.sink.finish(),
-                Err(Ended::Doubt(why)) => return self.abandon(why),
-                Err(Ended::ClientGone | Ended::Broken(_)) => return self.abandon("not recovered"),
+                Err(RelayEnd::Complete) => return self.sink.finish(),
+                Err(RelayEnd::Inconsistent(reason)) => return self.abort(reason),
+                Err(RelayEnd::ClientDisconnected | RelayEnd::FeedFailed(_)) => {
+                    return self.abort("not recovered");
+                }
             }
         }
     }
 
-    fn abandon(self, why: &'static str) {
-        debug!(session = %self.key, last = %self.cursor.last(), why, "caller's event stream aborted");
+    fn abort(self, reason: &'static str) {
+        debug!(session = %self.key, last = %self.cursor.last(), reason, "caller's event stream aborted");
         metrics::counter!("hooklug_gateway_streams_cut_total").increment(1);
     }
 
@@ -128,28 +130,28 @@
         owner: &EngineIncarnation,
         mut feed: Feed,
         _routed: RoutedStream,
-    ) -> Ended {
+    ) -> RelayEnd {
         loop {
             let item = tokio::select! {
                 item = next_item(&mut feed) => item,
-                () = self.sink.closed() => return Ended::ClientGone,
-                () = sleep(KEEP_ALIVE_TIME) => {
+                () = self.sink.closed() => return RelayEnd::ClientDisconnected,
+                () = sleep(KEEP_ALIVE_INTERVAL) => {
                     if self.sink.send(sse::KEEP_ALIVE).await.is_err() {
-                        return Ended::ClientGone;
+                        return RelayEnd::ClientDisconnected;
                     }
                     continue;
                 }
             };
-            let passed = match item {
-                Err(broken) => return Ended::Broken(self.fault(owner, broken)),
-                Ok(FeedItem::Left(refusal)) => return left(refusal),
-                Ok(FeedItem::Nothing) => Ok(false),
-                Ok(FeedItem::Sync(history)) => self.take_sync(&history).await,
-                Ok(FeedItem::Event(event)) => self.take(event).await,
+            let complete = match item {
+                Err(error) => return RelayEnd::FeedFailed(self.fault(owner, error)),
+                Ok(FeedItem::Refused(refusal)) => return owner_refused(refusal),
+                Ok(FeedItem::Ignored) => Ok(false),
+                Ok(FeedItem::Sync(history)) => self.apply_sync(&history).await,
+                Ok(FeedItem::Event(event)) => self.accept(event).await,
             };
             self.recovering_since = None;
-            match passed {
-                Ok(true) => return Ended::Whole,
+            match complete {
+                Ok(true) => return RelayEnd::Complete,
                 Ok(false) => {}
                 Err(ended) => return ended,
             }
@@ -158,17 +160,17 @@
 
     /// Returns what a failed feed implies about the owner; marks the owner as suspect if its
     /// connection failed.
-    fn fault(&self, owner: &EngineIncarnation, broken: FeedBroken) -> OwnerFault {
-        if let FeedBroken::Rpc(error @ RpcError::ConnectionLost) = broken {
-            self.owners.engines.failed(owner, error);
+    fn fault(&self, owner: &EngineIncarnation, error: FeedError) -> OwnerFault {
+        if let FeedError::Rpc(error @ RpcError::ConnectionLost) = error {
+            self.owners.engines.mark_failed(owner, error);
         }
-        OwnerFault::Interrupted
+        OwnerFault::ConnectionLost
     }
 
     /// Handles a sync in the middle of a stream, which only fills gaps.
-    async fn take_sync(&mut self, history: &[Event]) -> Result<bool, Ended> {
+    async fn apply_sync(&mut self, history: &[Event]) -> Result<bool, RelayEnd> {
         for event in history {
-            if self.take(event.clone()).await? {
+            if self.accept(event.clone()).await? {
                 return Ok(true);
             }
         }
@@ -176,46 +178,48 @@
     }
 
     /// Handles a committed event. Returns whether it completed the stream.
-    async fn take(&mut self, event: Event) -> Result<bool, Ended> {
-        match self.cursor.judge(event.seq) {
-            Step::Seen => return Ok(false),
-            Step::Next => {}
-            Step::Gap => {
-                let deadline = Instant::now() + RECOVERY_TIME;
+    async fn accept(&mut self, event: Event) -> Result<bool, RelayEnd> {
+        match self.cursor.classify(event.seq) {
+            EventPosition::Seen => return Ok(false),
+            EventPosition::Next => {}
+            EventPosition::Gap => {
+                let deadline = Instant::now() + RECOVERY_TIMEOUT;
                 if self.catch_up(Some(event.seq), deadline).await? {
                     return Ok(true);
                 }
-                if self.cursor.judge(event.seq) != Step::Next {
-                    return Err(Ended::Doubt("events are missing from the feed"));
+                if self.cursor.classify(event.seq) != EventPosition::Next {
+                    return Err(RelayEnd::Inconsistent("events are missing from the feed"));
                 }
             }
         }
-        self.pass(&event).await
+        self.forward(&event).await
     }
 
     /// Forwards the next event if it belongs to the followed turn. Returns whether it completed the
     /// stream.
-    async fn pass(&mut self, event: &Event) -> Result<bool, Ended> {
+    async fn forward(&mut self, event: &Event) -> Result<bool, RelayEnd> {
         if !self.cursor.advance(event.seq) {
-            return Err(Ended::Doubt("events are out of order"));
+            return Err(RelayEnd::Inconsistent("events are out of order"));
         }
-        if !self.follows(event)? {
+        if !self.is_followed(event)? {
             return Ok(false);
         }
         if let Some(observer) = &mut self.observer {
-            observer.saw(&event.body);
+            observer.observe(&event.body);
         }
         let sent = self.sink.send(sse::event(event)).await;
-        sent.map_err(|ClientGone| Ended::ClientGone)?;
+        sent.map_err(|ClientDisconnected| RelayEnd::ClientDisconnected)?;
         Ok(self.is_terminal(&event.body))
     }
 
-    fn follows(&self, event: &Event) -> Result<bool, Ended> {
+    fn is_followed(&self, event: &Event) -> Result<bool, RelayEnd> {
         match (&self.turn, &event.turn) {
             (None, _) => Ok(true),
-            (Some(wanted), Some(found)) if wanted == found => Ok(true),
+            (Some(followed), Some(found)) if followed == found => Ok(true),
             (Some(_), None) => Ok(false),
-            (Some(_), Some(_)) => Err(Ended::Doubt("the feed contains an event of another turn")),
+            (Some(_), Some(_)) => {
+                Err(RelayEnd::Inconsistent("the feed contains an event of another turn"))
+            }
         }
     }
 
@@ -233,15 +237,16 @@
         &mut self,
         before: Option<EventSeq>,
         deadline: Instant,
-    ) -> Result<bool, Ended> {
+    ) -> Result<bool, RelayEnd> {
         loop {
             let read = self.owners.shards.events(&self.key, self.cursor.last(), deadline).await;
-            let (events, more) = read.map_err(|_| Ended::Broken(OwnerFault::Interrupted))?;
+            let (events, more) =
+                read.map_err(|_| RelayEnd::FeedFailed(OwnerFault::ConnectionLost))?;
             for event in &events {
                 if before.is_some_and(|before| event.seq >= before) {
                     return Ok(false);
                 }
-                if self.pass(event).await? {
+                if self.forward(event).await? {
                     return Ok(true);
                 }
             }
@@ -255,24 +260,24 @@
     async fn recover(
         &mut self,
         mut failed: Option<FailedOwner>,
-    ) -> Result<(OwnerEntry, Feed), Ended> {
+    ) -> Result<(OwnerEntry, Feed), RelayEnd> {
         let since = *self.recovering_since.get_or_insert_with(Instant::now);
-        let deadline = since + RECOVERY_TIME;
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let deadline = since + RECOVERY_TIMEOUT;
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         loop {
             match self.try_recover(failed.take(), deadline).await {
                 Ok(found) => return Ok(found),
-                Err(Retry::No(ended)) => return Err(ended),
-                Err(Retry::Yes(next)) => failed = next,
+                Err(RecoveryError::Final(ended)) => return Err(ended),
+                Err(RecoveryError::Retryable(next)) => failed = next,
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= deadline {
                 warn!(session = %self.key, "event stream not recovered in time");
-                return Err(Ended::Doubt("not recovered in time"));
+                return Err(RelayEnd::Inconsistent("not recovered in time"));
             }
             tokio::select! {
                 () = sleep(wait) => {}
-                () = self.sink.closed() => return Err(Ended::ClientGone),
+                () = self.sink.closed() => return Err(RelayEnd::ClientDisconnected),
             }
         }
     }
@@ -281,78 +286,84 @@
         &mut self,
         failed: Option<FailedOwner>,
         deadline: Instant,
-    ) -> Result<(OwnerEntry, Feed), Retry> {
+    ) -> Result<(OwnerEntry, Feed), RecoveryError> {
         match self.catch_up(None, deadline).await {
-            Ok(true) => return Err(Retry::No(Ended::Whole)),
+            Ok(true) => return Err(RecoveryError::Final(RelayEnd::Complete)),
             Ok(false) => {}
-            Err(Ended::Broken(_)) => return Err(Retry::Yes(failed)),
-            Err(ended) => return Err(Retry::No(ended)),
+            Err(RelayEnd::FeedFailed(_)) => return Err(RecoveryError::Retryable(failed)),
+            Err(ended) => return Err(RecoveryError::Final(ended)),
         }
         let entry = match self.owners.resolve(&self.key, failed, deadline).await {
             Ok(entry) => entry,
-            Err(OwnerError::Closed(_)) => return Err(self.closed(deadline).await),
-            Err(OwnerError::NoSession) => return Err(Retry::No(Ended::Doubt("no such session"))),
-            Err(OwnerError::Shard(_) | OwnerError::NotNow { .. }) => return Err(Retry::Yes(None)),
+            Err(OwnerError::Closed(_)) => return Err(self.finish_closed(deadline).await),
+            Err(OwnerError::NoSession) => {
+                return Err(RecoveryError::Final(RelayEnd::Inconsistent("no such session")));
+            }
+            Err(OwnerError::Shard(_) | OwnerError::Unavailable { .. }) => {
+                return Err(RecoveryError::Retryable(None));
+            }
         };
         let join = Join { place: entry.place(&self.key), last_seen: Some(self.cursor.last()) };
         match self.owners.engines.open(&entry.owner, &join, deadline).await {
             Ok(items) => Ok((entry, Feed::Session(items))),
             Err(error) => {
-                let fault = error.owner_fault().unwrap_or(OwnerFault::Interrupted);
-                Err(Retry::Yes(Some(FailedOwner { entry, fault })))
+                let fault = error.owner_fault().unwrap_or(OwnerFault::ConnectionLost);
+                Err(RecoveryError::Retryable(Some(FailedOwner { entry, fault })))
             }
         }
     }
 
     /// Forwards the last events of a closed session, all of which are committed.
-    async fn closed(&mut self, deadline: Instant) -> Retry {
+    async fn finish_closed(&mut self, deadline: Instant) -> RecoveryError {
         match self.catch_up(None, deadline).await {
-            Ok(true) => Retry::No(Ended::Whole),
-            Ok(false) => Retry::No(Ended::Doubt("the session closed without the terminal event")),
-            Err(Ended::Broken(_)) => Retry::Yes(None),
-            Err(ended) => Retry::No(ended),
+            Ok(true) => RecoveryError::Final(RelayEnd::Complete),
+            Ok(false) => RecoveryError::Final(RelayEnd::Inconsistent(
+                "the session closed without the terminal event",
+            )),
+            Err(RelayEnd::FeedFailed(_)) => RecoveryError::Retryable(None),
+            Err(ended) => RecoveryError::Final(ended),
         }
     }
 }
 
 /// Why a recovery attempt failed, and whether to retry.
-enum Retry {
-    Yes(Option<FailedOwner>),
-    No(Ended),
+enum RecoveryError {
+    Retryable(Option<FailedOwner>),
+    Final(RelayEnd),
 }
 
-fn left(refusal: EngineRefusal) -> Ended {
+fn owner_refused(refusal: EngineRefusal) -> RelayEnd {
     let fault = EngineError::Refused(refusal).owner_fault();
-    Ended::Broken(fault.unwrap_or(OwnerFault::Interrupted))
+    RelayEnd::FeedFailed(fault.unwrap_or(OwnerFault::ConnectionLost))
 }
 
 /// Why a feed ended.
-enum FeedBroken {
+enum FeedError {
     /// The owner ended it, as it does for a slow client.
-    Ended,
+    Closed,
     /// The connection failed.
     Rpc(RpcError),
 }
 
-impl From<RpcError> for FeedBroken {
+impl From<RpcError> for FeedError {
     fn from(error: RpcError) -> Self {
         Self::Rpc(error)
     }
 }
 
-async fn next_item(feed: &mut Feed) -> Result<FeedItem, FeedBroken> {
+async fn next_item(feed: &mut Feed) -> Result<FeedItem, FeedError> {
     match feed {
         Feed::Turn(items) => Ok(match items.next().await? {
             Some(TurnItem::Event(event)) => FeedItem::Event(event),
-            Some(TurnItem::Accepted { .. }) => FeedItem::Nothing,
-            Some(TurnItem::Refused { refusal, .. }) => FeedItem::Left(refusal),
-            None => return Err(FeedBroken::Ended),
+            Some(TurnItem::Accepted { .. }) => FeedItem::Ignored,
+            Some(TurnItem::Refused { refusal, .. }) => FeedItem::Refused(refusal),
+            None => return Err(FeedError::Closed),
         }),
         Feed::Session(items) => Ok(match items.next().await? {
             Some(JoinItem::Event(event)) => FeedItem::Event(event),
             Some(JoinItem::Sync { history, .. }) => FeedItem::Sync(history),
-            Some(JoinItem::Refused(refusal)) => FeedItem::Left(refusal),
-            None => return Err(FeedBroken::Ended),
+            Some(JoinItem::Refused(refusal)) => FeedItem::Refused(refusal),
+            None => return Err(FeedError::Closed),
         }),
     }
 }
--- a/crates/gateway/src/sessions/load.rs
+++ b/crates/gateway/src/sessions/load.rs
@@ -18,9 +18,8 @@
     fn work(&self) -> u32 {
         match self.reported {
             None => self.routed,
-            Some((load, routed_then)) => {
-                (load.running + load.queued).saturating_add(self.routed.saturating_sub(routed_then))
-            }
+            Some((load, routed_at_report)) => (load.running + load.queued)
+                .saturating_add(self.routed.saturating_sub(routed_at_report)),
         }
     }
 }
--- a/crates/gateway/src/sessions/messages.rs
+++ b/crates/gateway/src/sessions/messages.rs
@@ -13,8 +13,8 @@
 use crate::api::refusals;
 use crate::backoff::Backoff;
 
-const FIRST_WAIT: Duration = Duration::from_millis(5);
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
 impl Owners {
     /// Sends a message to the owner. The message must be idempotent: it is sent again when the
@@ -32,7 +32,7 @@
         F: FnMut(OwnerEntry) -> Sent,
         Sent: Future<Output = Result<T, EngineError>>,
     {
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut failed = None;
         loop {
             let entry = self.resolve(key, failed.take(), deadline).await?;
--- a/crates/gateway/src/sessions/opening.rs
+++ b/crates/gateway/src/sessions/opening.rs
@@ -7,9 +7,9 @@
 use tracing::info;
 
 use super::engines::EngineError;
-use super::owners::{OwnerError, Owners, not_now};
+use super::owners::{OwnerError, Owners, unavailable};
 use super::placement::{Candidate, choose};
-use super::takeover::PLACE_TRY_TIME;
+use super::takeover::PLACEMENT_ATTEMPT_TIMEOUT;
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals;
 use crate::backoff::Backoff;
@@ -36,7 +36,7 @@
         deadline: Instant,
     ) -> Result<SessionRecord, Problem> {
         if let Some(record) = self.shards.session(&opening.key, deadline).await? {
-            return existing(opening, record);
+            return check_existing(opening, record);
         }
         let mut backoff = Backoff::new(
             std::time::Duration::from_millis(20),
@@ -48,15 +48,15 @@
             open.retain(|c| !tried.contains(&c.engine));
             let chosen = choose(&open, opening.prefix.as_ref(), &self.zone, &mut rand::rng());
             if let Some(candidate) = chosen {
-                if let Some(record) = self.ask_to_open(opening, &candidate, deadline).await? {
-                    return existing(opening, record);
+                if let Some(record) = self.request_open(opening, &candidate, deadline).await? {
+                    return check_existing(opening, record);
                 }
                 tried.push(candidate.engine);
                 continue;
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= deadline {
-                return Err(not_now("no engine is available for the session").into());
+                return Err(unavailable("no engine is available for the session").into());
             }
             sleep(wait).await;
             tried.clear();
@@ -64,7 +64,7 @@
     }
 
     /// Asks one engine to open the session; `None` when another engine should be tried.
-    async fn ask_to_open(
+    async fn request_open(
         &self,
         opening: &Opening,
         candidate: &Candidate,
@@ -76,7 +76,7 @@
             service: opening.service.clone(),
             prefix: opening.prefix.clone(),
         };
-        let try_until = deadline.min(Instant::now() + PLACE_TRY_TIME);
+        let try_until = deadline.min(Instant::now() + PLACEMENT_ATTEMPT_TIMEOUT);
         match self.engines.call(&candidate.engine, &request, try_until).await {
             Ok(record) => {
                 info!(session = %opening.key, engine = %candidate.engine, epoch = %record.epoch, "session opened");
@@ -104,7 +104,7 @@
 }
 
 /// Checks that an existing session matches the request.
-fn existing(opening: &Opening, record: SessionRecord) -> Result<SessionRecord, Problem> {
+fn check_existing(opening: &Opening, record: SessionRecord) -> Result<SessionRecord, Problem> {
     if record.closed {
         return Err(OwnerError::Closed(Box::new(record)).into());
     }
--- a/crates/gateway/src/sessions/owners.rs
+++ b/crates/gateway/src/sessions/owners.rs
@@ -11,8 +11,8 @@
 
 use super::engines::{EngineError, Engines, OwnerFault};
 use super::owner_table::{OWNER_TABLE_ENTRIES, OwnerEntry, OwnerTable};
-use super::placement::{Candidate, EngineKnowledge, candidates};
-use super::takeover::Waiting;
+use super::placement::{Candidate, EngineInfo, candidates};
+use super::takeover::LeaseWait;
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals::{RETRY_SOON, RETRY_STORE};
 use crate::shards::{ShardError, Shards};
@@ -36,11 +36,11 @@
     Shard(#[from] ShardError),
     /// The former owner's lease has not expired, or no engine accepted the session.
     #[error("{detail}")]
-    NotNow {
+    Unavailable {
         /// The reason.
         detail: String,
         /// Delay after which to retry.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -51,7 +51,7 @@
             OwnerError::NoSession => Problem::new(Code::NoSession, detail),
             OwnerError::Closed(_) => Problem::new(Code::SessionClosed, detail),
             OwnerError::Shard(_) => Problem::try_again(detail, RETRY_STORE),
-            OwnerError::NotNow { after, .. } => Problem::try_again(detail, after),
+            OwnerError::Unavailable { retry_after, .. } => Problem::try_again(detail, retry_after),
         }
     }
 }
@@ -113,21 +113,21 @@
         deadline: Instant,
     ) -> Result<OwnerEntry, OwnerError> {
         if let Some(failed) = &failed {
-            self.drop_failed(key, failed);
+            self.invalidate(key, failed);
         }
-        if let Some(entry) = self.known(key) {
+        if let Some(entry) = self.cached_owner(key) {
             return Ok(entry);
         }
-        let flight = tokio::time::timeout_at(deadline, self.flights.enter(key));
-        let _flight = flight.await.map_err(|_| not_now("the session is being taken over"))?;
+        let flight = tokio::time::timeout_at(deadline, self.flights.acquire(key));
+        let _flight = flight.await.map_err(|_| unavailable("the session is being taken over"))?;
         // The task that held the lock before may have found the owner.
-        if let Some(entry) = self.known(key) {
+        if let Some(entry) = self.cached_owner(key) {
             return Ok(entry);
         }
-        self.look_up(key, failed, deadline).await
+        self.resolve_from_shard(key, failed, deadline).await
     }
 
-    async fn look_up(
+    async fn resolve_from_shard(
         &self,
         key: &SessionKey,
         failed: Option<FailedOwner>,
@@ -137,11 +137,11 @@
             sleep_until(deadline.min(Instant::now() + HAND_OVER_WAIT)).await;
         }
         let record = self.shards.session(key, deadline).await?.ok_or(OwnerError::NoSession)?;
-        self.settle(&record, failed.as_ref(), deadline).await
+        self.resolve_record(&record, failed.as_ref(), deadline).await
     }
 
     /// Returns the owner in a freshly read record, or has the session taken over.
-    async fn settle(
+    async fn resolve_record(
         &self,
         record: &SessionRecord,
         failed: Option<&FailedOwner>,
@@ -155,13 +155,13 @@
             return self.take_over(record, deadline).await;
         };
         let fault = failed.filter(|f| f.entry.owner == entry.owner).map(|f| &f.fault);
-        if matches!(fault, Some(OwnerFault::Gone)) || !self.is_listed(&entry.owner) {
-            return self.replace(record, &entry, Waiting::ForLease, deadline).await;
+        if matches!(fault, Some(OwnerFault::Failed)) || !self.is_listed(&entry.owner) {
+            return self.replace_owner(record, &entry, LeaseWait::UntilExpired, deadline).await;
         }
-        let is_in_doubt =
-            matches!(fault, Some(OwnerFault::Interrupted)) || self.engines.is_suspect(&entry.owner);
-        if is_in_doubt {
-            return self.replace(record, &entry, Waiting::Not, deadline).await;
+        let is_uncertain = matches!(fault, Some(OwnerFault::ConnectionLost))
+            || self.engines.is_suspect(&entry.owner);
+        if is_uncertain {
+            return self.replace_owner(record, &entry, LeaseWait::Never, deadline).await;
         }
         self.learn(record);
         Ok(entry)
@@ -182,13 +182,13 @@
     /// Returns the cached entry unless its owner is no longer listed or failed recently. In that
     /// case the record is read, because a frozen engine stays listed for seconds, and each message
     /// sent to it would wait for a connection in vain.
-    fn known(&self, key: &SessionKey) -> Option<OwnerEntry> {
+    fn cached_owner(&self, key: &SessionKey) -> Option<OwnerEntry> {
         let entry = self.lock().get(key)?;
-        let is_sound = self.is_listed(&entry.owner) && !self.engines.is_suspect(&entry.owner);
-        is_sound.then_some(entry)
+        let is_usable = self.is_listed(&entry.owner) && !self.engines.is_suspect(&entry.owner);
+        is_usable.then_some(entry)
     }
 
-    fn drop_failed(&self, key: &SessionKey, failed: &FailedOwner) {
+    fn invalidate(&self, key: &SessionKey, failed: &FailedOwner) {
         let mut table = self.lock();
         match &failed.fault {
             OwnerFault::Moved(Some(record)) => {
@@ -198,7 +198,7 @@
                     table.learn(record);
                 }
             }
-            OwnerFault::Moved(None) | OwnerFault::Gone | OwnerFault::Interrupted => {
+            OwnerFault::Moved(None) | OwnerFault::Failed | OwnerFault::ConnectionLost => {
                 table.forget_epoch(key, failed.entry.epoch);
             }
         }
@@ -214,11 +214,11 @@
 }
 
 /// Creates a transient error.
-pub(super) fn not_now(detail: &str) -> OwnerError {
-    OwnerError::NotNow { detail: detail.to_owned(), after: RETRY_SOON }
+pub(super) fn unavailable(detail: &str) -> OwnerError {
+    OwnerError::Unavailable { detail: detail.to_owned(), retry_after: RETRY_SOON }
 }
 
-impl EngineKnowledge for Owners {
+impl EngineInfo for Owners {
     fn work(&self, engine: &EngineIncarnation) -> u32 {
         self.engines.load.work(engine)
     }
--- a/crates/gateway/src/sessions/placement.rs
+++ b/crates/gateway/src/sessions/placement.rs
@@ -33,7 +33,7 @@
 }
 
 impl Candidate {
-    fn share(&self) -> f64 {
+    fn load_ratio(&self) -> f64 {
         f64::from(self.work) / f64::from(self.slots.max(1))
     }
 }
@@ -57,7 +57,7 @@
 }
 
 /// Local information about engines beyond the cluster view.
-pub trait EngineKnowledge {
+pub trait EngineInfo {
     /// Number of running and queued turns at the engine.
     fn work(&self, engine: &EngineIncarnation) -> u32;
     /// Whether the engine must get no new session from this gateway: it reported that it is
@@ -74,12 +74,12 @@
     view: &ClusterView,
     name: &ServiceName,
     service: &Service,
-    knowledge: &dyn EngineKnowledge,
+    engines: &dyn EngineInfo,
 ) -> Vec<Candidate> {
     let sound = service.versions.iter().rev().filter(|v| v.state == VersionState::Sound);
     sound
-        .filter(|entry| !knowledge.is_stopped(name, &entry.version))
-        .map(|entry| of_version(view, name, &entry.version, knowledge))
+        .filter(|entry| !engines.is_stopped(name, &entry.version))
+        .map(|entry| of_version(view, name, &entry.version, engines))
         .find(|found| !found.is_empty())
         .unwrap_or_default()
 }
@@ -88,24 +88,24 @@
     view: &ClusterView,
     name: &ServiceName,
     version: &ServiceVersion,
-    knowledge: &dyn EngineKnowledge,
+    engines: &dyn EngineInfo,
 ) -> Vec<Candidate> {
     let alive = view.members.values().filter(|m| m.health == MemberHealth::Alive);
     alive
         .filter_map(|member| {
             let hosted = member.engine.as_ref()?;
             let engine = engine_of(member)?;
-            let takes = hosted.service == *name
+            let eligible = hosted.service == *name
                 && hosted.version == *version
                 && hosted.ready
                 && !hosted.draining
-                && !knowledge.is_excluded(&engine);
-            takes.then(|| Candidate {
+                && !engines.is_excluded(&engine);
+            eligible.then(|| Candidate {
                 address: member.address.rpc,
                 zone: member.address.zone.clone(),
                 version: version.clone(),
                 slots: hosted.slots,
-                work: knowledge.work(&engine),
+                work: engines.work(&engine),
                 engine,
             })
         })
@@ -155,21 +155,23 @@
 }
 
 fn zone_first<'a>(candidates: &'a [Candidate], own_zone: &ZoneName) -> Vec<&'a Candidate> {
-    let own: Vec<&Candidate> =
-        candidates.iter().filter(|c| c.zone == *own_zone && c.share() < ZONE_OVERFLOW_AT).collect();
+    let own: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|c| c.zone == *own_zone && c.load_ratio() < ZONE_OVERFLOW_AT)
+        .collect();
     if own.is_empty() { candidates.iter().collect() } else { own }
 }
 
-fn better_of_two<'a>(among: &[&'a Candidate], random: &mut impl Rng) -> Option<&'a Candidate> {
-    if among.len() <= 1 {
-        return among.first().copied();
+fn better_of_two<'a>(candidates: &[&'a Candidate], random: &mut impl Rng) -> Option<&'a Candidate> {
+    if candidates.len() <= 1 {
+        return candidates.first().copied();
     }
-    let first = random.random_range(0..among.len());
-    let second = (first + random.random_range(1..among.len())) % among.len();
-    let (a, b) = (among[first], among[second]);
-    Some(if b.share() < a.share() { b } else { a })
+    let first = random.random_range(0..candidates.len());
+    let second = (first + random.random_range(1..candidates.len())) % candidates.len();
+    let (a, b) = (candidates[first], candidates[second]);
+    Some(if b.load_ratio() < a.load_ratio() { b } else { a })
 }
 
 fn least_loaded(candidates: &[Candidate]) -> Option<&Candidate> {
-    candidates.iter().min_by(|a, b| a.share().total_cmp(&b.share()))
+    candidates.iter().min_by(|a, b| a.load_ratio().total_cmp(&b.load_ratio()))
 }
--- a/crates/gateway/src/sessions/takeover.rs
+++ b/crates/gateway/src/sessions/takeover.rs
@@ -12,66 +12,66 @@
 
 use super::engines::EngineError;
 use super::owner_table::OwnerEntry;
-use super::owners::{OwnerError, Owners, not_now};
+use super::owners::{OwnerError, Owners, unavailable};
 use super::placement::{Candidate, choose};
 use crate::backoff::Backoff;
 
 /// Time one engine has to open or take over a session before another is tried.
-pub(super) const PLACE_TRY_TIME: Duration = Duration::from_secs(2);
+pub(super) const PLACEMENT_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Margin added to a lease's remaining time, so that it has expired at the next check.
 const LEASE_MARGIN: Duration = Duration::from_millis(20);
 
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Whether to wait for a lease that has not expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Waiting {
+pub(super) enum LeaseWait {
     /// Wait until it expires: the owner has failed.
-    ForLease,
+    UntilExpired,
     /// Do not wait: only a connection failed, and an owner with a valid lease is contacted again.
-    Not,
+    Never,
 }
 
 /// Result of asking one engine to take over a session.
-enum Taken {
+enum TakeResult {
     /// This engine or another one owns the session.
     Owned(OwnerEntry),
     /// The engine refused; another one may accept.
     Refused,
     /// No engine can take over: the session is closed, missing or changing its owner.
-    Over(OwnerError),
+    Failed(OwnerError),
 }
 
 impl Owners {
     /// Expires the recorded owner's lease, then has the session taken over. Returns the recorded
     /// owner if its lease was renewed and the view lists it.
-    pub(super) async fn replace(
+    pub(super) async fn replace_owner(
         &self,
         record: &SessionRecord,
         entry: &OwnerEntry,
-        waiting: Waiting,
+        lease_wait: LeaseWait,
         deadline: Instant,
     ) -> Result<OwnerEntry, OwnerError> {
-        let mut may_live = waiting == Waiting::Not;
+        let mut owner_may_be_alive = lease_wait == LeaseWait::Never;
         loop {
             let left = match self.shards.expire_lease(&entry.owner, deadline).await? {
                 LeaseVerdict::Expired | LeaseVerdict::Unknown => break,
                 LeaseVerdict::Held { left_ms } => Duration::from_millis(left_ms) + LEASE_MARGIN,
             };
-            if may_live && self.is_listed(&entry.owner) {
+            if owner_may_be_alive && self.is_listed(&entry.owner) {
                 self.learn(record);
                 return Ok(entry.clone());
             }
             if Instant::now() + left >= deadline {
                 let detail =
                     format!("the lease of the former owner {} has not expired yet", entry.owner);
-                return Err(OwnerError::NotNow { detail, after: left });
+                return Err(OwnerError::Unavailable { detail, retry_after: left });
             }
             sleep(left).await;
             // A lease still held after its remaining time was renewed: the owner is alive.
-            may_live = true;
+            owner_may_be_alive = true;
         }
         self.take_over(record, deadline).await
     }
@@ -82,7 +82,7 @@
         record: &SessionRecord,
         deadline: Instant,
     ) -> Result<OwnerEntry, OwnerError> {
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut tried: Vec<EngineIncarnation> = Vec::new();
         loop {
             let mut open = self.candidates(&record.service);
@@ -91,15 +91,16 @@
             open.retain(|c| !tried.contains(&c.engine) && record.owner.as_ref() != Some(&c.engine));
             let chosen = choose(&open, record.prefix.as_ref(), &self.zone, &mut rand::rng());
             match chosen {
-                Some(candidate) => match self.ask_to_take(record, &candidate, deadline).await? {
-                    Taken::Owned(entry) => return Ok(entry),
-                    Taken::Over(error) => return Err(error),
-                    Taken::Refused => tried.push(candidate.engine),
+                Some(candidate) => match self.request_takeover(record, &candidate, deadline).await?
+                {
+                    TakeResult::Owned(entry) => return Ok(entry),
+                    TakeResult::Failed(error) => return Err(error),
+                    TakeResult::Refused => tried.push(candidate.engine),
                 },
                 None => {
                     let wait = backoff.next_wait();
                     if Instant::now() + wait >= deadline {
-                        return Err(not_now("no engine is available to take over the session"));
+                        return Err(unavailable("no engine is available to take over the session"));
                     }
                     sleep(wait).await;
                     tried.clear();
@@ -108,18 +109,18 @@
         }
     }
 
-    async fn ask_to_take(
+    async fn request_takeover(
         &self,
         record: &SessionRecord,
         candidate: &Candidate,
         deadline: Instant,
-    ) -> Result<Taken, OwnerError> {
+    ) -> Result<TakeResult, OwnerError> {
         let request = TakeSession {
             key: record.key.clone(),
             engine: candidate.engine.clone(),
             expected_epoch: record.epoch,
         };
-        let try_until = deadline.min(Instant::now() + PLACE_TRY_TIME);
+        let try_until = deadline.min(Instant::now() + PLACEMENT_ATTEMPT_TIMEOUT);
         let taken = self.engines.call(&candidate.engine, &request, try_until).await;
         match taken {
             Ok(record) => {
@@ -127,30 +128,32 @@
                 metrics::counter!("hooklug_gateway_takeovers_total").increment(1);
                 Ok(self.owned(&record))
             }
-            Err(EngineError::Refused(refusal)) => self.refused(record, refusal, deadline).await,
+            Err(EngineError::Refused(refusal)) => {
+                self.handle_refusal(record, refusal, deadline).await
+            }
             // The engine may have processed the message: only the record shows the result.
             Err(EngineError::Lost(_)) => self.reread(&record.key, record, deadline).await,
-            Err(EngineError::Unreachable(_)) => Ok(Taken::Refused),
+            Err(EngineError::Unreachable(_)) => Ok(TakeResult::Refused),
         }
     }
 
-    async fn refused(
+    async fn handle_refusal(
         &self,
         record: &SessionRecord,
         refusal: EngineRefusal,
         deadline: Instant,
-    ) -> Result<Taken, OwnerError> {
+    ) -> Result<TakeResult, OwnerError> {
         match refusal {
             EngineRefusal::Ledger(ShardRefusal::SessionClosed) => {
                 self.forget(&record.key);
-                Ok(Taken::Over(OwnerError::Closed(Box::new(record.clone()))))
+                Ok(TakeResult::Failed(OwnerError::Closed(Box::new(record.clone()))))
             }
             EngineRefusal::Ledger(ShardRefusal::NoSession) => {
-                Ok(Taken::Over(OwnerError::NoSession))
+                Ok(TakeResult::Failed(OwnerError::NoSession))
             }
             EngineRefusal::Ledger(ShardRefusal::StaleEpoch { .. })
             | EngineRefusal::NotOwner { .. } => self.reread(&record.key, record, deadline).await,
-            _ => Ok(Taken::Refused),
+            _ => Ok(TakeResult::Refused),
         }
     }
 
@@ -160,26 +163,26 @@
         key: &SessionKey,
         before: &SessionRecord,
         deadline: Instant,
-    ) -> Result<Taken, OwnerError> {
+    ) -> Result<TakeResult, OwnerError> {
         let now = self.shards.session(key, deadline).await?.ok_or(OwnerError::NoSession)?;
         if now.closed {
             self.forget(key);
-            return Ok(Taken::Over(OwnerError::Closed(Box::new(now))));
+            return Ok(TakeResult::Failed(OwnerError::Closed(Box::new(now))));
         }
         if now.epoch == before.epoch {
-            return Ok(Taken::Refused);
+            return Ok(TakeResult::Refused);
         }
         match OwnerEntry::of(&now) {
             Some(_) => Ok(self.owned(&now)),
-            None => Ok(Taken::Over(not_now("the session is changing its owner"))),
+            None => Ok(TakeResult::Failed(unavailable("the session is changing its owner"))),
         }
     }
 
-    fn owned(&self, record: &SessionRecord) -> Taken {
+    fn owned(&self, record: &SessionRecord) -> TakeResult {
         self.learn(record);
         match OwnerEntry::of(record) {
-            Some(entry) => Taken::Owned(entry),
-            None => Taken::Over(not_now("the session is changing its owner")),
+            Some(entry) => TakeResult::Owned(entry),
+            None => TakeResult::Failed(unavailable("the session is changing its owner")),
         }
     }
 }
--- a/crates/gateway/src/sessions/turns.rs
+++ b/crates/gateway/src/sessions/turns.rs
@@ -13,7 +13,7 @@
 use super::follower::{Feed, first_item};
 use super::owner_table::OwnerEntry;
 use super::owners::{MessageError, Owners};
-use crate::version_monitor::Evidence;
+use crate::version_monitor::VersionMonitor;
 
 /// A turn request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -136,11 +136,11 @@
 /// Records a turn's time to first token and its failures for the engine's version.
 #[derive(Debug)]
 pub struct TurnObserver {
-    evidence: Evidence,
+    version_monitor: VersionMonitor,
     service: ServiceName,
     version: ServiceVersion,
     route: RouteName,
-    begun: Instant,
+    started: Instant,
     seen_token: bool,
 }
 
@@ -148,22 +148,22 @@
     /// Creates an observer of a turn requested at an instant.
     #[must_use]
     pub fn new(
-        evidence: Evidence,
+        version_monitor: VersionMonitor,
         service: ServiceName,
         version: ServiceVersion,
         route: RouteName,
-        begun: Instant,
+        started: Instant,
     ) -> Self {
-        Self { evidence, service, version, route, begun, seen_token: false }
+        Self { version_monitor, service, version, route, started, seen_token: false }
     }
 
     fn record(&self, success: bool) {
-        let latency = self.begun.elapsed();
-        self.evidence.record(&self.service, &self.version, &self.route, success, latency);
+        let latency = self.started.elapsed();
+        self.version_monitor.record(&self.service, &self.version, &self.route, success, latency);
     }
 
     /// Records an event of the turn.
-    pub fn saw(&mut self, body: &EventBody) {
+    pub fn observe(&mut self, body: &EventBody) {
         match body {
             EventBody::Tokens { .. } | EventBody::ToolRequested { .. } if !self.seen_token => {
                 self.seen_token = true;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -19,19 +19,19 @@
 use crate::calls::repeat_history::RepeatHistory;
 use crate::calls::retry_budget::RetryBudget;
 use crate::limits::tenants::Tenants;
-use crate::programs::{ProgramFacts, Programs};
+use crate::programs::{ProgramCache, ProgramInfo};
 use crate::sessions::engines::Engines;
 use crate::sessions::owners::Owners;
 use crate::shards::Shards;
-use crate::version_monitor::Evidence;
+use crate::version_monitor::VersionMonitor;
 use crate::versions::StoppedVersions;
 
 /// Timeout of one shard query or command; covers a leader election with a margin.
-const STATE_TIME: Duration = Duration::from_secs(5);
+const SHARD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout of one message to a session's owner; covers the lease time with its margin, a leader
 /// election and one takeover attempt.
-const SESSION_TIME: Duration = Duration::from_secs(10);
+const OWNER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Components of one gateway.
 #[derive(Debug)]
@@ -41,13 +41,13 @@
     pub(crate) owners: Arc<Owners>,
     pub(crate) backends: Arc<Backends>,
     pub(crate) calls: Arc<Calls>,
-    pub(crate) evidence: Evidence,
-    pub(crate) programs: Programs,
+    pub(crate) version_monitor: VersionMonitor,
+    pub(crate) programs: ProgramCache,
     pub(crate) tenants: Tenants,
     /// Running requests and tasks; shutdown waits for them.
     pub(crate) running: TaskTracker,
     /// Aborts the streams that remain when the grace period is over.
-    pub(crate) cut: CancellationToken,
+    pub(crate) abort_streams: CancellationToken,
 }
 
 impl Shared {
@@ -65,12 +65,13 @@
         ));
         let pool = Pool::new(ctx.identity.address.rpc.ip(), ctx.identity.faults.clone());
         let backends = Arc::new(Backends::new(pool, ctx.node.clone(), zone, stopped.clone()));
-        let evidence = Evidence::new(ctx.node.statistics.clone(), stopped, ctx.node.harm.clone());
+        let version_monitor =
+            VersionMonitor::new(ctx.node.statistics.clone(), stopped, ctx.node.harm.clone());
         let running = TaskTracker::new();
         let calls = Arc::new(Calls {
             backends: backends.clone(),
             shards: shards.clone(),
-            evidence: evidence.clone(),
+            version_monitor: version_monitor.clone(),
             node: ctx.node.clone(),
             retries: RetryBudget::new(ctx.settings.gateway.retry_share),
             mode: ctx.settings.gateway.mode,
@@ -83,22 +84,22 @@
             owners,
             backends,
             calls,
-            evidence,
-            programs: Programs::default(),
+            version_monitor,
+            programs: ProgramCache::default(),
             tenants: Tenants::default(),
             running,
-            cut: CancellationToken::new(),
+            abort_streams: CancellationToken::new(),
         }
     }
 
     /// Deadline of a shard query or command that starts now.
-    pub(crate) fn state_deadline() -> Instant {
-        Instant::now() + STATE_TIME
+    pub(crate) fn shard_deadline() -> Instant {
+        Instant::now() + SHARD_TIMEOUT
     }
 
     /// Deadline of a message to a session's owner that starts now.
     pub(crate) fn session_deadline() -> Instant {
-        Instant::now() + SESSION_TIME
+        Instant::now() + OWNER_TIMEOUT
     }
 
     /// Maximum request body size, in bytes.
@@ -117,21 +118,20 @@
         &self,
         caller: &Caller,
         program: &ProgramId,
-    ) -> Result<ProgramFacts, Problem> {
-        let facts = match self.programs.get(program) {
-            Some(facts) => Some(facts),
+    ) -> Result<ProgramInfo, Problem> {
+        let info = match self.programs.get(program) {
+            Some(info) => Some(info),
             None => {
-                let read = self.shards.program(program, Self::state_deadline()).await?;
+                let read = self.shards.program(program, Self::shard_deadline()).await?;
                 read.map(|record| self.programs.learn(&record))
             }
         };
-        facts
-            .filter(|facts| facts.tenant == caller.tenant)
+        info.filter(|info| info.tenant == caller.tenant)
             .ok_or_else(|| Problem::new(Code::NoProgram, "no such program"))
     }
 
     /// Rejects work that a store has to record while no store is reachable.
-    pub(crate) fn check_store_reach(&self) -> Result<(), Problem> {
+    pub(crate) fn check_store_reachable(&self) -> Result<(), Problem> {
         if self.ctx.node.reach.borrow().store {
             return Ok(());
         }
--- a/crates/gateway/src/single_flight.rs
+++ b/crates/gateway/src/single_flight.rs
@@ -23,7 +23,7 @@
 
 impl<K: Hash + Eq + Clone> SingleFlight<K> {
     /// Waits for the key's lock.
-    pub async fn enter(&self, key: &K) -> OwnedMutexGuard<()> {
+    pub async fn acquire(&self, key: &K) -> OwnedMutexGuard<()> {
         let lock = self.lock_of(key);
         lock.lock_owned().await
     }
--- a/crates/gateway/src/version_monitor.rs
+++ b/crates/gateway/src/version_monitor.rs
@@ -14,16 +14,16 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-use crate::engine_losses::Losses;
+use crate::engine_losses::EngineLosses;
 use crate::versions::StoppedVersions;
 
 /// Request statistics of versions and the local judge. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Evidence {
+pub struct VersionMonitor {
     /// Statistics for the cluster; drained by heartbeats.
-    told: Statistics,
+    cluster_statistics: Statistics,
     /// Statistics for the local judge; drained by each judgement.
-    own: Statistics,
+    local_statistics: Statistics,
     judge: Arc<Mutex<Judgement>>,
     stopped: StoppedVersions,
     harm: mpsc::Sender<HarmReport>,
@@ -32,14 +32,24 @@
 #[derive(Debug, Default)]
 struct Judgement {
     judge: Judge,
-    losses: Losses,
+    engine_losses: EngineLosses,
 }
 
-impl Evidence {
+impl VersionMonitor {
     /// Creates a monitor that reports to a node's statistics and regression channel.
     #[must_use]
-    pub fn new(told: Statistics, stopped: StoppedVersions, harm: mpsc::Sender<HarmReport>) -> Self {
-        Self { told, own: Statistics::default(), judge: Arc::default(), stopped, harm }
+    pub fn new(
+        cluster_statistics: Statistics,
+        stopped: StoppedVersions,
+        harm: mpsc::Sender<HarmReport>,
+    ) -> Self {
+        Self {
+            cluster_statistics,
+            local_statistics: Statistics::default(),
+            judge: Arc::default(),
+            stopped,
+            harm,
+        }
     }
 
     /// Records one request that a backend answered or failed to answer.
@@ -51,13 +61,13 @@
         success: bool,
         latency: Duration,
     ) {
-        self.told.record(service, version, route, success, latency);
-        self.own.record(service, version, route, success, latency);
+        self.cluster_statistics.record(service, version, route, success, latency);
+        self.local_statistics.record(service, version, route, success, latency);
     }
 
     /// Updates the engines from a cluster view.
-    pub fn take_view(&self, view: &ClusterView) {
-        self.lock().losses.take_view(view, Instant::now());
+    pub fn apply_view(&self, view: &ClusterView) {
+        self.lock().engine_losses.apply_view(view, Instant::now());
     }
 
     /// Judges the newest version of each service, stops a failing one locally at once and reports
@@ -66,9 +76,9 @@
         self.stopped.retain(|name, version| {
             bundle.services.get(name).is_some_and(|service| service.is_sound(version))
         });
-        let found = self.find(bundle, Instant::now());
+        let reports = self.evaluate(bundle, Instant::now());
         let mut any = false;
-        for harm in found {
+        for harm in reports {
             if self.stopped.stop(&harm.service, &harm.version) {
                 warn!(service = %harm.service, version = %harm.version, reason = %harm.reason, "stopped routing traffic to a failing version");
                 metrics::counter!("hooklug_gateway_versions_stopped_total").increment(1);
@@ -81,11 +91,11 @@
         any
     }
 
-    fn find(&self, bundle: &Bundle, now: Instant) -> Vec<HarmReport> {
-        let statistics = self.own.take();
-        let Judgement { judge, losses } = &mut *self.lock();
+    fn evaluate(&self, bundle: &Bundle, now: Instant) -> Vec<HarmReport> {
+        let statistics = self.local_statistics.take();
+        let Judgement { judge, engine_losses } = &mut *self.lock();
         judge.observe(&statistics, now);
-        judge.evaluate(bundle, &losses.lately(now), now)
+        judge.evaluate(bundle, &engine_losses.recent(now), now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Judgement> {
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -51,7 +51,7 @@
 impl RolloutClock {
     /// Records the newest sound versions of a bundle installed at `now` and committed
     /// `committed_for` earlier.
-    pub fn installed<'a>(
+    pub fn record_versions<'a>(
         &mut self,
         newest: impl Iterator<Item = (&'a ServiceName, &'a ServiceVersion)>,
         committed_for: Duration,
@@ -61,11 +61,11 @@
         for (service, version) in newest {
             let key = (service.clone(), version.clone());
             // `None` if the start lies before this clock's range: the rollout is complete.
-            let begun = match self.since.get(&key) {
-                Some(begun) => *begun,
+            let started = match self.since.get(&key) {
+                Some(started) => *started,
                 None => now.checked_sub(committed_for),
             };
-            since.insert(key, begun);
+            since.insert(key, started);
         }
         self.since = since;
     }
@@ -78,8 +78,8 @@
         version: &ServiceVersion,
         now: Instant,
     ) -> Option<Duration> {
-        let begun = self.since.get(&(service.clone(), version.clone())).copied().flatten()?;
-        Some(now.saturating_duration_since(begun))
+        let started = self.since.get(&(service.clone(), version.clone())).copied().flatten()?;
+        Some(now.saturating_duration_since(started))
     }
 }
 
@@ -87,7 +87,7 @@
 /// before the group's clock was first set; it counts from now on, so that no step of its versions
 /// is skipped.
 #[must_use]
-pub fn time_since(committed: UnixMillis, now: UnixMillis) -> Duration {
+pub fn time_since_commit(committed: UnixMillis, now: UnixMillis) -> Duration {
     if committed == UnixMillis::default() { Duration::ZERO } else { committed.until(now) }
 }
 
--- a/crates/gateway/tests/calls_record.rs
+++ b/crates/gateway/tests/calls_record.rs
@@ -7,16 +7,16 @@
 use hooklug_types::{CallOutcome, shard_of};
 use serde_json::json;
 use support::app_engine::{AppEngine, Behaviour};
-use support::calls::{alarm, call, runs, sensor, world_with};
+use support::calls::{alarm, call, env_with, runs, sensor};
 use support::http;
 
 #[tokio::test]
 async fn lost_answers_of_the_shard_change_nothing() {
-    let (world, engines) = world_with(2, 1).await;
+    let (env, engines) = env_with(2, 1).await;
     for lost in 1..=3 {
         let name = format!("c{lost}");
-        world.state.lose_answers(shard_of("p1"), lost);
-        let answer = call(&world, 0, &name, &alarm()).await;
+        env.state.lose_answers(shard_of("p1"), lost);
+        let answer = call(&env, 0, &name, &alarm()).await;
         assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
         assert_eq!(runs(&engines, &name), 1);
     }
@@ -24,79 +24,79 @@
 
 #[tokio::test]
 async fn a_shard_out_of_reach_claims_nothing_and_the_call_is_carried_through_later() {
-    let (world, engines) = world_with(1, 1).await;
+    let (env, engines) = env_with(1, 1).await;
     // The program is known to the gateway, so that only the claim needs the shard.
-    call(&world, 0, "c0", &alarm()).await;
-    world.state.set_available(shard_of("p1"), false);
+    call(&env, 0, "c0", &alarm()).await;
+    env.state.set_available(shard_of("p1"), false);
     let mut body = alarm();
     body["deadline_ms"] = json!(200);
-    let answer = call(&world, 0, "c1", &body).await;
+    let answer = call(&env, 0, "c1", &body).await;
     assert!(matches!(answer.code(), "try_again" | "deadline_exceeded"), "{answer:?}");
     assert_ne!(answer.json["outcome"], "not_run");
     assert_eq!(runs(&engines, "c1"), 0);
-    world.state.set_available(shard_of("p1"), true);
-    let resent = call(&world, 0, "c1", &alarm()).await;
+    env.state.set_available(shard_of("p1"), true);
+    let resent = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((resent.status, &resent.json), (200, &json!({"ok": true})));
     assert_eq!(runs(&engines, "c1"), 1);
 }
 
 #[tokio::test]
 async fn an_answer_is_given_only_once_it_is_recorded() {
-    let (world, engines) = world_with(1, 1).await;
+    let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::Slow(Duration::from_millis(100)));
     let mut body = alarm();
     body["deadline_ms"] = json!(600);
-    let asked = call(&world, 0, "c1", &body);
+    let calling = call(&env, 0, "c1", &body);
     let cut = async {
         engines[0].wait_ran("p1/c1").await;
-        world.state.set_available(shard_of("p1"), false);
+        env.state.set_available(shard_of("p1"), false);
     };
-    let (answer, ()) = tokio::join!(asked, cut);
+    let (answer, ()) = tokio::join!(calling, cut);
     assert_eq!((answer.status, &answer.json["outcome"]), (504, &json!("unknown")), "{answer:?}");
-    world.state.set_available(shard_of("p1"), true);
+    env.state.set_available(shard_of("p1"), true);
     // The work goes on without its caller: the answer is recorded once the shard is back.
-    let again = call(&world, 0, "c1", &alarm()).await;
+    let again = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((again.status, &again.json), (200, &json!({"ok": true})));
     assert_eq!(runs(&engines, "c1"), 1);
 }
 
 #[tokio::test]
 async fn a_call_goes_on_when_its_caller_goes_away() {
-    let (world, engines) = world_with(1, 1).await;
+    let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::Slow(Duration::from_millis(100)));
     let body = alarm();
-    let asked = call(&world, 0, "c1", &body);
+    let calling = call(&env, 0, "c1", &body);
     tokio::select! {
-        _ = asked => panic!("the answer came too early"),
+        _ = calling => panic!("the answer came too early"),
         () = engines[0].wait_ran("p1/c1") => {}
     }
-    let recorded = world.wait_outcome("p1", "c1").await;
+    let recorded = env.wait_outcome("p1", "c1").await;
     assert_eq!(recorded, CallOutcome::Answered { status: 200, body: br#"{"ok":true}"#.to_vec() });
 }
 
 #[tokio::test]
 async fn without_a_store_in_reach_only_repeatable_calls_are_made() {
-    let (world, engines) = world_with(1, 1).await;
-    world.gateways[0].feeds.reach.send_replace(Default::default());
-    let answer = call(&world, 0, "c1", &alarm()).await;
+    let (env, engines) = env_with(1, 1).await;
+    env.gateways[0].feeds.reach.send_replace(Default::default());
+    let answer = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((answer.status, answer.code()), (503, "try_again"));
     assert_eq!(runs(&engines, "c1"), 0);
-    assert_eq!(call(&world, 0, "c2", &sensor()).await.status, 200);
+    assert_eq!(call(&env, 0, "c2", &sensor()).await.status, 200);
 }
 
 #[tokio::test]
 async fn an_engine_that_drains_while_the_claim_is_uncertain_gets_no_call() {
-    let (mut world, engines) = world_with(1, 1).await;
+    let (mut env, engines) = env_with(1, 1).await;
     // The claim is taken up again and again without an answer, with room at the first engine.
-    world.state.lose_answers(shard_of("p1"), u32::MAX);
-    let url = world.url(0);
+    env.state.lose_answers(shard_of("p1"), u32::MAX);
+    let url = env.url(0);
     let calling =
         tokio::spawn(async move { http::put(url, "/v1/programs/p1/calls/c1", &alarm()).await });
-    world.wait_claimed("p1", "c1").await;
+    env.wait_claimed("p1", "c1").await;
     let other = AppEngine::start("a2", 2).await;
-    world.view.engines.get_mut(&engines[0].engine).unwrap().draining = true;
-    world.list_app(&other, "v1", "z1");
-    world.state.lose_answers(shard_of("p1"), 0);
+    env.view.engines.get_mut(&engines[0].engine).unwrap().draining = true;
+    env.list_app(&other, "v1", "z1");
+    env.state.lose_answers(shard_of("p1"), 0);
     let answer = calling.await.expect("no panic");
     assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
     assert_eq!((engines[0].received(), other.runs("p1/c1")), (0, 1));
@@ -104,12 +104,12 @@
 
 #[tokio::test]
 async fn a_call_held_by_a_gateway_that_is_gone_is_told_unknown_while_a_look_up_hangs() {
-    let (world, engines) = world_with(1, 1).await;
-    world.begin_call("p1", "c1", "gone", &alarm()).await;
-    engines[0].script(|script| script.stall_look_ups = true);
+    let (env, engines) = env_with(1, 1).await;
+    env.begin_call("p1", "c1", "gone", &alarm()).await;
+    engines[0].script(|script| script.stall_lookups = true);
     let mut body = alarm();
     body["deadline_ms"] = json!(1_600);
-    let answer = call(&world, 0, "c1", &body).await;
+    let answer = call(&env, 0, "c1", &body).await;
     assert_eq!((answer.status, answer.code()), (502, "call_unknown"), "{answer:?}");
     assert_eq!(answer.json["outcome"], "unknown");
     assert_eq!(runs(&engines, "c1"), 0);
