--- a/crates/gateway/tests/calls_repeatable.rs
+++ b/crates/gateway/tests/calls_repeatable.rs
@@ -9,51 +9,51 @@
 use serde_json::json;
 use support::app_engine::{AppEngine, Behaviour};
 use support::bundles::tool_route;
-use support::calls::{alarm, call, read, runs, sensor, world_with};
-use support::{World, bundle, http, id};
+use support::calls::{alarm, call, env_with, read, runs, sensor};
+use support::{TestEnv, bundle, http, id};
 
 #[tokio::test]
 async fn a_call_that_may_be_repeated_is_tried_elsewhere() {
-    let (world, engines) = world_with(3, 1).await;
-    let bad = [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::CrossRequest];
+    let (env, engines) = env_with(3, 1).await;
+    let bad = [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::WrongRequestId];
     for (engine, behaviour) in engines.iter().zip(bad).take(2) {
         engine.script(|s| s.always = Some(behaviour));
     }
     for number in 0..10 {
-        let answer = call(&world, 0, &format!("c{number}"), &sensor()).await;
+        let answer = call(&env, 0, &format!("c{number}"), &sensor()).await;
         assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
         assert_eq!(answer.header("x-hooklug-call-state"), "answered");
     }
     // It left no record.
-    assert_eq!(read(&world, "c0").await.code(), "no_call");
+    assert_eq!(read(&env, "c0").await.code(), "no_call");
 }
 
 #[tokio::test]
 async fn a_caller_can_only_make_a_route_stricter() {
-    let (world, engines) = world_with(2, 1).await;
+    let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::LoseAnswer)));
     let mut strict = sensor();
     strict["repeat"] = json!(false);
-    assert_eq!(call(&world, 0, "c1", &strict).await.code(), "call_unknown");
+    assert_eq!(call(&env, 0, "c1", &strict).await.code(), "call_unknown");
     assert_eq!(runs(&engines, "c1"), 1);
     let mut loose = alarm();
     loose["repeat"] = json!(true);
-    assert_eq!(call(&world, 0, "c2", &loose).await.code(), "call_unknown");
+    assert_eq!(call(&env, 0, "c2", &loose).await.code(), "call_unknown");
     assert_eq!(runs(&engines, "c2"), 1);
 }
 
 #[tokio::test]
 async fn retries_stay_within_their_share_of_traffic() {
-    let (world, engines) = world_with(2, 1).await;
+    let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::LoseAnswer)));
     let sent = || engines.iter().map(AppEngine::received).sum::<u32>();
-    let first = call(&world, 0, "c0", &sensor()).await;
+    let first = call(&env, 0, "c0", &sensor()).await;
     assert_eq!((first.status, &first.json["outcome"]), (503, &json!("try_again")));
     // Each engine was tried once: never the same one again.
     assert_eq!(engines.iter().map(AppEngine::received).collect::<Vec<_>>(), [1, 1]);
     let calls = 100;
     for number in 1..calls {
-        let answer = call(&world, 0, &format!("c{number}"), &sensor()).await;
+        let answer = call(&env, 0, &format!("c{number}"), &sensor()).await;
         assert_eq!(answer.status, 503, "{answer:?}");
     }
     // One first try each, a fifth of retries, and the twenty that were saved up.
@@ -62,52 +62,52 @@
 
 #[tokio::test]
 async fn the_plain_mode_goes_round_robin_and_retries_blindly() {
-    let mut world = World::with(bundle(), GatewayMode::Plain, 1).await;
+    let mut env = TestEnv::with(bundle(), GatewayMode::Plain, 1).await;
     let engines = [AppEngine::start("a1", 1).await, AppEngine::start("a2", 2).await];
-    engines.iter().for_each(|e| world.list_app(e, "v1", "z1"));
-    world.put_program("p1").await;
+    engines.iter().for_each(|e| env.list_app(e, "v1", "z1"));
+    env.put_program("p1").await;
     for number in 0..10 {
-        assert_eq!(call(&world, 0, &format!("c{number}"), &sensor()).await.status, 200);
+        assert_eq!(call(&env, 0, &format!("c{number}"), &sensor()).await.status, 200);
     }
     assert_eq!((engines[0].received(), engines[1].received()), (5, 5));
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::LoseAnswer)));
-    assert_eq!(call(&world, 0, "d", &sensor()).await.status, 503);
+    assert_eq!(call(&env, 0, "d", &sensor()).await.status, 503);
     assert_eq!(engines.iter().map(AppEngine::received).sum::<u32>(), 13);
     // Also the baseline never repeats what may not be repeated.
-    assert_eq!(call(&world, 0, "e", &alarm()).await.code(), "call_unknown");
+    assert_eq!(call(&env, 0, "e", &alarm()).await.code(), "call_unknown");
     assert_eq!(engines.iter().map(|e| e.runs("p1/e")).sum::<u32>(), 1);
 }
 
 /// Lets the tool's calls be repeated, or not, from the next bundle on.
-fn set_repeat(world: &mut World, route: &str, may_repeat: bool) {
-    world.bundle.routes.get_mut(&id::<RouteName>(route)).unwrap().may_repeat = may_repeat;
-    world.bundle.base = world.bundle.version;
-    world.bundle.version.0 += 1;
-    world.publish_bundle();
+fn set_repeat(env: &mut TestEnv, route: &str, may_repeat: bool) {
+    env.bundle.routes.get_mut(&id::<RouteName>(route)).unwrap().may_repeat = may_repeat;
+    env.bundle.base = env.bundle.version;
+    env.bundle.version.0 += 1;
+    env.publish_bundle();
 }
 
 #[tokio::test]
 async fn calls_claimed_before_their_tool_may_be_repeated_never_run_again() {
-    let (mut world, engines) = world_with(2, 2).await;
-    let sealed = http::post(world.url(0), "/v1/programs/p1/calls/sealed/seal", &alarm()).await;
+    let (mut env, engines) = env_with(2, 2).await;
+    let sealed = http::post(env.url(0), "/v1/programs/p1/calls/sealed/seal", &alarm()).await;
     assert_eq!(sealed.json["state"], "not_run");
     engines.iter().for_each(|e| e.next(Behaviour::LoseAnswer));
-    assert_eq!(call(&world, 0, "lost", &alarm()).await.code(), "call_unknown");
-    set_repeat(&mut world, "alarms", true);
+    assert_eq!(call(&env, 0, "lost", &alarm()).await.code(), "call_unknown");
+    set_repeat(&mut env, "alarms", true);
     for gateway in 0..2 {
-        let answer = call(&world, gateway, "sealed", &alarm()).await;
+        let answer = call(&env, gateway, "sealed", &alarm()).await;
         assert_eq!((answer.code(), &answer.json["outcome"]), ("call_sealed", &json!("not_run")));
-        assert_eq!(call(&world, gateway, "lost", &alarm()).await.code(), "call_unknown");
+        assert_eq!(call(&env, gateway, "lost", &alarm()).await.code(), "call_unknown");
     }
     assert_eq!((runs(&engines, "sealed"), runs(&engines, "lost")), (0, 1));
     // Two more bundles later it is as sound.
-    world.bundle.routes.remove(&id::<RouteName>("alarms"));
-    world.bundle.version.0 += 1;
-    world.publish_bundle();
-    world.bundle.routes.insert(id("alerts"), tool_route("send_alarm", true));
-    world.bundle.version.0 += 1;
-    world.publish_bundle();
-    assert_eq!(call(&world, 0, "sealed", &alarm()).await.code(), "call_sealed");
+    env.bundle.routes.remove(&id::<RouteName>("alarms"));
+    env.bundle.version.0 += 1;
+    env.publish_bundle();
+    env.bundle.routes.insert(id("alerts"), tool_route("send_alarm", true));
+    env.bundle.version.0 += 1;
+    env.publish_bundle();
+    assert_eq!(call(&env, 0, "sealed", &alarm()).await.code(), "call_sealed");
 }
 
 #[tokio::test]
@@ -117,45 +117,45 @@
     let mut loose = bundle();
     (loose.version, loose.base) = (BundleVersion(2), BundleVersion(1));
     loose.routes.get_mut(&id::<RouteName>("alarms")).unwrap().may_repeat = true;
-    let mut world = World::with(loose.clone(), GatewayMode::Full, 0).await;
-    world.commit_bundle(&strict).await;
-    world.commit_bundle(&loose).await;
-    world.add_gateway().await;
+    let mut env = TestEnv::with(loose.clone(), GatewayMode::Full, 0).await;
+    env.commit_bundle(&strict).await;
+    env.commit_bundle(&loose).await;
+    env.add_gateway().await;
     let engine = AppEngine::start("a1", 1).await;
-    world.list_app(&engine, "v1", "z1");
-    world.put_program("p1").await;
-    world.begin_call("p1", "c1", "gone", &alarm()).await;
+    env.list_app(&engine, "v1", "z1");
+    env.put_program("p1").await;
+    env.begin_call("p1", "c1", "gone", &alarm()).await;
     let mut hasty = alarm();
     hasty["deadline_ms"] = json!(200);
-    assert_ne!(call(&world, 0, "c1", &hasty).await.status, 200);
+    assert_ne!(call(&env, 0, "c1", &hasty).await.status, 200);
     assert_eq!(engine.runs("p1/c1"), 0);
 }
 
 #[tokio::test]
 async fn not_run_is_never_said_of_a_tool_that_left_no_records() {
-    let (mut world, engines) = world_with(1, 1).await;
-    assert_eq!(call(&world, 0, "c1", &sensor()).await.status, 200);
+    let (mut env, engines) = env_with(1, 1).await;
+    assert_eq!(call(&env, 0, "c1", &sensor()).await.status, 200);
     assert_eq!(runs(&engines, "c1"), 1);
-    set_repeat(&mut world, "sensors", false);
+    set_repeat(&mut env, "sensors", false);
     let seal = async |call: &str| {
-        http::post(world.url(0), &format!("/v1/programs/p1/calls/{call}/seal"), &sensor()).await
+        http::post(env.url(0), &format!("/v1/programs/p1/calls/{call}/seal"), &sensor()).await
     };
     let answer = seal("c1").await;
     assert_eq!((answer.status, answer.code()), (409, "call_repeatable"), "{answer:?}");
     assert_eq!(answer.json["outcome"], serde_json::Value::Null);
     // From now on its calls are recorded, and a record is told.
-    assert_eq!(call(&world, 0, "c2", &sensor()).await.status, 200);
+    assert_eq!(call(&env, 0, "c2", &sensor()).await.status, 200);
     assert_eq!(seal("c2").await.json["state"], "answered");
 }
 
 #[tokio::test]
 async fn a_repeatable_call_ends_when_its_caller_goes_away() {
-    let (world, engines) = world_with(1, 1).await;
+    let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::Slow(Duration::from_secs(600)));
     let body = sensor();
     tokio::select! {
-        _ = call(&world, 0, "c1", &body) => panic!("the answer came too early"),
+        _ = call(&env, 0, "c1", &body) => panic!("the answer came too early"),
         () = engines[0].wait_ran("p1/c1") => {}
     }
-    engines[0].wait_left().await;
+    engines[0].wait_disconnected().await;
 }
--- a/crates/gateway/tests/inputs.rs
+++ b/crates/gateway/tests/inputs.rs
@@ -8,26 +8,26 @@
 use serde_json::{Value, json};
 use support::fake_engine::FakeEngine;
 use support::http::{self, Answer, request};
-use support::{World, bundle, id};
+use support::{TestEnv, bundle, id};
 
 const SESSION: &str = "/v1/programs/p1/sessions/s1";
 
 /// Method, path, body, status, code, field.
 type Fault<'a> = (&'a str, &'a str, &'a str, u16, &'a str, Option<&'a str>);
 
-async fn raw(world: &World, method: &str, path: &str, kind: &str, body: &str) -> Answer {
+async fn raw(env: &TestEnv, method: &str, path: &str, kind: &str, body: &str) -> Answer {
     let method = Method::from_bytes(method.as_bytes()).unwrap();
-    let builder = request(method, world.url(0), path).header("content-type", kind);
+    let builder = request(method, env.url(0), path).header("content-type", kind);
     http::answer(builder.body(Full::new(Bytes::from(body.to_owned()))).unwrap()).await
 }
 
 #[tokio::test]
 async fn each_fault_has_its_code_and_field() {
-    let mut world = World::new().await;
-    let engine = FakeEngine::start("e1", "v2", 1, &world.state).await;
-    world.list(&engine, "z1");
-    world.put_program("p1").await;
-    assert_eq!(world.open_session("p1", "s1").await.status, 200);
+    let mut env = TestEnv::new().await;
+    let engine = FakeEngine::start("e1", "v2", 1, &env.state).await;
+    env.list(&engine, "z1");
+    env.put_program("p1").await;
+    assert_eq!(env.open_session("p1", "s1").await.status, 200);
     let long = "x".repeat(97);
     let long_id = format!("/v1/programs/{long}");
     let turns = format!("{SESSION}/turns");
@@ -215,27 +215,27 @@
         ),
     ];
     for (method, path, body, status, code, field) in table {
-        let answer = raw(&world, method, path, "application/json", body).await;
+        let answer = raw(&env, method, path, "application/json", body).await;
         let found = (answer.status, answer.code(), answer.json["field"].as_str());
         assert_eq!(found, (*status, *code, *field), "{method} {path} {body}: {answer:?}");
         assert_eq!(answer.header("content-type"), "application/problem+json");
         assert_eq!(answer.json["status"], *status);
         assert_eq!(answer.header("x-hooklug-bundle"), "3");
     }
-    let unchanged = http::get(world.url(0), SESSION).await;
+    let unchanged = http::get(env.url(0), SESSION).await;
     assert_eq!((&unchanged.json["next_seq"], &unchanged.json["head"]), (&json!(1), &Value::Null));
     for absent in ["/v1/programs/p2", "/v1/programs/p1/calls/c1", "/v1/programs/p1/sessions/s2"] {
-        assert_eq!(http::get(world.url(0), absent).await.status, 404, "{absent}");
+        assert_eq!(http::get(env.url(0), absent).await.status, 404, "{absent}");
     }
 }
 
 #[tokio::test]
 async fn unknown_things_are_not_found() {
-    let mut world = World::new().await;
-    let engine = FakeEngine::start("e1", "v2", 1, &world.state).await;
-    world.list(&engine, "z1");
-    world.put_program("p1").await;
-    world.open_session("p1", "s1").await;
+    let mut env = TestEnv::new().await;
+    let engine = FakeEngine::start("e1", "v2", 1, &env.state).await;
+    env.list(&engine, "z1");
+    env.put_program("p1").await;
+    env.open_session("p1", "s1").await;
     let table = [
         ("/v1/programs/p9", "no_program"),
         ("/v1/programs/p1/sessions/s9", "no_session"),
@@ -246,32 +246,32 @@
         ("/v1/programs/p1/calls/c9", "no_call"),
     ];
     for (path, code) in table {
-        let answer = http::get(world.url(0), path).await;
+        let answer = http::get(env.url(0), path).await;
         assert_eq!((answer.status, answer.code()), (404, code), "{path}");
     }
-    let bad = http::get_with_last(world.url(0), "/v1/programs/p1/sessions/s1/events", 9).await;
+    let bad = http::get_with_last(env.url(0), "/v1/programs/p1/sessions/s1/events", 9).await;
     assert_eq!((bad.status, bad.code()), (400, "bad_field"));
     assert_eq!(bad.json["field"], "last-event-id");
 }
 
 #[tokio::test]
 async fn content_types_other_than_json_are_refused() {
-    let world = World::new().await;
+    let env = TestEnv::new().await;
     let body = r#"{"token_budget": 1, "end_time_ms": 1}"#;
     for kind in ["text/plain", "application/x-www-form-urlencoded", "application/jsonx"] {
-        let answer = raw(&world, "PUT", "/v1/programs/p1", kind, body).await;
+        let answer = raw(&env, "PUT", "/v1/programs/p1", kind, body).await;
         assert_eq!((answer.status, answer.code()), (415, "bad_content_type"), "{kind}");
     }
     let body = r#"{"token_budget": 1, "end_time_ms": 99999999999999}"#;
     let kind = "application/json; charset=utf-8";
-    assert_eq!(raw(&world, "PUT", "/v1/programs/p1", kind, body).await.status, 200);
+    assert_eq!(raw(&env, "PUT", "/v1/programs/p1", kind, body).await.status, 200);
 }
 
 #[tokio::test]
 async fn tenants_and_keys_are_checked_and_programs_belong_to_one_tenant() {
-    let world = World::new().await;
+    let env = TestEnv::new().await;
     let ask = async |tenant: Option<&str>, key: Option<&str>| {
-        let mut builder = Request::put(format!("http://{}/v1/programs/q1", world.url(0)))
+        let mut builder = Request::put(format!("http://{}/v1/programs/q1", env.url(0)))
             .header("content-type", "application/json");
         if let Some(tenant) = tenant {
             builder = builder.header("x-hooklug-tenant", tenant);
@@ -295,7 +295,7 @@
     }
     assert_eq!(ask(Some("serra"), Some("k1")).await.status, 200);
     // Another tenant neither reads nor takes it.
-    assert_eq!(support::http::get(world.url(0), "/v1/programs/q1").await.code(), "no_program");
+    assert_eq!(support::http::get(env.url(0), "/v1/programs/q1").await.code(), "no_program");
     assert_eq!(ask(Some("dalatek"), None).await.code(), "program_differs");
 }
 
@@ -304,10 +304,10 @@
     let mut tight = bundle();
     let tenant = tight.tenants.get_mut(&id("dalatek")).unwrap();
     tenant.limits.requests_per_second = 5.0;
-    let world = World::with(tight, hooklug_settings::GatewayMode::Full, 1).await;
+    let env = TestEnv::with(tight, hooklug_settings::GatewayMode::Full, 1).await;
     let mut refused = None;
     for _ in 0..50 {
-        let answer = support::http::get(world.url(0), "/v1/programs/p9").await;
+        let answer = support::http::get(env.url(0), "/v1/programs/p9").await;
         if answer.status == 429 {
             refused = Some(answer);
             break;
@@ -321,9 +321,9 @@
 
 #[tokio::test]
 async fn without_a_bundle_nothing_is_decided() {
-    let world = World::new().await;
-    world.gateways[0].feeds.bundle.send_replace(None);
-    let answer = support::http::get(world.url(0), "/v1/programs/p1").await;
+    let env = TestEnv::new().await;
+    env.gateways[0].feeds.bundle.send_replace(None);
+    let answer = support::http::get(env.url(0), "/v1/programs/p1").await;
     assert_eq!((answer.status, answer.code()), (503, "try_again"));
-    world.gateways[0].wait_unready().await;
+    env.gateways[0].wait_unready().await;
 }
--- a/crates/gateway/tests/inputs_by_endpoint.rs
+++ b/crates/gateway/tests/inputs_by_endpoint.rs
@@ -9,7 +9,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
 use serde_json::{Map, Value, json};
-use support::World;
+use support::TestEnv;
 use support::app_engine::AppEngine;
 use support::fake_engine::FakeEngine;
 use support::http::{self, Answer, request};
@@ -42,26 +42,26 @@
     ]
 }
 
-struct Bench {
-    world: World,
+struct Fixture {
+    env: TestEnv,
     host: FakeEngine,
     application: AppEngine,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> Self {
-        let mut world = World::new().await;
-        let host = FakeEngine::start("e1", "v2", 1, &world.state).await;
-        world.list(&host, "z1");
+        let mut env = TestEnv::new().await;
+        let host = FakeEngine::start("e1", "v2", 1, &env.state).await;
+        env.list(&host, "z1");
         let application = AppEngine::start("a1", 1).await;
-        world.list_app(&application, "v1", "z1");
-        world.put_program("p1").await;
-        assert_eq!(world.open_session("p1", "s1").await.status, 200);
-        Self { world, host, application }
+        env.list_app(&application, "v1", "z1");
+        env.put_program("p1").await;
+        assert_eq!(env.open_session("p1", "s1").await.status, 200);
+        Self { env, host, application }
     }
 
     async fn ask(&self, method: &Method, path: &str, kind: &str, body: &str) -> Answer {
-        let builder = request(method.clone(), self.world.url(0), path).header("content-type", kind);
+        let builder = request(method.clone(), self.env.url(0), path).header("content-type", kind);
         http::answer(builder.body(Full::new(Bytes::from(body.to_owned()))).expect("valid")).await
     }
 
@@ -74,11 +74,11 @@
 
     /// Nothing that the endpoints could have changed has changed.
     async fn check_unchanged(&self) {
-        let session = http::get(self.world.url(0), "/v1/programs/p1/sessions/s1").await;
+        let session = http::get(self.env.url(0), "/v1/programs/p1/sessions/s1").await;
         assert_eq!((&session.json["next_seq"], &session.json["head"]), (&json!(1), &Value::Null));
         for absent in ["/v1/programs/p2", "/v1/programs/p1/calls/c1", "/v1/programs/p1/sessions/s2"]
         {
-            assert_eq!(http::get(self.world.url(0), absent).await.status, 404, "{absent}");
+            assert_eq!(http::get(self.env.url(0), absent).await.status, 404, "{absent}");
         }
         assert_eq!((self.host.count("run_turn"), self.host.count("tool_result")), (0, 0));
         assert_eq!((self.host.count("open"), self.application.received()), (1, 0));
@@ -87,57 +87,57 @@
 
 #[tokio::test]
 async fn bodies_are_read_strictly() {
-    let bench = Bench::start().await;
+    let fixture = Fixture::start().await;
     for endpoint in endpoints() {
         for broken in ["", "{", "[]", "null", "7", r#"{"a": 1, "a": 2}"#, "{} {}", "\u{0}"] {
-            bench.check(&endpoint, broken, (400, "bad_json", None)).await;
+            fixture.check(&endpoint, broken, (400, "bad_json", None)).await;
         }
         let fields: Map<String, Value> = endpoint.body.as_object().expect("an object").clone();
         for name in fields.keys().filter(|name| *name != "result") {
             let mut missing = fields.clone();
             missing.remove(name);
             let body = Value::Object(missing).to_string();
-            bench.check(&endpoint, &body, (400, "bad_field", Some(name))).await;
+            fixture.check(&endpoint, &body, (400, "bad_field", Some(name))).await;
             let mut wrong = fields.clone();
             wrong.insert(name.clone(), json!([true]));
             let body = Value::Object(wrong).to_string();
-            bench.check(&endpoint, &body, (400, "bad_field", Some(name))).await;
+            fixture.check(&endpoint, &body, (400, "bad_field", Some(name))).await;
         }
         let mut unknown = fields.clone();
         unknown.insert("colour".to_owned(), json!("red"));
         let body = Value::Object(unknown).to_string();
-        bench.check(&endpoint, &body, (400, "unknown_field", Some("colour"))).await;
+        fixture.check(&endpoint, &body, (400, "unknown_field", Some("colour"))).await;
     }
-    bench.check_unchanged().await;
+    fixture.check_unchanged().await;
 }
 
 #[tokio::test]
 async fn bodies_of_another_kind_or_size_are_refused() {
-    let bench = Bench::start().await;
+    let fixture = Fixture::start().await;
     for endpoint in endpoints() {
         let body = endpoint.body.to_string();
         for kind in ["text/plain", "application/jsonx", ""] {
-            let answer = bench.ask(&endpoint.method, endpoint.path, kind, &body).await;
+            let answer = fixture.ask(&endpoint.method, endpoint.path, kind, &body).await;
             let found = (answer.status, answer.code(), answer.json["field"].as_str());
             assert_eq!(found, (415, "bad_content_type", Some("content-type")), "{answer:?}");
         }
         let large = format!("{body}{}", " ".repeat(5_000));
-        bench.check(&endpoint, &large, (413, "body_too_large", None)).await;
-        let answer = send_in_pieces(&bench.world, &endpoint, &large).await;
+        fixture.check(&endpoint, &large, (413, "body_too_large", None)).await;
+        let answer = send_chunked(&fixture.env, &endpoint, &large).await;
         assert_eq!((answer.0, answer.1["code"].as_str()), (413, Some("body_too_large")));
     }
-    bench.check_unchanged().await;
+    fixture.check_unchanged().await;
 }
 
 /// Sends a body whose length is not declared.
-async fn send_in_pieces(world: &World, endpoint: &Endpoint, body: &str) -> (u16, Value) {
+async fn send_chunked(env: &TestEnv, endpoint: &Endpoint, body: &str) -> (u16, Value) {
     let pieces: Vec<Result<Frame<Bytes>, std::io::Error>> = body
         .as_bytes()
         .chunks(1_000)
         .map(|piece| Ok(Frame::data(Bytes::copy_from_slice(piece))))
         .collect();
     let body = StreamBody::new(futures::stream::iter(pieces));
-    let request = request(endpoint.method.clone(), world.url(0), endpoint.path)
+    let request = request(endpoint.method.clone(), env.url(0), endpoint.path)
         .header("content-type", "application/json")
         .body(body)
         .expect("a request");
@@ -149,7 +149,7 @@
 
 #[tokio::test]
 async fn bad_identifiers_in_paths_are_named() {
-    let bench = Bench::start().await;
+    let fixture = Fixture::start().await;
     let long = "x".repeat(97);
     for bad in ["a%20b", "%00", "a%2Fb", long.as_str()] {
         let paths = [
@@ -161,21 +161,21 @@
             (format!("/v1/programs/p1/calls/{bad}"), "call"),
         ];
         for (path, field) in paths {
-            let answer = http::get(bench.world.url(0), &path).await;
+            let answer = http::get(fixture.env.url(0), &path).await;
             let found = (answer.status, answer.code(), answer.json["field"].as_str());
             assert_eq!(found, (400, "bad_id", Some(field)), "{path}: {answer:?}");
         }
     }
-    bench.check_unchanged().await;
+    fixture.check_unchanged().await;
 }
 
 #[tokio::test]
 async fn unknown_programs_sessions_and_earlier_turns_change_nothing() {
-    let bench = Bench::start().await;
+    let fixture = Fixture::start().await;
     let turn = json!({"turn": "t1", "input": "", "max_tokens": 1});
     let result = json!({"call": "c1", "result": 1});
     let alarm = json!({"tool": "send_alarm", "arguments": {}});
-    let url = bench.world.url(0);
+    let url = fixture.env.url(0);
     let table = [
         (Method::POST, "/v1/programs/p1/sessions/s9/turns", &turn, "no_session"),
         (Method::POST, "/v1/programs/p9/sessions/s1/turns", &turn, "no_program"),
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -5,14 +5,16 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hooklug_control::judge::JudgedVersion;
+use hooklug_control::validate::JudgedVersion;
 use hooklug_gateway::api::problem::Problem;
-use hooklug_gateway::backend::answer::{Head, InvalidAnswer, Refusal, judge_body, judge_head};
-use hooklug_gateway::engine_losses::Losses;
-use hooklug_gateway::limits::adaptive::{AdaptiveLimit, Sign};
+use hooklug_gateway::backend::answer::{
+    InvalidAnswer, Refusal, ResponseHead, validate_body, validate_head,
+};
+use hooklug_gateway::engine_losses::EngineLosses;
+use hooklug_gateway::limits::adaptive::{AdaptiveLimit, LoadSignal};
 use hooklug_gateway::limits::baseline::Baseline;
 use hooklug_gateway::limits::circuit::Circuit;
-use hooklug_gateway::limits::queue::{CallQueue, Pushed};
+use hooklug_gateway::limits::queue::{CallQueue, PushResult};
 use hooklug_gateway::limits::token_bucket::TokenBucket;
 use hooklug_protocol::control::{ApplicationEngine, ClusterView};
 use hooklug_types::*;
@@ -45,11 +47,11 @@
         let running = limit.get(most);
         let slower = f64::from(running) / f64::from(slots);
         let latency = base.mul_f64(slower.max(1.0));
-        let began = now;
+        let started = now;
         now += latency;
         for _ in 0..running {
             let ratio = baseline.observe(latency, now);
-            limit.learn(Sign::Answered { ratio }, running, most, began, now);
+            limit.record(LoadSignal::Answered { ratio }, running, most, started, now);
         }
         done += f64::from(running);
         largest = largest.max(running);
@@ -74,19 +76,19 @@
     let now = Instant::now();
     let mut limit = AdaptiveLimit::default();
     let before = limit.get(64);
-    limit.learn(Sign::Answered { ratio: 1.0 }, 1, 64, now, now);
-    limit.learn(Sign::Answered { ratio: 9.0 }, 1, 64, now, now);
+    limit.record(LoadSignal::Answered { ratio: 1.0 }, 1, 64, now, now);
+    limit.record(LoadSignal::Answered { ratio: 9.0 }, 1, 64, now, now);
     assert_eq!(limit.get(64), before);
     let later = now + Duration::from_millis(10);
-    limit.learn(Sign::Overloaded, 8, 64, now, later);
+    limit.record(LoadSignal::Overloaded, 8, 64, now, later);
     let reduced = limit.get(64);
     assert!(reduced < before);
     // Of calls that ran together, the first refusal counts for all.
-    limit.learn(Sign::Overloaded, 8, 64, now, later + Duration::from_millis(10));
+    limit.record(LoadSignal::Overloaded, 8, 64, now, later + Duration::from_millis(10));
     assert_eq!(limit.get(64), reduced);
     for step in 1..100 {
-        let began = later + Duration::from_secs(step);
-        limit.learn(Sign::Overloaded, 8, 64, began, began);
+        let started = later + Duration::from_secs(step);
+        limit.record(LoadSignal::Overloaded, 8, 64, started, started);
     }
     assert_eq!(limit.get(64), 1);
 }
@@ -96,23 +98,23 @@
     let now = Instant::now();
     let mut circuit = Circuit::default();
     for _ in 0..19 {
-        circuit.ended(false, now);
+        circuit.record(false, now);
     }
     assert_eq!(circuit.admit(now), Ok(()));
-    circuit.ended(false, now);
+    circuit.record(false, now);
     let wait = circuit.admit(now).unwrap_err();
     let later = now + wait;
     assert_eq!(circuit.admit(later), Ok(()));
     assert!(circuit.admit(later).is_err(), "a second probe at once");
-    circuit.ended(false, later);
+    circuit.record(false, later);
     assert_eq!(circuit.admit(later), Err(wait * 2));
     let probe = later + wait * 2;
     assert_eq!(circuit.admit(probe), Ok(()));
-    circuit.ended(true, probe);
+    circuit.record(true, probe);
     assert_eq!(circuit.admit(probe), Ok(()));
     // A share of failures that one bad engine causes does not open it.
     for number in 0..200 {
-        circuit.ended(number % 5 == 0, probe);
+        circuit.record(number % 5 == 0, probe);
     }
     assert_eq!(circuit.admit(probe), Ok(()));
 }
@@ -135,7 +137,7 @@
         (&b, true, 99, "urgent"),
     ] {
         let pushed = queue.push(tenant, urgent, at(deadline), 10, name);
-        assert!(matches!(pushed, Pushed::Waiting(_)));
+        assert!(matches!(pushed, PushResult::Waiting(_)));
     }
     assert_eq!(popped(&mut queue), ["urgent", "a10", "b90", "a20", "a30"]);
     assert!(queue.is_empty());
@@ -150,10 +152,10 @@
         queue.push(&a, false, now + Duration::from_millis(number), 3, format!("a{number}"));
     }
     let crowding = queue.push(&a, false, now, 3, "a3".to_owned());
-    assert_eq!(crowding, Pushed::Full("a3".to_owned()));
+    assert_eq!(crowding, PushResult::Full("a3".to_owned()));
     let fair = queue.push(&b, false, now, 3, "b0".to_owned());
-    assert!(matches!(&fair, Pushed::Displaced(_, shed) if shed == "a2"), "{fair:?}");
-    let Pushed::Displaced(ticket, _) = fair else { unreachable!() };
+    assert!(matches!(&fair, PushResult::Displaced(_, shed) if shed == "a2"), "{fair:?}");
+    let PushResult::Displaced(ticket, _) = fair else { unreachable!() };
     assert_eq!(queue.remove(&ticket), Some("b0".to_owned()));
     assert_eq!(queue.remove(&ticket), None);
     assert_eq!(popped(&mut queue), ["a0", "a1"]);
@@ -180,13 +182,13 @@
                 let tenant = id::<TenantId>(&format!("t{tenant}"));
                 let deadline = now + Duration::from_millis(deadline);
                 match queue.push(&tenant, urgent, deadline, 20, number) {
-                    Pushed::Waiting(ticket) => { waiting.insert(number); tickets.push((ticket, number)); }
-                    Pushed::Displaced(ticket, other) => {
+                    PushResult::Waiting(ticket) => { waiting.insert(number); tickets.push((ticket, number)); }
+                    PushResult::Displaced(ticket, other) => {
                         prop_assert!(waiting.remove(&other));
                         waiting.insert(number);
                         tickets.push((ticket, number));
                     }
-                    Pushed::Full(item) => prop_assert_eq!(item, number),
+                    PushResult::Full(item) => prop_assert_eq!(item, number),
                 }
             }
             prop_assert_eq!(queue.len(), waiting.len());
@@ -200,7 +202,7 @@
 #[test]
 fn an_engine_that_leaves_the_view_is_a_loss_of_its_version_for_a_while() {
     let now = std::time::Instant::now();
-    let mut losses = Losses::default();
+    let mut losses = EngineLosses::default();
     let mut view = ClusterView::default();
     for (name, version) in [("a1", "v1"), ("a2", "v2")] {
         let engine = ApplicationEngine {
@@ -215,22 +217,24 @@
         };
         view.engines.insert(engine.engine.clone(), engine);
     }
-    losses.take_view(&view, now);
-    assert!(losses.lately(now).is_empty());
+    losses.apply_view(&view, now);
+    assert!(losses.recent(now).is_empty());
     view.engines.get_mut(&id::<EngineId>("a2")).unwrap().incarnation = Incarnation(2);
-    losses.take_view(&view, now);
+    losses.apply_view(&view, now);
     let lost = JudgedVersion { service: id("farm"), version: id("v2") };
-    assert_eq!(losses.lately(now), [lost].into());
-    losses.take_view(&view, now + Duration::from_secs(5));
-    assert!(losses.lately(now + Duration::from_secs(11)).is_empty());
+    assert_eq!(losses.recent(now), [lost].into());
+    losses.apply_view(&view, now + Duration::from_secs(5));
+    assert!(losses.recent(now + Duration::from_secs(11)).is_empty());
 }
 
 #[test]
 fn callers_are_not_asked_back_all_at_once() {
-    let least = Duration::from_millis(400);
+    let min_delay = Duration::from_millis(400);
     let times: std::collections::BTreeSet<Duration> = (0..100)
-        .filter_map(|_| Problem::try_again("later", least).retry_after)
-        .inspect(|after| assert!(*after >= least && *after <= least.mul_f64(1.5), "{after:?}"))
+        .filter_map(|_| Problem::try_again("later", min_delay).retry_after)
+        .inspect(|after| {
+            assert!(*after >= min_delay && *after <= min_delay.mul_f64(1.5), "{after:?}")
+        })
         .collect();
     assert!(times.len() > 10, "{times:?}");
 }
@@ -248,13 +252,13 @@
     const REQUEST: (&str, &str) = ("x-hooklug-request", "r1");
     const ENGINE: (&str, &str) = ("x-hooklug-engine", "farm/a1/1");
     const LENGTH: (&str, &str) = ("content-length", "2");
-    let judge = |status: u16, list: &[(&'static str, &str)]| {
+    let validate = |status: u16, list: &[(&'static str, &str)]| {
         let status = http::StatusCode::from_u16(status).unwrap();
-        judge_head(status, &headers(list), "r1", "farm/a1/1")
+        validate_head(status, &headers(list), "r1", "farm/a1/1")
     };
     let refused = |reason| ("x-hooklug-refused", reason);
-    assert_eq!(judge(200, &[REQUEST, ENGINE, LENGTH]), Ok(Head::Answer { length: 2 }));
-    assert_eq!(judge(404, &[REQUEST, ENGINE, LENGTH]), Ok(Head::Answer { length: 2 }));
+    assert_eq!(validate(200, &[REQUEST, ENGINE, LENGTH]), Ok(ResponseHead::Answer { length: 2 }));
+    assert_eq!(validate(404, &[REQUEST, ENGINE, LENGTH]), Ok(ResponseHead::Answer { length: 2 }));
     let invalid = [
         (200, vec![ENGINE, LENGTH], InvalidAnswer::WrongRequest),
         (200, vec![REQUEST, REQUEST, ENGINE, LENGTH], InvalidAnswer::WrongRequest),
@@ -272,15 +276,15 @@
         (200, vec![REQUEST, ENGINE, LENGTH, refused("draining")], InvalidAnswer::Status(200)),
     ];
     for (status, list, expected) in invalid {
-        assert_eq!(judge(status, &list), Err(expected), "{status} {list:?}");
+        assert_eq!(validate(status, &list), Err(expected), "{status} {list:?}");
     }
-    let draining = judge(503, &[REQUEST, ENGINE, refused("draining")]);
-    assert_eq!(draining, Ok(Head::Refused(Refusal::Draining)));
-    let other = judge(409, &[REQUEST, ("x-hooklug-engine", "b/b/1"), refused("identity")]);
-    assert_eq!(other, Ok(Head::Refused(Refusal::Identity)));
+    let draining = validate(503, &[REQUEST, ENGINE, refused("draining")]);
+    assert_eq!(draining, Ok(ResponseHead::Refused(Refusal::Draining)));
+    let other = validate(409, &[REQUEST, ("x-hooklug-engine", "b/b/1"), refused("identity")]);
+    assert_eq!(other, Ok(ResponseHead::Refused(Refusal::Identity)));
 
     let body = |length, text: &'static str| {
-        judge_body(http::StatusCode::OK, length, Bytes::from_static(text.as_bytes()))
+        validate_body(http::StatusCode::OK, length, Bytes::from_static(text.as_bytes()))
     };
     assert!(body(2, "{}").is_ok() && body(0, "").is_ok());
     assert_eq!(body(3, "{}"), Err(InvalidAnswer::WrongLength));
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -8,14 +8,16 @@
 
 use hooklug_bundle::{Service, VersionState};
 use hooklug_gateway::backend::answer::Refusal;
-use hooklug_gateway::backend::balance::{self, Choice};
+use hooklug_gateway::backend::balance::{self, EligibleEngine};
 use hooklug_gateway::backend::stats::{CallEnd, EngineStats};
 use hooklug_gateway::backend::{EngineRun, Target};
-use hooklug_gateway::sessions::cursor::{Cursor, Step};
+use hooklug_gateway::sessions::cursor::{Cursor, EventPosition};
 use hooklug_gateway::sessions::load::LoadTable;
 use hooklug_gateway::sessions::owner_table::OwnerTable;
 use hooklug_gateway::sessions::placement::{self, Candidate};
-use hooklug_gateway::versions::{RolloutClock, preferred_versions, step_percentage, time_since};
+use hooklug_gateway::versions::{
+    RolloutClock, preferred_versions, step_percentage, time_since_commit,
+};
 use hooklug_state::shard::SessionRecord;
 use hooklug_types::*;
 use rand::{Rng, RngExt, SeedableRng};
@@ -36,30 +38,31 @@
     }
 }
 
-fn placed(among: &[Candidate], prefix: Option<&str>, random: &mut impl Rng) -> String {
+fn placed(candidates: &[Candidate], prefix: Option<&str>, random: &mut impl Rng) -> String {
     let prefix = prefix.map(id::<PrefixId>);
-    let chosen = placement::choose(among, prefix.as_ref(), &id("z1"), random);
+    let chosen = placement::choose(candidates, prefix.as_ref(), &id("z1"), random);
     chosen.expect("a candidate").engine.engine.as_str().to_owned()
 }
 
 #[test]
 fn a_prefix_stays_with_its_engine_and_moves_only_when_that_one_is_full() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
-    let among: Vec<_> = (0..8).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
+    let candidates: Vec<_> = (0..8).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
     let prefixes: Vec<String> = (0..64).map(|n| format!("prefix-{n}")).collect();
     let home: BTreeMap<&str, String> =
-        prefixes.iter().map(|p| (p.as_str(), placed(&among, Some(p), &mut random))).collect();
+        prefixes.iter().map(|p| (p.as_str(), placed(&candidates, Some(p), &mut random))).collect();
     let used: std::collections::BTreeSet<_> = home.values().collect();
     assert!(used.len() >= 6, "64 prefixes on {} of 8 engines", used.len());
     // Losing one engine moves only its own prefixes.
     let lost = home["prefix-0"].clone();
-    let left: Vec<_> = among.iter().filter(|c| c.engine.engine.as_str() != lost).cloned().collect();
+    let left: Vec<_> =
+        candidates.iter().filter(|c| c.engine.engine.as_str() != lost).cloned().collect();
     for (prefix, engine) in &home {
         let now = placed(&left, Some(prefix), &mut random);
         assert!(*engine == lost || now == *engine, "{prefix} moved from {engine} to {now}");
     }
     // A full engine passes its prefixes on.
-    let mut busy = among.clone();
+    let mut busy = candidates.clone();
     busy.iter_mut().filter(|c| c.engine.engine.as_str() == lost).for_each(|c| c.work = 10);
     assert_ne!(placed(&busy, Some("prefix-0"), &mut random), lost);
 }
@@ -67,13 +70,13 @@
 #[test]
 fn without_a_prefix_the_own_zone_goes_first_and_overflows() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
-    let mut among = vec![candidate("near", "z1", 9), candidate("far", "z2", 0)];
+    let mut candidates = vec![candidate("near", "z1", 9), candidate("far", "z2", 0)];
     for _ in 0..20 {
-        assert_eq!(placed(&among, None, &mut random), "near");
+        assert_eq!(placed(&candidates, None, &mut random), "near");
     }
-    among[0].work = 10;
+    candidates[0].work = 10;
     for _ in 0..20 {
-        assert_eq!(placed(&among, None, &mut random), "far");
+        assert_eq!(placed(&candidates, None, &mut random), "far");
     }
     assert_eq!(placement::choose(&[], None, &id("z1"), &mut random), None);
 }
@@ -81,15 +84,18 @@
 #[test]
 fn the_better_of_two_keeps_the_load_even() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
-    let mut among: Vec<_> = (0..10).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
-    for c in &mut among {
+    let mut candidates: Vec<_> = (0..10).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
+    for c in &mut candidates {
         c.slots = 1000;
     }
     for _ in 0..1000 {
-        let name = placed(&among, None, &mut random);
-        among.iter_mut().filter(|c| c.engine.engine.as_str() == name).for_each(|c| c.work += 1);
+        let name = placed(&candidates, None, &mut random);
+        candidates
+            .iter_mut()
+            .filter(|c| c.engine.engine.as_str() == name)
+            .for_each(|c| c.work += 1);
     }
-    let works: Vec<u32> = among.iter().map(|c| c.work).collect();
+    let works: Vec<u32> = candidates.iter().map(|c| c.work).collect();
     let (least, most) = (works.iter().min().unwrap(), works.iter().max().unwrap());
     // The theory's bound for 1,000 balls is a few above the mean; uniform choice spreads by about 60.
     assert!(most - least <= 12, "{works:?}");
@@ -101,15 +107,15 @@
     let engine = EngineIncarnation { engine: id("e1"), incarnation: Incarnation(1) };
     let first = table.route(&engine);
     assert_eq!(table.work(&engine), 1);
-    let told = EngineLoad { running: 3, queued: 2, ..EngineLoad::default() };
-    table.report(&engine, told);
+    let reported = EngineLoad { running: 3, queued: 2, ..EngineLoad::default() };
+    table.report(&engine, reported);
     assert_eq!(table.work(&engine), 5);
     let second = table.route(&engine);
     assert_eq!(table.work(&engine), 6);
     drop((first, second));
     assert_eq!(table.work(&engine), 5);
     assert!(!table.is_draining(&engine));
-    table.report(&engine, EngineLoad { draining: true, ..told });
+    table.report(&engine, EngineLoad { draining: true, ..reported });
     assert!(table.is_draining(&engine));
     table.retain(|_| false);
     assert_eq!(table.work(&engine), 0);
@@ -155,14 +161,22 @@
 #[test]
 fn a_cursor_passes_each_event_once_and_in_order() {
     let mut cursor = Cursor::after(EventSeq(4));
-    let judged = [3, 4, 5, 6].map(|seq| cursor.judge(EventSeq(seq)));
-    assert_eq!(judged, [Step::Seen, Step::Seen, Step::Next, Step::Gap]);
+    let positions = [3, 4, 5, 6].map(|seq| cursor.classify(EventSeq(seq)));
+    assert_eq!(
+        positions,
+        [
+            EventPosition::Duplicate,
+            EventPosition::Duplicate,
+            EventPosition::Next,
+            EventPosition::Gap
+        ]
+    );
     assert!(!cursor.advance(EventSeq(6)));
     assert!(cursor.advance(EventSeq(5)));
     assert_eq!(cursor.last(), EventSeq(5));
 }
 
-fn choice(name: &str, zone: &str, stats: EngineStats) -> Choice {
+fn choice(name: &str, zone: &str, stats: EngineStats) -> EligibleEngine {
     let target = Arc::new(Target {
         run: EngineRun { engine: id(name), incarnation: Incarnation(1) },
         service: id("farm"),
@@ -170,13 +184,17 @@
         address: loopback(),
         zone: id(zone),
     });
-    Choice { target, stats, limit: 8 }
+    EligibleEngine { target, stats, limit: 8 }
 }
 
-fn chosen(among: &[Choice], now: Instant, random: &mut impl Rng) -> BTreeMap<String, u32> {
+fn chosen(
+    candidates: &[EligibleEngine],
+    now: Instant,
+    random: &mut impl Rng,
+) -> BTreeMap<String, u32> {
     let mut counts = BTreeMap::new();
     for _ in 0..1000 {
-        let choice = balance::choose(among, &id("z1"), now, random).expect("a choice");
+        let choice = balance::choose(candidates, &id("z1"), now, random).expect("a choice");
         *counts.entry(choice.target.run.engine.as_str().to_owned()).or_default() += 1;
     }
     counts
@@ -185,8 +203,8 @@
 fn with_latency(ms: u64, now: Instant) -> EngineStats {
     let mut stats = EngineStats::new(None);
     for _ in 0..20 {
-        stats.begin();
-        stats.end(CallEnd::Answered(Duration::from_millis(ms)), now);
+        stats.call_started();
+        stats.call_ended(CallEnd::Answered(Duration::from_millis(ms)), now);
     }
     stats
 }
@@ -194,8 +212,8 @@
 fn failing(now: Instant) -> EngineStats {
     let mut stats = EngineStats::new(None);
     for _ in 0..3 {
-        stats.begin();
-        stats.end(CallEnd::Failed, now);
+        stats.call_started();
+        stats.call_ended(CallEnd::Failed, now);
     }
     stats
 }
@@ -203,46 +221,46 @@
 #[test]
 fn a_slow_engine_gets_less_and_the_own_zone_goes_first_while_it_has_room() {
     let (now, mut random) = (Instant::now(), ChaCha8Rng::seed_from_u64(SEED));
-    let mut among = vec![
+    let mut candidates = vec![
         choice("fast", "z1", with_latency(5, now)),
         choice("slow", "z1", with_latency(500, now)),
         choice("far", "z2", with_latency(5, now)),
     ];
-    let counts = chosen(&among, now, &mut random);
+    let counts = chosen(&candidates, now, &mut random);
     assert_eq!(counts.get("far"), None);
     assert!(counts["fast"] > 900 || !counts.contains_key("slow"), "{counts:?}");
-    for near in &mut among[..2] {
-        (0..8).for_each(|_| near.stats.begin());
+    for near in &mut candidates[..2] {
+        (0..8).for_each(|_| near.stats.call_started());
     }
-    let counts = chosen(&among, now, &mut random);
+    let counts = chosen(&candidates, now, &mut random);
     assert_eq!(counts["far"], 1000);
-    (0..8).for_each(|_| among[2].stats.begin());
-    assert!(balance::choose(&among, &id("z1"), now, &mut random).is_none());
+    (0..8).for_each(|_| candidates[2].stats.call_started());
+    assert!(balance::choose(&candidates, &id("z1"), now, &mut random).is_none());
 }
 
 #[test]
 fn failing_engines_are_ejected_but_never_more_than_half() {
     let (now, mut random) = (Instant::now(), ChaCha8Rng::seed_from_u64(SEED));
-    let mut among: Vec<_> =
+    let mut candidates: Vec<_> =
         (0..4).map(|n| choice(&format!("a{n}"), "z1", with_latency(5, now))).collect();
-    among[0].stats = failing(now);
-    assert_eq!(chosen(&among, now, &mut random).get("a0"), None);
-    for other in &mut among {
+    candidates[0].stats = failing(now);
+    assert_eq!(chosen(&candidates, now, &mut random).get("a0"), None);
+    for other in &mut candidates {
         other.stats = failing(now);
     }
-    assert_eq!(chosen(&among, now, &mut random).len(), 2);
+    assert_eq!(chosen(&candidates, now, &mut random).len(), 2);
     // Ejection ends by itself, and lasts longer the next time.
     let later = now + Duration::from_secs(3);
-    assert_eq!(chosen(&among, later, &mut random).len(), 4);
-    let mut again = among[0].stats.clone();
-    again.begin();
-    again.end(CallEnd::Failed, later);
+    assert_eq!(chosen(&candidates, later, &mut random).len(), 4);
+    let mut again = candidates[0].stats.clone();
+    again.call_started();
+    again.call_ended(CallEnd::Failed, later);
     assert_eq!(again.ejected_until(later), Some(later + Duration::from_secs(4)));
     // Refusals and callers that go away eject nobody.
     let mut calm = EngineStats::new(None);
     for end in [CallEnd::Refused(Refusal::Overloaded), CallEnd::Cancelled].repeat(5) {
-        calm.begin();
-        calm.end(end, now);
+        calm.call_started();
+        calm.call_ended(end, now);
     }
     assert_eq!((calm.ejected_until(now), calm.outstanding()), (None, 0));
 }
@@ -250,14 +268,16 @@
 #[test]
 fn a_new_engine_starts_slowly() {
     let (now, mut random) = (Instant::now(), ChaCha8Rng::seed_from_u64(SEED));
-    let among = [
+    let candidates = [
         choice("old", "z1", EngineStats::new(None)),
         choice("new", "z1", EngineStats::new(Some(now))),
     ];
-    assert_eq!(chosen(&among, now, &mut random).get("new"), None);
+    assert_eq!(chosen(&candidates, now, &mut random).get("new"), None);
     let (young, grown) = (now + Duration::from_secs(2), now + Duration::from_secs(6));
-    assert!(among[1].stats.share(young) < among[1].stats.share(grown));
-    assert_eq!(among[1].stats.share(grown), 1.0);
+    assert!(
+        candidates[1].stats.slow_start_share(young) < candidates[1].stats.slow_start_share(grown)
+    );
+    assert_eq!(candidates[1].stats.slow_start_share(grown), 1.0);
 }
 
 fn farm() -> Service {
@@ -310,23 +330,31 @@
     let (v1, v2) = (id::<ServiceVersion>("v1"), id::<ServiceVersion>("v2"));
     let mut clock = RolloutClock::default();
     let long_ago = Duration::from_secs(1_000_000);
-    clock.installed([(&name, &v1)].into_iter(), long_ago, now);
+    clock.record_versions([(&name, &v1)].into_iter(), long_ago, now);
     // Over and done, whether or not the clock goes back so far.
     assert_eq!(step_percentage(&farm(), clock.age(&name, &v1, now)), 100);
-    clock.installed([(&name, &v2)].into_iter(), Duration::ZERO, now + Duration::from_secs(10));
+    clock.record_versions(
+        [(&name, &v2)].into_iter(),
+        Duration::ZERO,
+        now + Duration::from_secs(10),
+    );
     // Another bundle with the same version does not start the steps anew.
-    clock.installed([(&name, &v2)].into_iter(), Duration::ZERO, now + Duration::from_secs(12));
+    clock.record_versions(
+        [(&name, &v2)].into_iter(),
+        Duration::ZERO,
+        now + Duration::from_secs(12),
+    );
     let age = clock.age(&name, &v2, now + Duration::from_secs(13));
     assert_eq!(age, Some(Duration::from_secs(3)));
     // A gateway that starts in the middle of a roll-out goes on with it.
     let mut late = RolloutClock::default();
-    late.installed([(&name, &v2)].into_iter(), Duration::from_millis(700), now);
+    late.record_versions([(&name, &v2)].into_iter(), Duration::from_millis(700), now);
     assert_eq!(late.age(&name, &v2, now), Some(Duration::from_millis(700)));
 }
 
 #[test]
 fn a_bundle_committed_before_the_clock_was_set_counts_from_now() {
     let now = UnixMillis(1_700_000_000_000);
-    assert_eq!(time_since(UnixMillis::default(), now), Duration::ZERO);
-    assert_eq!(time_since(UnixMillis(now.0 - 700), now), Duration::from_millis(700));
+    assert_eq!(time_since_commit(UnixMillis::default(), now), Duration::ZERO);
+    assert_eq!(time_since_commit(UnixMillis(now.0 - 700), now), Duration::from_millis(700));
 }
--- a/crates/gateway/tests/support/app_engine.rs
+++ b/crates/gateway/tests/support/app_engine.rs
@@ -25,9 +25,9 @@
     /// Runs, then answers half of the body and closes.
     CutShort,
     /// Runs, then echoes another request's id.
-    CrossRequest,
+    WrongRequestId,
     /// Runs, then answers in another engine's name.
-    CrossEngine,
+    WrongEngineIdentity,
     /// Runs, then answers something that is not JSON.
     Garble,
     /// Runs, then answers without a length.
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct AppScript {
+pub struct AppEngineScript {
     /// What the next calls meet; `Answer` when empty.
     pub next: VecDeque<Behaviour>,
     /// What all further calls meet.
@@ -53,22 +53,22 @@
     /// Calls received, run or not.
     pub received: u32,
     /// Calls whose caller closed the connection before the answer.
-    pub left: u32,
+    pub disconnected: u32,
     /// Deadlines in milliseconds, as the calls' headers told them.
     pub deadlines: Vec<u64>,
     /// Answers to look-ups tell what ran.
-    pub look_up: bool,
+    pub answer_lookups: bool,
     /// Look-ups are never answered.
-    pub stall_look_ups: bool,
+    pub stall_lookups: bool,
     /// Identity that is told in place of its own.
-    pub pretend: Option<String>,
+    pub reported_identity: Option<String>,
 }
 
 pub struct AppEngine {
     pub engine: EngineId,
     pub incarnation: Incarnation,
     pub address: SocketAddr,
-    pub script: Arc<Mutex<AppScript>>,
+    pub script: Arc<Mutex<AppEngineScript>>,
     stop: CancellationToken,
 }
 
@@ -76,7 +76,7 @@
 struct Server {
     identity: String,
     json: String,
-    script: Arc<Mutex<AppScript>>,
+    script: Arc<Mutex<AppEngineScript>>,
 }
 
 struct Received {
@@ -92,7 +92,7 @@
     pub async fn start_version(name: &str, run: u64, version: &str) -> Self {
         let listener = TcpListener::bind(loopback()).await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let script: Arc<Mutex<AppScript>> = Arc::default();
+        let script: Arc<Mutex<AppEngineScript>> = Arc::default();
         let json = format!(
             r#"{{"service":"farm","engine":"{name}","incarnation":{run},"version":"{version}","kind":"application"}}"#
         );
@@ -124,7 +124,7 @@
         self.stop.cancel();
     }
 
-    pub fn script(&self, change: impl FnOnce(&mut AppScript)) {
+    pub fn script(&self, change: impl FnOnce(&mut AppEngineScript)) {
         change(&mut self.script.lock().expect("no panic under the lock"));
     }
 
@@ -152,8 +152,8 @@
     }
 
     /// Waits until the caller of a slow call has closed its connection.
-    pub async fn wait_left(&self) {
-        while self.script.lock().expect("no panic under the lock").left == 0 {
+    pub async fn wait_disconnected(&self) {
+        while self.script.lock().expect("no panic under the lock").disconnected == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
@@ -175,12 +175,13 @@
             let Some(received) = read_request(&mut stream).await? else { return Ok(()) };
             let path = received.path.clone();
             let open = if path == "/identity" {
-                let pretend = self.script.lock().expect("no panic under the lock").pretend.clone();
-                let json = pretend.unwrap_or_else(|| self.json.clone());
+                let reported_identity =
+                    self.script.lock().expect("no panic under the lock").reported_identity.clone();
+                let json = reported_identity.unwrap_or_else(|| self.json.clone());
                 write(&mut stream, 200, &[], &json).await?;
                 true
             } else if let Some(call) = path.strip_prefix("/calls?call=") {
-                self.answer_look_up(&mut stream, &received, call).await?;
+                self.answer_lookup(&mut stream, &received, call).await?;
                 true
             } else {
                 self.answer_call(&mut stream, &received).await?
@@ -191,7 +192,7 @@
         }
     }
 
-    async fn answer_look_up(
+    async fn answer_lookup(
         &self,
         stream: &mut BufReader<TcpStream>,
         received: &Received,
@@ -199,7 +200,7 @@
     ) -> std::io::Result<()> {
         let (known, ran, stalled) = {
             let script = self.script.lock().expect("no panic under the lock");
-            (script.look_up, script.ran.contains_key(call), script.stall_look_ups)
+            (script.answer_lookups, script.ran.contains_key(call), script.stall_lookups)
         };
         if stalled {
             std::future::pending::<()>().await;
@@ -268,11 +269,11 @@
                 stream.write_all(format!("{head}{BODY}").as_bytes()).await?;
                 return Ok(false);
             }
-            Behaviour::CrossRequest => {
+            Behaviour::WrongRequestId => {
                 let crossed = replaced(&own, "x-hooklug-request", "another");
                 write(stream, 200, &crossed, BODY).await?;
             }
-            Behaviour::CrossEngine => {
+            Behaviour::WrongEngineIdentity => {
                 let crossed = replaced(&own, "x-hooklug-engine", "farm/other/1");
                 write(stream, 200, &crossed, BODY).await?;
             }
@@ -288,7 +289,7 @@
                     () = tokio::time::sleep(time) => {}
                     // Nothing follows a request before its answer: a read ends only with the connection.
                     _ = stream.read_u8() => {
-                        self.script.lock().expect("no panic under the lock").left += 1;
+                        self.script.lock().expect("no panic under the lock").disconnected += 1;
                         return Ok(false);
                     }
                 }
--- a/crates/gateway/tests/support/calls.rs
+++ b/crates/gateway/tests/support/calls.rs
@@ -5,7 +5,7 @@
 
 use super::app_engine::AppEngine;
 use super::http::{self, Answer};
-use super::{World, bundle};
+use super::{TestEnv, bundle};
 
 pub fn alarm() -> Value {
     json!({"tool": "send_alarm", "arguments": {"house": 4, "level": "frost"}})
@@ -15,24 +15,24 @@
     json!({"tool": "read_sensor", "arguments": {"house": 4}})
 }
 
-pub async fn call(world: &World, gateway: usize, call: &str, body: &Value) -> Answer {
-    http::put(world.url(gateway), &format!("/v1/programs/p1/calls/{call}"), body).await
+pub async fn call(env: &TestEnv, gateway: usize, call: &str, body: &Value) -> Answer {
+    http::put(env.url(gateway), &format!("/v1/programs/p1/calls/{call}"), body).await
 }
 
-pub async fn read(world: &World, call: &str) -> Answer {
-    http::get(world.url(0), &format!("/v1/programs/p1/calls/{call}")).await
+pub async fn read(env: &TestEnv, call: &str) -> Answer {
+    http::get(env.url(0), &format!("/v1/programs/p1/calls/{call}")).await
 }
 
-pub async fn world_with(engines: u64, gateways: u64) -> (World, Vec<AppEngine>) {
-    let mut world = World::with(bundle(), GatewayMode::Full, gateways).await;
+pub async fn env_with(engines: u64, gateways: u64) -> (TestEnv, Vec<AppEngine>) {
+    let mut env = TestEnv::with(bundle(), GatewayMode::Full, gateways).await;
     let mut started = Vec::new();
     for run in 1..=engines {
         let engine = AppEngine::start(&format!("a{run}"), run).await;
-        world.list_app(&engine, "v1", "z1");
+        env.list_app(&engine, "v1", "z1");
         started.push(engine);
     }
-    world.put_program("p1").await;
-    (world, started)
+    env.put_program("p1").await;
+    (env, started)
 }
 
 pub fn runs(engines: &[AppEngine], call: &str) -> u32 {
--- a/crates/gateway/tests/support/fake_engine/mod.rs
+++ b/crates/gateway/tests/support/fake_engine/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-use super::{SECRET, address, id, loopback, soon};
+use super::{SECRET, address, id, loopback, test_deadline};
 
 /// What the engine does wrong, and what it saw.
 #[derive(Debug, Default)]
@@ -92,7 +92,7 @@
     pub async fn renew(&self) {
         let command = ShardCommand::RenewLease { holder: self.me.clone() };
         let group = shard_of(self.me.engine.as_str());
-        self.state.execute_shard(group, &command, soon()).await.expect("available");
+        self.state.execute_shard(group, &command, test_deadline()).await.expect("available");
     }
 
     /// Stops answering, like a killed process; its lease runs out.
@@ -155,14 +155,14 @@
         EngineReply { load: self.load(), result }
     }
 
-    fn enter(&self, message: &'static str) -> Result<(), EngineRefusal> {
+    fn receive(&self, message: &'static str) -> Result<(), EngineRefusal> {
         let mut script = self.script.lock().expect("no panic under the lock");
         script.seen.push(message);
         script.refusals.pop_front().map_or(Ok(()), Err)
     }
 
     async fn open(&self, request: OpenSession) -> EngineReply<state::SessionRecord> {
-        if let Err(refusal) = self.enter("open") {
+        if let Err(refusal) = self.receive("open") {
             return self.reply(Err(refusal));
         }
         let command = ShardCommand::OpenSession(state::OpenSession {
@@ -177,7 +177,7 @@
     }
 
     async fn take(&self, request: TakeSession) -> EngineReply<state::SessionRecord> {
-        if let Err(refusal) = self.enter("take") {
+        if let Err(refusal) = self.receive("take") {
             return self.reply(Err(refusal));
         }
         let command = ShardCommand::TakeSession(state::TakeSession {
@@ -191,7 +191,7 @@
     }
 
     async fn abort(&self, request: AbortTurn) -> EngineReply<TurnRecord> {
-        if let Err(refusal) = self.enter("abort") {
+        if let Err(refusal) = self.receive("abort") {
             return self.reply(Err(refusal));
         }
         let key = request.place.key;
@@ -201,7 +201,7 @@
     }
 
     async fn tool_result(&self, request: ToolResult) -> EngineReply<EventSeq> {
-        if let Err(refusal) = self.enter("tool_result") {
+        if let Err(refusal) = self.receive("tool_result") {
             return self.reply(Err(refusal));
         }
         let key = request.place.key;
@@ -212,7 +212,7 @@
     }
 
     async fn close(&self, request: CloseSession) -> EngineReply<state::SessionRecord> {
-        if let Err(refusal) = self.enter("close") {
+        if let Err(refusal) = self.receive("close") {
             return self.reply(Err(refusal));
         }
         let key = request.place.key;
--- a/crates/gateway/tests/support/fake_engine/records.rs
+++ b/crates/gateway/tests/support/fake_engine/records.rs
@@ -9,7 +9,7 @@
 use hooklug_types::*;
 
 use super::Host;
-use crate::support::soon;
+use crate::support::test_deadline;
 
 impl Host {
     pub(super) async fn execute(
@@ -18,7 +18,7 @@
         command: ShardCommand,
     ) -> Result<ShardReply, EngineRefusal> {
         let group = shard_of(program.as_str());
-        match self.state.execute_shard(group, &command, soon()).await {
+        match self.state.execute_shard(group, &command, test_deadline()).await {
             Ok(ShardReply::Refused(refusal)) => Err(EngineRefusal::Ledger(refusal)),
             Ok(reply) => Ok(reply),
             Err(_) => Err(EngineRefusal::StoreUnavailable),
@@ -28,7 +28,7 @@
     pub(super) async fn session(&self, key: &SessionKey) -> state::SessionRecord {
         let query = ShardQuery::Session(key.clone());
         let group = shard_of(key.program.as_str());
-        match self.state.query_shard(group, &query, soon()).await {
+        match self.state.query_shard(group, &query, test_deadline()).await {
             Ok(ShardAnswer::Session(Some(record))) => record,
             other => panic!("no session: {other:?}"),
         }
@@ -37,7 +37,7 @@
     pub(super) async fn events(&self, key: &SessionKey, after: EventSeq) -> Vec<Event> {
         let query = ShardQuery::Events { key: key.clone(), after, limit: 1000 };
         let group = shard_of(key.program.as_str());
-        match self.state.query_shard(group, &query, soon()).await {
+        match self.state.query_shard(group, &query, test_deadline()).await {
             Ok(ShardAnswer::Events { events, .. }) => events,
             other => panic!("no events: {other:?}"),
         }
--- a/crates/gateway/tests/support/fake_engine/turns.rs
+++ b/crates/gateway/tests/support/fake_engine/turns.rs
@@ -12,11 +12,11 @@
 impl Host {
     pub(super) async fn run_turn(&self, request: RunTurn, sink: ItemSink<TurnItem>) {
         let refused = |refusal| TurnItem::Refused { refusal, load: self.load() };
-        let begun = match self.enter("run_turn") {
+        let started = match self.receive("run_turn") {
             Ok(()) => self.begin(&request).await,
             Err(refusal) => Err(refusal),
         };
-        let turn = match begun {
+        let turn = match started {
             Ok(turn) => turn,
             Err(refusal) => {
                 let _ = sink.send(&refused(refusal)).await;
@@ -106,7 +106,7 @@
     }
 
     pub(super) async fn join(&self, request: Join, sink: ItemSink<JoinItem>) {
-        if let Err(refusal) = self.enter("join") {
+        if let Err(refusal) = self.receive("join") {
             let _ = sink.send(&JoinItem::Refused(refusal)).await;
             return;
         }
--- a/crates/gateway/tests/support/http.rs
+++ b/crates/gateway/tests/support/http.rs
@@ -24,7 +24,7 @@
     }
 
     /// What claims nothing of the work has to tell when to come back.
-    fn check_time_to_come_back(&self) {
+    fn check_retry_after(&self) {
         if self.json["outcome"] == "try_again" {
             assert!(self.json["retry_after_ms"].as_u64() > Some(0), "{self:?}");
             assert!(self.header("retry-after").parse::<u64>().unwrap() > 0, "{self:?}");
@@ -74,7 +74,7 @@
         serde_json::from_slice(&bytes).unwrap_or_else(|_| panic!("not JSON: {bytes:?}"))
     };
     let answer = Answer { status: head.status.as_u16(), headers: head.headers, json };
-    answer.check_time_to_come_back();
+    answer.check_retry_after();
     answer
 }
 
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -62,7 +62,7 @@
     pub node: NodeHandle,
     pub identity: LocalIdentity,
     pub stop: CancellationToken,
-    pub ran: tokio::task::JoinHandle<()>,
+    pub task: tokio::task::JoinHandle<()>,
 }
 
 impl TestGateway {
@@ -81,39 +81,39 @@
     }
 }
 
-pub fn soon() -> Instant {
+pub fn test_deadline() -> Instant {
     Instant::now() + Duration::from_secs(5)
 }
 
 /// Gives a session up, as its owner would.
-pub async fn hand_over(world: &World, program: &str, session: &str, epoch: u64) {
+pub async fn hand_over(env: &TestEnv, program: &str, session: &str, epoch: u64) {
     let key = SessionKey { program: id(program), session: id(session) };
     let command = ShardCommand::HandOver { key, epoch: SessionEpoch(epoch) };
-    let reply = world.state.execute_shard(shard_of(program), &command, soon()).await;
+    let reply = env.state.execute_shard(shard_of(program), &command, test_deadline()).await;
     assert!(matches!(reply, Ok(ShardReply::Session(_))), "{reply:?}");
 }
 
 /// Shards, engines and gateways of one test.
-pub struct World {
+pub struct TestEnv {
     pub state: MemoryState,
     pub view: ClusterView,
     pub bundle: Bundle,
     pub gateways: Vec<TestGateway>,
 }
 
-impl World {
+impl TestEnv {
     pub async fn new() -> Self {
         Self::with(bundle(), GatewayMode::Full, 1).await
     }
 
     pub async fn with(bundle: Bundle, mode: GatewayMode, gateways: u64) -> Self {
         let state = MemoryState::new(LEASE_TIME, Duration::from_secs(3600));
-        let mut world = Self { state, view: ClusterView::default(), bundle, gateways: Vec::new() };
+        let mut env = Self { state, view: ClusterView::default(), bundle, gateways: Vec::new() };
         for node in 0..gateways {
-            let gateway = world.start_gateway(900 + node, mode).await;
-            world.gateways.push(gateway);
+            let gateway = env.start_gateway(900 + node, mode).await;
+            env.gateways.push(gateway);
         }
-        world
+        env
     }
 
     /// Adds a gateway that starts with the present bundle and view.
@@ -125,14 +125,14 @@
     /// Commits a bundle in the meta group, as operators do.
     pub async fn commit_bundle(&self, bundle: &Bundle) {
         let form = MetaCommand::Form { cluster: 1, stores: Vec::new(), placements: Vec::new() };
-        assert_eq!(self.state.execute_meta(&form, soon()).await, Ok(MetaReply::Done));
+        assert_eq!(self.state.execute_meta(&form, test_deadline()).await, Ok(MetaReply::Done));
         let command = MetaCommand::SubmitBundle(SubmitBundle {
             version: bundle.version,
             base: bundle.base,
             content: BundleContent::Whole(hooklug_bundle::canonical_bytes(bundle)),
             signed_by: Vec::new(),
         });
-        let reply = self.state.execute_meta(&command, soon()).await;
+        let reply = self.state.execute_meta(&command, test_deadline()).await;
         assert!(matches!(reply, Ok(MetaReply::Bundle(_))), "{reply:?}");
     }
 
@@ -157,8 +157,8 @@
         let listener = tokio::net::TcpListener::bind(loopback()).await.expect("a port");
         let http = listener.local_addr().expect("an address");
         tokio::spawn(async move { axum::serve(listener, router).await });
-        let ran = tokio::spawn(gateway.run());
-        TestGateway { http, feeds, node: handle, identity, stop, ran }
+        let task = tokio::spawn(gateway.run());
+        TestGateway { http, feeds, node: handle, identity, stop, task }
     }
 
     /// Gives all gateways the present view.
@@ -228,7 +228,7 @@
     pub async fn turn(&self, program: &str, session: &str, turn: &str) -> Option<TurnRecord> {
         let key = SessionKey { program: id(program), session: id(session) };
         let query = ShardQuery::Turn { key, turn: id(turn) };
-        match self.state.query_shard(shard_of(program), &query, soon()).await {
+        match self.state.query_shard(shard_of(program), &query, test_deadline()).await {
             Ok(ShardAnswer::Turn(record)) => record,
             other => panic!("no answer: {other:?}"),
         }
@@ -250,7 +250,7 @@
             digest: hooklug_gateway::calls::content_digest(tool, &body["arguments"]),
             route: id("alarms"),
         });
-        let reply = self.state.execute_shard(shard_of(program), &command, soon()).await;
+        let reply = self.state.execute_shard(shard_of(program), &command, test_deadline()).await;
         assert_eq!(reply, Ok(ShardReply::CallGranted));
     }
 
@@ -258,7 +258,7 @@
     pub async fn wait_claimed(&self, program: &str, call: &str) {
         let query = ShardQuery::Call { program: id(program), call: id(call) };
         loop {
-            let answer = self.state.query_shard(shard_of(program), &query, soon()).await;
+            let answer = self.state.query_shard(shard_of(program), &query, test_deadline()).await;
             if matches!(answer, Ok(ShardAnswer::Call(Some(_)))) {
                 return;
             }
@@ -270,7 +270,7 @@
     pub async fn wait_outcome(&self, program: &str, call: &str) -> CallOutcome {
         let query = ShardQuery::Call { program: id(program), call: id(call) };
         loop {
-            let answer = self.state.query_shard(shard_of(program), &query, soon()).await;
+            let answer = self.state.query_shard(shard_of(program), &query, test_deadline()).await;
             if let Ok(ShardAnswer::Call(Some(record))) = answer
                 && let Some(outcome) = record.outcome
             {
--- a/crates/gateway/tests/support/sessions.rs
+++ b/crates/gateway/tests/support/sessions.rs
@@ -2,20 +2,20 @@
 
 use serde_json::json;
 
-use super::World;
+use super::TestEnv;
 use super::fake_engine::FakeEngine;
 use super::http::SseEvent;
 
 pub const SESSION: &str = "p1/sessions/s1";
 
-pub async fn open_world() -> (World, FakeEngine) {
-    let mut world = World::new().await;
-    let engine = FakeEngine::start("e1", "v2", 1, &world.state).await;
-    world.list(&engine, "z1");
-    world.put_program("p1").await;
-    let opened = world.open_session("p1", "s1").await;
+pub async fn env_with_session() -> (TestEnv, FakeEngine) {
+    let mut env = TestEnv::new().await;
+    let engine = FakeEngine::start("e1", "v2", 1, &env.state).await;
+    env.list(&engine, "z1");
+    env.put_program("p1").await;
+    let opened = env.open_session("p1", "s1").await;
     assert_eq!((opened.status, &opened.json["owner"]), (200, &json!("e1")), "{opened:?}");
-    (world, engine)
+    (env, engine)
 }
 
 pub fn turn(name: &str, after: Option<&str>, tokens: u64) -> serde_json::Value {
--- a/crates/gateway/tests/whole_path.rs
+++ b/crates/gateway/tests/whole_path.rs
@@ -14,7 +14,7 @@
 use hooklug_types::*;
 use serde_json::json;
 use support::http::{self, SseEvent};
-use support::{World, address, bundle, id, installed, loopback, settings};
+use support::{TestEnv, address, bundle, id, installed, loopback, settings};
 use tokio_util::sync::CancellationToken;
 
 /// A session-host engine with its model server.
@@ -27,7 +27,7 @@
 }
 
 impl Host {
-    async fn start(world: &World, name: &str, version: &str, node: u64) -> Self {
+    async fn start(env: &TestEnv, name: &str, version: &str, node: u64) -> Self {
         let model = ModelServer::start(ModelOptions {
             listen: loopback(),
             service: id("advisor"),
@@ -50,7 +50,7 @@
             LocalIdentity::new(address(NodeRole::Engine, node, rpc, "z1"), support::SECRET);
         let (handle, feeds) = NodeHandle::new();
         feeds.reach.send_replace(Reach { core: true, store: true, newest_bundle: true });
-        feeds.bundle.send_replace(Some(installed(world.bundle.clone())));
+        feeds.bundle.send_replace(Some(installed(env.bundle.clone())));
         let mut own = settings(GatewayMode::Full);
         own.engine = Some(EngineSettings {
             id: id(name),
@@ -65,7 +65,7 @@
             settings: own.into(),
             identity: identity.clone(),
             client: RpcClient::new(identity.clone()),
-            state: std::sync::Arc::new(world.state.clone()),
+            state: std::sync::Arc::new(env.state.clone()),
             node: handle,
             stop: CancellationToken::new(),
         };
@@ -96,9 +96,9 @@
     }
 }
 
-fn list(world: &mut World, host: &Host) {
-    world.view.members.insert(host.member.address.node, host.member.clone());
-    world.publish();
+fn list(env: &mut TestEnv, host: &Host) {
+    env.view.members.insert(host.member.address.node, host.member.clone());
+    env.publish();
     assert!(host.feeds.report.borrow().engine.is_some());
 }
 
@@ -106,7 +106,7 @@
     json!({"turn": name, "after": after, "input": "vent or heat?", "max_tokens": 40})
 }
 
-fn check_whole(events: &[SseEvent], first: u64) {
+fn check_contiguous(events: &[SseEvent], first: u64) {
     let ids: Vec<u64> = events.iter().map(|e| e.id).collect();
     let expected: Vec<u64> = (first..first + events.len() as u64).collect();
     assert_eq!(ids, expected);
@@ -114,68 +114,68 @@
 
 #[tokio::test]
 async fn a_program_runs_through_turns_calls_a_kill_and_its_close() {
-    let mut world = World::with(bundle(), GatewayMode::Full, 2).await;
-    let first = Host::start(&world, "e1", "v2", 11).await;
-    list(&mut world, &first);
-    world.put_program("p1").await;
-    let opened = world.open_session("p1", "s1").await;
+    let mut env = TestEnv::with(bundle(), GatewayMode::Full, 2).await;
+    let first = Host::start(&env, "e1", "v2", 11).await;
+    list(&mut env, &first);
+    env.put_program("p1").await;
+    let opened = env.open_session("p1", "s1").await;
     assert_eq!((opened.status, &opened.json["owner"]), (200, &json!("e1")), "{opened:?}");
     let path = "/v1/programs/p1/sessions/s1";
 
-    let (events, whole) =
-        http::post_turn(world.url(0), "p1/sessions/s1", &turn("t1", None)).await.rest().await;
-    assert!(whole);
-    check_whole(&events, 1);
+    let (events, complete) =
+        http::post_turn(env.url(0), "p1/sessions/s1", &turn("t1", None)).await.rest().await;
+    assert!(complete);
+    check_contiguous(&events, 1);
     assert_eq!(events.last().unwrap().event, "finished");
 
     // A stream that is cut at one gateway goes on at the other.
     let body = turn("t2", Some("t1"));
-    let mut cut = http::post_turn(world.url(0), "p1/sessions/s1", &body).await;
+    let mut cut = http::post_turn(env.url(0), "p1/sessions/s1", &body).await;
     let mut seen = vec![cut.next().await.unwrap().unwrap(), cut.next().await.unwrap().unwrap()];
     drop(cut);
     let last = seen.last().unwrap().id;
-    let resumed = http::follow(world.url(1), &format!("{path}/turns/t2/events"), Some(last)).await;
-    let (rest, whole) = resumed.rest().await;
-    assert!(whole);
+    let resumed = http::follow(env.url(1), &format!("{path}/turns/t2/events"), Some(last)).await;
+    let (rest, complete) = resumed.rest().await;
+    assert!(complete);
     seen.extend(rest);
-    check_whole(&seen, events.len() as u64 + 1);
+    check_contiguous(&seen, events.len() as u64 + 1);
 
     // A killed owner's turn ends interrupted on the same stream, and the session goes on.
-    let second = Host::start(&world, "e2", "v2", 12).await;
-    list(&mut world, &second);
+    let second = Host::start(&env, "e2", "v2", 12).await;
+    list(&mut env, &second);
     let body = turn("t3", Some("t2"));
-    let mut stream = http::post_turn(world.url(1), "p1/sessions/s1", &body).await;
+    let mut stream = http::post_turn(env.url(1), "p1/sessions/s1", &body).await;
     let mut third =
         vec![stream.next().await.unwrap().unwrap(), stream.next().await.unwrap().unwrap()];
     first.kill();
-    let (rest, whole) = stream.rest().await;
-    assert!(whole);
+    let (rest, complete) = stream.rest().await;
+    assert!(complete);
     third.extend(rest);
-    check_whole(&third, (events.len() + seen.len()) as u64 + 1);
+    check_contiguous(&third, (events.len() + seen.len()) as u64 + 1);
     assert_eq!(third.last().unwrap().event, "interrupted");
-    let (fourth, whole) =
-        http::post_turn(world.url(0), "p1/sessions/s1", &turn("t4", Some("t3"))).await.rest().await;
-    assert!(whole);
+    let (fourth, complete) =
+        http::post_turn(env.url(0), "p1/sessions/s1", &turn("t4", Some("t3"))).await.rest().await;
+    assert!(complete);
     assert_eq!(fourth.last().unwrap().event, "finished");
 
     // Everything is there for whoever joins, in one sync.
-    let mut joined = http::follow(world.url(0), &format!("{path}/events"), None).await;
+    let mut joined = http::follow(env.url(0), &format!("{path}/events"), None).await;
     let sync = joined.next().await.unwrap().unwrap();
     let all = events.len() + seen.len() + third.len() + fourth.len();
     assert_eq!(sync.data["events"].as_array().unwrap().len(), all);
-    let closed = http::delete(world.url(1), path).await;
+    let closed = http::delete(env.url(1), path).await;
     assert_eq!((closed.status, &closed.json["closed"]), (200, &json!(true)));
-    let (rest, whole) = joined.rest().await;
-    assert!(whole);
+    let (rest, complete) = joined.rest().await;
+    assert!(complete);
     assert_eq!(rest.last().unwrap().event, "closed");
     let tokens = |list: &[SseEvent]| list.last().unwrap().data["tokens"].as_u64().unwrap();
-    let spent = http::get(world.url(0), "/v1/programs/p1").await.json["spent"].as_u64();
+    let spent = http::get(env.url(0), "/v1/programs/p1").await.json["spent"].as_u64();
     assert_eq!(spent, Some([&events, &seen, &third, &fourth].map(|e| tokens(e)).iter().sum()));
 }
 
 #[tokio::test]
 async fn calls_reach_a_stand_in_and_run_once() {
-    let mut world = World::new().await;
+    let mut env = TestEnv::new().await;
     let app = App::start(ApplicationOptions {
         listen: loopback(),
         service: id("farm"),
@@ -196,12 +196,12 @@
         draining: false,
         healthy: true,
     };
-    world.view.engines.insert(listed.engine.clone(), listed);
-    world.publish();
-    world.put_program("p1").await;
+    env.view.engines.insert(listed.engine.clone(), listed);
+    env.publish();
+    env.put_program("p1").await;
     let body = json!({"tool": "send_alarm", "arguments": {"house": 4}});
-    let first = http::put(world.url(0), "/v1/programs/p1/calls/c1", &body).await;
-    let again = http::put(world.url(0), "/v1/programs/p1/calls/c1", &body).await;
+    let first = http::put(env.url(0), "/v1/programs/p1/calls/c1", &body).await;
+    let again = http::put(env.url(0), "/v1/programs/p1/calls/c1", &body).await;
     assert_eq!((first.status, again.status), (200, 200), "{first:?} {again:?}");
     assert_eq!(first.json, again.json);
     let ran = |lines: Vec<hooklug_emulator::LedgerLine>, name: &str| {
@@ -213,10 +213,10 @@
     // A lost answer is found again by the look-up, without another run.
     let lose = hooklug_emulator::FaultRule::always(hooklug_emulator::FaultKind::LoseAnswer);
     app.set_faults(hooklug_emulator::Faults { rules: vec![lose], ..Default::default() });
-    let lost = http::put(world.url(0), "/v1/programs/p1/calls/c2", &body).await;
+    let lost = http::put(env.url(0), "/v1/programs/p1/calls/c2", &body).await;
     app.set_faults(Default::default());
     assert!(lost.status == 200 || lost.code() == "call_unknown", "{lost:?}");
-    let found = http::get(world.url(0), "/v1/programs/p1/calls/c2").await;
+    let found = http::get(env.url(0), "/v1/programs/p1/calls/c2").await;
     assert_eq!(found.json["state"], "answered", "{found:?}");
     assert_eq!(ran(app.ledger(), "p1/c2"), 1);
 }
