--- a/crates/gateway/examples/overload.rs
+++ b/crates/gateway/examples/overload.rs
@@ -1,8 +1,9 @@
-//! Measures goodput and latency of calls that may be repeated at one and three times the capacity of
-//! the application engines, with the gateway as designed and in its plain mode, in one run.
+//! Measures goodput and latency of repeatable calls at 0.8, 1 and 3 times the capacity of the
+//! application engines, with the gateway in full mode and in plain mode.
 //!
-//! `cargo run --release -p hooklug-gateway --example overload`. Load comes at fixed instants whatever
-//! the answers (open loop). All in one process on loopback: figures compare modes, not machines.
+//! Run with `cargo run --release -p hooklug-gateway --example overload`. Requests are sent at fixed
+//! instants independent of the responses (open loop). Everything runs in one process on loopback:
+//! the results compare modes, not machines.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -28,7 +29,7 @@
 const RUN_TIME: Duration = Duration::from_millis(20);
 const DEADLINE: Duration = Duration::from_millis(500);
 const SPAN: Duration = Duration::from_secs(8);
-/// Answers of the first part are not counted: limits find their size in it.
+/// Responses in this first part are not counted, because the adaptive limits are still converging.
 const WARM_UP: Duration = Duration::from_secs(2);
 
 type Caller = Client<HttpConnector, Full<Bytes>>;
@@ -43,7 +44,7 @@
 
 async fn start_env(mode: GatewayMode) -> (TestEnv, Vec<StandIn>) {
     let mut bundle = bundle();
-    let farm = bundle.services.get_mut(&id::<ServiceName>("farm")).expect("listed");
+    let farm = bundle.services.get_mut(&id::<ServiceName>("farm")).expect("service not listed");
     farm.queue_per_engine = 64;
     let mut env = TestEnv::with(bundle, mode, 1).await;
     let mut engines = Vec::new();
@@ -57,7 +58,7 @@
             slots: SLOTS,
             ledger: None,
         });
-        let app = app.await.expect("a port");
+        let app = app.await.expect("failed to bind a port");
         let listed = ApplicationEngine {
             engine: app.identity().engine,
             incarnation: app.identity().incarnation,
@@ -91,7 +92,7 @@
         .header("x-hooklug-tenant", "dalatek")
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
-        .expect("a request");
+        .expect("invalid request");
     let started = Instant::now();
     let exchange = async {
         let response = caller.request(request).await.ok()?;
@@ -104,7 +105,7 @@
     if !counted {
         return;
     }
-    let mut counts = counts.lock().expect("no panic under the lock");
+    let mut counts = counts.lock().expect("lock is poisoned");
     counts.sent += 1;
     match status {
         Some(200) if started.elapsed() <= DEADLINE => counts.good_ms.push(ms),
@@ -124,7 +125,7 @@
         tasks.spawn(send_call(caller.clone(), to, number, at >= WARM_UP, counts.clone()));
     }
     while tasks.join_next().await.is_some() {}
-    let mut counts = counts.lock().expect("no panic under the lock");
+    let mut counts = counts.lock().expect("lock is poisoned");
     std::mem::take(&mut *counts)
 }
 
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: answers that are whole, and at most one run.
+//! Non-repeatable calls: response validation, recording, at-most-once execution and sealing.
 
 mod support;
 
@@ -15,7 +15,7 @@
     let answer = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})));
     assert_eq!(answer.header("x-hooklug-call-state"), "answered");
-    // The same content in another spelling, at another gateway, gets the same answer.
+    // The same content in another JSON formatting, sent to another gateway, gets the same response.
     let resent = json!({"arguments": {"level": "frost", "house": 4}, "tool": "send_alarm"});
     let again = call(&env, 1, "c1", &resent).await;
     assert_eq!((again.status, &again.json), (200, &json!({"ok": true})));
@@ -39,7 +39,8 @@
     assert_eq!(answer.json["error"], "no such house");
 }
 
-/// Whatever comes back that is not the engine's own whole answer: unknown, never shown, never run again.
+/// An invalid response leaves the call's outcome unknown: the response is never forwarded and the
+/// call never runs again.
 #[tokio::test]
 async fn what_is_no_answer_leaves_a_call_unknown_and_it_never_runs_twice() {
     let table = [
@@ -79,7 +80,7 @@
         (&record.json["state"], &record.json["body"]),
         (&json!("answered"), &json!({"ok": true}))
     );
-    // The look-up was recorded: the engine is not needed any more.
+    // The result of the lookup was recorded, so the engine is no longer needed.
     engines[0].kill();
     let again = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((again.status, &again.json), (200, &json!({"ok": true})));
@@ -89,7 +90,7 @@
 async fn a_look_up_that_knows_nothing_settles_nothing() {
     let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.script(|s| s.answer_lookups = true));
-    // The claim is held by a gateway that has gone; no engine ever saw the call.
+    // The claim is held by a gateway that failed; no engine ever received the call.
     env.begin_call("p1", "c1", "gone", &alarm()).await;
     assert_eq!(read(&env, "c1").await.json["state"], "running");
     let sealed = http::post(env.url(0), "/v1/programs/p1/calls/c1/seal", &alarm()).await;
@@ -108,9 +109,9 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(runs(&engines, &name), 1);
     }
-    // Its first refusal told that it drains: nothing more was sent there.
+    // The first refusal marked the engine as draining, so nothing more was sent to it.
     assert!(engines[0].received() <= 1, "{}", engines[0].received());
-    // An engine that reuses the address of a dead one gets none of its calls.
+    // An engine that reuses the address of a stopped one gets none of its calls.
     let reused = AppEngine::start("b9", 9).await;
     engines[2].kill();
     let mut listed = env.view.engines[&engines[2].engine].clone();
@@ -125,7 +126,7 @@
     engines.push(reused);
     assert_eq!(runs(&engines, "late"), 0);
     let record = read(&env, "late").await;
-    // It is no answer of the application, and is not shown as one.
+    // The recorded refusal is not reported as a response of the application.
     assert_eq!(record.json, json!({"call": "late", "state": "refused"}));
     let late = json!({"tool": "send_alarm", "arguments": {}});
     let sealed = http::post(env.url(0), "/v1/programs/p1/calls/late/seal", &late).await;
@@ -165,11 +166,11 @@
     assert_eq!((answer.status, answer.code()), (409, "call_sealed"));
     assert_eq!(answer.json["outcome"], "not_run");
     assert_eq!(runs(&engines, "c1"), 0);
-    // A call that has run is not sealed.
+    // A call that has run cannot be sealed.
     call(&env, 0, "c2", &alarm()).await;
     let late = http::post(env.url(0), "/v1/programs/p1/calls/c2/seal", &alarm()).await;
     assert_eq!(late.json["state"], "answered");
-    // What is not recorded cannot be sealed.
+    // An unrecorded call cannot be sealed.
     let repeatable = http::post(env.url(0), "/v1/programs/p1/calls/c3/seal", &sensor()).await;
     assert_eq!((repeatable.status, repeatable.code()), (409, "call_repeatable"));
 }
--- a/crates/gateway/tests/calls_overload.rs
+++ b/crates/gateway/tests/calls_overload.rs
@@ -1,4 +1,5 @@
-//! Calls when there is too little room, time or health: who is told what, and how soon.
+//! Calls under overload, short deadlines and failing engines: which error callers get and how
+//! quickly.
 
 mod support;
 
@@ -32,9 +33,9 @@
     };
     assert_eq!((refused.status, refused.code()), (503, "try_again"), "{refused:?}");
     assert!(refused.json["retry_after_ms"].as_u64().unwrap() > 0);
-    // A resend needs no engine: its record answers it.
+    // A resend needs no engine: it is answered from its record.
     assert_eq!(call(&env, 0, "answered", &alarm()).await.status, 200);
-    // What was refused left no claim.
+    // The refused call left no claim.
     assert_eq!(read(&env, &format!("c{}", number - 1)).await.code(), "no_call");
     // Another route of the same service is not affected.
     engines.iter().for_each(|e| e.script(|s| s.always = None));
@@ -64,7 +65,8 @@
     let hold = Behaviour::Slow(Duration::from_secs(600));
     engine.script(|s| s.always = Some(hold));
     let (http, body) = (env.url(0), sensor());
-    // Four run (a fifth of five is kept for urgent calls), four wait, and the ninth hears so.
+    // Four calls run (a fifth of five slots is reserved for urgent calls), four wait, and the ninth
+    // is shed at once.
     let mut calls = tokio::task::JoinSet::new();
     for number in 0..9 {
         let (path, body) = (format!("/v1/programs/p1/calls/c{number}"), body.clone());
@@ -79,13 +81,14 @@
     let urgent = call(&env, 0, "urgent", &alarm()).await;
     assert_eq!(urgent.status, 200, "{urgent:?}");
     assert_eq!(engine.received(), 5);
-    // Those that wait get the room of those whose callers go away.
+    // Queued calls get the slots of calls whose callers disconnect.
     calls.abort_all();
     while calls.join_next().await.is_some() {}
     assert_eq!(call(&env, 0, "late", &sensor()).await.status, 200);
 }
 
-/// An engine of one place that is taken for long, with one more call in the queue.
+/// Starts an environment with one engine whose only slot is occupied for long, and one more call in
+/// the queue.
 async fn full_env() -> (TestEnv, AppEngine, JoinSet<Answer>) {
     let mut small = bundle();
     let farm = small.services.get_mut(&id("farm")).unwrap();
@@ -116,7 +119,7 @@
     let mut other = alarm();
     other["arguments"] = json!({"house": 5});
     assert_eq!(call(&env, 0, "answered", &other).await.code(), "call_differs");
-    // A new one is shed, and leaves no record.
+    // A new call is shed and leaves no record.
     assert_eq!(call(&env, 0, "new", &alarm()).await.code(), "overloaded");
     assert_eq!(read(&env, "new").await.code(), "no_call");
     assert_eq!(engine.received(), before);
@@ -139,7 +142,7 @@
     let engine = AppEngine::start("a1", 1).await;
     env.list_app(&engine, "v1", "z1");
     env.put_program("p1").await;
-    // The route's calls take 300 ms of late.
+    // The route's average is now 300 ms.
     engine.next(Behaviour::Slow(Duration::from_millis(300)));
     assert_eq!(call(&env, 0, "c0", &sensor()).await.status, 200);
     engine.next(Behaviour::Slow(Duration::from_secs(600)));
@@ -149,7 +152,7 @@
     engine.wait_received(2).await;
     let mut short = sensor();
     short["deadline_ms"] = json!(350);
-    // One that waited to its deadline would hear `deadline_exceeded`.
+    // A call that waited until its deadline would get `deadline_exceeded`.
     let shed = call(&env, 0, "c2", &short).await;
     assert_eq!((shed.status, shed.code()), (503, "overloaded"), "{shed:?}");
     held.abort();
@@ -157,8 +160,8 @@
 
 #[tokio::test]
 async fn a_call_whose_turn_comes_too_late_is_not_sent() {
-    // A waiting call is also looked at now and then, and refused then already; several rounds make sure that
-    // its turn comes first in some of them.
+    // Queued calls are also notified periodically and may be rejected then. Several rounds ensure
+    // that in some of them the call gets its slot only when the running call ends.
     for _ in 0..6 {
         check_late_slot().await;
     }
@@ -172,7 +175,7 @@
     let engine = AppEngine::start("a1", 1).await;
     env.list_app(&engine, "v1", "z1");
     env.put_program("p1").await;
-    // The route's calls take 200 ms of late; this one takes longer.
+    // The route's average is now 200 ms; this call takes longer.
     engine.next(Behaviour::Slow(Duration::from_millis(200)));
     assert_eq!(call(&env, 0, "c0", &sensor()).await.status, 200);
     engine.next(Behaviour::Slow(Duration::from_millis(750)));
@@ -180,7 +183,7 @@
     let long =
         tokio::spawn(async move { http::put(http, "/v1/programs/p1/calls/c1", &body).await });
     engine.wait_received(2).await;
-    // It may wait, and has 250 ms left when its turn comes.
+    // The call may be queued, and has 250 ms left when it gets the slot.
     let mut short = sensor();
     short["deadline_ms"] = json!(1_000);
     let shed = call(&env, 0, "c2", &short).await;
@@ -241,7 +244,7 @@
     bad.script(|s| s.always = Some(Behaviour::ServerError));
     env.list_app(&good, "v1", "z1");
     env.list_app(&bad, "v2", "z1");
-    // The version comes with a later bundle and gets half of the traffic.
+    // A later bundle adds the version, which gets half of the traffic.
     let farm = env.bundle.services.get_mut(&id("farm")).unwrap();
     farm.versions.push(hooklug_bundle::VersionEntry {
         version: id("v2"),
@@ -259,7 +262,7 @@
         if let Ok(harm) = env.gateways[0].feeds.harm.try_recv() {
             break harm;
         }
-        assert!(number < 100_000, "no harm was found");
+        assert!(number < 100_000, "no regression was reported");
     };
     assert_eq!((harm.service.as_str(), harm.version.as_str()), ("farm", "v2"));
     assert_eq!(harm.route, Some(id::<RouteName>("alarms")));
@@ -279,7 +282,7 @@
     let mut body = sensor();
     body["deadline_ms"] = json!(900);
     assert_eq!(call(&env, 0, "c1", &body).await.status, 200);
-    // A caller may shorten the route's deadline, not lengthen it.
+    // A caller may shorten the route's deadline but not extend it.
     let mut body = alarm();
     body["deadline_ms"] = json!(500_000);
     assert_eq!(call(&env, 0, "c2", &body).await.status, 200);
--- a/crates/gateway/tests/calls_record.rs
+++ b/crates/gateway/tests/calls_record.rs
@@ -1,4 +1,5 @@
-//! The record of a call: lost and late answers of its shard, callers that go away.
+//! Recording of calls: lost and late replies of the shard, unreachable shards, disconnected
+//! callers.
 
 mod support;
 
@@ -25,7 +26,7 @@
 #[tokio::test]
 async fn a_shard_out_of_reach_claims_nothing_and_the_call_is_carried_through_later() {
     let (env, engines) = env_with(1, 1).await;
-    // The program is known to the gateway, so that only the claim needs the shard.
+    // The gateway has cached the program, so only the claim needs the shard.
     call(&env, 0, "c0", &alarm()).await;
     env.state.set_available(shard_of("p1"), false);
     let mut body = alarm();
@@ -54,7 +55,8 @@
     let (answer, ()) = tokio::join!(calling, cut);
     assert_eq!((answer.status, &answer.json["outcome"]), (504, &json!("unknown")), "{answer:?}");
     env.state.set_available(shard_of("p1"), true);
-    // The work goes on without its caller: the answer is recorded once the shard is back.
+    // The call continues without its caller: the outcome is recorded once the shard is available
+    // again.
     let again = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((again.status, &again.json), (200, &json!({"ok": true})));
     assert_eq!(runs(&engines, "c1"), 1);
@@ -67,7 +69,7 @@
     let body = alarm();
     let calling = call(&env, 0, "c1", &body);
     tokio::select! {
-        _ = calling => panic!("the answer came too early"),
+        _ = calling => panic!("the response came too early"),
         () = engines[0].wait_ran("p1/c1") => {}
     }
     let recorded = env.wait_outcome("p1", "c1").await;
@@ -87,7 +89,7 @@
 #[tokio::test]
 async fn an_engine_that_drains_while_the_claim_is_uncertain_gets_no_call() {
     let (mut env, engines) = env_with(1, 1).await;
-    // The claim is taken up again and again without an answer, with room at the first engine.
+    // The claim is retried without a reply while the call holds a slot at the first engine.
     env.state.lose_answers(shard_of("p1"), u32::MAX);
     let url = env.url(0);
     let calling =
@@ -97,7 +99,7 @@
     env.view.engines.get_mut(&engines[0].engine).unwrap().draining = true;
     env.list_app(&other, "v1", "z1");
     env.state.lose_answers(shard_of("p1"), 0);
-    let answer = calling.await.expect("no panic");
+    let answer = calling.await.expect("task panicked");
     assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
     assert_eq!((engines[0].received(), other.runs("p1/c1")), (0, 1));
 }
--- a/crates/gateway/tests/calls_repeatable.rs
+++ b/crates/gateway/tests/calls_repeatable.rs
@@ -1,4 +1,5 @@
-//! Calls that may be repeated: retries within a share of traffic, and bundles that change what may.
+//! Repeatable calls: retries within the retry budget, and bundles that change whether a tool is
+//! repeatable.
 
 mod support;
 
@@ -24,7 +25,7 @@
         assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
         assert_eq!(answer.header("x-hooklug-call-state"), "answered");
     }
-    // It left no record.
+    // Repeatable calls leave no record.
     assert_eq!(read(&env, "c0").await.code(), "no_call");
 }
 
@@ -49,14 +50,14 @@
     let sent = || engines.iter().map(AppEngine::received).sum::<u32>();
     let first = call(&env, 0, "c0", &sensor()).await;
     assert_eq!((first.status, &first.json["outcome"]), (503, &json!("try_again")));
-    // Each engine was tried once: never the same one again.
+    // Each engine was tried exactly once.
     assert_eq!(engines.iter().map(AppEngine::received).collect::<Vec<_>>(), [1, 1]);
     let calls = 100;
     for number in 1..calls {
         let answer = call(&env, 0, &format!("c{number}"), &sensor()).await;
         assert_eq!(answer.status, 503, "{answer:?}");
     }
-    // One first try each, a fifth of retries, and the twenty that were saved up.
+    // One first attempt per call, a fifth of retries, and the initial balance of twenty.
     assert!(sent() <= calls + calls / 5 + 20, "{} tries for {calls} calls", sent());
 }
 
@@ -73,12 +74,12 @@
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::LoseAnswer)));
     assert_eq!(call(&env, 0, "d", &sensor()).await.status, 503);
     assert_eq!(engines.iter().map(AppEngine::received).sum::<u32>(), 13);
-    // Also the baseline never repeats what may not be repeated.
+    // Even baseline mode never repeats a non-repeatable call.
     assert_eq!(call(&env, 0, "e", &alarm()).await.code(), "call_unknown");
     assert_eq!(engines.iter().map(|e| e.runs("p1/e")).sum::<u32>(), 1);
 }
 
-/// Lets the tool's calls be repeated, or not, from the next bundle on.
+/// Publishes a bundle that changes whether a route's calls are repeatable.
 fn set_repeat(env: &mut TestEnv, route: &str, may_repeat: bool) {
     env.bundle.routes.get_mut(&id::<RouteName>(route)).unwrap().may_repeat = may_repeat;
     env.bundle.base = env.bundle.version;
@@ -100,7 +101,7 @@
         assert_eq!(call(&env, gateway, "lost", &alarm()).await.code(), "call_unknown");
     }
     assert_eq!((runs(&engines, "sealed"), runs(&engines, "lost")), (0, 1));
-    // Two more bundles later it is as sound.
+    // The same holds two more bundles later.
     env.bundle.routes.remove(&id::<RouteName>("alarms"));
     env.bundle.version.0 += 1;
     env.publish_bundle();
@@ -143,7 +144,7 @@
     let answer = seal("c1").await;
     assert_eq!((answer.status, answer.code()), (409, "call_repeatable"), "{answer:?}");
     assert_eq!(answer.json["outcome"], serde_json::Value::Null);
-    // From now on its calls are recorded, and a record is told.
+    // From now on the tool's calls are recorded, and a record is reported.
     assert_eq!(call(&env, 0, "c2", &sensor()).await.status, 200);
     assert_eq!(seal("c2").await.json["state"], "answered");
 }
@@ -154,7 +155,7 @@
     engines[0].next(Behaviour::Slow(Duration::from_secs(600)));
     let body = sensor();
     tokio::select! {
-        _ = call(&env, 0, "c1", &body) => panic!("the answer came too early"),
+        _ = call(&env, 0, "c1", &body) => panic!("the response came too early"),
         () = engines[0].wait_ran("p1/c1") => {}
     }
     engines[0].wait_disconnected().await;
--- a/crates/gateway/tests/inputs.rs
+++ b/crates/gateway/tests/inputs.rs
@@ -1,4 +1,4 @@
-//! Bad input: each fault has a stable code and names its field; nothing changes.
+//! Invalid input: each error has a stable code, names its field and changes no state.
 
 mod support;
 
@@ -294,7 +294,7 @@
         assert_eq!((answer.status, answer.code()), (401, "unauthorized"), "{tenant:?} {key:?}");
     }
     assert_eq!(ask(Some("serra"), Some("k1")).await.status, 200);
-    // Another tenant neither reads nor takes it.
+    // Another tenant can neither read nor replace the program.
     assert_eq!(support::http::get(env.url(0), "/v1/programs/q1").await.code(), "no_program");
     assert_eq!(ask(Some("dalatek"), None).await.code(), "program_differs");
 }
--- a/crates/gateway/tests/inputs_by_endpoint.rs
+++ b/crates/gateway/tests/inputs_by_endpoint.rs
@@ -1,4 +1,5 @@
-//! Each endpoint meets each kind of bad input: a stable code, the field, and nothing changed.
+//! Sends each kind of invalid input to each endpoint: the error has a stable code, names its field
+//! and changes no state.
 
 mod support;
 
@@ -14,7 +15,7 @@
 use support::fake_engine::FakeEngine;
 use support::http::{self, Answer, request};
 
-/// An endpoint that takes a body, with one that it would take.
+/// An endpoint that takes a body, with a valid body.
 struct Endpoint {
     method: Method,
     path: &'static str,
@@ -62,7 +63,10 @@
 
     async fn ask(&self, method: &Method, path: &str, kind: &str, body: &str) -> Answer {
         let builder = request(method.clone(), self.env.url(0), path).header("content-type", kind);
-        http::answer(builder.body(Full::new(Bytes::from(body.to_owned()))).expect("valid")).await
+        http::answer(
+            builder.body(Full::new(Bytes::from(body.to_owned()))).expect("invalid request"),
+        )
+        .await
     }
 
     async fn check(&self, endpoint: &Endpoint, body: &str, expected: (u16, &str, Option<&str>)) {
@@ -72,7 +76,7 @@
         assert_eq!(answer.header("content-type"), "application/problem+json");
     }
 
-    /// Nothing that the endpoints could have changed has changed.
+    /// Checks that no state was changed.
     async fn check_unchanged(&self) {
         let session = http::get(self.env.url(0), "/v1/programs/p1/sessions/s1").await;
         assert_eq!((&session.json["next_seq"], &session.json["head"]), (&json!(1), &Value::Null));
@@ -92,7 +96,7 @@
         for broken in ["", "{", "[]", "null", "7", r#"{"a": 1, "a": 2}"#, "{} {}", "\u{0}"] {
             fixture.check(&endpoint, broken, (400, "bad_json", None)).await;
         }
-        let fields: Map<String, Value> = endpoint.body.as_object().expect("an object").clone();
+        let fields: Map<String, Value> = endpoint.body.as_object().expect("not an object").clone();
         for name in fields.keys().filter(|name| *name != "result") {
             let mut missing = fields.clone();
             missing.remove(name);
@@ -129,7 +133,7 @@
     fixture.check_unchanged().await;
 }
 
-/// Sends a body whose length is not declared.
+/// Sends a chunked body, without a declared length.
 async fn send_chunked(env: &TestEnv, endpoint: &Endpoint, body: &str) -> (u16, Value) {
     let pieces: Vec<Result<Frame<Bytes>, std::io::Error>> = body
         .as_bytes()
@@ -140,10 +144,10 @@
     let request = request(endpoint.method.clone(), env.url(0), endpoint.path)
         .header("content-type", "application/json")
         .body(body)
-        .expect("a request");
+        .expect("invalid request");
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let (head, body) = client.request(request).await.expect("an answer").into_parts();
-    let bytes = body.collect().await.expect("a whole body").to_bytes();
+    let (head, body) = client.request(request).await.expect("no response").into_parts();
+    let bytes = body.collect().await.expect("incomplete body").to_bytes();
     (head.status.as_u16(), serde_json::from_slice(&bytes).expect("JSON"))
 }
 
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,4 +1,5 @@
-//! The pure parts of limits: bucket, adaptive limit, circuit, queue, losses, answers.
+//! Unit tests of the limits: token bucket, adaptive limit, circuit breaker, call queue, engine
+//! losses and response validation.
 
 mod support;
 
@@ -37,8 +38,9 @@
     assert!(bucket.take(0.0, minute).is_err());
 }
 
-/// A minute of an engine that answers in `base` up to `slots` calls at once and in proportion to them
-/// above, always asked for as much as the limit lets. Returns the calls done and the largest limit.
+/// Simulates one minute of an engine with latency `base` up to `slots` concurrent calls and
+/// proportionally more above that, always loaded up to the limit. Returns the calls per second and
+/// the largest limit.
 fn saturate(slots: u32, base: Duration, most: u32) -> (f64, u32) {
     let (start, mut limit) = (Instant::now(), AdaptiveLimit::default());
     let (mut now, mut done, mut largest) = (start, 0.0, 0);
@@ -65,7 +67,8 @@
     let (per_second, largest) = saturate(20, base, 1000);
     let capacity = 20.0 / base.as_secs_f64();
     assert!(per_second >= capacity * 0.9, "{per_second} calls a second of {capacity}");
-    // Latency that counts as load is 2.5 times the baseline; the first growth overshoots once.
+    // The limit grows until latency reaches 2.5 times the baseline; the first growth overshoots
+    // once.
     assert!(largest <= 20 * 4, "{largest} at once for 20 slots");
     let (_, largest) = saturate(200, base, 64);
     assert_eq!(largest, 64);
@@ -83,7 +86,7 @@
     limit.record(LoadSignal::Overloaded, 8, 64, now, later);
     let reduced = limit.get(64);
     assert!(reduced < before);
-    // Of calls that ran together, the first refusal counts for all.
+    // For calls that ran concurrently, only the first refusal reduces the limit.
     limit.record(LoadSignal::Overloaded, 8, 64, now, later + Duration::from_millis(10));
     assert_eq!(limit.get(64), reduced);
     for step in 1..100 {
@@ -105,14 +108,14 @@
     let wait = circuit.admit(now).unwrap_err();
     let later = now + wait;
     assert_eq!(circuit.admit(later), Ok(()));
-    assert!(circuit.admit(later).is_err(), "a second probe at once");
+    assert!(circuit.admit(later).is_err(), "a second concurrent probe was admitted");
     circuit.record(false, later);
     assert_eq!(circuit.admit(later), Err(wait * 2));
     let probe = later + wait * 2;
     assert_eq!(circuit.admit(probe), Ok(()));
     circuit.record(true, probe);
     assert_eq!(circuit.admit(probe), Ok(()));
-    // A share of failures that one bad engine causes does not open it.
+    // A failure share as caused by one bad engine does not open the circuit.
     for number in 0..200 {
         circuit.record(number % 5 == 0, probe);
     }
@@ -269,7 +272,7 @@
         (200, vec![REQUEST, ENGINE, ("content-length", "99999999999")], InvalidAnswer::TooLong),
         (500, vec![REQUEST, ENGINE, LENGTH], InvalidAnswer::Status(500)),
         (302, vec![REQUEST, ENGINE, LENGTH], InvalidAnswer::Status(302)),
-        // A refusal counts only when it is the contract's, and the engine's own.
+        // A refusal is valid only if the contract defines it and the expected engine sent it.
         (503, vec![ENGINE, refused("draining")], InvalidAnswer::WrongRequest),
         (503, vec![REQUEST, refused("draining")], InvalidAnswer::WrongEngine),
         (503, vec![REQUEST, ENGINE, refused("tired")], InvalidAnswer::UnknownRefusal),
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -1,4 +1,5 @@
-//! The pure parts of routing: placement, balance, figures, versions, the owner table.
+//! Unit tests of routing: placement, load balancing, engine statistics, versions and the owner
+//! table.
 
 mod support;
 
@@ -41,7 +42,7 @@
 fn placed(candidates: &[Candidate], prefix: Option<&str>, random: &mut impl Rng) -> String {
     let prefix = prefix.map(id::<PrefixId>);
     let chosen = placement::choose(candidates, prefix.as_ref(), &id("z1"), random);
-    chosen.expect("a candidate").engine.engine.as_str().to_owned()
+    chosen.expect("no candidate").engine.engine.as_str().to_owned()
 }
 
 #[test]
@@ -53,7 +54,7 @@
         prefixes.iter().map(|p| (p.as_str(), placed(&candidates, Some(p), &mut random))).collect();
     let used: std::collections::BTreeSet<_> = home.values().collect();
     assert!(used.len() >= 6, "64 prefixes on {} of 8 engines", used.len());
-    // Losing one engine moves only its own prefixes.
+    // Losing one engine moves only that engine's prefixes.
     let lost = home["prefix-0"].clone();
     let left: Vec<_> =
         candidates.iter().filter(|c| c.engine.engine.as_str() != lost).cloned().collect();
@@ -61,7 +62,7 @@
         let now = placed(&left, Some(prefix), &mut random);
         assert!(*engine == lost || now == *engine, "{prefix} moved from {engine} to {now}");
     }
-    // A full engine passes its prefixes on.
+    // A full engine's prefixes move to other engines.
     let mut busy = candidates.clone();
     busy.iter_mut().filter(|c| c.engine.engine.as_str() == lost).for_each(|c| c.work = 10);
     assert_ne!(placed(&busy, Some("prefix-0"), &mut random), lost);
@@ -97,7 +98,8 @@
     }
     let works: Vec<u32> = candidates.iter().map(|c| c.work).collect();
     let (least, most) = (works.iter().min().unwrap(), works.iter().max().unwrap());
-    // The theory's bound for 1,000 balls is a few above the mean; uniform choice spreads by about 60.
+    // For 1,000 placements theory bounds the spread to a few above the mean; uniform choice spreads
+    // by about 60.
     assert!(most - least <= 12, "{works:?}");
 }
 
@@ -194,7 +196,7 @@
 ) -> BTreeMap<String, u32> {
     let mut counts = BTreeMap::new();
     for _ in 0..1000 {
-        let choice = balance::choose(candidates, &id("z1"), now, random).expect("a choice");
+        let choice = balance::choose(candidates, &id("z1"), now, random).expect("no engine chosen");
         *counts.entry(choice.target.run.engine.as_str().to_owned()).or_default() += 1;
     }
     counts
@@ -249,14 +251,14 @@
         other.stats = failing(now);
     }
     assert_eq!(chosen(&candidates, now, &mut random).len(), 2);
-    // Ejection ends by itself, and lasts longer the next time.
+    // Ejection expires, and lasts longer the next time.
     let later = now + Duration::from_secs(3);
     assert_eq!(chosen(&candidates, later, &mut random).len(), 4);
     let mut again = candidates[0].stats.clone();
     again.call_started();
     again.call_ended(CallEnd::Failed, later);
     assert_eq!(again.ejected_until(later), Some(later + Duration::from_secs(4)));
-    // Refusals and callers that go away eject nobody.
+    // Refusals and cancelled calls eject no engine.
     let mut calm = EngineStats::new(None);
     for end in [CallEnd::Refused(Refusal::Overloaded), CallEnd::Cancelled].repeat(5) {
         calm.call_started();
@@ -317,7 +319,7 @@
     service
         .versions
         .push(hooklug_bundle::VersionEntry { version: id("v3"), state: VersionState::Sound });
-    // Version 2 was listed and never ran: its calls are version 1's, not version 3's.
+    // Version 2 was listed but never ran: its share belongs to version 1, not to version 3.
     let order = preferred_versions(&service, Some(Duration::ZERO), 99, |_| false);
     assert_eq!(order, [id("v2"), id("v1"), id("v3")]);
     let order = preferred_versions(&service, Some(Duration::ZERO), 0, |_| false);
@@ -331,14 +333,14 @@
     let mut clock = RolloutClock::default();
     let long_ago = Duration::from_secs(1_000_000);
     clock.record_versions([(&name, &v1)].into_iter(), long_ago, now);
-    // Over and done, whether or not the clock goes back so far.
+    // The rollout is complete, whether or not the clock's range reaches back that far.
     assert_eq!(step_percentage(&farm(), clock.age(&name, &v1, now)), 100);
     clock.record_versions(
         [(&name, &v2)].into_iter(),
         Duration::ZERO,
         now + Duration::from_secs(10),
     );
-    // Another bundle with the same version does not start the steps anew.
+    // Another bundle with the same version does not restart the steps.
     clock.record_versions(
         [(&name, &v2)].into_iter(),
         Duration::ZERO,
@@ -346,7 +348,7 @@
     );
     let age = clock.age(&name, &v2, now + Duration::from_secs(13));
     assert_eq!(age, Some(Duration::from_secs(3)));
-    // A gateway that starts in the middle of a roll-out goes on with it.
+    // A gateway that starts during a rollout continues it.
     let mut late = RolloutClock::default();
     late.record_versions([(&name, &v2)].into_iter(), Duration::from_millis(700), now);
     assert_eq!(late.age(&name, &v2, now), Some(Duration::from_millis(700)));
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions through a gateway: turns, streams that break and resume, joining, refusals.
+//! Sessions through a gateway: turns, interrupted and resumed streams, joining, refusals and
+//! shutdown.
 
 mod support;
 
@@ -77,7 +78,7 @@
     assert!(complete);
     assert_eq!(ids(&events), [4, 5, 6]);
     assert_eq!(events[2].event, "finished");
-    // The caller that has the terminal event has nothing to wait for.
+    // A caller that has the terminal event gets no content.
     let over = http::follow(env.url(1), path, Some(6)).await;
     assert_eq!(over.status, 204);
     let ahead = http::get_with_last(env.url(1), path, 7).await;
@@ -107,7 +108,7 @@
     assert!(complete);
     assert_eq!(names(&rest), ["closed"]);
 
-    // History is read back though nobody owns the session any more; nothing can be added.
+    // The history remains readable after the session is closed, and nothing can be added.
     let (events, complete) = http::follow(env.url(0), path, None).await.rest().await;
     assert!(complete);
     assert_eq!(events[0].data["events"].as_array().unwrap().len(), 6);
@@ -188,7 +189,7 @@
     let (events, complete) = ending.rest().await;
     assert!(complete);
     assert_eq!(events.last().unwrap().event, "finished");
-    // The joined stream has no end of its own: it is cut, and shows it.
+    // The joined stream has no terminal event: it is aborted visibly.
     let (_, complete) = joined.rest().await;
     assert!(!complete);
     gateway.task.await.unwrap();
--- a/crates/gateway/tests/sessions_owners.rs
+++ b/crates/gateway/tests/sessions_owners.rs
@@ -1,4 +1,4 @@
-//! Owners of sessions through a gateway: placement, takeover, races, stale tables.
+//! Session ownership through a gateway: placement, takeover, races and stale owner tables.
 
 mod support;
 
@@ -45,7 +45,8 @@
     for number in 2..=SESSIONS {
         env.open_session("p1", &format!("s{number}")).await;
     }
-    // It answers and is listed yet, as one that was frozen is, and its lease runs out.
+    // Like an engine that was frozen, the old owner replies and is still listed, but its lease
+    // expires.
     old.script(|s| s.refusals.extend(vec![EngineRefusal::LeaseLost; SESSIONS]));
     let new = FakeEngine::start("e2", "v2", 2, &env.state).await;
     env.list(&new, "z1");
@@ -83,7 +84,7 @@
         async { http::post_turn(env.url(0), SESSION, &body).await.rest().await },
         async { http::post_turn(env.url(1), SESSION, &body).await.rest().await },
     );
-    // The same turn twice is one turn: both callers see the same events.
+    // Both requests name the same turn, so both callers get the same events.
     assert!(a.1 && b.1);
     assert_eq!(a.0, b.0);
     assert_eq!(ids(&a.0), [1, 2, 3, 4]);
@@ -122,7 +123,7 @@
     env.list(&one, "z1");
     env.put_program("p1").await;
     env.open_session("p1", "s1").await;
-    // Gateway 1 learns of owner e1, then gateway 0 moves the session by a hand-over.
+    // Gateway 1 caches owner e1, then gateway 0 moves the session by a handover.
     let first = http::post_turn(env.url(1), SESSION, &turn("t1", None, 1)).await;
     assert!(first.rest().await.1);
     support::hand_over(&env, "p1", "s1", 1).await;
@@ -178,7 +179,7 @@
     env.list(&one, "z1");
     env.put_program("p1").await;
     env.open_session("p1", "s0").await;
-    // The next reply of e1 tells that it drains; the view does not say so yet.
+    // The next reply of e1 reports draining; the view does not report it yet.
     one.script(|s| s.draining = true);
     let (_, complete) =
         http::post_turn(env.url(0), "p1/sessions/s0", &turn("t1", None, 1)).await.rest().await;
--- a/crates/gateway/tests/support/app_engine.rs
+++ b/crates/gateway/tests/support/app_engine.rs
@@ -1,5 +1,5 @@
-//! A scripted application engine on raw TCP, so that its answers can be anything. It keeps a ledger
-//! of the calls that it ran.
+//! A fake application engine on raw TCP, so that it can send malformed responses. It counts the
+//! calls that it ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,54 +13,54 @@
 
 use super::{id, loopback};
 
-/// What one call meets.
+/// How the engine handles one call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs and answers.
+    /// Runs the call and responds.
     Answer,
-    /// Runs and answers this status and body.
+    /// Runs the call and responds with this status and body.
     AnswerWith(u16, &'static str),
-    /// Runs, then closes the connection without an answer.
+    /// Runs the call, then closes the connection without a response.
     LoseAnswer,
-    /// Runs, then answers half of the body and closes.
+    /// Runs the call, then sends half of the body and closes the connection.
     CutShort,
-    /// Runs, then echoes another request's id.
+    /// Runs the call, then echoes another request's id.
     WrongRequestId,
-    /// Runs, then answers in another engine's name.
+    /// Runs the call, then responds with another engine's identity.
     WrongEngineIdentity,
-    /// Runs, then answers something that is not JSON.
+    /// Runs the call, then responds with invalid JSON.
     Garble,
-    /// Runs, then answers without a length.
+    /// Runs the call, then responds without a content length.
     NoLength,
-    /// Runs, then answers 500.
+    /// Runs the call, then responds with status 500.
     ServerError,
-    /// Refuses with the contract's header.
+    /// Refuses with this reason in the refusal header.
     Refuse(&'static str),
-    /// Closes before reading the request.
+    /// Closes the connection without running the call.
     CloseBefore,
-    /// Runs and answers after this time.
+    /// Runs the call and responds after this time.
     Slow(Duration),
 }
 
 #[derive(Debug, Default)]
 pub struct AppEngineScript {
-    /// What the next calls meet; `Answer` when empty.
+    /// Behaviours of the next calls, in order.
     pub next: VecDeque<Behaviour>,
-    /// What all further calls meet.
+    /// Behaviour of all further calls; `Answer` when `None`.
     pub always: Option<Behaviour>,
-    /// Runs by `program/call`.
+    /// Number of runs by `program/call`.
     pub ran: BTreeMap<String, u32>,
-    /// Calls received, run or not.
+    /// Number of calls received, whether or not they ran.
     pub received: u32,
-    /// Calls whose caller closed the connection before the answer.
+    /// Number of calls whose caller closed the connection before the response.
     pub disconnected: u32,
-    /// Deadlines in milliseconds, as the calls' headers told them.
+    /// Deadlines from the calls' headers, in milliseconds.
     pub deadlines: Vec<u64>,
-    /// Answers to look-ups tell what ran.
+    /// Whether lookups report the calls that ran.
     pub answer_lookups: bool,
-    /// Look-ups are never answered.
+    /// Whether lookups never get a response.
     pub stall_lookups: bool,
-    /// Identity that is told in place of its own.
+    /// Identity that is reported instead of the engine's own.
     pub reported_identity: Option<String>,
 }
 
@@ -90,8 +90,8 @@
     }
 
     pub async fn start_version(name: &str, run: u64, version: &str) -> Self {
-        let listener = TcpListener::bind(loopback()).await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(loopback()).await.expect("failed to bind a port");
+        let address = listener.local_addr().expect("no local address");
         let script: Arc<Mutex<AppEngineScript>> = Arc::default();
         let json = format!(
             r#"{{"service":"farm","engine":"{name}","incarnation":{run},"version":"{version}","kind":"application"}}"#
@@ -125,26 +125,26 @@
     }
 
     pub fn script(&self, change: impl FnOnce(&mut AppEngineScript)) {
-        change(&mut self.script.lock().expect("no panic under the lock"));
+        change(&mut self.script.lock().expect("lock is poisoned"));
     }
 
     pub fn next(&self, behaviour: Behaviour) {
         self.script(|script| script.next.push_back(behaviour));
     }
 
-    /// How often a call ran here.
+    /// Returns how often a call ran on this engine.
     pub fn runs(&self, call: &str) -> u32 {
-        self.script.lock().expect("no panic under the lock").ran.get(call).copied().unwrap_or(0)
+        self.script.lock().expect("lock is poisoned").ran.get(call).copied().unwrap_or(0)
     }
 
-    /// Waits until a call has run here.
+    /// Waits until a call has run on this engine.
     pub async fn wait_ran(&self, call: &str) {
         while self.runs(call) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Waits until so many calls have come.
+    /// Waits until `count` calls were received.
     pub async fn wait_received(&self, count: u32) {
         while self.received() < count {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -153,18 +153,18 @@
 
     /// Waits until the caller of a slow call has closed its connection.
     pub async fn wait_disconnected(&self) {
-        while self.script.lock().expect("no panic under the lock").disconnected == 0 {
+        while self.script.lock().expect("lock is poisoned").disconnected == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Time that each call said it had left, in milliseconds.
+    /// Returns the deadlines from the calls' headers, in milliseconds.
     pub fn deadlines(&self) -> Vec<u64> {
-        self.script.lock().expect("no panic under the lock").deadlines.clone()
+        self.script.lock().expect("lock is poisoned").deadlines.clone()
     }
 
     pub fn received(&self) -> u32 {
-        self.script.lock().expect("no panic under the lock").received
+        self.script.lock().expect("lock is poisoned").received
     }
 }
 
@@ -176,7 +176,7 @@
             let path = received.path.clone();
             let open = if path == "/identity" {
                 let reported_identity =
-                    self.script.lock().expect("no panic under the lock").reported_identity.clone();
+                    self.script.lock().expect("lock is poisoned").reported_identity.clone();
                 let json = reported_identity.unwrap_or_else(|| self.json.clone());
                 write(&mut stream, 200, &[], &json).await?;
                 true
@@ -199,7 +199,7 @@
         call: &str,
     ) -> std::io::Result<()> {
         let (known, ran, stalled) = {
-            let script = self.script.lock().expect("no panic under the lock");
+            let script = self.script.lock().expect("lock is poisoned");
             (script.answer_lookups, script.ran.contains_key(call), script.stall_lookups)
         };
         if stalled {
@@ -225,7 +225,7 @@
     }
 
     fn next_behaviour(&self) -> Behaviour {
-        let mut script = self.script.lock().expect("no panic under the lock");
+        let mut script = self.script.lock().expect("lock is poisoned");
         script.received += 1;
         let next = script.next.pop_front().or_else(|| script.always.clone());
         next.unwrap_or(Behaviour::Answer)
@@ -235,7 +235,7 @@
         let call = received.headers.get("x-hooklug-call").cloned().unwrap_or_default();
         let deadline =
             received.headers.get("x-hooklug-deadline-ms").and_then(|ms| ms.parse::<u64>().ok());
-        let mut script = self.script.lock().expect("no panic under the lock");
+        let mut script = self.script.lock().expect("lock is poisoned");
         script.deadlines.extend(deadline);
         *script.ran.entry(call).or_default() += 1;
     }
@@ -287,9 +287,10 @@
             Behaviour::Slow(time) => {
                 tokio::select! {
                     () = tokio::time::sleep(time) => {}
-                    // Nothing follows a request before its answer: a read ends only with the connection.
+                    // No data follows a request before its response, so a read ends only when the
+                    // connection closes.
                     _ = stream.read_u8() => {
-                        self.script.lock().expect("no panic under the lock").disconnected += 1;
+                        self.script.lock().expect("lock is poisoned").disconnected += 1;
                         return Ok(false);
                     }
                 }
--- a/crates/gateway/tests/support/bundles.rs
+++ b/crates/gateway/tests/support/bundles.rs
@@ -1,4 +1,4 @@
-//! The settings and the bundle that tests start from.
+//! Default settings and bundle for tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -61,7 +61,8 @@
     }
 }
 
-/// Services `advisor` (sessions) and `farm` (tools); tenants `dalatek` (open) and `serra` (with key `k1`).
+/// Returns a bundle with services `advisor` (sessions) and `farm` (tools), and tenants `dalatek`
+/// (without keys) and `serra` (with key `k1`).
 pub fn bundle() -> Bundle {
     let session = Route {
         matches: RouteMatch::Session { model: id("advisor-7b") },
@@ -70,7 +71,7 @@
         deadline_ms: 8_000,
         urgent: false,
     };
-    // Tests of other things send as fast as they can; tests of the limits set their own.
+    // Limits high enough for all tests except those of the limits, which set their own.
     let limits = TenantLimits { requests_per_second: 1e6, concurrency: 10_000 };
     let open = Tenant { key_digests: Vec::new(), group: None, limits };
     let key = blake3::hash(b"k1").to_hex().to_string();
@@ -104,7 +105,7 @@
         digest: Digest::of(b"test"),
         sections: BTreeMap::new(),
         origin: BundleOrigin::Operators(Vec::new()),
-        // Long ago: its versions are no roll-outs any more.
+        // Committed long ago, so its versions' rollouts are complete.
         committed: UnixMillis(0),
     };
     Arc::new(InstalledBundle { record, bundle })
--- a/crates/gateway/tests/support/calls.rs
+++ b/crates/gateway/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! Calls as tests make them: one tool that may not be repeated, one that may.
+//! Helpers for calls: one non-repeatable tool and one repeatable tool.
 
 use hooklug_settings::GatewayMode;
 use serde_json::{Value, json};
--- a/crates/gateway/tests/support/fake_engine/mod.rs
+++ b/crates/gateway/tests/support/fake_engine/mod.rs
@@ -1,5 +1,5 @@
-//! A scripted session-host engine over real rpc. It keeps to the shard's rules, writes events before
-//! it releases them, and misbehaves where the script says so.
+//! A fake session-host engine over real RPC. It follows the shard's rules, commits events before it
+//! sends them, and misbehaves as its script says.
 
 mod records;
 mod turns;
@@ -22,24 +22,24 @@
 
 use super::{SECRET, address, id, loopback, test_deadline};
 
-/// What the engine does wrong, and what it saw.
+/// Scripted misbehaviour of the engine, and a log of received messages.
 #[derive(Debug, Default)]
 pub struct Script {
-    /// Refusals of the next messages of any kind.
+    /// Refusals returned to the next messages of any kind.
     pub refusals: VecDeque<EngineRefusal>,
-    /// Ends the next turn streams after so many events, though the turn goes on.
+    /// Closes the next turn streams after this many events, while the turn continues.
     pub cut_streams_after: VecDeque<usize>,
-    /// Leaves out the event at this place of the next turn stream.
+    /// Omits the event at this index of the next turn stream.
     pub skip_event: Option<usize>,
     /// Sends each event of turn streams twice.
     pub send_twice: bool,
-    /// Does not end turns.
+    /// Never ends turns.
     pub hold_turns: bool,
-    /// Ends turns as failed, without a token.
+    /// Ends turns as failed without producing a token.
     pub fail_turns: bool,
-    /// What load tells.
+    /// Draining flag in reported load.
     pub draining: bool,
-    /// Messages by name, in order.
+    /// Names of received messages, in order.
     pub seen: Vec<&'static str>,
 }
 
@@ -48,7 +48,7 @@
     pub version: ServiceVersion,
     pub rpc: SocketAddr,
     pub script: Arc<Mutex<Script>>,
-    /// Tokens that turns may produce; add permits to let them go on.
+    /// Limits token generation: each token consumes one permit.
     pub tokens: Arc<Semaphore>,
     state: MemoryState,
     stop: CancellationToken,
@@ -64,7 +64,7 @@
 }
 
 impl FakeEngine {
-    /// An engine whose turns produce `tokens` one-token events each.
+    /// Starts a fake engine and acquires its lease.
     pub async fn start(name: &str, version: &str, run: u64, state: &MemoryState) -> Self {
         let me = EngineIncarnation { engine: id(name), incarnation: Incarnation(run) };
         let script: Arc<Mutex<Script>> = Arc::default();
@@ -76,8 +76,8 @@
             script: script.clone(),
             tokens: tokens.clone(),
         };
-        let listener = RpcServer::bind(loopback()).await.expect("a port");
-        let rpc = listener.local_addr().expect("an address");
+        let listener = RpcServer::bind(loopback()).await.expect("failed to bind a port");
+        let rpc = listener.local_addr().expect("no local address");
         let identity = LocalIdentity::new(address(NodeRole::Engine, run, rpc, "z1"), SECRET);
         let stop = CancellationToken::new();
         let server = RpcServer::new(listener, identity, host.router());
@@ -92,20 +92,23 @@
     pub async fn renew(&self) {
         let command = ShardCommand::RenewLease { holder: self.me.clone() };
         let group = shard_of(self.me.engine.as_str());
-        self.state.execute_shard(group, &command, test_deadline()).await.expect("available");
+        self.state
+            .execute_shard(group, &command, test_deadline())
+            .await
+            .expect("shard unavailable");
     }
 
-    /// Stops answering, like a killed process; its lease runs out.
+    /// Stops replying, like a killed process; its lease expires.
     pub fn kill(&self) {
         self.stop.cancel();
     }
 
     pub fn script(&self, change: impl FnOnce(&mut Script)) {
-        change(&mut self.script.lock().expect("no panic under the lock"));
+        change(&mut self.script.lock().expect("lock is poisoned"));
     }
 
     pub fn count(&self, message: &str) -> usize {
-        let script = self.script.lock().expect("no panic under the lock");
+        let script = self.script.lock().expect("lock is poisoned");
         script.seen.iter().filter(|seen| **seen == message).count()
     }
 }
@@ -147,7 +150,7 @@
     }
 
     fn load(&self) -> EngineLoad {
-        let script = self.script.lock().expect("no panic under the lock");
+        let script = self.script.lock().expect("lock is poisoned");
         EngineLoad { slots: 4, draining: script.draining, ..EngineLoad::default() }
     }
 
@@ -156,7 +159,7 @@
     }
 
     fn receive(&self, message: &'static str) -> Result<(), EngineRefusal> {
-        let mut script = self.script.lock().expect("no panic under the lock");
+        let mut script = self.script.lock().expect("lock is poisoned");
         script.seen.push(message);
         script.refusals.pop_front().map_or(Ok(()), Err)
     }
@@ -225,6 +228,6 @@
 fn session_of(reply: ShardReply) -> state::SessionRecord {
     match reply {
         ShardReply::Session(record) => record,
-        other => panic!("unexpected {other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
 }
--- a/crates/gateway/tests/support/fake_engine/records.rs
+++ b/crates/gateway/tests/support/fake_engine/records.rs
@@ -1,4 +1,4 @@
-//! What the engine reads and writes at its sessions' shards.
+//! Shard queries and commands of the fake engine.
 
 use hooklug_protocol::engine::{EngineRefusal, RunTurn};
 use hooklug_state::shard::{
@@ -57,8 +57,8 @@
             reason,
         });
         match self.execute(&key.program, command).await? {
-            ShardReply::Turn(grant) => Ok(grant.existing.expect("an ended turn")),
-            other => panic!("unexpected {other:?}"),
+            ShardReply::Turn(grant) => Ok(grant.existing.expect("turn has not ended")),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
@@ -103,7 +103,7 @@
                 tokens: TokenCount(0),
                 state: TurnState::Open,
             })),
-            other => panic!("unexpected {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 }
--- a/crates/gateway/tests/support/fake_engine/turns.rs
+++ b/crates/gateway/tests/support/fake_engine/turns.rs
@@ -1,4 +1,4 @@
-//! Turns and the common stream, told to gateways as the script says.
+//! Turn and session streams of the fake engine, with scripted faults.
 
 use std::time::Duration;
 
@@ -34,10 +34,10 @@
         self.stream_turn(&request, &turn, &sink).await;
     }
 
-    /// Produces `max_tokens` tokens, one an event, then ends the turn.
+    /// Generates `max_tokens` tokens, one per event, then ends the turn.
     pub(super) async fn generate(&self, request: &RunTurn) {
         let (hold, fail) = {
-            let script = self.script.lock().expect("no panic under the lock");
+            let script = self.script.lock().expect("lock is poisoned");
             (script.hold_turns, script.fail_turns)
         };
         let key = &request.place.key;
@@ -69,7 +69,7 @@
         sink: &ItemSink<TurnItem>,
     ) {
         let (cut, skip, twice) = {
-            let mut script = self.script.lock().expect("no panic under the lock");
+            let mut script = self.script.lock().expect("lock is poisoned");
             (script.cut_streams_after.pop_front(), script.skip_event.take(), script.send_twice)
         };
         let mut last = EventSeq(turn.started.0.saturating_sub(1)).max(request.last_seen);
--- a/crates/gateway/tests/support/http.rs
+++ b/crates/gateway/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! A caller: plain requests and event streams.
+//! HTTP client for tests: plain requests and event streams.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
@@ -23,7 +23,7 @@
         self.json["code"].as_str().unwrap_or_default()
     }
 
-    /// What claims nothing of the work has to tell when to come back.
+    /// Checks that a `try_again` outcome comes with a retry delay.
     fn check_retry_after(&self) {
         if self.json["outcome"] == "try_again" {
             assert!(self.json["retry_after_ms"].as_u64() > Some(0), "{self:?}");
@@ -61,13 +61,13 @@
 
 pub async fn send(request: Request<Full<Bytes>>) -> http::Response<Incoming> {
     let client = Client::builder(TokioExecutor::new()).build_http();
-    client.request(request).await.expect("an answer")
+    client.request(request).await.expect("no response")
 }
 
 pub async fn answer(request: Request<Full<Bytes>>) -> Answer {
     let response = send(request).await;
     let (head, body) = response.into_parts();
-    let bytes = body.collect().await.expect("a whole body").to_bytes();
+    let bytes = body.collect().await.expect("incomplete body").to_bytes();
     let json = if bytes.is_empty() {
         Value::Null
     } else {
@@ -82,11 +82,11 @@
     builder
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body.to_string())))
-        .expect("a request")
+        .expect("invalid request")
 }
 
 pub fn without_body(builder: http::request::Builder) -> Request<Full<Bytes>> {
-    builder.body(Full::new(Bytes::new())).expect("a request")
+    builder.body(Full::new(Bytes::new())).expect("invalid request")
 }
 
 pub async fn put(to: SocketAddr, path: &str, body: &Value) -> Answer {
@@ -134,7 +134,7 @@
 }
 
 impl EventStream {
-    /// The next event; `None` at a proper end, an error when the stream was cut.
+    /// Returns the next event; `None` at a proper end, an error when the stream was aborted.
     pub async fn next(&mut self) -> Result<Option<SseEvent>, String> {
         loop {
             if let Some(end) = self.text.find("\n\n") {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// All events to the end, and whether the end was a proper one.
+    /// Returns all remaining events, and whether the stream ended properly.
     pub async fn rest(mut self) -> (Vec<SseEvent>, bool) {
         let mut events = Vec::new();
         loop {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway over in-memory shards, scripted engines and a view that the test sets.
+//! Test environment: gateways over in-memory shards, fake engines and a cluster view set by the
+//! test.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod app_engine;
@@ -33,11 +34,11 @@
 pub use bundles::{bundle, installed, settings};
 
 pub const SECRET: &str = "sixteen characters or more";
-/// Long enough to see a lease held, short enough for a test.
+/// Long enough to observe a held lease, short enough for a test.
 pub const LEASE_TIME: Duration = Duration::from_millis(300);
 
 pub fn id<T: std::str::FromStr<Err = IdError>>(text: &str) -> T {
-    text.parse().expect("a valid identifier")
+    text.parse().expect("invalid identifier")
 }
 
 pub fn loopback() -> SocketAddr {
@@ -55,7 +56,7 @@
     }
 }
 
-/// One gateway with its HTTP listener.
+/// A gateway and its HTTP listener.
 pub struct TestGateway {
     pub http: SocketAddr,
     pub feeds: NodeFeeds,
@@ -66,14 +67,14 @@
 }
 
 impl TestGateway {
-    /// Waits until the gateway says that it is ready: it has taken its first bundle.
+    /// Waits until the gateway reports ready, which it does after installing its first bundle.
     pub async fn wait_ready(&self) {
         while !self.node.readiness.reasons().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Waits until the gateway says that it is not ready.
+    /// Waits until the gateway reports unready.
     pub async fn wait_unready(&self) {
         while self.node.readiness.reasons().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -85,7 +86,7 @@
     Instant::now() + Duration::from_secs(5)
 }
 
-/// Gives a session up, as its owner would.
+/// Releases a session's ownership, as its owner does in a handover.
 pub async fn hand_over(env: &TestEnv, program: &str, session: &str, epoch: u64) {
     let key = SessionKey { program: id(program), session: id(session) };
     let command = ShardCommand::HandOver { key, epoch: SessionEpoch(epoch) };
@@ -93,7 +94,7 @@
     assert!(matches!(reply, Ok(ShardReply::Session(_))), "{reply:?}");
 }
 
-/// Shards, engines and gateways of one test.
+/// Shards, cluster view and gateways of one test.
 pub struct TestEnv {
     pub state: MemoryState,
     pub view: ClusterView,
@@ -116,13 +117,13 @@
         env
     }
 
-    /// Adds a gateway that starts with the present bundle and view.
+    /// Adds a gateway that starts with the current bundle and view.
     pub async fn add_gateway(&mut self) {
         let gateway = self.start_gateway(900 + self.gateways.len() as u64, GatewayMode::Full).await;
         self.gateways.push(gateway);
     }
 
-    /// Commits a bundle in the meta group, as operators do.
+    /// Commits a bundle in the meta group, as an operator does.
     pub async fn commit_bundle(&self, bundle: &Bundle) {
         let form = MetaCommand::Form { cluster: 1, stores: Vec::new(), placements: Vec::new() };
         assert_eq!(self.state.execute_meta(&form, test_deadline()).await, Ok(MetaReply::Done));
@@ -154,21 +155,22 @@
         };
         let gateway = Gateway::new(ctx);
         let router = gateway.http_router();
-        let listener = tokio::net::TcpListener::bind(loopback()).await.expect("a port");
-        let http = listener.local_addr().expect("an address");
+        let listener =
+            tokio::net::TcpListener::bind(loopback()).await.expect("failed to bind a port");
+        let http = listener.local_addr().expect("no local address");
         tokio::spawn(async move { axum::serve(listener, router).await });
         let task = tokio::spawn(gateway.run());
         TestGateway { http, feeds, node: handle, identity, stop, task }
     }
 
-    /// Gives all gateways the present view.
+    /// Sends the current view to all gateways.
     pub fn publish(&self) {
         for gateway in &self.gateways {
             gateway.feeds.view.send_replace(Arc::new(self.view.clone()));
         }
     }
 
-    /// Gives all gateways the present bundle.
+    /// Sends the current bundle to all gateways.
     pub fn publish_bundle(&self) {
         for gateway in &self.gateways {
             let mut bundle = (*installed(self.bundle.clone())).clone();
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Lists a session-host engine.
+    /// Adds a session-host engine to the view.
     pub fn list(&mut self, engine: &fake_engine::FakeEngine, zone: &str) {
         let address = NodeAddress {
             node: NodeId(engine.me.incarnation.0),
@@ -202,13 +204,13 @@
         self.publish();
     }
 
-    /// Takes a session-host engine out of the view.
+    /// Removes a session-host engine from the view.
     pub fn unlist(&mut self, engine: &fake_engine::FakeEngine) {
         self.view.members.remove(&NodeId(engine.me.incarnation.0));
         self.publish();
     }
 
-    /// Lists an application engine of service `farm`.
+    /// Adds an application engine of service `farm` to the view.
     pub fn list_app(&mut self, engine: &app_engine::AppEngine, version: &str, zone: &str) {
         let listed = ApplicationEngine {
             engine: engine.engine.clone(),
@@ -224,17 +226,17 @@
         self.publish();
     }
 
-    /// A turn as its shard has it.
+    /// Reads a turn's record from its shard.
     pub async fn turn(&self, program: &str, session: &str, turn: &str) -> Option<TurnRecord> {
         let key = SessionKey { program: id(program), session: id(session) };
         let query = ShardQuery::Turn { key, turn: id(turn) };
         match self.state.query_shard(shard_of(program), &query, test_deadline()).await {
             Ok(ShardAnswer::Turn(record)) => record,
-            other => panic!("no answer: {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
-    /// Claims a call for an attempt that nobody works on.
+    /// Claims a call for an attempt that no gateway executes.
     pub async fn begin_call(
         &self,
         program: &str,
@@ -242,7 +244,7 @@
         attempt: &str,
         body: &serde_json::Value,
     ) {
-        let tool = body["tool"].as_str().expect("a tool");
+        let tool = body["tool"].as_str().expect("no tool");
         let command = ShardCommand::BeginCall(BeginCall {
             program: id(program),
             call: id(call),
--- a/crates/gateway/tests/support/sessions.rs
+++ b/crates/gateway/tests/support/sessions.rs
@@ -1,4 +1,4 @@
-//! One session as tests open it, its turns, and what its streams show.
+//! Helpers for sessions: an open session, its turns and its event streams.
 
 use serde_json::json;
 
--- a/crates/gateway/tests/whole_path.rs
+++ b/crates/gateway/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The ordinary path with real session-host engines and stand-ins, in one process.
+//! End-to-end test of the gateway with real session-host engines and emulated backends, in one
+//! process.
 
 mod support;
 
@@ -17,7 +18,7 @@
 use support::{TestEnv, address, bundle, id, installed, loopback, settings};
 use tokio_util::sync::CancellationToken;
 
-/// A session-host engine with its model server.
+/// A session-host engine and its emulated model server.
 struct Host {
     model: StandIn,
     feeds: NodeFeeds,
@@ -43,9 +44,9 @@
             load_factor: 0.0,
             ledger: None,
         });
-        let model = model.await.expect("a port");
-        let listener = RpcServer::bind(loopback()).await.expect("a port");
-        let rpc = listener.local_addr().expect("an address");
+        let model = model.await.expect("failed to bind a port");
+        let listener = RpcServer::bind(loopback()).await.expect("failed to bind a port");
+        let rpc = listener.local_addr().expect("no local address");
         let identity =
             LocalIdentity::new(address(NodeRole::Engine, node, rpc, "z1"), support::SECRET);
         let (handle, feeds) = NodeHandle::new();
@@ -69,7 +70,7 @@
             node: handle,
             stop: CancellationToken::new(),
         };
-        let engine = Engine::new(ctx).expect("settings of an engine");
+        let engine = Engine::new(ctx).expect("invalid engine settings");
         let serving = CancellationToken::new();
         let server = RpcServer::new(listener, identity.clone(), engine.rpc_router());
         tokio::spawn(server.run(serving.clone()));
@@ -78,7 +79,7 @@
         });
         let mut report = feeds.report.clone();
         let is_ready = |r: &hooklug_control::NodeReport| r.engine.as_ref().is_some_and(|e| e.ready);
-        let hosted = report.wait_for(is_ready).await.expect("a report").engine.clone();
+        let hosted = report.wait_for(is_ready).await.expect("no report").engine.clone();
         let member = Member {
             address: identity.address.clone(),
             health: MemberHealth::Alive,
@@ -88,7 +89,7 @@
         Self { model, feeds, serving, running, member }
     }
 
-    /// Ends the engine as a kill would.
+    /// Stops the engine abruptly, as a kill would.
     fn kill(&self) {
         self.running.abort();
         self.serving.cancel();
@@ -128,7 +129,7 @@
     check_contiguous(&events, 1);
     assert_eq!(events.last().unwrap().event, "finished");
 
-    // A stream that is cut at one gateway goes on at the other.
+    // A stream that was closed at one gateway resumes at the other.
     let body = turn("t2", Some("t1"));
     let mut cut = http::post_turn(env.url(0), "p1/sessions/s1", &body).await;
     let mut seen = vec![cut.next().await.unwrap().unwrap(), cut.next().await.unwrap().unwrap()];
@@ -140,7 +141,7 @@
     seen.extend(rest);
     check_contiguous(&seen, events.len() as u64 + 1);
 
-    // A killed owner's turn ends interrupted on the same stream, and the session goes on.
+    // A killed owner's turn ends interrupted on the same stream, and the session continues.
     let second = Host::start(&env, "e2", "v2", 12).await;
     list(&mut env, &second);
     let body = turn("t3", Some("t2"));
@@ -158,7 +159,7 @@
     assert!(complete);
     assert_eq!(fourth.last().unwrap().event, "finished");
 
-    // Everything is there for whoever joins, in one sync.
+    // Joining returns the complete history in one sync.
     let mut joined = http::follow(env.url(0), &format!("{path}/events"), None).await;
     let sync = joined.next().await.unwrap().unwrap();
     let all = events.len() + seen.len() + third.len() + fourth.len();
@@ -185,7 +186,7 @@
         slots: 16,
         ledger: None,
     });
-    let app = app.await.expect("a port");
+    let app = app.await.expect("failed to bind a port");
     let listed = ApplicationEngine {
         engine: id("app-1"),
         incarnation: app.identity().incarnation,
@@ -210,7 +211,7 @@
         lines.iter().filter(|line| is_it(&line.entry)).count()
     };
     assert_eq!(ran(app.ledger(), "p1/c1"), 1);
-    // A lost answer is found again by the look-up, without another run.
+    // A lost response is found by the lookup, without another run.
     let lose = hooklug_emulator::FaultRule::always(hooklug_emulator::FaultKind::LoseAnswer);
     app.set_faults(hooklug_emulator::Faults { rules: vec![lose], ..Default::default() });
     let lost = http::put(env.url(0), "/v1/programs/p1/calls/c2", &body).await;
