--- a/crates/gateway/src/api/admission.rs
+++ b/crates/gateway/src/api/admission.rs
@@ -29,7 +29,7 @@
 
 /// Context of an admitted request.
 #[derive(Debug, Clone)]
-pub struct Admitted {
+pub struct RequestContext {
     /// The bundle that applies to the request.
     pub bundle: Arc<InstalledBundle>,
     /// The authenticated caller.
@@ -52,8 +52,8 @@
         .get::<MatchedPath>()
         .map_or_else(|| "none".to_owned(), |path| path.as_str().to_owned());
     let mut response = match check_admission(&shared, bundle, &request) {
-        Ok(admitted) => {
-            request.extensions_mut().insert(admitted);
+        Ok(context) => {
+            request.extensions_mut().insert(context);
             next.run(request).await
         }
         Err(problem) => problem.into_response(),
@@ -71,7 +71,7 @@
     shared: &Shared,
     bundle: Option<Arc<InstalledBundle>>,
     request: &Request,
-) -> Result<Admitted, Problem> {
+) -> Result<RequestContext, Problem> {
     let bundle =
         bundle.ok_or_else(|| Problem::try_again("no bundle is installed yet", RETRY_STORE))?;
     let caller = authorize(request.headers(), &bundle.bundle)?;
@@ -80,10 +80,10 @@
         GatewayMode::Full => Some(shared.tenants.admit(&caller.tenant, &caller.entry.limits)?),
     };
     let guard = Arc::new(RequestGuard { _permit: permit, _running: shared.running.token() });
-    Ok(Admitted { bundle, caller, guard })
+    Ok(RequestContext { bundle, caller, guard })
 }
 
 /// Creates a `429 tenant_limited` error.
 pub(crate) fn tenant_limited(what: &str, after: std::time::Duration) -> Problem {
-    Problem::claims_nothing(Code::TenantLimited, what, after)
+    Problem::retryable(Code::TenantLimited, what, after)
 }
--- a/crates/gateway/src/api/body.rs
+++ b/crates/gateway/src/api/body.rs
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// `unknown_field`.
-    pub fn finish(self) -> Result<(), Problem> {
+    pub fn deny_unknown(self) -> Result<(), Problem> {
         match self.0.keys().next() {
             Some(name) => {
                 Err(Problem::field(Code::UnknownField, name, "is not a field of this request"))
--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -43,7 +43,7 @@
     let (tool, arguments) = tool_and_arguments(&mut fields)?;
     let repeat = fields.optional("repeat")?;
     let deadline_ms: Option<u64> = fields.optional("deadline_ms")?;
-    fields.finish()?;
+    fields.deny_unknown()?;
     if deadline_ms.is_some_and(|ms| ms == 0 || ms > MAX_DEADLINE_MS) {
         let detail = format!("must be between 1 and {MAX_DEADLINE_MS}");
         return Err(Problem::field(Code::BadField, "deadline_ms", detail));
@@ -73,16 +73,16 @@
 }
 
 pub(crate) async fn put(req: ApiRequest, fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, received_at, .. } = &req;
+    let ApiRequest { shared, context, received_at, .. } = &req;
     let body = parse(fields)?;
     let (program, call) = req.own_call().await?;
-    let (route_name, route) = tool_route(&admitted.bundle.bundle, &body.tool)?;
+    let (route_name, route) = tool_route(&context.bundle.bundle, &body.tool)?;
     let max_ms = route.deadline_ms;
     let allowed = Duration::from_millis(body.deadline_ms.map_or(max_ms, |ms| ms.min(max_ms)));
     let request = CallRequest {
         program,
         call,
-        tenant: admitted.caller.tenant.clone(),
+        tenant: context.caller.tenant.clone(),
         arguments: Bytes::from(body.arguments.to_string()),
         tool: body.tool,
         route: route_name.clone(),
@@ -93,7 +93,7 @@
     let history = &shared.calls.history;
     if route.may_repeat
         && body.repeat != Some(false)
-        && history.repeatability(&admitted.bundle, &request.tool, route).await
+        && history.repeatability(&context.bundle, &request.tool, route).await
             == Some(Repeatability::Repeatable)
     {
         return Ok(answered(&shared.calls.call_repeatable(&request).await?));
@@ -137,13 +137,13 @@
 }
 
 pub(crate) async fn seal(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &req;
+    let ApiRequest { shared, context, .. } = &req;
     let (tool, arguments) = tool_and_arguments(&mut fields)?;
-    fields.finish()?;
+    fields.deny_unknown()?;
     let (program, call) = req.own_call().await?;
-    let (_, route) = tool_route(&admitted.bundle.bundle, &tool)?;
+    let (_, route) = tool_route(&context.bundle.bundle, &tool)?;
     let digest = content_digest(&tool, &arguments);
-    let record = match shared.calls.history.repeatability(&admitted.bundle, &tool, route).await {
+    let record = match shared.calls.history.repeatability(&context.bundle, &tool, route).await {
         None => {
             return Err(Problem::try_again(
                 "the history of the installed bundle has not been read yet",
@@ -155,7 +155,7 @@
             let read = shared.shards.call(&program, &call, Shared::shard_deadline()).await?;
             let record = read.ok_or_else(calls_not_recorded)?;
             if record.digest != digest {
-                return Err(refusals::ledger(&ShardRefusal::CallDiffers));
+                return Err(refusals::from_shard(&ShardRefusal::CallDiffers));
             }
             record
         }
@@ -179,7 +179,7 @@
     match reply {
         ShardReply::Call(record) => Ok(record),
         ShardReply::Refused(ShardRefusal::CallHeld { record }) => Ok(*record),
-        ShardReply::Refused(refusal) => Err(refusals::ledger(&refusal)),
+        ShardReply::Refused(refusal) => Err(refusals::from_shard(&refusal)),
         _ => Err(ShardError::Unexpected.into()),
     }
 }
--- a/crates/gateway/src/api/problem.rs
+++ b/crates/gateway/src/api/problem.rs
@@ -120,7 +120,7 @@
 /// What an error states about the requested work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Claim {
+pub enum WorkOutcome {
     /// The work is sealed: it did not run and never will.
     NotRun,
     /// The work may have run.
@@ -137,7 +137,7 @@
     /// Request field that caused the error.
     pub field: Option<String>,
     /// Statement about the requested work.
-    pub claim: Option<Claim>,
+    pub outcome: Option<WorkOutcome>,
     /// Human-readable explanation.
     pub detail: String,
     /// Delay after which to retry.
@@ -154,7 +154,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     field: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    outcome: Option<Claim>,
+    outcome: Option<WorkOutcome>,
     detail: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
@@ -164,7 +164,7 @@
     /// Creates an error with a code and an explanation.
     #[must_use]
     pub fn new(code: Code, detail: impl Into<String>) -> Self {
-        Self { code, field: None, claim: None, detail: detail.into(), retry_after: None }
+        Self { code, field: None, outcome: None, detail: detail.into(), retry_after: None }
     }
 
     /// Creates an error about one request field.
@@ -176,28 +176,32 @@
     /// Creates a `503 try_again` error, which states nothing about the work.
     #[must_use]
     pub fn try_again(detail: impl Into<String>, after: Duration) -> Self {
-        Self::claims_nothing(Code::TryAgain, detail, after)
+        Self::retryable(Code::TryAgain, detail, after)
     }
 
     /// Creates an error that states nothing about the work, which may be requested again after a
     /// delay. The delay is at least `after` and at most half as long again, so that callers do not
     /// all retry at once.
     #[must_use]
-    pub fn claims_nothing(code: Code, detail: impl Into<String>, after: Duration) -> Self {
+    pub fn retryable(code: Code, detail: impl Into<String>, after: Duration) -> Self {
         let after = after + after.mul_f64(rand::rng().random_range(0.0..=RETRY_SPREAD));
-        Self { claim: Some(Claim::TryAgain), retry_after: Some(after), ..Self::new(code, detail) }
+        Self {
+            outcome: Some(WorkOutcome::TryAgain),
+            retry_after: Some(after),
+            ..Self::new(code, detail)
+        }
     }
 
     /// Creates an error about work that may have run.
     #[must_use]
     pub fn unknown(code: Code, detail: impl Into<String>) -> Self {
-        Self { claim: Some(Claim::Unknown), ..Self::new(code, detail) }
+        Self { outcome: Some(WorkOutcome::Unknown), ..Self::new(code, detail) }
     }
 
     /// Creates an error about sealed work.
     #[must_use]
     pub fn not_run(code: Code, detail: impl Into<String>) -> Self {
-        Self { claim: Some(Claim::NotRun), ..Self::new(code, detail) }
+        Self { outcome: Some(WorkOutcome::NotRun), ..Self::new(code, detail) }
     }
 
     /// Returns the JSON body.
@@ -209,7 +213,7 @@
             status: self.code.status().as_u16(),
             code: self.code,
             field: self.field.as_deref(),
-            outcome: self.claim,
+            outcome: self.outcome,
             detail: &self.detail,
             retry_after_ms: self
                 .retry_after
--- a/crates/gateway/src/api/refusals.rs
+++ b/crates/gateway/src/api/refusals.rs
@@ -16,7 +16,7 @@
 
 /// Maps a refusal committed by the shard.
 #[must_use]
-pub fn ledger(refusal: &ShardRefusal) -> Problem {
+pub fn from_shard(refusal: &ShardRefusal) -> Problem {
     let detail = refusal.to_string();
     match refusal {
         ShardRefusal::NoProgram => Problem::new(Code::NoProgram, detail),
@@ -32,7 +32,7 @@
         ShardRefusal::BudgetSpent => Problem::new(Code::BudgetSpent, detail),
         ShardRefusal::ProgramEnded => Problem::new(Code::ProgramEnded, detail),
         ShardRefusal::BudgetReserved => {
-            Problem::claims_nothing(Code::BudgetReserved, detail, RETRY_SOON)
+            Problem::retryable(Code::BudgetReserved, detail, RETRY_SOON)
         }
         ShardRefusal::CallDiffers => Problem::new(Code::CallDiffers, detail),
         ShardRefusal::NoCall => Problem::new(Code::NoCall, detail),
@@ -58,16 +58,16 @@
 
 /// Maps a refusal of an engine that the gateway could not handle itself.
 #[must_use]
-pub fn engine(refusal: &EngineRefusal) -> Problem {
+pub fn from_engine(refusal: &EngineRefusal) -> Problem {
     let detail = refusal.to_string();
     match refusal {
-        EngineRefusal::Ledger(refusal) => ledger(refusal),
+        EngineRefusal::Ledger(refusal) => from_shard(refusal),
         EngineRefusal::Overloaded { retry_after_ms } => {
             let after = Duration::from_millis(*retry_after_ms);
-            Problem::claims_nothing(Code::Overloaded, detail, after)
+            Problem::retryable(Code::Overloaded, detail, after)
         }
         EngineRefusal::DeadlineExceeded => {
-            Problem::claims_nothing(Code::DeadlineExceeded, detail, RETRY_SOON)
+            Problem::retryable(Code::DeadlineExceeded, detail, RETRY_SOON)
         }
         EngineRefusal::StoreUnavailable => Problem::try_again(detail, RETRY_STORE),
         EngineRefusal::NotOwner { .. }
--- a/crates/gateway/src/api/request.rs
+++ b/crates/gateway/src/api/request.rs
@@ -9,7 +9,7 @@
 use http::request::Parts;
 use tokio::time::Instant;
 
-use super::admission::Admitted;
+use super::admission::RequestContext;
 use super::body::{Fields, path_id};
 use super::problem::{Code, Problem};
 use super::refusals::RETRY_SOON;
@@ -21,7 +21,7 @@
     /// State of the gateway.
     pub(crate) shared: Arc<Shared>,
     /// The bundle that applies to the request, and the caller.
-    pub(crate) admitted: Admitted,
+    pub(crate) context: RequestContext,
     /// Arrival time; deadlines start here and include reading the body.
     pub(crate) received_at: Instant,
     params: RawPathParams,
@@ -42,7 +42,7 @@
     /// `bad_id`, `no_program`, or `try_again` when its shard cannot be read.
     pub(crate) async fn own_program(&self) -> Result<ProgramId, Problem> {
         let program = self.id("program")?;
-        self.shared.own_program(&self.admitted.caller, &program).await?;
+        self.shared.own_program(&self.context.caller, &program).await?;
         Ok(program)
     }
 
@@ -72,10 +72,10 @@
         let params = RawPathParams::from_request_parts(parts, shared).await;
         let params =
             params.map_err(|error| Problem::field(Code::BadId, "path", error.to_string()))?;
-        let admitted = parts.extensions.get::<Admitted>().cloned();
-        let admitted = admitted
+        let context = parts.extensions.get::<RequestContext>().cloned();
+        let context = context
             .ok_or_else(|| Problem::try_again("the request was not admitted", RETRY_SOON))?;
-        Ok(Self { shared: shared.clone(), admitted, received_at: Instant::now(), params })
+        Ok(Self { shared: shared.clone(), context, received_at: Instant::now(), params })
     }
 }
 
--- a/crates/gateway/src/api/sessions.rs
+++ b/crates/gateway/src/api/sessions.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::admission::Admitted;
+use super::admission::RequestContext;
 use super::body::Fields;
 use super::problem::{Code, Problem};
 use super::request::ApiRequest;
@@ -26,18 +26,21 @@
 /// Maximum length of a tool result's call id, in bytes.
 const MAX_CALL_NAME_BYTES: usize = 256;
 
-pub(super) async fn read(shared: &Shared, key: &SessionKey) -> Result<SessionRecord, Problem> {
+pub(super) async fn read_session(
+    shared: &Shared,
+    key: &SessionKey,
+) -> Result<SessionRecord, Problem> {
     let record = shared.shards.session(key, Shared::shard_deadline()).await?;
     record.ok_or_else(|| Problem::new(Code::NoSession, "no such session"))
 }
 
 pub(crate) async fn put(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &req;
+    let ApiRequest { shared, context, .. } = &req;
     let model: ModelName = fields.id("model")?;
     let prefix: Option<PrefixId> = fields.optional_id("prefix")?;
-    fields.finish()?;
+    fields.deny_unknown()?;
     let key = req.own_session().await?;
-    let (_, route) = admitted.bundle.bundle.session_route(&model).ok_or_else(|| {
+    let (_, route) = context.bundle.bundle.session_route(&model).ok_or_else(|| {
         Problem::field(Code::NoRoute, "model", format!("no route serves model {model}"))
     })?;
     let opening = Opening { key, service: route.service.clone(), prefix };
@@ -48,7 +51,7 @@
 pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
     let shared = &req.shared;
     let key = req.own_session().await?;
-    let record = read(shared, &key).await?;
+    let record = read_session(shared, &key).await?;
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
@@ -67,7 +70,7 @@
     });
     let record = match closed.await {
         Ok((_, record)) => record,
-        Err(MessageError::Owner(OwnerError::Closed(_))) => read(shared, &key).await?,
+        Err(MessageError::Owner(OwnerError::Closed(_))) => read_session(shared, &key).await?,
         Err(error) => reread_closed(shared, &key, error).await?,
     };
     shared.owners.forget(&key);
@@ -85,7 +88,7 @@
     if problem.code != Code::SessionClosed && problem.code != Code::TryAgain {
         return Err(problem);
     }
-    let record = read(shared, key).await?;
+    let record = read_session(shared, key).await?;
     if record.closed { Ok(record) } else { Err(problem) }
 }
 
@@ -93,7 +96,7 @@
     let shared = &req.shared;
     let call: String = fields.required("call")?;
     let result: Value = fields.any("result")?;
-    fields.finish()?;
+    fields.deny_unknown()?;
     if call.is_empty() || call.len() > MAX_CALL_NAME_BYTES {
         let detail = format!("must have 1 to {MAX_CALL_NAME_BYTES} bytes");
         return Err(Problem::field(Code::BadId, "call", detail));
@@ -112,26 +115,26 @@
 }
 
 pub(crate) async fn events(req: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &req;
+    let ApiRequest { shared, context, .. } = &req;
     let key = req.own_session().await?;
     match last_event_id(&headers)? {
-        Some(last) => resume(shared, admitted, key, last).await,
-        None => join(shared, admitted, key).await,
+        Some(last) => resume(shared, context, key, last).await,
+        None => join(shared, context, key).await,
     }
 }
 
 async fn resume(
     shared: &Arc<Shared>,
-    admitted: &Admitted,
+    context: &RequestContext,
     key: SessionKey,
     last: EventSeq,
 ) -> Result<Response, Problem> {
-    let record = read(shared, &key).await?;
+    let record = read_session(shared, &key).await?;
     check_last_event_id(last, &record)?;
     if record.closed && last.next() >= record.next_seq {
         return Ok(StatusCode::NO_CONTENT.into_response());
     }
-    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, None, last, sink);
     shared.spawn(follower.run(None));
     Ok(event_stream(body))
@@ -139,7 +142,7 @@
 
 async fn join(
     shared: &Arc<Shared>,
-    admitted: &Admitted,
+    context: &RequestContext,
     key: SessionKey,
 ) -> Result<Response, Problem> {
     let joined = shared.owners.join(&key, Shared::session_deadline()).await;
@@ -156,7 +159,7 @@
         ));
     }
     let last = history.last().map_or(EventSeq(0), |event| event.seq);
-    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let first = sse::sync(&key.session, &history);
     let owners = shared.owners.clone();
     shared.spawn(async move {
@@ -212,10 +215,10 @@
 }
 
 /// Returns the code of an owner's refusal that is unrelated to ownership.
-pub(super) fn refused_code(error: &MessageError) -> Option<Code> {
+pub(super) fn engine_refusal_code(error: &MessageError) -> Option<Code> {
     match error {
         MessageError::Engine(EngineError::Refused(refusal)) => {
-            Some(super::refusals::engine(refusal).code)
+            Some(super::refusals::from_engine(refusal).code)
         }
         _ => None,
     }
--- a/crates/gateway/src/api/turns.rs
+++ b/crates/gateway/src/api/turns.rs
@@ -13,7 +13,9 @@
 use super::body::Fields;
 use super::problem::{Code, Problem};
 use super::request::ApiRequest;
-use super::sessions::{check_last_event_id, event_stream, last_event_id, read, refused_code};
+use super::sessions::{
+    check_last_event_id, engine_refusal_code, event_stream, last_event_id, read_session,
+};
 use super::{refusals, views};
 use crate::client_stream::client_stream;
 use crate::sessions::follower::Follower;
@@ -33,7 +35,7 @@
     let after = fields.optional_id("after")?;
     let input = fields.required("input")?;
     let max_tokens = TokenCount(fields.required("max_tokens")?);
-    fields.finish()?;
+    fields.deny_unknown()?;
     if max_tokens.0 == 0 {
         return Err(Problem::field(Code::BadField, "max_tokens", "must be at least 1"));
     }
@@ -53,15 +55,15 @@
     headers: HeaderMap,
     fields: Fields,
 ) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, received_at, .. } = &req;
+    let ApiRequest { shared, context, received_at, .. } = &req;
     let TurnBody { turn, after, input, max_tokens } = parse(fields)?;
     let last_seen = last_event_id(&headers)?.unwrap_or_default();
     shared.check_store_reachable()?;
     let key = req.own_session().await?;
-    let group = shared.own_program(&admitted.caller, &key.program).await?.group;
+    let group = shared.own_program(&context.caller, &key.program).await?.group;
     let entry = shared.owners.resolve(&key, None, Shared::session_deadline()).await?;
     let (route_name, route) =
-        session_route(&admitted.bundle.bundle, &entry.service).ok_or_else(|| {
+        session_route(&context.bundle.bundle, &entry.service).ok_or_else(|| {
             Problem::new(Code::NoRoute, format!("no session route for service {}", entry.service))
         })?;
     let deadline = *received_at + Duration::from_millis(route.deadline_ms);
@@ -71,7 +73,7 @@
         after,
         input,
         max_tokens,
-        tenant: admitted.caller.tenant.clone(),
+        tenant: context.caller.tenant.clone(),
         group,
         urgent: route.urgent,
         last_seen,
@@ -90,8 +92,8 @@
         route_name.clone(),
         *received_at,
     );
-    let after = start_of(&running.record).max(last_seen);
-    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
+    let after = seq_before(&running.record).max(last_seen);
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, Some(turn), after, sink);
     let follower = follower.observed_by(observer);
     shared.spawn(follower.run(Some((entry, running.feed))).instrument(span));
@@ -104,7 +106,7 @@
 }
 
 /// Returns the sequence number before a turn's first event.
-fn start_of(record: &TurnRecord) -> EventSeq {
+fn seq_before(record: &TurnRecord) -> EventSeq {
     EventSeq(record.started.0.saturating_sub(1))
 }
 
@@ -117,7 +119,7 @@
     match record {
         Some(record) => Ok(record),
         None => {
-            read(shared, key).await?;
+            read_session(shared, key).await?;
             Err(Problem::new(Code::NoTurn, "no such turn"))
         }
     }
@@ -132,13 +134,13 @@
 }
 
 pub(crate) async fn events(req: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &req;
+    let ApiRequest { shared, context, .. } = &req;
     let turn: TurnId = req.id("turn")?;
     let last = last_event_id(&headers)?.unwrap_or_default();
     let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     match &record.state {
-        TurnState::Refused(refusal) => return Err(refusals::ledger(refusal)),
+        TurnState::Refused(refusal) => return Err(refusals::from_shard(refusal)),
         // The caller has the terminal event; "204 No Content" makes an event source stop
         // reconnecting.
         TurnState::Ended { last_seq, .. } if last == *last_seq => {
@@ -149,11 +151,11 @@
             return Err(Problem::field(Code::BadField, "last-event-id", detail));
         }
         TurnState::Ended { .. } => {}
-        TurnState::Open => check_last_event_id(last, &read(shared, &key).await?)?,
+        TurnState::Open => check_last_event_id(last, &read_session(shared, &key).await?)?,
     }
     let span = info_span!("turn", program = %key.program, session = %key.session, turn = %turn);
-    let after = start_of(&record).max(last);
-    let (sink, body) = client_stream(shared.abort_streams.clone(), admitted.guard.clone());
+    let after = seq_before(&record).max(last);
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, Some(turn), after, sink);
     shared.spawn(follower.run(None).instrument(span));
     Ok(event_stream(body))
@@ -176,7 +178,7 @@
     let record = match sent.await {
         Ok((_, record)) => record,
         // The turn ended before the abort arrived.
-        Err(error) if error.is_closed() || refused_code(&error) == Some(Code::NoTurn) => {
+        Err(error) if error.is_closed() || engine_refusal_code(&error) == Some(Code::NoTurn) => {
             read_turn(shared, &key, &turn).await?
         }
         Err(error) => return Err(error.into()),
--- a/crates/gateway/src/api/views.rs
+++ b/crates/gateway/src/api/views.rs
@@ -59,7 +59,7 @@
     };
     let code = match &record.state {
         TurnState::Ended { reason: EndReason::Failed { code }, .. } => json!(code),
-        TurnState::Refused(refusal) => json!(super::refusals::ledger(refusal).code),
+        TurnState::Refused(refusal) => json!(super::refusals::from_shard(refusal).code),
         TurnState::Ended { .. } | TurnState::Open => Value::Null,
     };
     json!({
--- a/crates/gateway/src/calls/engine_slot.rs
+++ b/crates/gateway/src/calls/engine_slot.rs
@@ -44,8 +44,8 @@
         match reason {
             NoSlot::NoEngine => Problem::try_again(detail, RETRY_SOON),
             NoSlot::CircuitOpen(after) => Problem::try_again(detail, after.max(RETRY_SOON)),
-            NoSlot::TimedOut => Problem::claims_nothing(Code::DeadlineExceeded, detail, RETRY_SOON),
-            NoSlot::Shed(after) => Problem::claims_nothing(Code::Overloaded, detail, after),
+            NoSlot::TimedOut => Problem::retryable(Code::DeadlineExceeded, detail, RETRY_SOON),
+            NoSlot::Shed(after) => Problem::retryable(Code::Overloaded, detail, after),
         }
     }
 }
--- a/crates/gateway/src/calls/non_repeatable.rs
+++ b/crates/gateway/src/calls/non_repeatable.rs
@@ -127,7 +127,7 @@
                     drop(slot);
                     return self.await_other_attempt(&request, *record).await;
                 }
-                Err(ClaimError::Refused(refusal)) => return Err(refusals::ledger(&refusal)),
+                Err(ClaimError::Refused(refusal)) => return Err(refusals::from_shard(&refusal)),
                 Err(ClaimError::Uncertain(error)) => error,
             };
             let wait = backoff.next_wait();
--- a/crates/gateway/src/calls/repeatable.rs
+++ b/crates/gateway/src/calls/repeatable.rs
@@ -76,11 +76,11 @@
 fn failed(error: &ExchangeError, deadline: Instant) -> Problem {
     if Instant::now() >= deadline {
         let detail = format!("the deadline has passed; last attempt: {error}");
-        return Problem::claims_nothing(Code::DeadlineExceeded, detail, RETRY_SOON);
+        return Problem::retryable(Code::DeadlineExceeded, detail, RETRY_SOON);
     }
     match error {
         ExchangeError::Refused(Refusal::Overloaded) => {
-            Problem::claims_nothing(Code::Overloaded, error.to_string(), RETRY_SOON)
+            Problem::retryable(Code::Overloaded, error.to_string(), RETRY_SOON)
         }
         _ => Problem::try_again(error.to_string(), RETRY_SOON),
     }
--- a/crates/gateway/src/limits/queue.rs
+++ b/crates/gateway/src/limits/queue.rs
@@ -129,8 +129,8 @@
         self.rotation.retain(|waiting| waiting != tenant);
     }
 
-    /// Removes a call of the tenant with the most queued calls, unless the new call's tenant would
-    /// have as many.
+    /// Removes the call with the latest deadline of the tenant with the most queued calls. For a
+    /// non-urgent call, that tenant must have more calls than the new call's tenant would have.
     fn displace(&mut self, newcomer: &TenantId, urgent: bool) -> Option<T> {
         let own = self.tenants.get(newcomer).map_or(0, BTreeMap::len);
         let (largest, waiting) = self.tenants.iter_mut().max_by_key(|(_, w)| w.len())?;
--- a/crates/gateway/src/sessions/messages.rs
+++ b/crates/gateway/src/sessions/messages.rs
@@ -55,7 +55,7 @@
     fn from(error: MessageError) -> Self {
         match error {
             MessageError::Owner(error) => error.into(),
-            MessageError::Engine(EngineError::Refused(refusal)) => refusals::engine(&refusal),
+            MessageError::Engine(EngineError::Refused(refusal)) => refusals::from_engine(&refusal),
             MessageError::Engine(error) => {
                 Problem::try_again(error.to_string(), refusals::RETRY_SOON)
             }
--- a/crates/gateway/src/sessions/opening.rs
+++ b/crates/gateway/src/sessions/opening.rs
@@ -94,7 +94,7 @@
                 Ok(Some(*record))
             }
             Err(EngineError::Refused(EngineRefusal::Ledger(refusal))) => {
-                Err(refusals::ledger(&refusal))
+                Err(refusals::from_shard(&refusal))
             }
             // The engine may have recorded its ownership: read the record.
             Err(EngineError::Lost(_)) => Ok(self.shards.session(&opening.key, deadline).await?),
