--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -34,7 +34,7 @@
     #[error("cannot connect: {0}")]
     Connect(String),
     /// Another process listens at the address.
-    #[error("the identity served at {0} is not the expected engine's")]
+    #[error("the endpoint at {0} did not report the expected engine identity")]
     OtherIdentity(SocketAddr),
 }
 
--- a/crates/gateway/src/backend/state.rs
+++ b/crates/gateway/src/backend/state.rs
@@ -131,8 +131,8 @@
     pub(super) fn capacity(&self, name: &ServiceName, service: &Service) -> (u32, usize) {
         let max_concurrency = service.concurrency_per_engine;
         let listed = self.listed(name);
-        let state = listed.iter().filter_map(|e| self.engines.get(&e.target.run));
-        (state.map(|state| state.limit.steady(max_concurrency)).sum(), listed.len())
+        let states = listed.iter().filter_map(|e| self.engines.get(&e.target.run));
+        (states.map(|state| state.limit.steady(max_concurrency)).sum(), listed.len())
     }
 
     /// Records the start of a call to an engine.
--- a/crates/gateway/src/backend/table.rs
+++ b/crates/gateway/src/backend/table.rs
@@ -18,7 +18,7 @@
 use super::stats::CallEnd;
 use super::wait_queue::WaitQueues;
 use super::{EngineRun, Target};
-use crate::version_order::{RolloutClock, StoppedVersions, preferred_versions, time_since_commit};
+use crate::versions::{RolloutClock, StoppedVersions, preferred_versions, time_since_commit};
 
 /// Criteria for selecting an engine for a call.
 #[derive(Debug, Clone, Copy)]
--- a/crates/gateway/src/sessions/follower.rs
+++ b/crates/gateway/src/sessions/follower.rs
@@ -180,7 +180,7 @@
     /// Handles a committed event. Returns whether it completed the stream.
     async fn accept(&mut self, event: Event) -> Result<bool, RelayEnd> {
         match self.cursor.classify(event.seq) {
-            EventPosition::Seen => return Ok(false),
+            EventPosition::Duplicate => return Ok(false),
             EventPosition::Next => {}
             EventPosition::Gap => {
                 let deadline = Instant::now() + RECOVERY_TIMEOUT;
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -112,7 +112,7 @@
         self.running.spawn(task);
     }
 
-    /// Returns the program's cached facts if the caller owns the program. For any other tenant the
+    /// Returns the program's attributes if the caller's tenant owns it. For any other tenant the
     /// program does not exist.
     pub(crate) async fn own_program(
         &self,
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -41,8 +41,8 @@
 }
 
 /// Rollout start of each service's newest sound version; steps count from there. For the first
-/// bundle that a node sees, the start is the bundle's commit time, so that a restarted gateway continues
-/// the rollout instead of skipping its steps.
+/// bundle that a node sees, the start is the bundle's commit time, so that a restarted gateway
+/// continues the rollout instead of skipping its steps.
 #[derive(Debug, Default)]
 pub struct RolloutClock {
     since: HashMap<(ServiceName, ServiceVersion), Option<Instant>>,
