--- a/crates/gateway/src/calls/mod.rs
+++ b/crates/gateway/src/calls/mod.rs
@@ -2,11 +2,11 @@
 
 pub mod engine_slot;
 pub mod non_repeatable;
+pub mod outcome_lookup;
 pub mod record;
 pub mod repeat_history;
 pub mod repeatable;
 pub mod retry_budget;
-pub mod settle;
 
 use std::sync::Arc;
 
