--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -16,7 +16,7 @@
 use super::request::ApiRequest;
 use super::{refusals, views};
 use crate::backend::answer::Answer;
-use crate::calls::non_repeatable::{Settled, unknown};
+use crate::calls::non_repeatable::{CallResult, unknown};
 use crate::calls::repeat_history::Repeatability;
 use crate::calls::{CallRequest, content_digest};
 use crate::shards::ShardError;
@@ -96,14 +96,14 @@
         && history.repeatability(&context.bundle, &request.tool, route).await
             == Some(Repeatability::Repeatable)
     {
-        return Ok(answered(&shared.calls.call_repeatable(&request).await?));
+        return Ok(answer_response(&shared.calls.call_repeatable(&request).await?));
     }
     shared.check_store_reachable()?;
-    settled(shared.calls.call_non_repeatable(request).await?)
+    result_response(shared.calls.call_non_repeatable(request).await?)
 }
 
 /// Forwards the application's response unchanged.
-fn answered(answer: &Answer) -> Response {
+fn answer_response(answer: &Answer) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = (status, answer.body.clone()).into_response();
     let headers = response.headers_mut();
@@ -112,15 +112,15 @@
     response
 }
 
-fn settled(settled: Settled) -> Result<Response, Problem> {
-    match settled {
-        Settled::Answered(answer) => Ok(answered(&answer)),
-        Settled::Refused(problem) => {
+fn result_response(result: CallResult) -> Result<Response, Problem> {
+    match result {
+        CallResult::Answered(answer) => Ok(answer_response(&answer)),
+        CallResult::Refused(problem) => {
             let json = HeaderValue::from_static("application/problem+json");
             Ok((StatusCode::BAD_GATEWAY, [(header::CONTENT_TYPE, json)], problem).into_response())
         }
-        Settled::Unknown => Err(unknown("the call may have run; its response was lost")),
-        Settled::NotRun => {
+        CallResult::Unknown => Err(unknown("the call may have run; its response was lost")),
+        CallResult::NotRun => {
             Err(Problem::not_run(Code::CallSealed, "the call was sealed: it did not run"))
         }
     }
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -30,7 +30,7 @@
 /// Why no connection was established; no byte of a request was written.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The connection could not be opened in time.
+    /// The connection could not be opened.
     #[error("cannot connect: {0}")]
     Connect(String),
     /// Another process listens at the address.
--- a/crates/gateway/src/calls/non_repeatable.rs
+++ b/crates/gateway/src/calls/non_repeatable.rs
@@ -53,7 +53,7 @@
 
 /// Outcome of a call, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Settled {
+pub enum CallResult {
     /// The application's recorded answer.
     Answered(Answer),
     /// Every engine refused it before it ran. The refusal is recorded, so the call will never run.
@@ -64,8 +64,8 @@
     NotRun,
 }
 
-impl Settled {
-    fn of(outcome: CallOutcome) -> Self {
+impl CallResult {
+    fn from_outcome(outcome: CallOutcome) -> Self {
         match outcome {
             CallOutcome::Answered { status, body } if status == refused_status() => {
                 Self::Refused(body)
@@ -93,14 +93,14 @@
     pub async fn call_non_repeatable(
         self: &Arc<Self>,
         request: CallRequest,
-    ) -> Result<Settled, Problem> {
+    ) -> Result<CallResult, Problem> {
         let deadline = request.deadline;
         let span = info_span!("call", program = %request.program, call = %request.call);
         let calls = self.clone();
         let work = async move { calls.claim_and_run(request).await }.instrument(span);
         let running = self.running.spawn(work);
         match timeout_at(deadline, running).await {
-            Ok(Ok(settled)) => settled,
+            Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(unknown("the gateway failed internally while the call was running")),
             Err(_) => Err(Problem::unknown(
                 Code::DeadlineExceeded,
@@ -109,7 +109,7 @@
         }
     }
 
-    async fn claim_and_run(self: Arc<Self>, request: CallRequest) -> Result<Settled, Problem> {
+    async fn claim_and_run(self: Arc<Self>, request: CallRequest) -> Result<CallResult, Problem> {
         let slot = match self.acquire_or_find_record(&request).await? {
             Preparation::Slot(slot) => slot,
             Preparation::Recorded(record) => {
@@ -209,11 +209,11 @@
         request: &CallRequest,
         attempt: &CallAttempt,
         slot: Option<EngineSlot>,
-    ) -> Settled {
+    ) -> CallResult {
         let outcome = self.dispatch_once(request, attempt, slot).await;
         let name = request.name(attempt);
         let committed = self.finish(&name, &outcome, RECORD_TIMEOUT).await;
-        committed.map_or(Settled::Unknown, Settled::of)
+        committed.map_or(CallResult::Unknown, CallResult::from_outcome)
     }
 
     /// Tries engines until one accepts the call; no other engine is tried after that.
@@ -266,7 +266,7 @@
         &self,
         request: &CallRequest,
         mut record: CallRecord,
-    ) -> Result<Settled, Problem> {
+    ) -> Result<CallResult, Problem> {
         let digest = request.digest();
         let left = request.deadline.saturating_duration_since(Instant::now());
         let until = Instant::now() + left.saturating_sub(REPLY_MARGIN.min(left / 4));
@@ -283,11 +283,11 @@
                 next_lookup = Instant::now() + LOOKUP_INTERVAL;
             }
             if let Some(outcome) = record.outcome.clone() {
-                return Ok(Settled::of(outcome));
+                return Ok(CallResult::from_outcome(outcome));
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= until {
-                return Ok(Settled::Unknown);
+                return Ok(CallResult::Unknown);
             }
             sleep(wait).await;
             let read = self.shards.call(&request.program, &request.call, until).await?;
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -122,7 +122,7 @@
     assert_eq!(circuit.admit(probe), Ok(()));
 }
 
-fn popped<T>(queue: &mut CallQueue<T>) -> Vec<T> {
+fn pop_all<T>(queue: &mut CallQueue<T>) -> Vec<T> {
     std::iter::from_fn(|| queue.pop()).collect()
 }
 
@@ -142,7 +142,7 @@
         let pushed = queue.push(tenant, urgent, at(deadline), 10, name);
         assert!(matches!(pushed, PushResult::Waiting(_)));
     }
-    assert_eq!(popped(&mut queue), ["urgent", "a10", "b90", "a20", "a30"]);
+    assert_eq!(pop_all(&mut queue), ["urgent", "a10", "b90", "a20", "a30"]);
     assert!(queue.is_empty());
 }
 
@@ -161,7 +161,7 @@
     let PushResult::Displaced(ticket, _) = fair else { unreachable!() };
     assert_eq!(queue.remove(&ticket), Some("b0".to_owned()));
     assert_eq!(queue.remove(&ticket), None);
-    assert_eq!(popped(&mut queue), ["a0", "a1"]);
+    assert_eq!(pop_all(&mut queue), ["a0", "a1"]);
 }
 
 proptest! {
@@ -198,7 +198,7 @@
             prop_assert!(queue.len() <= 20);
             prop_assert_eq!(queue.is_empty(), waiting.is_empty());
         }
-        prop_assert_eq!(popped(&mut queue).len(), waiting.len());
+        prop_assert_eq!(pop_all(&mut queue).len(), waiting.len());
     }
 }
 
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -39,7 +39,7 @@
     }
 }
 
-fn placed(candidates: &[Candidate], prefix: Option<&str>, random: &mut impl Rng) -> String {
+fn place_session(candidates: &[Candidate], prefix: Option<&str>, random: &mut impl Rng) -> String {
     let prefix = prefix.map(id::<PrefixId>);
     let chosen = placement::choose(candidates, prefix.as_ref(), &id("z1"), random);
     chosen.expect("no candidate").engine.engine.as_str().to_owned()
@@ -50,8 +50,10 @@
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let candidates: Vec<_> = (0..8).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
     let prefixes: Vec<String> = (0..64).map(|n| format!("prefix-{n}")).collect();
-    let home: BTreeMap<&str, String> =
-        prefixes.iter().map(|p| (p.as_str(), placed(&candidates, Some(p), &mut random))).collect();
+    let home: BTreeMap<&str, String> = prefixes
+        .iter()
+        .map(|p| (p.as_str(), place_session(&candidates, Some(p), &mut random)))
+        .collect();
     let used: std::collections::BTreeSet<_> = home.values().collect();
     assert!(used.len() >= 6, "64 prefixes on {} of 8 engines", used.len());
     // Losing one engine moves only that engine's prefixes.
@@ -59,13 +61,13 @@
     let left: Vec<_> =
         candidates.iter().filter(|c| c.engine.engine.as_str() != lost).cloned().collect();
     for (prefix, engine) in &home {
-        let now = placed(&left, Some(prefix), &mut random);
+        let now = place_session(&left, Some(prefix), &mut random);
         assert!(*engine == lost || now == *engine, "{prefix} moved from {engine} to {now}");
     }
     // A full engine's prefixes move to other engines.
     let mut busy = candidates.clone();
     busy.iter_mut().filter(|c| c.engine.engine.as_str() == lost).for_each(|c| c.work = 10);
-    assert_ne!(placed(&busy, Some("prefix-0"), &mut random), lost);
+    assert_ne!(place_session(&busy, Some("prefix-0"), &mut random), lost);
 }
 
 #[test]
@@ -73,11 +75,11 @@
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut candidates = vec![candidate("near", "z1", 9), candidate("far", "z2", 0)];
     for _ in 0..20 {
-        assert_eq!(placed(&candidates, None, &mut random), "near");
+        assert_eq!(place_session(&candidates, None, &mut random), "near");
     }
     candidates[0].work = 10;
     for _ in 0..20 {
-        assert_eq!(placed(&candidates, None, &mut random), "far");
+        assert_eq!(place_session(&candidates, None, &mut random), "far");
     }
     assert_eq!(placement::choose(&[], None, &id("z1"), &mut random), None);
 }
@@ -90,7 +92,7 @@
         c.slots = 1000;
     }
     for _ in 0..1000 {
-        let name = placed(&candidates, None, &mut random);
+        let name = place_session(&candidates, None, &mut random);
         candidates
             .iter_mut()
             .filter(|c| c.engine.engine.as_str() == name)
@@ -282,16 +284,17 @@
     assert_eq!(candidates[1].stats.slow_start_share(grown), 1.0);
 }
 
-fn farm() -> Service {
-    let mut farm = bundle().services[&id::<ServiceName>("farm")].clone();
-    farm.versions
+fn farm_service() -> Service {
+    let mut farm_service = bundle().services[&id::<ServiceName>("farm")].clone();
+    farm_service
+        .versions
         .push(hooklug_bundle::VersionEntry { version: id("v2"), state: VersionState::Sound });
-    farm
+    farm_service
 }
 
 #[test]
 fn a_new_version_takes_over_step_by_step() {
-    let service = farm();
+    let service = farm_service();
     let at = |seconds| step_percentage(&service, Some(Duration::from_secs(seconds)));
     assert_eq!([0, 4, 5, 10, 15, 900].map(at), [5, 5, 25, 50, 100, 100]);
     assert_eq!(step_percentage(&service, None), 100);
@@ -315,7 +318,7 @@
 
 #[test]
 fn a_listed_version_without_engines_does_not_pass_its_share_to_the_newest() {
-    let mut service = farm();
+    let mut service = farm_service();
     service
         .versions
         .push(hooklug_bundle::VersionEntry { version: id("v3"), state: VersionState::Sound });
@@ -334,7 +337,7 @@
     let long_ago = Duration::from_secs(1_000_000);
     clock.record_versions([(&name, &v1)].into_iter(), long_ago, now);
     // The rollout is complete, whether or not the clock's range reaches back that far.
-    assert_eq!(step_percentage(&farm(), clock.age(&name, &v1, now)), 100);
+    assert_eq!(step_percentage(&farm_service(), clock.age(&name, &v1, now)), 100);
     clock.record_versions(
         [(&name, &v2)].into_iter(),
         Duration::ZERO,
