--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -122,7 +122,10 @@
         if timeout(grace.saturating_sub(ABORT_TIME), shared.running.wait()).await.is_ok() {
             return;
         }
-        info!(left = shared.running.len(), "grace period is over; aborting the remaining streams");
+        info!(
+            left = shared.running.len(),
+            "grace period is almost over; aborting the remaining streams"
+        );
         shared.abort_streams.cancel();
         let _ = timeout(ABORT_TIME.min(grace), shared.running.wait()).await;
     }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -46,7 +46,7 @@
     pub(crate) tenants: Tenants,
     /// Running requests and tasks; shutdown waits for them.
     pub(crate) running: TaskTracker,
-    /// Aborts the streams that remain when the grace period is over.
+    /// Aborts the streams that remain near the end of the grace period.
     pub(crate) abort_streams: CancellationToken,
 }
 
--- a/crates/gateway/tests/calls_overload.rs
+++ b/crates/gateway/tests/calls_overload.rs
@@ -142,7 +142,7 @@
     let engine = AppEngine::start("a1", 1).await;
     env.list_app(&engine, "v1", "z1");
     env.put_program("p1").await;
-    // The route's average is now 300 ms.
+    // This call sets the route's average to 300 ms.
     engine.next(Behaviour::Slow(Duration::from_millis(300)));
     assert_eq!(call(&env, 0, "c0", &sensor()).await.status, 200);
     engine.next(Behaviour::Slow(Duration::from_secs(600)));
@@ -175,7 +175,7 @@
     let engine = AppEngine::start("a1", 1).await;
     env.list_app(&engine, "v1", "z1");
     env.put_program("p1").await;
-    // The route's average is now 200 ms; this call takes longer.
+    // The first call sets the route's average to 200 ms; the second takes longer.
     engine.next(Behaviour::Slow(Duration::from_millis(200)));
     assert_eq!(call(&env, 0, "c0", &sensor()).await.status, 200);
     engine.next(Behaviour::Slow(Duration::from_millis(750)));
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -285,11 +285,11 @@
 }
 
 fn farm_service() -> Service {
-    let mut farm_service = bundle().services[&id::<ServiceName>("farm")].clone();
-    farm_service
+    let mut service = bundle().services[&id::<ServiceName>("farm")].clone();
+    service
         .versions
         .push(hooklug_bundle::VersionEntry { version: id("v2"), state: VersionState::Sound });
-    farm_service
+    service
 }
 
 #[test]
