--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hooklug_control::validate::JudgedVersion;
+use hooklug_control::judge::JudgedVersion;
 use hooklug_gateway::api::problem::Problem;
 use hooklug_gateway::backend::answer::{
     InvalidAnswer, Refusal, ResponseHead, validate_body, validate_head,
@@ -232,12 +232,10 @@
 
 #[test]
 fn callers_are_not_asked_back_all_at_once() {
-    let min_delay = Duration::from_millis(400);
+    let min = Duration::from_millis(400);
     let times: std::collections::BTreeSet<Duration> = (0..100)
-        .filter_map(|_| Problem::try_again("later", min_delay).retry_after)
-        .inspect(|after| {
-            assert!(*after >= min_delay && *after <= min_delay.mul_f64(1.5), "{after:?}")
-        })
+        .filter_map(|_| Problem::try_again("later", min).retry_after)
+        .inspect(|after| assert!(*after >= min && *after <= min.mul_f64(1.5), "{after:?}"))
         .collect();
     assert!(times.len() > 10, "{times:?}");
 }
