--- a/crates/gateway/src/api/body.rs
+++ b/crates/gateway/src/api/body.rs
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// `bad_field` when it is missing.
-    pub fn any(&mut self, name: &str) -> Result<Value, Problem> {
+    pub fn required_value(&mut self, name: &str) -> Result<Value, Problem> {
         self.0.remove(name).ok_or_else(|| Problem::field(Code::BadField, name, "is missing"))
     }
 
--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -53,7 +53,7 @@
 
 fn tool_and_arguments(fields: &mut Fields) -> Result<(String, Value), Problem> {
     let tool: String = fields.required("tool")?;
-    let arguments: Value = fields.any("arguments")?;
+    let arguments: Value = fields.required_value("arguments")?;
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     // The tool becomes part of a request path.
     if tool.is_empty() || tool.len() > MAX_TOOL_BYTES || !tool.chars().all(is_allowed) {
@@ -161,7 +161,9 @@
         }
         Some(Repeatability::NonRepeatable) => {
             let command = ShardCommand::SealCall { program: program.clone(), call, digest };
-            sealed(shared.shards.execute(&program, &command, Shared::shard_deadline()).await?)?
+            sealed_record(
+                shared.shards.execute(&program, &command, Shared::shard_deadline()).await?,
+            )?
         }
     };
     let record = shared.calls.complete_record(&program, record).await;
@@ -175,7 +177,7 @@
     Problem::field(Code::CallRepeatable, "tool", detail)
 }
 
-fn sealed(reply: ShardReply) -> Result<CallRecord, Problem> {
+fn sealed_record(reply: ShardReply) -> Result<CallRecord, Problem> {
     match reply {
         ShardReply::Call(record) => Ok(record),
         ShardReply::Refused(ShardRefusal::CallHeld { record }) => Ok(*record),
--- a/crates/gateway/src/api/sessions.rs
+++ b/crates/gateway/src/api/sessions.rs
@@ -95,7 +95,7 @@
 pub(crate) async fn tool_result(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
     let shared = &req.shared;
     let call: String = fields.required("call")?;
-    let result: Value = fields.any("result")?;
+    let result: Value = fields.required_value("result")?;
     fields.deny_unknown()?;
     if call.is_empty() || call.len() > MAX_CALL_NAME_BYTES {
         let detail = format!("must have 1 to {MAX_CALL_NAME_BYTES} bytes");
@@ -148,7 +148,7 @@
     let joined = shared.owners.join(&key, Shared::session_deadline()).await;
     let (history, feed) = match joined {
         Ok((entry, history, feed)) => (history, Some((entry, feed))),
-        Err(error) if error.is_closed() => (closed_history(shared, &key).await?, None),
+        Err(error) if error.is_closed() => (read_closed_history(shared, &key).await?, None),
         Err(error) => return Err(error.into()),
     };
     let is_contiguous = history.iter().zip(1..).all(|(event, seq)| event.seq == EventSeq(seq));
@@ -175,7 +175,7 @@
 }
 
 /// Reads all events of a session without an owner.
-async fn closed_history(shared: &Shared, key: &SessionKey) -> Result<Vec<Event>, Problem> {
+async fn read_closed_history(shared: &Shared, key: &SessionKey) -> Result<Vec<Event>, Problem> {
     let deadline = Shared::shard_deadline();
     let mut history: Vec<Event> = Vec::new();
     loop {
--- a/crates/gateway/src/api/sse.rs
+++ b/crates/gateway/src/api/sse.rs
@@ -10,7 +10,7 @@
 
 /// Name and data of one event.
 #[derive(Debug, Clone, PartialEq)]
-struct Named {
+struct WireEvent {
     event: &'static str,
     data: Value,
 }
@@ -19,7 +19,7 @@
     serde_json::from_str(text).unwrap_or_else(|_| Value::String(text.to_owned()))
 }
 
-fn ended(turn: Option<&TurnId>, reason: &EndReason, tokens: u64) -> Named {
+fn ended(turn: Option<&TurnId>, reason: &EndReason, tokens: u64) -> WireEvent {
     let turn = turn.map(TurnId::as_str);
     let (event, code) = match reason {
         EndReason::Finished => ("finished", None),
@@ -31,41 +31,42 @@
         Some(code) => json!({"turn": turn, "tokens": tokens, "code": code}),
         None => json!({"turn": turn, "tokens": tokens}),
     };
-    Named { event, data }
+    WireEvent { event, data }
 }
 
-fn named(event: &Event) -> Named {
+fn wire_event(event: &Event) -> WireEvent {
     let turn = event.turn.as_ref().map(TurnId::as_str);
     match &event.body {
-        EventBody::TurnStarted { after, input } => Named {
+        EventBody::TurnStarted { after, input } => WireEvent {
             event: "turn",
             data: json!({"turn": turn, "after": after.as_ref().map(TurnId::as_str), "input": input}),
         },
-        EventBody::Tokens { text, count } => {
-            Named { event: "tokens", data: json!({"turn": turn, "text": text, "count": count.0}) }
-        }
-        EventBody::ToolRequested { tool, arguments } => Named {
+        EventBody::Tokens { text, count } => WireEvent {
+            event: "tokens",
+            data: json!({"turn": turn, "text": text, "count": count.0}),
+        },
+        EventBody::ToolRequested { tool, arguments } => WireEvent {
             event: "tool_requested",
             data: json!({"turn": turn, "tool": tool, "arguments": json_text(arguments)}),
         },
-        EventBody::ToolResult { call, result } => Named {
+        EventBody::ToolResult { call, result } => WireEvent {
             event: "tool_result",
             data: json!({"turn": turn, "call": call, "result": json_text(result)}),
         },
         EventBody::TurnEnded { reason, tokens } => ended(event.turn.as_ref(), reason, tokens.0),
-        EventBody::Closed => Named { event: "closed", data: json!({}) },
+        EventBody::Closed => WireEvent { event: "closed", data: json!({}) },
     }
 }
 
-fn write(id: EventSeq, event: &str, data: &Value) -> Bytes {
+fn encode(id: EventSeq, event: &str, data: &Value) -> Bytes {
     Bytes::from(format!("id: {id}\nevent: {event}\ndata: {data}\n\n"))
 }
 
 /// Encodes one committed event.
 #[must_use]
 pub fn event(event: &Event) -> Bytes {
-    let Named { event: name, data } = named(event);
-    write(event.seq, name, &data)
+    let WireEvent { event: name, data } = wire_event(event);
+    encode(event.seq, name, &data)
 }
 
 /// Encodes the first event of a joined session: all events so far. Its id is that of the last one.
@@ -75,9 +76,9 @@
     let events: Vec<Value> = history
         .iter()
         .map(|e| {
-            let Named { event, data } = named(e);
+            let WireEvent { event, data } = wire_event(e);
             json!({"id": e.seq.0, "event": event, "data": data})
         })
         .collect();
-    write(last, "sync", &json!({"session": session.as_str(), "events": events}))
+    encode(last, "sync", &json!({"session": session.as_str(), "events": events}))
 }
--- a/crates/gateway/src/backend/answer.rs
+++ b/crates/gateway/src/backend/answer.rs
@@ -83,7 +83,7 @@
     Refused(Refusal),
 }
 
-fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
     if values.next().is_some() {
@@ -102,12 +102,12 @@
     request_id: &str,
     identity: &str,
 ) -> Result<ResponseHead, InvalidAnswer> {
-    if single(headers, REQUEST_HEADER) != Some(request_id) {
+    if single_value(headers, REQUEST_HEADER) != Some(request_id) {
         return Err(InvalidAnswer::WrongRequest);
     }
-    let is_expected = single(headers, ENGINE_HEADER) == Some(identity);
+    let is_expected = single_value(headers, ENGINE_HEADER) == Some(identity);
     if headers.contains_key(REFUSED_HEADER) {
-        return refusal(status, single(headers, REFUSED_HEADER), is_expected)
+        return refusal(status, single_value(headers, REFUSED_HEADER), is_expected)
             .map(ResponseHead::Refused);
     }
     if !is_expected {
@@ -116,7 +116,7 @@
     if !status.is_success() && !status.is_client_error() {
         return Err(InvalidAnswer::Status(status.as_u16()));
     }
-    let length = single(headers, header::CONTENT_LENGTH.as_str());
+    let length = single_value(headers, header::CONTENT_LENGTH.as_str());
     let length =
         length.and_then(|text| text.parse::<usize>().ok()).ok_or(InvalidAnswer::NoLength)?;
     if length > MAX_ANSWER_BYTES {
--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -24,12 +24,12 @@
     /// JSON body.
     pub body: Bytes,
     /// Call and attempt; absent for lookups.
-    pub call: Option<CallName>,
+    pub call: Option<AttemptKey>,
 }
 
 /// Identifies a call and its attempt in request headers.
 #[derive(Debug, Clone)]
-pub struct CallName {
+pub struct AttemptKey {
     /// The program.
     pub program: ProgramId,
     /// The call.
@@ -76,7 +76,7 @@
             .await
             .map_err(|_| not_sent("the deadline has passed"))?;
         let request_id = format!("{:032x}", rand::rng().random::<u128>());
-        let request = build(target, dispatch, &request_id, deadline).map_err(not_sent)?;
+        let request = build_request(target, dispatch, &request_id, deadline).map_err(not_sent)?;
         let exchange = self.send(target, connection, request, &request_id);
         timeout_at(deadline, exchange).await.map_err(|_| lost("the deadline has passed"))?
     }
@@ -111,7 +111,7 @@
     }
 }
 
-fn build(
+fn build_request(
     target: &Target,
     dispatch: &Dispatch,
     request_id: &str,
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
@@ -53,7 +53,7 @@
 /// Idle connections by engine run.
 #[derive(Debug)]
 pub struct Pool {
-    idle: Mutex<HashMap<EngineRun, Vec<Idle>>>,
+    idle: Mutex<HashMap<EngineRun, Vec<IdleConnection>>>,
     own_ip: IpAddr,
     faults: Arc<LinkFaults>,
 }
@@ -108,7 +108,7 @@
         let mut idle = self.lock();
         let connections = idle.entry(run.clone()).or_default();
         if connections.len() < MAX_IDLE_PER_RUN {
-            connections.push(Idle { connection, since: Instant::now() });
+            connections.push(IdleConnection { connection, since: Instant::now() });
         }
     }
 
@@ -167,7 +167,7 @@
         Ok(stream)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<EngineRun, Vec<Idle>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<EngineRun, Vec<IdleConnection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/gateway/src/calls/mod.rs
+++ b/crates/gateway/src/calls/mod.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use crate::backend::exchange::{CallName, Dispatch};
+use crate::backend::exchange::{AttemptKey, Dispatch};
 use crate::backend::table::Backends;
 use crate::shards::Shards;
 use crate::version_monitor::VersionMonitor;
@@ -93,12 +93,12 @@
             method: Method::POST,
             path: format!("/calls/{}", self.tool),
             body: self.arguments.clone(),
-            call: Some(self.name(attempt)),
+            call: Some(self.attempt_key(attempt)),
         }
     }
 
-    pub(crate) fn name(&self, attempt: &CallAttempt) -> CallName {
-        CallName {
+    pub(crate) fn attempt_key(&self, attempt: &CallAttempt) -> AttemptKey {
+        AttemptKey {
             program: self.program.clone(),
             call: self.call.clone(),
             attempt: attempt.clone(),
--- a/crates/gateway/src/calls/non_repeatable.rs
+++ b/crates/gateway/src/calls/non_repeatable.rs
@@ -211,8 +211,8 @@
         slot: Option<EngineSlot>,
     ) -> CallResult {
         let outcome = self.dispatch_once(request, attempt, slot).await;
-        let name = request.name(attempt);
-        let committed = self.finish(&name, &outcome, RECORD_TIMEOUT).await;
+        let key = request.attempt_key(attempt);
+        let committed = self.finish(&key, &outcome, RECORD_TIMEOUT).await;
         committed.map_or(CallResult::Unknown, CallResult::from_outcome)
     }
 
@@ -309,7 +309,7 @@
     CallOutcome::Answered { status: refused_status(), body: problem.to_json() }
 }
 
-/// `502 call_unknown`.
+/// Creates a `502 call_unknown` error.
 pub(crate) fn unknown(detail: &str) -> Problem {
     Problem::unknown(Code::CallUnknown, detail)
 }
--- a/crates/gateway/src/calls/outcome_lookup.rs
+++ b/crates/gateway/src/calls/outcome_lookup.rs
@@ -11,7 +11,7 @@
 use super::non_repeatable::answered_outcome;
 use crate::backend::Target;
 use crate::backend::answer::Answer;
-use crate::backend::exchange::CallName;
+use crate::backend::exchange::AttemptKey;
 use crate::backend::lookup::find_answer;
 
 /// Timeout of one lookup at application engines.
@@ -43,7 +43,7 @@
         if !matches!(record.outcome, None | Some(CallOutcome::Unknown)) {
             return record;
         }
-        let Some(name) = name_of(program, &record) else { return record };
+        let Some(name) = attempt_key_of(program, &record) else { return record };
         let targets = self.engines_of_route(&record);
         let Some(answer) = self.query_engines(&targets, program, &record.call).await else {
             return record;
@@ -61,7 +61,7 @@
     }
 }
 
-fn name_of(program: &ProgramId, record: &CallRecord) -> Option<CallName> {
+fn attempt_key_of(program: &ProgramId, record: &CallRecord) -> Option<AttemptKey> {
     let attempt = record.attempt.clone()?;
-    Some(CallName { program: program.clone(), call: record.call.clone(), attempt })
+    Some(AttemptKey { program: program.clone(), call: record.call.clone(), attempt })
 }
--- a/crates/gateway/src/calls/record.rs
+++ b/crates/gateway/src/calls/record.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::{CallRequest, Calls};
-use crate::backend::exchange::CallName;
+use crate::backend::exchange::AttemptKey;
 use crate::backoff::Backoff;
 use crate::shards::ShardError;
 
@@ -57,21 +57,21 @@
     /// outcome, or `None` when the shard could not be reached within `time`.
     pub(crate) async fn finish(
         &self,
-        name: &CallName,
+        key: &AttemptKey,
         outcome: &CallOutcome,
         time: Duration,
     ) -> Option<CallOutcome> {
         let command = ShardCommand::FinishCall {
-            program: name.program.clone(),
-            call: name.call.clone(),
-            attempt: name.attempt.clone(),
+            program: key.program.clone(),
+            call: key.call.clone(),
+            attempt: key.attempt.clone(),
             outcome: outcome.clone(),
         };
         let until = Instant::now() + time;
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         while Instant::now() < until {
             let deadline = until.min(Instant::now() + RECORD_ATTEMPT_TIMEOUT);
-            match self.shards.execute(&name.program, &command, deadline).await {
+            match self.shards.execute(&key.program, &command, deadline).await {
                 Ok(ShardReply::Call(record)) => return record.outcome,
                 Ok(ShardReply::Done) => return Some(outcome.clone()),
                 Ok(ShardReply::Refused(ShardRefusal::CallHeld { record })) => {
--- a/crates/gateway/src/calls/repeatable.rs
+++ b/crates/gateway/src/calls/repeatable.rs
@@ -34,7 +34,7 @@
         loop {
             let slot = match (self.acquire_slot(request, &tried).await, last_error.take()) {
                 (Ok(slot), _) => slot,
-                (Err(_), Some(error)) => return Err(failed(&error, request.deadline)),
+                (Err(_), Some(error)) => return Err(failure_problem(&error, request.deadline)),
                 (Err(reason), None) => return Err(reason.into()),
             };
             let (target, answered) = self.send(request, slot, &dispatch).await;
@@ -44,12 +44,12 @@
             };
             tried.push(target.run.clone());
             if !self.may_retry(&error, tried.len()) {
-                return Err(failed(&error, request.deadline));
+                return Err(failure_problem(&error, request.deadline));
             }
             if matches!(error, ExchangeError::Lost(_)) {
                 let wait = backoff.next_wait();
                 if Instant::now() + wait >= request.deadline {
-                    return Err(failed(&error, request.deadline));
+                    return Err(failure_problem(&error, request.deadline));
                 }
                 sleep(wait).await;
             }
@@ -73,7 +73,7 @@
     }
 }
 
-fn failed(error: &ExchangeError, deadline: Instant) -> Problem {
+fn failure_problem(error: &ExchangeError, deadline: Instant) -> Problem {
     if Instant::now() >= deadline {
         let detail = format!("the deadline has passed; last attempt: {error}");
         return Problem::retryable(Code::DeadlineExceeded, detail, RETRY_SOON);
--- a/crates/gateway/src/engine_losses.rs
+++ b/crates/gateway/src/engine_losses.rs
@@ -12,12 +12,12 @@
 const RECENT_WINDOW: Duration = Duration::from_secs(10);
 
 /// Live engine runs of a view and their versions.
-type Live = BTreeMap<(EngineId, Incarnation), JudgedVersion>;
+type LiveEngines = BTreeMap<(EngineId, Incarnation), JudgedVersion>;
 
 /// Engine losses seen in the cluster views of one node.
 #[derive(Debug, Default)]
 pub struct EngineLosses {
-    live: Live,
+    live: LiveEngines,
     lost: BTreeMap<JudgedVersion, Instant>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn live_engines(view: &ClusterView) -> Live {
+fn live_engines(view: &ClusterView) -> LiveEngines {
     let hosts = view.members.values().filter(|m| m.health == MemberHealth::Alive).filter_map(|m| {
         let hosted = m.engine.as_ref()?;
         let run = (hosted.engine.clone(), m.address.incarnation);
--- a/crates/gateway/src/limits/tenants.rs
+++ b/crates/gateway/src/limits/tenants.rs
@@ -26,18 +26,18 @@
 
 /// Limiter state of all tenants. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Tenants {
+pub struct TenantLimiter {
     states: Arc<Mutex<HashMap<TenantId, TenantState>>>,
 }
 
 /// One admitted request; dropping it releases the tenant's concurrency slot.
 #[derive(Debug)]
 pub struct TenantPermit {
-    tenants: Tenants,
+    limiter: TenantLimiter,
     tenant: TenantId,
 }
 
-impl Tenants {
+impl TenantLimiter {
     /// Admits a request or rejects it at once.
     ///
     /// # Errors
@@ -62,7 +62,7 @@
             ));
         }
         state.running += 1;
-        Ok(TenantPermit { tenants: self.clone(), tenant: tenant.clone() })
+        Ok(TenantPermit { limiter: self.clone(), tenant: tenant.clone() })
     }
 
     /// Removes tenants without running requests whose buckets are full again.
@@ -80,7 +80,7 @@
 
 impl Drop for TenantPermit {
     fn drop(&mut self) {
-        if let Some(state) = self.tenants.lock().get_mut(&self.tenant) {
+        if let Some(state) = self.limiter.lock().get_mut(&self.tenant) {
             state.running = state.running.saturating_sub(1);
         }
     }
--- a/crates/gateway/src/sessions/engines.rs
+++ b/crates/gateway/src/sessions/engines.rs
@@ -76,7 +76,7 @@
 
 /// Client of the session-host engines.
 #[derive(Debug)]
-pub struct Engines {
+pub struct EngineClient {
     client: RpcClient,
     node: NodeHandle,
     /// Load of each engine.
@@ -84,7 +84,7 @@
     suspects: Mutex<HashMap<EngineIncarnation, Instant>>,
 }
 
-impl Engines {
+impl EngineClient {
     /// Creates a client for the engines of a node's view.
     #[must_use]
     pub fn new(client: RpcClient, node: NodeHandle) -> Self {
--- a/crates/gateway/src/sessions/owners.rs
+++ b/crates/gateway/src/sessions/owners.rs
@@ -9,7 +9,7 @@
 use hooklug_types::{EngineIncarnation, ServiceName, ServiceVersion, SessionKey, ZoneName};
 use tokio::time::{Instant, sleep_until};
 
-use super::engines::{EngineError, Engines, OwnerFault};
+use super::engines::{EngineClient, EngineError, OwnerFault};
 use super::owner_table::{OWNER_TABLE_ENTRIES, OwnerEntry, OwnerTable};
 use super::placement::{Candidate, EngineInfo, candidates};
 use super::takeover::LeaseWait;
@@ -72,7 +72,7 @@
     flights: SingleFlight<SessionKey>,
     pub(super) shards: Shards,
     /// Client of the session-host engines.
-    pub engines: Arc<Engines>,
+    pub engines: Arc<EngineClient>,
     pub(super) node: NodeHandle,
     pub(super) zone: ZoneName,
     pub(super) stopped: StoppedVersions,
@@ -83,7 +83,7 @@
     #[must_use]
     pub fn new(
         shards: Shards,
-        engines: Arc<Engines>,
+        engines: Arc<EngineClient>,
         node: NodeHandle,
         zone: ZoneName,
         stopped: StoppedVersions,
--- a/crates/gateway/src/sessions/placement.rs
+++ b/crates/gateway/src/sessions/placement.rs
@@ -79,12 +79,12 @@
     let sound = service.versions.iter().rev().filter(|v| v.state == VersionState::Sound);
     sound
         .filter(|entry| !engines.is_stopped(name, &entry.version))
-        .map(|entry| of_version(view, name, &entry.version, engines))
+        .map(|entry| candidates_of_version(view, name, &entry.version, engines))
         .find(|found| !found.is_empty())
         .unwrap_or_default()
 }
 
-fn of_version(
+fn candidates_of_version(
     view: &ClusterView,
     name: &ServiceName,
     version: &ServiceVersion,
@@ -121,15 +121,15 @@
     random: &mut impl Rng,
 ) -> Option<Candidate> {
     match prefix {
-        Some(prefix) => by_prefix(candidates, prefix),
-        None => better_of_two(&zone_first(candidates, own_zone), random),
+        Some(prefix) => choose_by_prefix(candidates, prefix),
+        None => better_of_two(&prefer_own_zone(candidates, own_zone), random),
     }
     .cloned()
 }
 
 /// Rendezvous hashing with bounded load: selects the highest-ranked engine within its bound, so
 /// that all gateways send a prefix to the same engine while it has capacity.
-fn by_prefix<'a>(candidates: &'a [Candidate], prefix: &PrefixId) -> Option<&'a Candidate> {
+fn choose_by_prefix<'a>(candidates: &'a [Candidate], prefix: &PrefixId) -> Option<&'a Candidate> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by_key(|c| std::cmp::Reverse(rank(prefix, c)));
     let slots: u32 = candidates.iter().map(|c| c.slots.max(1)).sum();
@@ -154,7 +154,7 @@
     rank
 }
 
-fn zone_first<'a>(candidates: &'a [Candidate], own_zone: &ZoneName) -> Vec<&'a Candidate> {
+fn prefer_own_zone<'a>(candidates: &'a [Candidate], own_zone: &ZoneName) -> Vec<&'a Candidate> {
     let own: Vec<&Candidate> = candidates
         .iter()
         .filter(|c| c.zone == *own_zone && c.load_ratio() < ZONE_OVERFLOW_AT)
--- a/crates/gateway/src/sessions/turns.rs
+++ b/crates/gateway/src/sessions/turns.rs
@@ -79,14 +79,14 @@
         let sent = self.send(&request.key, deadline, |entry| async move {
             let message = request.to_message(&entry, deadline);
             let mut items = self.engines.open(&entry.owner, &message, deadline).await?;
-            let record = self.accepted(&entry, &mut items, deadline).await?;
+            let record = self.wait_accepted(&entry, &mut items, deadline).await?;
             Ok((record, Feed::Turn(items)))
         });
         let (entry, (record, feed)) = sent.await?;
         Ok(RunningTurn { entry, record, feed })
     }
 
-    async fn accepted(
+    async fn wait_accepted(
         &self,
         entry: &OwnerEntry,
         items: &mut ItemStream<TurnItem>,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -18,9 +18,9 @@
 use crate::calls::Calls;
 use crate::calls::repeat_history::RepeatHistory;
 use crate::calls::retry_budget::RetryBudget;
-use crate::limits::tenants::Tenants;
+use crate::limits::tenants::TenantLimiter;
 use crate::programs::{ProgramCache, ProgramInfo};
-use crate::sessions::engines::Engines;
+use crate::sessions::engines::EngineClient;
 use crate::sessions::owners::Owners;
 use crate::shards::Shards;
 use crate::version_monitor::VersionMonitor;
@@ -43,7 +43,7 @@
     pub(crate) calls: Arc<Calls>,
     pub(crate) version_monitor: VersionMonitor,
     pub(crate) programs: ProgramCache,
-    pub(crate) tenants: Tenants,
+    pub(crate) tenants: TenantLimiter,
     /// Running requests and tasks; shutdown waits for them.
     pub(crate) running: TaskTracker,
     /// Aborts the streams that remain near the end of the grace period.
@@ -55,7 +55,7 @@
         let shards = Shards::new(ctx.state.clone());
         let stopped = StoppedVersions::default();
         let zone = ctx.settings.zone.clone();
-        let engines = Arc::new(Engines::new(ctx.client.clone(), ctx.node.clone()));
+        let engines = Arc::new(EngineClient::new(ctx.client.clone(), ctx.node.clone()));
         let owners = Arc::new(Owners::new(
             shards.clone(),
             engines,
@@ -86,7 +86,7 @@
             calls,
             version_monitor,
             programs: ProgramCache::default(),
-            tenants: Tenants::default(),
+            tenants: TenantLimiter::default(),
             running,
             abort_streams: CancellationToken::new(),
         }
--- a/crates/gateway/src/version_monitor.rs
+++ b/crates/gateway/src/version_monitor.rs
@@ -24,13 +24,13 @@
     cluster_statistics: Statistics,
     /// Statistics for the local judge; drained by each judgement.
     local_statistics: Statistics,
-    judge: Arc<Mutex<Judgement>>,
+    judge: Arc<Mutex<JudgeState>>,
     stopped: StoppedVersions,
     harm: mpsc::Sender<HarmReport>,
 }
 
 #[derive(Debug, Default)]
-struct Judgement {
+struct JudgeState {
     judge: Judge,
     engine_losses: EngineLosses,
 }
@@ -93,12 +93,12 @@
 
     fn evaluate(&self, bundle: &Bundle, now: Instant) -> Vec<HarmReport> {
         let statistics = self.local_statistics.take();
-        let Judgement { judge, engine_losses } = &mut *self.lock();
+        let JudgeState { judge, engine_losses } = &mut *self.lock();
         judge.observe(&statistics, now);
         judge.evaluate(bundle, &engine_losses.recent(now), now)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Judgement> {
+    fn lock(&self) -> MutexGuard<'_, JudgeState> {
         self.judge.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
