--- a/crates/gateway/src/api/calls.rs
+++ b/crates/gateway/src/api/calls.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}/calls/{call}`.
+//! Handlers of `/v1/programs/{program}/calls/{call}`.
 
 use std::time::Duration;
 
@@ -16,22 +16,22 @@
 use super::request::ApiRequest;
 use super::{refusals, views};
 use crate::backend::answer::Answer;
-use crate::calls::once::{Settled, unknown};
+use crate::calls::non_repeatable::{CallResult, unknown};
 use crate::calls::repeat_history::Repeatability;
 use crate::calls::{CallRequest, content_digest};
 use crate::shards::ShardError;
 use crate::shared::Shared;
 
-/// Header with a call's state.
+/// Response header with the call's state.
 const STATE_HEADER: HeaderName = HeaderName::from_static("x-hooklug-call-state");
 
-/// Longest deadline that a caller may ask for, in milliseconds (ours).
+/// Maximum deadline that a caller may request, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Longest name of a tool, in bytes (ours).
+/// Maximum length of a tool name, in bytes.
 const MAX_TOOL_BYTES: usize = 96;
 
-/// What a call's body says.
+/// Parsed body of a call.
 struct CallBody {
     tool: String,
     arguments: Value,
@@ -43,7 +43,7 @@
     let (tool, arguments) = tool_and_arguments(&mut fields)?;
     let repeat = fields.optional("repeat")?;
     let deadline_ms: Option<u64> = fields.optional("deadline_ms")?;
-    fields.finish()?;
+    fields.deny_unknown()?;
     if deadline_ms.is_some_and(|ms| ms == 0 || ms > MAX_DEADLINE_MS) {
         let detail = format!("must be between 1 and {MAX_DEADLINE_MS}");
         return Err(Problem::field(Code::BadField, "deadline_ms", detail));
@@ -53,10 +53,10 @@
 
 fn tool_and_arguments(fields: &mut Fields) -> Result<(String, Value), Problem> {
     let tool: String = fields.required("tool")?;
-    let arguments: Value = fields.any("arguments")?;
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    // The tool becomes a part of a path.
-    if tool.is_empty() || tool.len() > MAX_TOOL_BYTES || !tool.chars().all(plain) {
+    let arguments: Value = fields.required_value("arguments")?;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
+    // The tool becomes part of a request path.
+    if tool.is_empty() || tool.len() > MAX_TOOL_BYTES || !tool.chars().all(is_allowed) {
         let detail = format!("must have 1 to {MAX_TOOL_BYTES} letters, digits, '.', '_' or '-'");
         return Err(Problem::field(Code::BadField, "tool", detail));
     }
@@ -72,38 +72,38 @@
     })
 }
 
-pub(crate) async fn put(asked: ApiRequest, fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, begun, .. } = &asked;
+pub(crate) async fn put(req: ApiRequest, fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, context, received_at, .. } = &req;
     let body = parse(fields)?;
-    let (program, call) = asked.own_call().await?;
-    let (route_name, route) = tool_route(&admitted.bundle.bundle, &body.tool)?;
-    let most = route.deadline_ms;
-    let allowed = Duration::from_millis(body.deadline_ms.map_or(most, |ms| ms.min(most)));
+    let (program, call) = req.own_call().await?;
+    let (route_name, route) = tool_route(&context.bundle.bundle, &body.tool)?;
+    let max_ms = route.deadline_ms;
+    let allowed = Duration::from_millis(body.deadline_ms.map_or(max_ms, |ms| ms.min(max_ms)));
     let request = CallRequest {
         program,
         call,
-        tenant: admitted.caller.tenant.clone(),
+        tenant: context.caller.tenant.clone(),
         arguments: Bytes::from(body.arguments.to_string()),
         tool: body.tool,
         route: route_name.clone(),
         service: route.service.clone(),
         urgent: route.urgent,
-        deadline: *begun + allowed,
+        deadline: *received_at + allowed,
     };
     let history = &shared.calls.history;
     if route.may_repeat
         && body.repeat != Some(false)
-        && history.of(&admitted.bundle, &request.tool, route).await
+        && history.repeatability(&context.bundle, &request.tool, route).await
             == Some(Repeatability::Repeatable)
     {
-        return Ok(answered(&shared.calls.repeatable(&request).await?));
+        return Ok(answer_response(&shared.calls.call_repeatable(&request).await?));
     }
-    shared.check_store_reach()?;
-    settled(shared.calls.once(request).await?)
+    shared.check_store_reachable()?;
+    result_response(shared.calls.call_non_repeatable(request).await?)
 }
 
-/// The application's answer, as it came.
-fn answered(answer: &Answer) -> Response {
+/// Forwards the application's response unchanged.
+fn answer_response(answer: &Answer) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = (status, answer.body.clone()).into_response();
     let headers = response.headers_mut();
@@ -112,69 +112,76 @@
     response
 }
 
-fn settled(settled: Settled) -> Result<Response, Problem> {
-    match settled {
-        Settled::Answered(answer) => Ok(answered(&answer)),
-        Settled::Refused(problem) => {
+fn result_response(result: CallResult) -> Result<Response, Problem> {
+    match result {
+        CallResult::Answered(answer) => Ok(answer_response(&answer)),
+        CallResult::Refused(problem) => {
             let json = HeaderValue::from_static("application/problem+json");
             Ok((StatusCode::BAD_GATEWAY, [(header::CONTENT_TYPE, json)], problem).into_response())
         }
-        Settled::Unknown => Err(unknown("the call may have run; its answer was lost")),
-        Settled::NotRun => {
+        CallResult::Unknown => Err(unknown("the call may have run; its response was lost")),
+        CallResult::NotRun => {
             Err(Problem::not_run(Code::CallSealed, "the call was sealed: it did not run"))
         }
     }
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let (program, call) = asked.own_call().await?;
-    let deadline = Shared::state_deadline();
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let (program, call) = req.own_call().await?;
+    let deadline = Shared::shard_deadline();
     let record = shared.shards.call(&program, &call, deadline).await?;
     let record = record.ok_or_else(|| Problem::new(Code::NoCall, "no such call is recorded"))?;
-    let record = shared.calls.refreshed(&program, record).await;
+    let record = shared.calls.complete_record(&program, record).await;
     Ok(axum::Json(views::call(&record)).into_response())
 }
 
-pub(crate) async fn seal(asked: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
+pub(crate) async fn seal(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, context, .. } = &req;
     let (tool, arguments) = tool_and_arguments(&mut fields)?;
-    fields.finish()?;
-    let (program, call) = asked.own_call().await?;
-    let (_, route) = tool_route(&admitted.bundle.bundle, &tool)?;
+    fields.deny_unknown()?;
+    let (program, call) = req.own_call().await?;
+    let (_, route) = tool_route(&context.bundle.bundle, &tool)?;
     let digest = content_digest(&tool, &arguments);
-    let record = match shared.calls.history.of(&admitted.bundle, &tool, route).await {
-        None => return Err(Problem::try_again("the bundle's history is not known", RETRY_STORE)),
-        Some(Repeatability::Repeatable) => return Err(not_recorded()),
-        Some(Repeatability::OnceOfLate) => {
-            let read = shared.shards.call(&program, &call, Shared::state_deadline()).await?;
-            let record = read.ok_or_else(not_recorded)?;
+    let record = match shared.calls.history.repeatability(&context.bundle, &tool, route).await {
+        None => {
+            return Err(Problem::try_again(
+                "the history of the installed bundle has not been read yet",
+                RETRY_STORE,
+            ));
+        }
+        Some(Repeatability::Repeatable) => return Err(calls_not_recorded()),
+        Some(Repeatability::FormerlyRepeatable) => {
+            let read = shared.shards.call(&program, &call, Shared::shard_deadline()).await?;
+            let record = read.ok_or_else(calls_not_recorded)?;
             if record.digest != digest {
-                return Err(refusals::ledger(&ShardRefusal::CallDiffers));
+                return Err(refusals::from_shard(&ShardRefusal::CallDiffers));
             }
             record
         }
-        Some(Repeatability::Once) => {
+        Some(Repeatability::NonRepeatable) => {
             let command = ShardCommand::SealCall { program: program.clone(), call, digest };
-            sealed(shared.shards.execute(&program, &command, Shared::state_deadline()).await?)?
+            sealed_record(
+                shared.shards.execute(&program, &command, Shared::shard_deadline()).await?,
+            )?
         }
     };
-    let record = shared.calls.refreshed(&program, record).await;
+    let record = shared.calls.complete_record(&program, record).await;
     Ok(axum::Json(views::call(&record)).into_response())
 }
 
-/// Of a call that left no record, "not run" cannot be said.
-fn not_recorded() -> Problem {
-    let detail = "calls of this tool may be repeated, or might under an earlier bundle, and are not \
-                  recorded: none can be sealed";
+/// Rejects sealing a call of a tool that does not record its calls: such a call may have run.
+fn calls_not_recorded() -> Problem {
+    let detail = "calls of this tool are repeatable, now or under an earlier bundle, and are not recorded: \
+                  they cannot be sealed";
     Problem::field(Code::CallRepeatable, "tool", detail)
 }
 
-fn sealed(reply: ShardReply) -> Result<CallRecord, Problem> {
+fn sealed_record(reply: ShardReply) -> Result<CallRecord, Problem> {
     match reply {
         ShardReply::Call(record) => Ok(record),
         ShardReply::Refused(ShardRefusal::CallHeld { record }) => Ok(*record),
-        ShardReply::Refused(refusal) => Err(refusals::ledger(&refusal)),
+        ShardReply::Refused(refusal) => Err(refusals::from_shard(&refusal)),
         _ => Err(ShardError::Unexpected.into()),
     }
 }
--- a/crates/gateway/src/api/refusals.rs
+++ b/crates/gateway/src/api/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals of engines and shards as problems towards callers.
+//! Maps refusals of engines and shards to problem responses.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 use super::problem::{Code, Problem};
 
-/// When to come back after a refusal that passes by itself (ours).
+/// Retry delay after a transient refusal.
 pub const RETRY_SOON: Duration = Duration::from_millis(250);
 
-/// When to come back after a shard could not be reached: about one election (ours).
+/// Retry delay when a shard is unreachable; about one leader election.
 pub const RETRY_STORE: Duration = Duration::from_secs(1);
 
-/// A committed refusal of the shard.
+/// Maps a refusal committed by the shard.
 #[must_use]
-pub fn ledger(refusal: &ShardRefusal) -> Problem {
+pub fn from_shard(refusal: &ShardRefusal) -> Problem {
     let detail = refusal.to_string();
     match refusal {
         ShardRefusal::NoProgram => Problem::new(Code::NoProgram, detail),
@@ -32,7 +32,7 @@
         ShardRefusal::BudgetSpent => Problem::new(Code::BudgetSpent, detail),
         ShardRefusal::ProgramEnded => Problem::new(Code::ProgramEnded, detail),
         ShardRefusal::BudgetReserved => {
-            Problem::claims_nothing(Code::BudgetReserved, detail, RETRY_SOON)
+            Problem::retryable(Code::BudgetReserved, detail, RETRY_SOON)
         }
         ShardRefusal::CallDiffers => Problem::new(Code::CallDiffers, detail),
         ShardRefusal::NoCall => Problem::new(Code::NoCall, detail),
@@ -56,18 +56,18 @@
     Problem::field(code, "after", detail)
 }
 
-/// A refusal of an engine that the gateway could not act on itself.
+/// Maps a refusal of an engine that the gateway could not handle itself.
 #[must_use]
-pub fn engine(refusal: &EngineRefusal) -> Problem {
+pub fn from_engine(refusal: &EngineRefusal) -> Problem {
     let detail = refusal.to_string();
     match refusal {
-        EngineRefusal::Ledger(refusal) => ledger(refusal),
+        EngineRefusal::Ledger(refusal) => from_shard(refusal),
         EngineRefusal::Overloaded { retry_after_ms } => {
             let after = Duration::from_millis(*retry_after_ms);
-            Problem::claims_nothing(Code::Overloaded, detail, after)
+            Problem::retryable(Code::Overloaded, detail, after)
         }
         EngineRefusal::DeadlineExceeded => {
-            Problem::claims_nothing(Code::DeadlineExceeded, detail, RETRY_SOON)
+            Problem::retryable(Code::DeadlineExceeded, detail, RETRY_SOON)
         }
         EngineRefusal::StoreUnavailable => Problem::try_again(detail, RETRY_STORE),
         EngineRefusal::NotOwner { .. }
--- a/crates/gateway/src/api/request.rs
+++ b/crates/gateway/src/api/request.rs
@@ -1,4 +1,4 @@
-//! What all handlers take: the admitted request with its path, and its body's fields.
+//! Extractors of all handlers: the admitted request with its path, and the fields of its body.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,26 +9,26 @@
 use http::request::Parts;
 use tokio::time::Instant;
 
-use super::admission::Admitted;
+use super::admission::RequestContext;
 use super::body::{Fields, path_id};
 use super::problem::{Code, Problem};
 use super::refusals::RETRY_SOON;
 use crate::shared::Shared;
 
-/// An admitted request, before its body.
+/// An admitted request without its body.
 #[derive(Debug)]
 pub(crate) struct ApiRequest {
-    /// The gateway's parts.
+    /// State of the gateway.
     pub(crate) shared: Arc<Shared>,
-    /// The bundle that decides it, and who asks.
-    pub(crate) admitted: Admitted,
-    /// When it came; deadlines count from here, the reading of its body included.
-    pub(crate) begun: Instant,
+    /// The bundle that applies to the request, and the caller.
+    pub(crate) context: RequestContext,
+    /// Arrival time; deadlines start here and include reading the body.
+    pub(crate) received_at: Instant,
     params: RawPathParams,
 }
 
 impl ApiRequest {
-    /// An identifier of the path.
+    /// Parses an identifier of the path.
     ///
     /// # Errors
     /// `bad_id`.
@@ -36,17 +36,17 @@
         path_id(&self.params, name)
     }
 
-    /// The path's program, if it is the caller's own.
+    /// Returns the path's program if it belongs to the caller.
     ///
     /// # Errors
     /// `bad_id`, `no_program`, or `try_again` when its shard cannot be read.
     pub(crate) async fn own_program(&self) -> Result<ProgramId, Problem> {
         let program = self.id("program")?;
-        self.shared.own_program(&self.admitted.caller, &program).await?;
+        self.shared.own_program(&self.context.caller, &program).await?;
         Ok(program)
     }
 
-    /// The path's session, if it belongs to a program of the caller.
+    /// Returns the path's session if its program belongs to the caller.
     ///
     /// # Errors
     /// As for [`Self::own_program`].
@@ -55,7 +55,7 @@
         Ok(SessionKey { program: self.own_program().await?, session })
     }
 
-    /// The path's call, if it belongs to a program of the caller.
+    /// Returns the path's call if its program belongs to the caller.
     ///
     /// # Errors
     /// As for [`Self::own_program`].
@@ -72,10 +72,10 @@
         let params = RawPathParams::from_request_parts(parts, shared).await;
         let params =
             params.map_err(|error| Problem::field(Code::BadId, "path", error.to_string()))?;
-        let admitted = parts.extensions.get::<Admitted>().cloned();
-        let admitted = admitted
+        let context = parts.extensions.get::<RequestContext>().cloned();
+        let context = context
             .ok_or_else(|| Problem::try_again("the request was not admitted", RETRY_SOON))?;
-        Ok(Self { shared: shared.clone(), admitted, begun: Instant::now(), params })
+        Ok(Self { shared: shared.clone(), context, received_at: Instant::now(), params })
     }
 }
 
--- a/crates/gateway/src/api/sessions.rs
+++ b/crates/gateway/src/api/sessions.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}/sessions/{session}`.
+//! Handlers of `/v1/programs/{program}/sessions/{session}`.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::admission::Admitted;
+use super::admission::RequestContext;
 use super::body::Fields;
 use super::problem::{Code, Problem};
 use super::request::ApiRequest;
@@ -23,21 +23,24 @@
 use crate::sessions::owners::{MessageError, OwnerError};
 use crate::shared::Shared;
 
-/// Longest call id of a tool result, in bytes (ours).
+/// Maximum length of a tool result's call id, in bytes.
 const MAX_CALL_NAME_BYTES: usize = 256;
 
-pub(super) async fn read(shared: &Shared, key: &SessionKey) -> Result<SessionRecord, Problem> {
-    let record = shared.shards.session(key, Shared::state_deadline()).await?;
+pub(super) async fn read_session(
+    shared: &Shared,
+    key: &SessionKey,
+) -> Result<SessionRecord, Problem> {
+    let record = shared.shards.session(key, Shared::shard_deadline()).await?;
     record.ok_or_else(|| Problem::new(Code::NoSession, "no such session"))
 }
 
-pub(crate) async fn put(asked: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
+pub(crate) async fn put(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let ApiRequest { shared, context, .. } = &req;
     let model: ModelName = fields.id("model")?;
     let prefix: Option<PrefixId> = fields.optional_id("prefix")?;
-    fields.finish()?;
-    let key = asked.own_session().await?;
-    let (_, route) = admitted.bundle.bundle.session_route(&model).ok_or_else(|| {
+    fields.deny_unknown()?;
+    let key = req.own_session().await?;
+    let (_, route) = context.bundle.bundle.session_route(&model).ok_or_else(|| {
         Problem::field(Code::NoRoute, "model", format!("no route serves model {model}"))
     })?;
     let opening = Opening { key, service: route.service.clone(), prefix };
@@ -45,16 +48,16 @@
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let key = asked.own_session().await?;
-    let record = read(shared, &key).await?;
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let key = req.own_session().await?;
+    let record = read_session(shared, &key).await?;
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
-pub(crate) async fn delete(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let key = asked.own_session().await?;
+pub(crate) async fn delete(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let key = req.own_session().await?;
     let deadline = Shared::session_deadline();
     let closed = shared.owners.send(&key, deadline, |entry| {
         let place = entry.place(&key);
@@ -67,14 +70,15 @@
     });
     let record = match closed.await {
         Ok((_, record)) => record,
-        Err(MessageError::Owner(OwnerError::Closed(_))) => read(shared, &key).await?,
+        Err(MessageError::Owner(OwnerError::Closed(_))) => read_session(shared, &key).await?,
         Err(error) => reread_closed(shared, &key, error).await?,
     };
     shared.owners.forget(&key);
     Ok(axum::Json(views::session(&record)).into_response())
 }
 
-/// A close whose answer was lost, or that came second, has worked all the same.
+/// Handles a failed close: if the session turns out to be closed, by a lost reply or an earlier
+/// request, the close succeeded.
 async fn reread_closed(
     shared: &Shared,
     key: &SessionKey,
@@ -84,23 +88,20 @@
     if problem.code != Code::SessionClosed && problem.code != Code::TryAgain {
         return Err(problem);
     }
-    let record = read(shared, key).await?;
+    let record = read_session(shared, key).await?;
     if record.closed { Ok(record) } else { Err(problem) }
 }
 
-pub(crate) async fn tool_result(
-    asked: ApiRequest,
-    mut fields: Fields,
-) -> Result<Response, Problem> {
-    let shared = &asked.shared;
+pub(crate) async fn tool_result(req: ApiRequest, mut fields: Fields) -> Result<Response, Problem> {
+    let shared = &req.shared;
     let call: String = fields.required("call")?;
-    let result: Value = fields.any("result")?;
-    fields.finish()?;
+    let result: Value = fields.required_value("result")?;
+    fields.deny_unknown()?;
     if call.is_empty() || call.len() > MAX_CALL_NAME_BYTES {
         let detail = format!("must have 1 to {MAX_CALL_NAME_BYTES} bytes");
         return Err(Problem::field(Code::BadId, "call", detail));
     }
-    let key = asked.own_session().await?;
+    let key = req.own_session().await?;
     let deadline = Shared::session_deadline();
     let result = result.to_string();
     let sent = shared.owners.send(&key, deadline, |entry| {
@@ -113,27 +114,27 @@
     Ok(axum::Json(json!({"seq": seq.0})).into_response())
 }
 
-pub(crate) async fn events(asked: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
-    let key = asked.own_session().await?;
+pub(crate) async fn events(req: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
+    let ApiRequest { shared, context, .. } = &req;
+    let key = req.own_session().await?;
     match last_event_id(&headers)? {
-        Some(last) => resume(shared, admitted, key, last).await,
-        None => join(shared, admitted, key).await,
+        Some(last) => resume(shared, context, key, last).await,
+        None => join(shared, context, key).await,
     }
 }
 
 async fn resume(
     shared: &Arc<Shared>,
-    admitted: &Admitted,
+    context: &RequestContext,
     key: SessionKey,
     last: EventSeq,
 ) -> Result<Response, Problem> {
-    let record = read(shared, &key).await?;
-    check_last(last, &record)?;
+    let record = read_session(shared, &key).await?;
+    check_last_event_id(last, &record)?;
     if record.closed && last.next() >= record.next_seq {
         return Ok(StatusCode::NO_CONTENT.into_response());
     }
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, None, last, sink);
     shared.spawn(follower.run(None));
     Ok(event_stream(body))
@@ -141,21 +142,24 @@
 
 async fn join(
     shared: &Arc<Shared>,
-    admitted: &Admitted,
+    context: &RequestContext,
     key: SessionKey,
 ) -> Result<Response, Problem> {
     let joined = shared.owners.join(&key, Shared::session_deadline()).await;
     let (history, feed) = match joined {
         Ok((entry, history, feed)) => (history, Some((entry, feed))),
-        Err(error) if error.is_closed() => (closed_history(shared, &key).await?, None),
+        Err(error) if error.is_closed() => (read_closed_history(shared, &key).await?, None),
         Err(error) => return Err(error.into()),
     };
-    let whole = history.iter().zip(1..).all(|(event, place)| event.seq == EventSeq(place));
-    if !whole {
-        return Err(Problem::try_again("the history is not whole", super::refusals::RETRY_SOON));
+    let is_contiguous = history.iter().zip(1..).all(|(event, seq)| event.seq == EventSeq(seq));
+    if !is_contiguous {
+        return Err(Problem::try_again(
+            "the session's history is incomplete",
+            super::refusals::RETRY_SOON,
+        ));
     }
     let last = history.last().map_or(EventSeq(0), |event| event.seq);
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let first = sse::sync(&key.session, &history);
     let owners = shared.owners.clone();
     shared.spawn(async move {
@@ -170,9 +174,9 @@
     Ok(event_stream(body))
 }
 
-/// All events of a session that nobody owns any more.
-async fn closed_history(shared: &Shared, key: &SessionKey) -> Result<Vec<Event>, Problem> {
-    let deadline = Shared::state_deadline();
+/// Reads all events of a session without an owner.
+async fn read_closed_history(shared: &Shared, key: &SessionKey) -> Result<Vec<Event>, Problem> {
+    let deadline = Shared::shard_deadline();
     let mut history: Vec<Event> = Vec::new();
     loop {
         let last = history.last().map_or(EventSeq(0), |event| event.seq);
@@ -184,16 +188,16 @@
     }
 }
 
-/// The place in `Last-Event-ID`, if the header is there.
+/// Parses the `Last-Event-ID` header, if present.
 pub(super) fn last_event_id(headers: &HeaderMap) -> Result<Option<EventSeq>, Problem> {
     let Some(value) = headers.get("last-event-id") else { return Ok(None) };
-    let place = value.to_str().ok().and_then(|text| text.trim().parse().ok());
+    let seq = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     let bad = || Problem::field(Code::BadField, "last-event-id", "must be the id of an event");
-    Ok(Some(EventSeq(place.ok_or_else(bad)?)))
+    Ok(Some(EventSeq(seq.ok_or_else(bad)?)))
 }
 
-/// Nobody can have an event that does not exist yet.
-pub(super) fn check_last(last: EventSeq, record: &SessionRecord) -> Result<(), Problem> {
+/// Rejects the id of an event that does not exist yet.
+pub(super) fn check_last_event_id(last: EventSeq, record: &SessionRecord) -> Result<(), Problem> {
     if last < record.next_seq {
         return Ok(());
     }
@@ -201,7 +205,7 @@
     Err(Problem::field(Code::BadField, "last-event-id", detail))
 }
 
-/// An answer that streams events.
+/// Builds a response that streams events.
 pub(super) fn event_stream(body: Body) -> Response {
     let mut response = Response::new(body);
     let headers = response.headers_mut();
@@ -210,11 +214,11 @@
     response
 }
 
-/// An answer of an owner that has nothing to do with ownership.
-pub(super) fn refused_code(error: &MessageError) -> Option<Code> {
+/// Returns the code of an owner's refusal that is unrelated to ownership.
+pub(super) fn engine_refusal_code(error: &MessageError) -> Option<Code> {
     match error {
         MessageError::Engine(EngineError::Refused(refusal)) => {
-            Some(super::refusals::engine(refusal).code)
+            Some(super::refusals::from_engine(refusal).code)
         }
         _ => None,
     }
--- a/crates/gateway/src/api/turns.rs
+++ b/crates/gateway/src/api/turns.rs
@@ -1,4 +1,4 @@
-//! `/v1/programs/{program}/sessions/{session}/turns`.
+//! Handlers of `/v1/programs/{program}/sessions/{session}/turns`.
 
 use std::time::Duration;
 
@@ -13,14 +13,16 @@
 use super::body::Fields;
 use super::problem::{Code, Problem};
 use super::request::ApiRequest;
-use super::sessions::{check_last, event_stream, last_event_id, read, refused_code};
+use super::sessions::{
+    check_last_event_id, engine_refusal_code, event_stream, last_event_id, read_session,
+};
 use super::{refusals, views};
 use crate::client_stream::client_stream;
 use crate::sessions::follower::Follower;
 use crate::sessions::turns::{TurnObserver, TurnRequest};
 use crate::shared::Shared;
 
-/// What a turn's body says.
+/// Parsed body of a turn.
 struct TurnBody {
     turn: TurnId,
     after: Option<TurnId>,
@@ -33,7 +35,7 @@
     let after = fields.optional_id("after")?;
     let input = fields.required("input")?;
     let max_tokens = TokenCount(fields.required("max_tokens")?);
-    fields.finish()?;
+    fields.deny_unknown()?;
     if max_tokens.0 == 0 {
         return Err(Problem::field(Code::BadField, "max_tokens", "must be at least 1"));
     }
@@ -49,27 +51,29 @@
 }
 
 pub(crate) async fn post(
-    asked: ApiRequest,
+    req: ApiRequest,
     headers: HeaderMap,
     fields: Fields,
 ) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, begun, .. } = &asked;
+    let ApiRequest { shared, context, received_at, .. } = &req;
     let TurnBody { turn, after, input, max_tokens } = parse(fields)?;
     let last_seen = last_event_id(&headers)?.unwrap_or_default();
-    shared.check_store_reach()?;
-    let key = asked.own_session().await?;
-    let group = shared.own_program(&admitted.caller, &key.program).await?.group;
+    shared.check_store_reachable()?;
+    let key = req.own_session().await?;
+    let group = shared.own_program(&context.caller, &key.program).await?.group;
     let entry = shared.owners.resolve(&key, None, Shared::session_deadline()).await?;
-    let (route_name, route) = session_route(&admitted.bundle.bundle, &entry.service)
-        .ok_or_else(|| Problem::new(Code::NoRoute, format!("no route to {}", entry.service)))?;
-    let deadline = *begun + Duration::from_millis(route.deadline_ms);
+    let (route_name, route) =
+        session_route(&context.bundle.bundle, &entry.service).ok_or_else(|| {
+            Problem::new(Code::NoRoute, format!("no session route for service {}", entry.service))
+        })?;
+    let deadline = *received_at + Duration::from_millis(route.deadline_ms);
     let request = TurnRequest {
         key: key.clone(),
         turn: turn.clone(),
         after,
         input,
         max_tokens,
-        tenant: admitted.caller.tenant.clone(),
+        tenant: context.caller.tenant.clone(),
         group,
         urgent: route.urgent,
         last_seen,
@@ -82,27 +86,27 @@
     let span = info_span!("turn", program = %key.program, session = %key.session, turn = %turn,
         epoch = %entry.epoch, engine = %entry.owner);
     let observer = TurnObserver::new(
-        shared.evidence.clone(),
+        shared.version_monitor.clone(),
         entry.service.clone(),
         entry.version.clone(),
         route_name.clone(),
-        *begun,
+        *received_at,
     );
-    let after = start_of(&running.record).max(last_seen);
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let after = seq_before(&running.record).max(last_seen);
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, Some(turn), after, sink);
     let follower = follower.observed_by(observer);
     shared.spawn(follower.run(Some((entry, running.feed))).instrument(span));
     Ok(event_stream(body))
 }
 
-/// Whether the caller has the turn's terminal event already.
+/// Returns whether the caller already has the turn's terminal event.
 fn has_seen_end(record: &TurnRecord, last_seen: EventSeq) -> bool {
     matches!(&record.state, TurnState::Ended { last_seq, .. } if last_seen >= *last_seq)
 }
 
-/// Place before a turn's first event.
-fn start_of(record: &TurnRecord) -> EventSeq {
+/// Returns the sequence number before a turn's first event.
+fn seq_before(record: &TurnRecord) -> EventSeq {
     EventSeq(record.started.0.saturating_sub(1))
 }
 
@@ -111,33 +115,34 @@
     key: &SessionKey,
     turn: &TurnId,
 ) -> Result<TurnRecord, Problem> {
-    let record = shared.shards.turn(key, turn, Shared::state_deadline()).await?;
+    let record = shared.shards.turn(key, turn, Shared::shard_deadline()).await?;
     match record {
         Some(record) => Ok(record),
         None => {
-            read(shared, key).await?;
+            read_session(shared, key).await?;
             Err(Problem::new(Code::NoTurn, "no such turn"))
         }
     }
 }
 
-pub(crate) async fn get(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let turn: TurnId = asked.id("turn")?;
-    let key = asked.own_session().await?;
+pub(crate) async fn get(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let turn: TurnId = req.id("turn")?;
+    let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     Ok(axum::Json(views::turn(&record)).into_response())
 }
 
-pub(crate) async fn events(asked: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
-    let ApiRequest { shared, admitted, .. } = &asked;
-    let turn: TurnId = asked.id("turn")?;
+pub(crate) async fn events(req: ApiRequest, headers: HeaderMap) -> Result<Response, Problem> {
+    let ApiRequest { shared, context, .. } = &req;
+    let turn: TurnId = req.id("turn")?;
     let last = last_event_id(&headers)?.unwrap_or_default();
-    let key = asked.own_session().await?;
+    let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     match &record.state {
-        TurnState::Refused(refusal) => return Err(refusals::ledger(refusal)),
-        // The caller has the terminal event: "no content" tells an event source to stop asking.
+        TurnState::Refused(refusal) => return Err(refusals::from_shard(refusal)),
+        // The caller has the terminal event; "204 No Content" makes an event source stop
+        // reconnecting.
         TurnState::Ended { last_seq, .. } if last == *last_seq => {
             return Ok(StatusCode::NO_CONTENT.into_response());
         }
@@ -146,20 +151,20 @@
             return Err(Problem::field(Code::BadField, "last-event-id", detail));
         }
         TurnState::Ended { .. } => {}
-        TurnState::Open => check_last(last, &read(shared, &key).await?)?,
+        TurnState::Open => check_last_event_id(last, &read_session(shared, &key).await?)?,
     }
     let span = info_span!("turn", program = %key.program, session = %key.session, turn = %turn);
-    let after = start_of(&record).max(last);
-    let (sink, body) = client_stream(shared.cut.clone(), admitted.guard.clone());
+    let after = seq_before(&record).max(last);
+    let (sink, body) = client_stream(shared.abort_streams.clone(), context.guard.clone());
     let follower = Follower::new(shared.owners.clone(), key, Some(turn), after, sink);
     shared.spawn(follower.run(None).instrument(span));
     Ok(event_stream(body))
 }
 
-pub(crate) async fn abort(asked: ApiRequest) -> Result<Response, Problem> {
-    let shared = &asked.shared;
-    let turn: TurnId = asked.id("turn")?;
-    let key = asked.own_session().await?;
+pub(crate) async fn abort(req: ApiRequest) -> Result<Response, Problem> {
+    let shared = &req.shared;
+    let turn: TurnId = req.id("turn")?;
+    let key = req.own_session().await?;
     let record = read_turn(shared, &key, &turn).await?;
     if record.state != TurnState::Open {
         return Ok(axum::Json(views::turn(&record)).into_response());
@@ -172,8 +177,8 @@
     });
     let record = match sent.await {
         Ok((_, record)) => record,
-        // It ended before the abort came.
-        Err(error) if error.is_closed() || refused_code(&error) == Some(Code::NoTurn) => {
+        // The turn ended before the abort arrived.
+        Err(error) if error.is_closed() || engine_refusal_code(&error) == Some(Code::NoTurn) => {
             read_turn(shared, &key, &turn).await?
         }
         Err(error) => return Err(error.into()),
--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one application engine, and a judgement of what came back.
+//! Sends one request to one application engine and validates its response.
 
 use bytes::Bytes;
 use hooklug_types::{CallAttempt, CallId, ProgramId};
@@ -9,27 +9,27 @@
 
 use super::Target;
 use super::answer::{
-    ATTEMPT_HEADER, Answer, CALL_HEADER, DEADLINE_HEADER, EXPECT_HEADER, Head, MAX_ANSWER_BYTES,
-    REQUEST_HEADER, Refusal, judge_body, judge_head,
+    ATTEMPT_HEADER, Answer, CALL_HEADER, DEADLINE_HEADER, EXPECT_HEADER, MAX_ANSWER_BYTES,
+    REQUEST_HEADER, Refusal, ResponseHead, validate_body, validate_head,
 };
 use super::pool::{Connection, Pool};
 
-/// What is sent to an application engine.
+/// A request to an application engine.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
-    /// `POST` for calls, `GET` for look-ups.
+    /// `POST` for calls, `GET` for lookups.
     pub method: Method,
     /// Path and query.
     pub path: String,
     /// JSON body.
     pub body: Bytes,
-    /// The call and its attempt, for calls.
-    pub call: Option<CallName>,
+    /// Call and attempt; absent for lookups.
+    pub call: Option<AttemptKey>,
 }
 
-/// A call as its headers name it.
+/// Identifies a call and its attempt in request headers.
 #[derive(Debug, Clone)]
-pub struct CallName {
+pub struct AttemptKey {
     /// The program.
     pub program: ProgramId,
     /// The call.
@@ -38,17 +38,17 @@
     pub attempt: CallAttempt,
 }
 
-/// Why there is no answer.
+/// Why there is no valid response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// Not one byte of the request was written.
-    #[error("not sent: {0}")]
+    /// No byte of the request was written.
+    #[error("request to the application engine was not sent: {0}")]
     NotSent(String),
-    /// The engine said that it did not run the request and will not.
-    #[error("refused: {0:?}")]
+    /// The engine reported that it did not run the request and will not.
+    #[error("application engine refused the request: {0:?}")]
     Refused(Refusal),
-    /// Anything else: the request may have run.
-    #[error("no answer: {0}")]
+    /// Any other failure: the request may have run.
+    #[error("no valid response from the application engine: {0}")]
     Lost(String),
 }
 
@@ -61,10 +61,10 @@
 }
 
 impl Pool {
-    /// Sends a request and waits for its whole answer until the deadline.
+    /// Sends a request and waits for its complete response until the deadline.
     ///
     /// # Errors
-    /// [`ExchangeError`]; only `NotSent` and `Refused` say that the request did not run.
+    /// [`ExchangeError`]; only `NotSent` and `Refused` guarantee that the request did not run.
     pub async fn exchange(
         &self,
         target: &Target,
@@ -72,13 +72,13 @@
         deadline: Instant,
     ) -> Result<Answer, ExchangeError> {
         let connection = self.get(target, deadline).await.map_err(not_sent)?;
-        timeout_at(deadline, self.passable(target.address.ip()))
+        timeout_at(deadline, self.wait_for_link(target.address.ip()))
             .await
             .map_err(|_| not_sent("the deadline has passed"))?;
         let request_id = format!("{:032x}", rand::rng().random::<u128>());
-        let request = build(target, dispatch, &request_id, deadline).map_err(not_sent)?;
-        let answering = self.send(target, connection, request, &request_id);
-        timeout_at(deadline, answering).await.map_err(|_| lost("the deadline has passed"))?
+        let request = build_request(target, dispatch, &request_id, deadline).map_err(not_sent)?;
+        let exchange = self.send(target, connection, request, &request_id);
+        timeout_at(deadline, exchange).await.map_err(|_| lost("the deadline has passed"))?
     }
 
     async fn send(
@@ -91,27 +91,27 @@
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut error) => {
-                // The request comes back only when the connection closed before taking it.
+                // The request is returned only if the connection closed before accepting it.
                 let unsent = error.take_message().is_some();
                 let error = error.into_error();
                 return Err(if unsent { not_sent(error) } else { lost(error) });
             }
         };
-        self.passable(target.address.ip()).await;
+        self.wait_for_link(target.address.ip()).await;
         let (head, body) = response.into_parts();
-        let judged = judge_head(head.status, &head.headers, request_id, &target.identity());
-        let length = match judged.map_err(lost)? {
-            Head::Answer { length } => length,
-            Head::Refused(refusal) => return Err(ExchangeError::Refused(refusal)),
+        let validated = validate_head(head.status, &head.headers, request_id, &target.identity());
+        let length = match validated.map_err(lost)? {
+            ResponseHead::Answer { length } => length,
+            ResponseHead::Refused(refusal) => return Err(ExchangeError::Refused(refusal)),
         };
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(lost)?;
-        let answer = judge_body(head.status, length, body.to_bytes()).map_err(lost)?;
+        let answer = validate_body(head.status, length, body.to_bytes()).map_err(lost)?;
         self.put_back(&target.run, connection);
         Ok(answer)
     }
 }
 
-fn build(
+fn build_request(
     target: &Target,
     dispatch: &Dispatch,
     request_id: &str,
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to application engines, kept by engine run.
+//! Connection pool for application engines, keyed by engine run.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,55 +18,56 @@
 use super::identity::{IDENTITY_PATH, Identity, MAX_IDENTITY_BYTES};
 use super::{EngineRun, Target};
 
-/// Longest time to open a connection and ask who answers (ours).
-const CONNECT_TIME: Duration = Duration::from_millis(1500);
+/// Timeout for opening a connection and verifying the engine's identity.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long an unused connection is kept (ours).
-const IDLE_TIME: Duration = Duration::from_secs(15);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Unused connections kept a run (ours).
-const IDLE_CONNECTIONS: usize = 64;
+/// Maximum number of idle connections per engine run.
+const MAX_IDLE_PER_RUN: usize = 64;
 
-/// Why no connection could be had; not one byte of a request was written.
+/// Why no connection was established; no byte of a request was written.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The address could not be reached in time.
+    /// The connection could not be opened.
     #[error("cannot connect: {0}")]
     Connect(String),
-    /// Somebody else answers at the address.
-    #[error("another back end answers at {0}")]
+    /// Another process listens at the address.
+    #[error("the endpoint at {0} did not report the expected engine identity")]
     OtherIdentity(SocketAddr),
 }
 
-/// An open connection to a proven engine run.
+/// An open connection to an engine run whose identity was verified.
 #[derive(Debug)]
 pub struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-/// Open connections by engine run.
+/// Idle connections by engine run.
 #[derive(Debug)]
 pub struct Pool {
-    idle: Mutex<HashMap<EngineRun, Vec<Idle>>>,
+    idle: Mutex<HashMap<EngineRun, Vec<IdleConnection>>>,
     own_ip: IpAddr,
     faults: Arc<LinkFaults>,
 }
 
 impl Pool {
-    /// An empty pool; connections start from the node's own address.
+    /// Creates an empty pool; connections are opened from the node's own address.
     #[must_use]
     pub fn new(own_ip: IpAddr, faults: Arc<LinkFaults>) -> Self {
         Self { idle: Mutex::default(), own_ip, faults }
     }
 
-    /// Holds back while the link towards an address is cut, as a network that drops packets would.
-    pub async fn passable(&self, ip: IpAddr) {
+    /// Waits while an injected fault blocks the link to an address, as a network that drops packets
+    /// would.
+    pub async fn wait_for_link(&self, ip: IpAddr) {
         self.faults.passable(ip).await;
         let delay = self.faults.delay_to(ip);
         if !delay.is_zero() {
@@ -74,16 +75,17 @@
         }
     }
 
-    /// A connection that can take a request: an unused one, else a new one that has proven whose it is.
+    /// Returns a connection that is ready for a request: an idle one, or a new one after verifying
+    /// the engine's identity.
     ///
     /// # Errors
-    /// [`ConnectError`].
+    /// [`ConnectError`] when neither is available in time.
     pub async fn get(
         &self,
         target: &Target,
         deadline: Instant,
     ) -> Result<Connection, ConnectError> {
-        let until = deadline.min(Instant::now() + CONNECT_TIME);
+        let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         while let Some(mut connection) = self.take_idle(&target.run) {
             let ready = tokio::time::timeout_at(until, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
@@ -91,37 +93,44 @@
             }
         }
         let opened = tokio::time::timeout_at(until, self.open(target)).await;
-        opened.map_err(|_| ConnectError::Connect("not in time".to_owned()))?
+        opened.map_err(|_| {
+            ConnectError::Connect(
+                "timed out while connecting or verifying the engine's identity".to_owned(),
+            )
+        })?
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn put_back(&self, run: &EngineRun, connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
         let mut idle = self.lock();
-        let kept = idle.entry(run.clone()).or_default();
-        if kept.len() < IDLE_CONNECTIONS {
-            kept.push(Idle { connection, since: Instant::now() });
+        let connections = idle.entry(run.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_RUN {
+            connections.push(IdleConnection { connection, since: Instant::now() });
         }
     }
 
-    /// Closes what has been unused for long, or belongs to runs that the view no longer lists.
+    /// Closes connections that have been idle too long or belong to runs that the view no longer
+    /// lists.
     pub fn sweep(&self, is_listed: impl Fn(&EngineRun) -> bool) {
         let now = Instant::now();
-        self.lock().retain(|run, kept| {
-            kept.retain(|idle| now.duration_since(idle.since) < IDLE_TIME);
-            !kept.is_empty() && is_listed(run)
+        self.lock().retain(|run, connections| {
+            connections.retain(|idle| now.duration_since(idle.since) < IDLE_TIMEOUT);
+            !connections.is_empty() && is_listed(run)
         });
     }
 
     fn take_idle(&self, run: &EngineRun) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.lock();
-        let kept = idle.get_mut(run)?;
-        // The last one used is the likeliest to be open still.
-        while let Some(found) = kept.pop() {
-            if now.duration_since(found.since) < IDLE_TIME && !found.connection.sender.is_closed() {
+        let connections = idle.get_mut(run)?;
+        // The most recently used connection is the most likely to be open still.
+        while let Some(found) = connections.pop() {
+            if now.duration_since(found.since) < IDLE_TIMEOUT
+                && !found.connection.sender.is_closed()
+            {
                 return Some(found.connection);
             }
         }
@@ -134,11 +143,11 @@
             handshake(TokioIo::new(stream)).await.map_err(|e| connect_error(&e))?;
         tokio::spawn(async move {
             if let Err(error) = driver.await {
-                debug!(%error, "connection to an application engine ended");
+                debug!(%error, "connection to an application engine failed");
             }
         });
-        let identity = ask_identity(&mut sender, target.address).await?;
-        if !identity.is(target) {
+        let identity = fetch_identity(&mut sender, target.address).await?;
+        if !identity.matches(target) {
             metrics::counter!("hooklug_gateway_identity_mismatches_total").increment(1);
             return Err(ConnectError::OtherIdentity(target.address));
         }
@@ -147,7 +156,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<TcpStream, ConnectError> {
-        self.passable(to.ip()).await;
+        self.wait_for_link(to.ip()).await;
         let socket = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
         let socket = socket.map_err(|e| connect_error(&e))?;
         if self.own_ip.is_ipv4() == to.is_ipv4() && !self.own_ip.is_unspecified() {
@@ -158,7 +167,7 @@
         Ok(stream)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<EngineRun, Vec<Idle>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<EngineRun, Vec<IdleConnection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -167,7 +176,7 @@
     ConnectError::Connect(error.to_string())
 }
 
-async fn ask_identity(
+async fn fetch_identity(
     sender: &mut SendRequest<Full<Bytes>>,
     address: SocketAddr,
 ) -> Result<Identity, ConnectError> {
--- a/crates/gateway/src/backend/table.rs
+++ b/crates/gateway/src/backend/table.rs
@@ -1,4 +1,5 @@
-//! The application engines of the view, with what calls have shown of them.
+//! Application engines of the cluster view: selection of an engine for a call and tracking of
+//! outstanding calls.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,104 +13,104 @@
 use tokio::time::Instant;
 
 use super::balance::choose;
-use super::figures::{Figures, is_listed};
-use super::gate::Gates;
 use super::pool::Pool;
+use super::state::{BackendState, is_listed};
 use super::stats::CallEnd;
+use super::wait_queue::WaitQueues;
 use super::{EngineRun, Target};
-use crate::versions::{RolloutClock, StoppedVersions, preferred_versions, time_since};
+use crate::versions::{RolloutClock, StoppedVersions, preferred_versions, time_since_commit};
 
-/// A call that looks for an engine.
+/// Criteria for selecting an engine for a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
-    /// Its route.
+pub struct EngineCriteria<'a> {
+    /// Route of the call.
     pub route: &'a RouteName,
-    /// Service that takes it.
+    /// Service that handles the call.
     pub service: &'a ServiceName,
-    /// Whether it may use the urgent reserve.
+    /// Whether the call may use the capacity reserved for urgent calls.
     pub urgent: bool,
-    /// Engines that it has tried already.
+    /// Engines that were already tried.
     pub tried: &'a [EngineRun],
 }
 
-/// What a look for an engine found.
+/// Result of selecting an engine.
 #[derive(Debug)]
-pub enum Found {
-    /// An engine with room, which is now taken up.
-    Engine(Outstanding),
-    /// Engines without room.
+pub enum Selection {
+    /// An engine with a free slot, which is now occupied.
+    Engine(EngineSlot),
+    /// All eligible engines are at capacity.
     Full,
-    /// No engine that could take the call.
+    /// No eligible engine.
     None,
 }
 
-/// The application engines.
+/// The application engines of a node's view, with their connections and queues.
 #[derive(Debug)]
 pub struct Backends {
-    /// Open connections.
+    /// Connection pool.
     pub pool: Pool,
-    /// Calls that wait for room.
-    pub gates: Gates,
+    /// Calls that wait for a free slot.
+    pub wait_queues: WaitQueues,
     node: NodeHandle,
     zone: ZoneName,
     stopped: StoppedVersions,
-    figures: Mutex<Figures>,
+    state: Mutex<BackendState>,
     rollouts: Mutex<RolloutClock>,
-    turns: AtomicUsize,
+    round_robin: AtomicUsize,
 }
 
 impl Backends {
-    /// The application engines of a node's view.
+    /// Creates the table for a node.
     #[must_use]
     pub fn new(pool: Pool, node: NodeHandle, zone: ZoneName, stopped: StoppedVersions) -> Self {
         Self {
             pool,
-            gates: Gates::default(),
+            wait_queues: WaitQueues::default(),
             node,
             zone,
             stopped,
-            figures: Mutex::default(),
+            state: Mutex::default(),
             rollouts: Mutex::default(),
-            turns: AtomicUsize::new(0),
+            round_robin: AtomicUsize::new(0),
         }
     }
 
-    /// Notes a bundle that came into force: the steps of its new versions count from its commit.
-    pub fn installed(&self, installed: &InstalledBundle) {
+    /// Applies an installed bundle. Rollout steps of its new versions count from its commit.
+    pub fn apply_bundle(&self, installed: &InstalledBundle) {
         let bundle = &installed.bundle;
-        let committed_for = time_since(installed.record.committed, UnixMillis::now());
+        let committed_for = time_since_commit(installed.record.committed, UnixMillis::now());
         let newest = bundle.services.iter();
         let newest = newest.filter_map(|(name, s)| s.newest_sound().map(|version| (name, version)));
-        self.rollouts().installed(newest, committed_for, Instant::now());
-        self.lock().keep_routes(|route| bundle.routes.contains_key(route));
+        self.rollouts().record_versions(newest, committed_for, Instant::now());
+        self.lock().retain_routes(|route| bundle.routes.contains_key(route));
         self.close_circuits();
-        self.gates.wake_all();
+        self.wait_queues.wake_one_per_service();
     }
 
-    /// Closes all circuits: the versions that calls go to have changed, and with them the cause.
+    /// Closes all circuits, because the set of versions that receive calls has changed.
     pub fn close_circuits(&self) {
         self.lock().close_circuits();
     }
 
-    /// Notes the engines of a view: those that are new start slowly, those that are gone are forgotten.
-    pub fn listed(&self, view: &Arc<ClusterView>) {
+    /// Applies a cluster view: new engines get a slow start, removed ones are dropped.
+    pub fn apply_view(&self, view: &Arc<ClusterView>) {
         {
-            let mut figures = self.lock();
-            figures.follow(view, Instant::now());
-            figures.forget_unlisted();
+            let mut state = self.lock();
+            state.update_view(view, Instant::now());
+            state.forget_unlisted();
         }
         self.pool.sweep(|run| is_listed(view, run));
-        self.gates.wake_all();
+        self.wait_queues.wake_one_per_service();
     }
 
-    /// All engines of a service that the view lists, whatever their state.
+    /// Returns all engines of a service that the view lists, whatever their state.
     #[must_use]
-    pub fn all_of(&self, service: &ServiceName) -> Vec<Arc<Target>> {
-        self.lock_with_view().all_of(service).cloned().collect()
+    pub fn engines_of(&self, service: &ServiceName) -> Vec<Arc<Target>> {
+        self.lock_with_view().engines_of(service).cloned().collect()
     }
 
-    /// Whether an engine may get a call now: the view lists this run of it as well, and neither the
-    /// view nor its own refusals say that it drains.
+    /// Returns whether an engine may get a call now: the view lists this run as healthy, and
+    /// neither the view nor the engine's own refusals report that it is draining.
     #[must_use]
     pub fn is_open(&self, target: &Target) -> bool {
         let view = self.node.view.borrow().clone();
@@ -120,136 +121,147 @@
         listed && !self.lock().is_draining(&target.run)
     }
 
-    /// Looks for an engine with room and takes it up.
-    pub fn find(self: &Arc<Self>, wanted: &Wanted<'_>, service: &Service) -> Found {
+    /// Selects an engine with a free slot and occupies the slot.
+    pub fn select(self: &Arc<Self>, criteria: &EngineCriteria<'_>, service: &Service) -> Selection {
         let now = Instant::now();
-        let versions = self.versions(wanted.service, service, now);
-        let mut figures = self.lock_with_view();
+        let version_order = self.version_order(criteria.service, service, now);
+        let mut state = self.lock_with_view();
         let mut full = false;
-        for version in versions {
-            let open = figures.open_engines(wanted, &version, service);
-            full |= !open.is_empty();
-            if let Some(choice) = choose(&open, &self.zone, now, &mut rand::rng()) {
+        for version in version_order {
+            let eligible = state.eligible_engines(criteria, &version, service);
+            full |= !eligible.is_empty();
+            if let Some(choice) = choose(&eligible, &self.zone, now, &mut rand::rng()) {
                 let target = choice.target.clone();
-                return Found::Engine(self.begin(&mut figures, target, wanted.route, service));
+                return Selection::Engine(self.occupy(&mut state, target, criteria.route, service));
             }
         }
-        if full { Found::Full } else { Found::None }
+        if full { Selection::Full } else { Selection::None }
     }
 
-    /// Takes engines in turn, whatever their figures: the baseline.
-    pub fn next_in_turn(self: &Arc<Self>, wanted: &Wanted<'_>, service: &Service) -> Found {
-        let mut all = self.all_of(wanted.service);
+    /// Selects engines round-robin, ignoring their statistics (baseline mode).
+    pub fn select_round_robin(
+        self: &Arc<Self>,
+        criteria: &EngineCriteria<'_>,
+        service: &Service,
+    ) -> Selection {
+        let mut all = self.engines_of(criteria.service);
         all.retain(|target| service.is_sound(&target.version));
         if all.is_empty() {
-            return Found::None;
+            return Selection::None;
         }
-        let turn = self.turns.fetch_add(1, Ordering::Relaxed);
-        let target = all.swap_remove(turn % all.len());
-        Found::Engine(self.begin(&mut self.lock(), target, wanted.route, service))
+        let position = self.round_robin.fetch_add(1, Ordering::Relaxed);
+        let target = all.swap_remove(position % all.len());
+        Selection::Engine(self.occupy(&mut self.lock(), target, criteria.route, service))
     }
 
-    /// Calls that run at once when all of a service's engines are full, and their number.
+    /// Returns the number of concurrent calls when all engines of a service are full, and the
+    /// number of engines.
     #[must_use]
     pub fn capacity(&self, name: &ServiceName, service: &Service) -> (u32, usize) {
         self.lock_with_view().capacity(name, service)
     }
 
-    /// Average time of a route's calls of late.
+    /// Returns the recent average duration of a route's calls.
     #[must_use]
     pub fn average(&self, route: &RouteName) -> Duration {
         self.lock().average(route)
     }
 
-    /// Whether the route's circuit lets a call out.
+    /// Checks the route's circuit breaker.
     ///
     /// # Errors
-    /// When to come back.
+    /// The time after which to retry.
     pub fn admit(&self, route: &RouteName) -> Result<(), Duration> {
         self.lock().admit(route, Instant::now())
     }
 
-    fn versions(&self, name: &ServiceName, service: &Service, now: Instant) -> Vec<ServiceVersion> {
+    fn version_order(
+        &self,
+        name: &ServiceName,
+        service: &Service,
+        now: Instant,
+    ) -> Vec<ServiceVersion> {
         let newest = service.newest_sound();
         let age = newest.and_then(|version| self.rollouts().age(name, version, now));
         let draw = rand::rng().random_range(0..100);
         preferred_versions(service, age, draw, |version| self.stopped.contains(name, version))
     }
 
-    fn begin(
+    fn occupy(
         self: &Arc<Self>,
-        figures: &mut Figures,
+        state: &mut BackendState,
         target: Arc<Target>,
         route: &RouteName,
         service: &Service,
-    ) -> Outstanding {
-        figures.begin(&target.run);
-        Outstanding {
+    ) -> EngineSlot {
+        state.call_started(&target.run);
+        EngineSlot {
             backends: self.clone(),
             target,
             route: route.clone(),
-            most: service.concurrency_per_engine,
-            began: Instant::now(),
+            max_concurrency: service.concurrency_per_engine,
+            started: Instant::now(),
             end: CallEnd::Cancelled,
         }
     }
 
-    /// Figures that know the present view.
-    fn lock_with_view(&self) -> MutexGuard<'_, Figures> {
+    /// Locks the state after updating it to the current view.
+    fn lock_with_view(&self) -> MutexGuard<'_, BackendState> {
         let view = self.node.view.borrow().clone();
-        let mut figures = self.lock();
-        figures.follow(&view, Instant::now());
-        figures
+        let mut state = self.lock();
+        state.update_view(&view, Instant::now());
+        state
     }
 
     fn rollouts(&self) -> MutexGuard<'_, RolloutClock> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Figures> {
-        self.figures.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BackendState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A call's room at an engine; counted as cancelled unless it is told otherwise.
+/// An occupied engine slot of a call. Counts as cancelled unless [`EngineSlot::set_end`] records
+/// another outcome.
 #[derive(Debug)]
-pub struct Outstanding {
+pub struct EngineSlot {
     backends: Arc<Backends>,
     /// The engine.
     pub target: Arc<Target>,
     route: RouteName,
-    most: u32,
-    began: Instant,
+    max_concurrency: u32,
+    started: Instant,
     end: CallEnd,
 }
 
-impl Outstanding {
+impl EngineSlot {
     pub(super) fn route(&self) -> &RouteName {
         &self.route
     }
 
-    /// Most calls that the engine gets at once, by the bundle.
-    pub(super) fn most(&self) -> u32 {
-        self.most
+    /// Maximum concurrency of the engine, from the bundle.
+    pub(super) fn max_concurrency(&self) -> u32 {
+        self.max_concurrency
     }
 
-    pub(super) fn began(&self) -> Instant {
-        self.began
+    pub(super) fn started(&self) -> Instant {
+        self.started
     }
 
     pub(super) fn end(&self) -> CallEnd {
         self.end
     }
 
-    /// Notes how the call ended.
-    pub fn ended(&mut self, end: CallEnd) {
+    /// Records how the call ended.
+    pub fn set_end(&mut self, end: CallEnd) {
         self.end = end;
     }
 }
 
-impl Drop for Outstanding {
+impl Drop for EngineSlot {
     fn drop(&mut self) {
-        self.backends.lock().ended(self, Instant::now());
-        self.backends.gates.wake(&self.target.service);
+        self.backends.lock().call_ended(self, Instant::now());
+        self.backends.wait_queues.wake_next(&self.target.service);
     }
 }
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -4,34 +4,34 @@
 
 use rand::{Rng, RngExt};
 
-/// Growing waits between tries.
+/// Delays between attempts, doubling up to a maximum.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     next: Duration,
-    longest: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    /// Waits from `first`, doubling up to `longest`.
+    /// Creates a backoff that starts at `first` and doubles up to `max`.
     #[must_use]
-    pub fn new(first: Duration, longest: Duration) -> Self {
-        Self { next: first, longest }
+    pub fn new(first: Duration, max: Duration) -> Self {
+        Self { next: first, max }
     }
 
-    /// The next wait, drawn by this thread's generator.
+    /// Returns the next delay, with jitter from the thread-local generator.
     pub fn next_wait(&mut self) -> Duration {
-        self.wait(&mut rand::rng())
+        self.next_wait_with(&mut rand::rng())
     }
 
-    /// The next wait: between half of the present step and the whole of it.
-    pub fn wait(&mut self, random: &mut impl Rng) -> Duration {
+    /// Returns the next delay: between 50% and 100% of the current step.
+    pub fn next_wait_with(&mut self, random: &mut impl Rng) -> Duration {
         let step = self.next;
-        self.next = (step * 2).min(self.longest);
+        self.next = (step * 2).min(self.max);
         jittered(step, random)
     }
 }
 
-/// A span between half of `span` and the whole of it, so that many callers do not come back at once.
+/// Returns between 50% and 100% of `span`, so that many callers do not retry at the same instant.
 pub fn jittered(span: Duration, random: &mut impl Rng) -> Duration {
     span.mul_f64(random.random_range(0.5..=1.0))
 }
--- a/crates/gateway/src/calls/repeat_history.rs
+++ b/crates/gateway/src/calls/repeat_history.rs
@@ -1,10 +1,11 @@
-//! Which tools' calls could and could not be repeated under earlier bundles.
+//! Tracks which tools were repeatable and non-repeatable under earlier bundles.
 //!
-//! Only calls that may not be repeated leave records. Where a bundle changes that for a tool, its calls
-//! lie on both sides: one that was claimed or sealed before must not run again, and one that ran without a
-//! record must not be called "not run". So a tool that was ever not repeatable stays so, and a tool that
-//! ever was is sealed by no one. The meta group keeps the last bundles, which is where a gateway that
-//! starts learns what it has not seen itself.
+//! Only non-repeatable calls leave records. When a bundle changes a tool's setting, calls exist
+//! under both: a call that was claimed or sealed before must not run again, and a call that ran
+//! without a record must not be reported as "not run". A tool that was ever non-repeatable is
+//! therefore always treated as non-repeatable, and calls of a tool that was ever repeatable can
+//! never be sealed. The meta group retains the latest bundles, from which a gateway that starts
+//! learns the settings it has not seen itself.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -21,29 +22,29 @@
 
 use crate::backoff::Backoff;
 
-/// Time for one read of the meta group (ours).
-const READ_TIME: Duration = Duration::from_secs(5);
+/// Timeout of one query of the meta group.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time for which a call waits until the history of a new bundle is read (ours).
-const LEARN_TIME: Duration = Duration::from_secs(1);
+/// Maximum time for which a call waits until the history of a new bundle is read.
+const LEARN_TIMEOUT: Duration = Duration::from_secs(1);
 
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What the bundles up to one version say of tools.
+/// Repeat settings of tools in all bundles up to a version.
 #[derive(Debug, Default)]
-struct Learnt {
-    /// All bundles up to here are looked at; `None` before the first.
+struct KnownTools {
+    /// All bundles up to this version are covered; `None` before the first.
     up_to: Option<BundleVersion>,
-    /// Sections of routes that were looked at.
+    /// Route sections that were read.
     sections: HashSet<Digest>,
-    /// Tools whose calls could not be repeated under one of them.
-    once: HashSet<String>,
-    /// Tools whose calls could.
+    /// Tools that were non-repeatable under any of them.
+    non_repeatable: HashSet<String>,
+    /// Tools that were repeatable under any of them.
     repeatable: HashSet<String>,
 }
 
-impl Learnt {
+impl KnownTools {
     fn covers(&self, version: BundleVersion) -> bool {
         self.up_to.is_some_and(|up_to| up_to >= version)
     }
@@ -51,54 +52,56 @@
     fn add<'a>(&mut self, routes: impl Iterator<Item = &'a Route>) {
         for route in routes {
             let RouteMatch::Tool { tool } = &route.matches else { continue };
-            let tools = if route.may_repeat { &mut self.repeatable } else { &mut self.once };
+            let tools =
+                if route.may_repeat { &mut self.repeatable } else { &mut self.non_repeatable };
             tools.insert(tool.clone());
         }
     }
 }
 
-/// How a tool's calls are treated, and whether its records tell all.
+/// How a tool's calls are treated, and whether all of them are recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeatability {
-    /// They may be repeated, and always could.
+    /// Repeatable under every known bundle.
     Repeatable,
-    /// They may not, and never could.
-    Once,
-    /// They may not; under another bundle they could, and left no record.
-    OnceOfLate,
+    /// Non-repeatable under every known bundle.
+    NonRepeatable,
+    /// Non-repeatable now; repeatable under another bundle, where calls left no record.
+    FormerlyRepeatable,
 }
 
-/// What this gateway knows of its bundles' history.
+/// The repeat settings of tools over all known bundles.
 #[derive(Debug, Default)]
 pub struct RepeatHistory {
-    learnt: watch::Sender<Learnt>,
+    known: watch::Sender<KnownTools>,
 }
 
 impl RepeatHistory {
-    /// How calls of a route's tool are treated under a bundle; `None` while its history is not known.
-    pub async fn of(
+    /// Returns how calls of a tool are treated under a bundle; `None` while the bundle's history is
+    /// unknown.
+    pub async fn repeatability(
         &self,
         bundle: &InstalledBundle,
         tool: &str,
         route: &Route,
     ) -> Option<Repeatability> {
         let version = bundle.record.version;
-        if !self.learnt.borrow().covers(version) {
-            let mut changes = self.learnt.subscribe();
-            let learning = changes.wait_for(|learnt| learnt.covers(version));
-            timeout(LEARN_TIME, learning).await.ok()?.ok()?;
+        if !self.known.borrow().covers(version) {
+            let mut changes = self.known.subscribe();
+            let covered = changes.wait_for(|known| known.covers(version));
+            timeout(LEARN_TIMEOUT, covered).await.ok()?.ok()?;
         }
-        let learnt = self.learnt.borrow();
-        Some(if route.may_repeat && !learnt.once.contains(tool) {
+        let known = self.known.borrow();
+        Some(if route.may_repeat && !known.non_repeatable.contains(tool) {
             Repeatability::Repeatable
-        } else if learnt.repeatable.contains(tool) {
-            Repeatability::OnceOfLate
+        } else if known.repeatable.contains(tool) {
+            Repeatability::FormerlyRepeatable
         } else {
-            Repeatability::Once
+            Repeatability::NonRepeatable
         })
     }
 
-    /// Learns of each bundle that comes into force, until there are no more.
+    /// Reads the history of each installed bundle until the bundle channel closes.
     pub async fn follow(
         &self,
         state: &dyn StateAccess,
@@ -107,7 +110,7 @@
         loop {
             let installed = bundles.borrow_and_update().clone();
             if let Some(installed) = installed {
-                self.learn_until_known(state, &installed).await;
+                self.learn_with_retries(state, &installed).await;
             }
             if bundles.changed().await.is_err() {
                 return;
@@ -115,10 +118,10 @@
         }
     }
 
-    async fn learn_until_known(&self, state: &dyn StateAccess, installed: &InstalledBundle) {
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+    async fn learn_with_retries(&self, state: &dyn StateAccess, installed: &InstalledBundle) {
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         while let Err(error) = self.learn(state, installed).await {
-            warn!(%error, "the history of bundles is not known yet");
+            warn!(%error, "cannot read the history of bundles; retrying");
             sleep(backoff.next_wait()).await;
         }
     }
@@ -128,41 +131,42 @@
         state: &dyn StateAccess,
         installed: &InstalledBundle,
     ) -> Result<(), HistoryError> {
-        let from = self.learnt.borrow().up_to;
+        let from = self.known.borrow().up_to;
         let records = read_records(state, from, &installed.record).await?;
         let newest = records.first().map(|record| record.version);
         let mut found = Vec::new();
         for digest in records.iter().filter_map(|record| record.sections.get(ROUTES_SECTION)) {
-            if !self.learnt.borrow().sections.contains(digest) {
+            if !self.known.borrow().sections.contains(digest) {
                 found.push((*digest, read_routes(state, *digest).await?));
             }
         }
-        self.learnt.send_modify(|learnt| {
-            learnt.add(installed.bundle.routes.values());
+        self.known.send_modify(|known| {
+            known.add(installed.bundle.routes.values());
             for (digest, routes) in found {
-                learnt.add(routes.values());
-                learnt.sections.insert(digest);
+                known.add(routes.values());
+                known.sections.insert(digest);
             }
-            learnt.up_to = learnt.up_to.max(newest).max(Some(installed.record.version));
+            known.up_to = known.up_to.max(newest).max(Some(installed.record.version));
         });
         Ok(())
     }
 }
 
-/// Why the history is not known.
+/// Why the history could not be read.
 #[derive(Debug, thiserror::Error)]
 enum HistoryError {
     #[error(transparent)]
     Unavailable(#[from] hooklug_store::Unavailable),
-    #[error("a section of routes does not decode: {0}")]
+    #[error("a bundle's route section is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("the meta group's answer does not fit the question")]
+    #[error("the meta group's reply does not match the query")]
     Unexpected,
 }
 
-/// Records of the bundles after a version, newest first; all that are kept when there is none. A bundle built on the
-/// last one learnt asks for none, as no version lies between: with thousands of changes a day and a long record
-/// each, reading them at every gateway would cost more than all other control traffic.
+/// Reads the records of the bundles after a version, newest first; all retained ones when there is
+/// none. A bundle based on the last known one needs no query, as no version lies between them: with
+/// thousands of changes a day and a long record each, reading them at every gateway would cost more
+/// than all other control traffic.
 async fn read_records(
     state: &dyn StateAccess,
     after: Option<BundleVersion>,
@@ -182,19 +186,19 @@
 }
 
 async fn history(state: &dyn StateAccess, limit: u32) -> Result<Vec<BundleRecord>, HistoryError> {
-    let deadline = Instant::now() + READ_TIME;
+    let deadline = Instant::now() + READ_TIMEOUT;
     match state.query_meta(&MetaQuery::History(limit), deadline).await? {
         MetaAnswer::History(records) => Ok(records),
         _ => Err(HistoryError::Unexpected),
     }
 }
 
-/// The routes of a section; none when it is not kept any more.
+/// Reads the routes of a section; none when it is no longer retained.
 async fn read_routes(
     state: &dyn StateAccess,
     digest: Digest,
 ) -> Result<BTreeMap<RouteName, Route>, HistoryError> {
-    let deadline = Instant::now() + READ_TIME;
+    let deadline = Instant::now() + READ_TIMEOUT;
     match state.query_meta(&MetaQuery::Section(digest), deadline).await? {
         MetaAnswer::Section(Some(bytes)) => Ok(serde_json::from_slice(&bytes)?),
         MetaAnswer::Section(None) => Ok(BTreeMap::new()),
--- a/crates/gateway/src/calls/repeatable.rs
+++ b/crates/gateway/src/calls/repeatable.rs
@@ -1,84 +1,86 @@
-//! Calls that may be repeated: not recorded, tried elsewhere within the deadline and the retry budget.
+//! Repeatable calls: not recorded, retried on other engines within the deadline and the retry
+//! budget.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
-use super::{CallRequest, Calls, draw_attempt};
+use super::{CallRequest, Calls, new_attempt};
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals::RETRY_SOON;
 use crate::backend::answer::{Answer, Refusal};
 use crate::backend::exchange::ExchangeError;
 use crate::backoff::Backoff;
 
-const FIRST_WAIT: Duration = Duration::from_millis(10);
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Tries of the baseline, whatever came back before.
-const PLAIN_TRIES: usize = 3;
+/// Number of attempts in baseline mode, whatever the error.
+const BASELINE_ATTEMPTS: usize = 3;
 
 impl Calls {
-    /// Makes a call that may be repeated.
+    /// Makes a repeatable call.
     ///
     /// # Errors
-    /// `try_again`, `overloaded` or `deadline_exceeded`; none claims that the call did not run.
-    pub async fn repeatable(&self, request: &CallRequest) -> Result<Answer, Problem> {
+    /// `try_again`, `overloaded` or `deadline_exceeded`; none guarantees that the call did not run.
+    pub async fn call_repeatable(&self, request: &CallRequest) -> Result<Answer, Problem> {
         self.check_circuit(request)?;
-        let attempt = draw_attempt();
+        let attempt = new_attempt();
         let dispatch = request.dispatch(&attempt);
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut tried = Vec::new();
-        let mut last = None;
-        self.retries.sent();
+        let mut last_error = None;
+        self.retries.deposit();
         loop {
-            let room = match (self.room(request, &tried).await, last.take()) {
-                (Ok(room), _) => room,
-                (Err(_), Some(error)) => return Err(failed(&error, request.deadline)),
+            let slot = match (self.acquire_slot(request, &tried).await, last_error.take()) {
+                (Ok(slot), _) => slot,
+                (Err(_), Some(error)) => return Err(failure_problem(&error, request.deadline)),
                 (Err(reason), None) => return Err(reason.into()),
             };
-            let (target, answered) = self.send(request, room, &dispatch).await;
+            let (target, answered) = self.send(request, slot, &dispatch).await;
             let error = match answered {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
             tried.push(target.run.clone());
-            if !self.may_try_again(&error, tried.len()) {
-                return Err(failed(&error, request.deadline));
+            if !self.may_retry(&error, tried.len()) {
+                return Err(failure_problem(&error, request.deadline));
             }
             if matches!(error, ExchangeError::Lost(_)) {
                 let wait = backoff.next_wait();
                 if Instant::now() + wait >= request.deadline {
-                    return Err(failed(&error, request.deadline));
+                    return Err(failure_problem(&error, request.deadline));
                 }
                 sleep(wait).await;
             }
-            last = Some(error);
+            last_error = Some(error);
             metrics::counter!("hooklug_gateway_retries_total").increment(1);
         }
     }
 
-    /// A refusal costs the engines nothing and is no retry of work; all else is.
-    fn may_try_again(&self, error: &ExchangeError, tries: usize) -> bool {
+    /// Returns whether another attempt is allowed. A draining or identity refusal costs the engine
+    /// no work and is free; any other retry is taken from the budget.
+    fn may_retry(&self, error: &ExchangeError, attempts: usize) -> bool {
         if self.mode == hooklug_settings::GatewayMode::Plain {
-            return tries < PLAIN_TRIES;
+            return attempts < BASELINE_ATTEMPTS;
         }
         match error {
             ExchangeError::Refused(Refusal::Draining | Refusal::Identity) => true,
             ExchangeError::Refused(Refusal::Overloaded)
             | ExchangeError::NotSent(_)
-            | ExchangeError::Lost(_) => self.retries.take(),
+            | ExchangeError::Lost(_) => self.retries.withdraw(),
         }
     }
 }
 
-fn failed(error: &ExchangeError, deadline: Instant) -> Problem {
+fn failure_problem(error: &ExchangeError, deadline: Instant) -> Problem {
     if Instant::now() >= deadline {
-        let detail = format!("no answer in time: {error}");
-        return Problem::claims_nothing(Code::DeadlineExceeded, detail, RETRY_SOON);
+        let detail = format!("the deadline has passed; last attempt: {error}");
+        return Problem::retryable(Code::DeadlineExceeded, detail, RETRY_SOON);
     }
     match error {
         ExchangeError::Refused(Refusal::Overloaded) => {
-            Problem::claims_nothing(Code::Overloaded, error.to_string(), RETRY_SOON)
+            Problem::retryable(Code::Overloaded, error.to_string(), RETRY_SOON)
         }
         _ => Problem::try_again(error.to_string(), RETRY_SOON),
     }
--- a/crates/gateway/src/calls/retry_budget.rs
+++ b/crates/gateway/src/calls/retry_budget.rs
@@ -1,42 +1,42 @@
-//! Retries as a share of live traffic, so that a failing service is not buried under them.
+//! Limits retries to a share of live traffic, so that they do not overload a failing service.
 
 use std::sync::{Mutex, PoisonError};
 
-/// Retries that may be saved up (ours): enough for one engine's loss at low traffic.
-const MOST_SAVED: f64 = 20.0;
+/// Maximum balance; enough to cover the loss of one engine at low traffic.
+const MAX_BALANCE: f64 = 20.0;
 
-/// Each request adds a share of a retry; each retry costs a whole one.
+/// A retry budget: each request deposits a share of a retry; each retry withdraws one.
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
-    saved: Mutex<f64>,
+    balance: Mutex<f64>,
 }
 
 impl RetryBudget {
-    /// A budget for a share of live traffic, full at the start.
+    /// Creates a budget for a share of live traffic, full at the start.
     #[must_use]
     pub fn new(share: f64) -> Self {
-        Self { share: share.max(0.0), saved: Mutex::new(MOST_SAVED) }
+        Self { share: share.max(0.0), balance: Mutex::new(MAX_BALANCE) }
     }
 
-    /// A first try was sent.
-    pub fn sent(&self) {
-        let mut saved = self.lock();
-        *saved = (*saved + self.share).min(MOST_SAVED);
+    /// Deposits for a first attempt.
+    pub fn deposit(&self) {
+        let mut balance = self.lock();
+        *balance = (*balance + self.share).min(MAX_BALANCE);
     }
 
-    /// Takes one retry, if there is one.
+    /// Withdraws one retry if the balance allows it.
     #[must_use]
-    pub fn take(&self) -> bool {
-        let mut saved = self.lock();
-        let enough = *saved >= 1.0;
+    pub fn withdraw(&self) -> bool {
+        let mut balance = self.lock();
+        let enough = *balance >= 1.0;
         if enough {
-            *saved -= 1.0;
+            *balance -= 1.0;
         }
         enough
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, f64> {
-        self.saved.lock().unwrap_or_else(PoisonError::into_inner)
+        self.balance.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/gateway/src/client_stream.rs
+++ b/crates/gateway/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! A stream towards a caller: bounded, with an end that shows whether it is whole.
+//! A bounded response stream to a caller that is aborted unless it was finished explicitly.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,91 +12,94 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Pieces that may wait for a slow caller.
-const QUEUE_PIECES: usize = 64;
+/// Number of chunks that may be queued for a slow caller.
+const QUEUE_CHUNKS: usize = 64;
 
-/// Time that a caller may leave a full queue untouched before its stream is cut (ours); it can resume.
-const SLOW_CLIENT_TIME: Duration = Duration::from_secs(20);
+/// Time for which a caller may leave a full queue unread before its stream is aborted; the caller
+/// can resume.
+const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The caller has gone, takes nothing, or its stream was cut at the gateway's stop.
+/// The caller disconnected or stopped reading, or the stream was aborted at shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the caller has gone")]
-pub struct ClientGone;
+#[error("the caller disconnected or stopped reading")]
+pub struct ClientDisconnected;
 
-/// The stream was cut: the connection is closed without a proper end of the body.
+/// The stream was aborted: the connection is closed without a proper end of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the stream was cut")]
-pub struct StreamCut;
+#[error("the stream was aborted")]
+pub struct StreamAborted;
 
-/// The gateway's end of a caller's stream. Dropped without [`ClientSink::finish`], it cuts the stream.
+/// Sending half of a caller's stream. Dropping it without [`ClientSink::finish`] aborts the stream.
 #[derive(Debug)]
 pub struct ClientSink {
-    pieces: mpsc::Sender<Bytes>,
-    whole: Arc<AtomicBool>,
+    chunks: mpsc::Sender<Bytes>,
+    complete: Arc<AtomicBool>,
     stop: CancellationToken,
 }
 
-/// The caller's end.
+/// Receiving half of a caller's stream, used as the response body.
 struct ClientBody<G> {
-    pieces: mpsc::Receiver<Bytes>,
-    whole: Arc<AtomicBool>,
+    chunks: mpsc::Receiver<Bytes>,
+    complete: Arc<AtomicBool>,
     ended: bool,
     _guard: G,
 }
 
-/// A sink and the body that it feeds. `guard` lives as long as the body; `stop` cuts the stream.
+/// Creates a sink and the body that it feeds. `guard` lives as long as the body; `stop` aborts the
+/// stream.
 pub fn client_stream<G: Send + Unpin + 'static>(
     stop: CancellationToken,
     guard: G,
 ) -> (ClientSink, Body) {
-    let (sender, pieces) = mpsc::channel(QUEUE_PIECES);
-    let whole = Arc::new(AtomicBool::new(false));
-    let body = ClientBody { pieces, whole: whole.clone(), ended: false, _guard: guard };
-    (ClientSink { pieces: sender, whole, stop }, Body::from_stream(body))
+    let (sender, chunks) = mpsc::channel(QUEUE_CHUNKS);
+    let complete = Arc::new(AtomicBool::new(false));
+    let body = ClientBody { chunks, complete: complete.clone(), ended: false, _guard: guard };
+    (ClientSink { chunks: sender, complete, stop }, Body::from_stream(body))
 }
 
 impl ClientSink {
-    /// Sends one piece; waits a while for a slow caller.
+    /// Sends one chunk, waiting up to [`SLOW_CLIENT_TIMEOUT`] for queue capacity.
     ///
     /// # Errors
-    /// [`ClientGone`].
-    pub async fn send(&self, piece: Bytes) -> Result<(), ClientGone> {
+    /// [`ClientDisconnected`] when the chunk could not be queued.
+    pub async fn send(&self, chunk: Bytes) -> Result<(), ClientDisconnected> {
         tokio::select! {
             biased;
-            () = self.stop.cancelled() => Err(ClientGone),
-            sent = self.pieces.send_timeout(piece, SLOW_CLIENT_TIME) => {
-                sent.map_err(|_| ClientGone)
+            () = self.stop.cancelled() => Err(ClientDisconnected),
+            sent = self.chunks.send_timeout(chunk, SLOW_CLIENT_TIMEOUT) => {
+                sent.map_err(|_| ClientDisconnected)
             }
         }
     }
 
-    /// Waits until the caller has gone or the stream is to be cut.
+    /// Waits until the caller disconnects or the stream is aborted.
     pub async fn closed(&self) {
         tokio::select! {
             () = self.stop.cancelled() => {}
-            () = self.pieces.closed() => {}
+            () = self.chunks.closed() => {}
         }
     }
 
-    /// Ends a whole stream.
+    /// Marks the stream as complete and ends it.
     pub fn finish(self) {
-        self.whole.store(true, Ordering::Release);
+        self.complete.store(true, Ordering::Release);
     }
 }
 
 impl<G: Send + Unpin> Stream for ClientBody<G> {
-    type Item = Result<Bytes, StreamCut>;
+    type Item = Result<Bytes, StreamAborted>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         if self.ended {
             return Poll::Ready(None);
         }
-        if let Some(piece) = std::task::ready!(self.pieces.poll_recv(cx)) {
-            return Poll::Ready(Some(Ok(piece)));
+        if let Some(chunk) = std::task::ready!(self.chunks.poll_recv(cx)) {
+            return Poll::Ready(Some(Ok(chunk)));
         }
         self.ended = true;
-        // The sink sets the mark before it is dropped, and the channel's end shows the drop.
-        let whole = self.whole.load(Ordering::Acquire);
-        Poll::Ready((!whole).then_some(Err(StreamCut)))
+        // The sink sets the flag before it is dropped, and the end of the channel makes the drop
+        // visible.
+        let complete = self.complete.load(Ordering::Acquire);
+        Poll::Ready((!complete).then_some(Err(StreamAborted)))
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway: callers' HTTP API, owner table, placement, routing, limits, retries, calls and
-//! version statistics.
+//! The gateway role: the HTTP API for callers, session ownership and placement, routing, limits,
+//! retries, tool calls and version statistics.
 //!
-//! A gateway holds nothing that has to survive it: owners, budgets and calls are decided by the
-//! shards; what is kept here are caches, connection pools, limiters and figures. See
-//! docs/ARCHITECTURE.md and docs/API.md.
+//! A gateway keeps no durable state. Shards decide ownership, budgets and calls; the gateway holds
+//! only caches, connection pools, limiters and statistics. See docs/ARCHITECTURE.md and
+//! docs/API.md.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -13,15 +13,15 @@
 pub mod backoff;
 pub mod calls;
 mod client_stream;
-mod evidence;
+pub mod engine_losses;
 mod gateway;
 pub mod limits;
-pub mod losses;
 mod programs;
 pub mod sessions;
 mod shards;
 mod shared;
 mod single_flight;
+mod version_monitor;
 pub mod versions;
 
 pub use gateway::Gateway;
--- a/crates/gateway/src/limits/adaptive.rs
+++ b/crates/gateway/src/limits/adaptive.rs
@@ -1,115 +1,128 @@
-//! How many calls one application engine gets at once from this gateway: additive increase,
-//! multiplicative decrease on latency and on the engine's own word. Pure.
+//! Adaptive concurrency limit of one application engine at this gateway: additive increase,
+//! multiplicative decrease on latency and on overload responses of the engine. Pure.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Calls at once that an engine starts with (ours); doubles with each round until the first sign of load.
-const FIRST_LIMIT: f64 = 8.0;
+/// Initial concurrency limit; doubles with each round until the first sign of load.
+const INITIAL_LIMIT: f64 = 8.0;
 
-/// Latency over the route's baseline that counts as load (ours).
+/// Ratio of latency to the route's baseline above which the engine counts as loaded.
 const LATENCY_FACTOR: f64 = 2.5;
 
-/// Share of the limit that must be in use before it grows: an idle limit proves nothing (ours).
+/// Share of the limit that must be in use before it grows; an unused limit is no evidence of
+/// capacity.
 const USED_SHARE: f64 = 0.8;
 
-/// Decrease on late answers, and on refusals and lost answers (ours).
-const DECREASE_LATE: f64 = 0.9;
-const DECREASE_REFUSED: f64 = 0.7;
+/// Factors applied to the limit on late responses, and on refusals and lost responses.
+const LATENCY_DECREASE: f64 = 0.9;
+const OVERLOAD_DECREASE: f64 = 0.7;
 
-/// Time between probes (ours): half of the baseline's window, so that each window holds calls that ran
-/// without load. Without them the baseline would creep up with the load that it is to show.
+/// Time between probes: half of the baseline's window, so that each window holds calls that ran
+/// without load. Otherwise the baseline would rise with the load that it should reveal.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Share of the limit that a probe leaves (ours): below the engine's capacity even when the limit is
-/// as far above it as [`LATENCY_FACTOR`] lets it grow.
+/// Share of the limit that a probe keeps. It must stay below the engine's capacity even when the
+/// limit has grown as far above it as [`LATENCY_FACTOR`] allows.
 const PROBE_SHARE: f64 = 0.25;
 
-/// What one call showed.
+/// What one call indicates about the engine's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sign {
-    /// Answered, after this multiple of the route's baseline latency.
+pub enum LoadSignal {
+    /// The engine answered.
     Answered {
-        /// Latency over baseline.
+        /// Latency divided by the route's baseline latency.
         ratio: f64,
     },
-    /// The engine refused because of load, or its answer was lost or late.
+    /// The engine refused because of load, or its response was lost or late.
     Overloaded,
 }
 
-/// The limit of one engine run.
+/// The concurrency limit of one engine run.
 #[derive(Debug, Clone)]
 pub struct AdaptiveLimit {
     limit: f64,
-    /// While below this, the limit grows with each answer; above it, with each round of answers.
-    slow_above: f64,
-    /// Last decrease or probe: calls that began before it show the former limit.
-    reduced: Option<Instant>,
-    probed: Option<Instant>,
+    /// Below this, the limit grows with each response; above it, with each round of responses.
+    slow_growth_above: f64,
+    /// Last decrease or probe; calls started before it reflect the former limit.
+    reduced_at: Option<Instant>,
+    probed_at: Option<Instant>,
 }
 
 impl Default for AdaptiveLimit {
     fn default() -> Self {
-        Self { limit: FIRST_LIMIT, slow_above: f64::INFINITY, reduced: None, probed: None }
+        Self {
+            limit: INITIAL_LIMIT,
+            slow_growth_above: f64::INFINITY,
+            reduced_at: None,
+            probed_at: None,
+        }
     }
 }
 
 impl AdaptiveLimit {
-    /// The limit now, at least 1 and at most what operators allow.
+    /// Returns the current limit, at least 1 and at most the operators' limit.
     #[must_use]
-    pub fn get(&self, most: u32) -> u32 {
-        // Both bounds are small positive numbers: the cast cannot lose more than the fraction.
-        (self.limit as u32).clamp(1, most.max(1))
+    pub fn get(&self, max: u32) -> u32 {
+        // Both bounds are small positive numbers, so the cast loses only the fraction.
+        (self.limit as u32).clamp(1, max.max(1))
     }
 
-    /// The limit that a probe under way will come back to, for estimates of waiting times.
+    /// Returns the limit without the effect of a running probe, for estimates of waiting times.
     #[must_use]
-    pub fn steady(&self, most: u32) -> u32 {
-        let probing = self.slow_above.is_finite() && self.slow_above > self.limit;
-        let steady = if probing { self.slow_above } else { self.limit };
-        (steady as u32).clamp(1, most.max(1))
+    pub fn steady(&self, max: u32) -> u32 {
+        let probing = self.slow_growth_above.is_finite() && self.slow_growth_above > self.limit;
+        let steady = if probing { self.slow_growth_above } else { self.limit };
+        (steady as u32).clamp(1, max.max(1))
     }
 
-    /// Learns from a call that began and ended at these instants, while so many were outstanding at its
-    /// end, itself included.
-    pub fn learn(&mut self, sign: Sign, outstanding: u32, most: u32, began: Instant, now: Instant) {
-        if self.reduced.is_some_and(|reduced| began < reduced) {
+    /// Updates the limit from a call that ran from `started` to `now`, with `outstanding` calls at
+    /// its end, itself included.
+    pub fn record(
+        &mut self,
+        signal: LoadSignal,
+        outstanding: u32,
+        max: u32,
+        started: Instant,
+        now: Instant,
+    ) {
+        if self.reduced_at.is_some_and(|reduced_at| started < reduced_at) {
             return;
         }
-        match sign {
-            Sign::Overloaded => self.decrease(DECREASE_REFUSED, now),
-            Sign::Answered { ratio } if ratio > LATENCY_FACTOR => {
-                // Latency without a full limit has another cause than this gateway's calls.
-                if self.is_used(outstanding) {
-                    self.decrease(DECREASE_LATE, now);
+        match signal {
+            LoadSignal::Overloaded => self.decrease(OVERLOAD_DECREASE, now),
+            LoadSignal::Answered { ratio } if ratio > LATENCY_FACTOR => {
+                // High latency below the limit is not caused by this gateway's calls.
+                if self.is_utilized(outstanding) {
+                    self.decrease(LATENCY_DECREASE, now);
                 }
             }
-            Sign::Answered { .. } if self.is_used(outstanding) => self.increase(most, now),
-            Sign::Answered { .. } => {}
+            LoadSignal::Answered { .. } if self.is_utilized(outstanding) => self.increase(max, now),
+            LoadSignal::Answered { .. } => {}
         }
     }
 
-    fn is_used(&self, outstanding: u32) -> bool {
+    fn is_utilized(&self, outstanding: u32) -> bool {
         f64::from(outstanding) >= self.limit * USED_SHARE
     }
 
-    fn increase(&mut self, most: u32, now: Instant) {
-        let probed = *self.probed.get_or_insert(now);
-        if now.saturating_duration_since(probed) >= PROBE_INTERVAL {
-            self.probed = Some(now);
-            self.slow_above = self.limit;
+    fn increase(&mut self, max: u32, now: Instant) {
+        let probed_at = *self.probed_at.get_or_insert(now);
+        if now.saturating_duration_since(probed_at) >= PROBE_INTERVAL {
+            self.probed_at = Some(now);
+            self.slow_growth_above = self.limit;
             self.limit = (self.limit * PROBE_SHARE).max(1.0);
-            self.reduced = Some(now);
+            self.reduced_at = Some(now);
             return;
         }
-        let step = if self.limit < self.slow_above { 1.0 } else { 1.0 / self.limit };
-        self.limit = (self.limit + step).min(f64::from(most.max(1)));
+        let step = if self.limit < self.slow_growth_above { 1.0 } else { 1.0 / self.limit };
+        self.limit = (self.limit + step).min(f64::from(max.max(1)));
     }
 
     fn decrease(&mut self, factor: f64, now: Instant) {
         self.limit = (self.limit * factor).max(1.0);
-        self.slow_above = self.limit;
-        self.reduced = Some(now);
+        self.slow_growth_above = self.limit;
+        self.reduced_at = Some(now);
     }
 }
--- a/crates/gateway/src/limits/baseline.rs
+++ b/crates/gateway/src/limits/baseline.rs
@@ -1,56 +1,56 @@
-//! The latency that a route's calls have without load. Pure.
+//! Baseline latency of a route: the latency of its calls without load. Pure.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time after which a lower latency that is not seen any more is forgotten (ours).
+/// Window of the minimum: a lower latency that is no longer seen expires after at most two windows.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Least baseline (ours): below it, latency is noise of timers and of the network.
-const LEAST: Duration = Duration::from_millis(5);
+/// Minimum baseline; below it, timer and network noise dominate.
+const MIN_BASELINE: Duration = Duration::from_millis(5);
 
-/// Weight of one answer in the average (ours).
-const WEIGHT: f64 = 0.1;
+/// Weight of one response in the moving average.
+const AVERAGE_WEIGHT: f64 = 0.1;
 
-/// Lowest and average latency of a route.
+/// Minimum and average latency of a route.
 #[derive(Debug, Clone)]
 pub struct Baseline {
-    lowest: Duration,
-    lowest_before: Duration,
-    window_began: Instant,
+    minimum: Duration,
+    previous_minimum: Duration,
+    window_start: Instant,
     average: Duration,
 }
 
 impl Baseline {
-    /// A baseline from a first answer.
+    /// Creates a baseline from a first response.
     #[must_use]
     pub fn new(latency: Duration, now: Instant) -> Self {
-        Self { lowest: latency, lowest_before: latency, window_began: now, average: latency }
+        Self { minimum: latency, previous_minimum: latency, window_start: now, average: latency }
     }
 
-    /// Notes an answer and returns its latency as a multiple of the baseline.
+    /// Records a response and returns its latency as a multiple of the baseline.
     pub fn observe(&mut self, latency: Duration, now: Instant) -> f64 {
-        if now.saturating_duration_since(self.window_began) >= WINDOW {
-            self.lowest_before = self.lowest;
-            self.lowest = latency;
-            self.window_began = now;
+        if now.saturating_duration_since(self.window_start) >= WINDOW {
+            self.previous_minimum = self.minimum;
+            self.minimum = latency;
+            self.window_start = now;
         }
-        self.lowest = self.lowest.min(latency);
-        self.average = self.average.mul_f64(1.0 - WEIGHT) + latency.mul_f64(WEIGHT);
-        let baseline = self.lowest.min(self.lowest_before).max(LEAST);
+        self.minimum = self.minimum.min(latency);
+        self.average = self.average.mul_f64(1.0 - AVERAGE_WEIGHT) + latency.mul_f64(AVERAGE_WEIGHT);
+        let baseline = self.minimum.min(self.previous_minimum).max(MIN_BASELINE);
         latency.as_secs_f64() / baseline.as_secs_f64()
     }
 
-    /// Average latency of late.
+    /// Returns the moving average of the latency.
     #[must_use]
     pub fn average(&self) -> Duration {
         self.average
     }
 
-    /// Lowest latency of late.
+    /// Returns the minimum latency of the last two windows.
     #[must_use]
-    pub fn lowest(&self) -> Duration {
-        self.lowest.min(self.lowest_before)
+    pub fn minimum(&self) -> Duration {
+        self.minimum.min(self.previous_minimum)
     }
 }
--- a/crates/gateway/src/limits/circuit.rs
+++ b/crates/gateway/src/limits/circuit.rs
@@ -1,26 +1,26 @@
-//! A circuit breaker: while nearly all calls of a route fail, its callers hear so at once. Pure.
+//! A circuit breaker that rejects a route's calls at once while nearly all of them fail. Pure.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Ends that are judged: the last ones within this time (ours).
+/// Time window of the outcomes that are evaluated.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Ends needed before the circuit may open (ours).
-const LEAST_ENDS: usize = 20;
+/// Minimum number of outcomes before the circuit may open.
+const MIN_OUTCOMES: usize = 20;
 
-/// Ends kept.
-const MOST_ENDS: usize = 200;
+/// Maximum number of retained outcomes.
+const MAX_OUTCOMES: usize = 200;
 
-/// Share of failures that opens the circuit (ours): far above what one bad engine or version causes,
-/// which ejection and the judge of versions deal with.
-const OPEN_AT: f64 = 0.9;
+/// Failure share that opens the circuit. It is far above what one bad engine or version causes,
+/// which outlier ejection and the version judge handle.
+const FAILURE_THRESHOLD: f64 = 0.9;
 
-/// First time that the circuit stays open; doubles while probes fail (ours).
-const FIRST_OPEN: Duration = Duration::from_millis(500);
-const LONGEST_OPEN: Duration = Duration::from_secs(5);
+/// Initial time in the open state; doubles while probes fail.
+const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
+const MAX_OPEN_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
@@ -29,31 +29,31 @@
         until: Instant,
         time: Duration,
     },
-    /// One probe is under way; a lost probe is replaced after its time.
+    /// One probe is running; a lost probe is replaced after `time`.
     Probing {
         since: Instant,
         time: Duration,
     },
 }
 
-/// The circuit of one route.
+/// The circuit breaker of one route.
 #[derive(Debug, Clone)]
 pub struct Circuit {
     state: State,
-    ends: VecDeque<(Instant, bool)>,
+    outcomes: VecDeque<(Instant, bool)>,
 }
 
 impl Default for Circuit {
     fn default() -> Self {
-        Self { state: State::Closed, ends: VecDeque::new() }
+        Self { state: State::Closed, outcomes: VecDeque::new() }
     }
 }
 
 impl Circuit {
-    /// Whether a call may go out.
+    /// Admits a call or rejects it while the circuit is open.
     ///
     /// # Errors
-    /// When to come back.
+    /// The time after which to retry.
     pub fn admit(&mut self, now: Instant) -> Result<(), Duration> {
         match self.state {
             State::Closed => Ok(()),
@@ -73,22 +73,24 @@
         }
     }
 
-    /// Notes how a call ended: with an answer, or with none.
-    pub fn ended(&mut self, answered: bool, now: Instant) {
+    /// Records whether a call was answered.
+    pub fn record(&mut self, answered: bool, now: Instant) {
         if answered && self.state != State::Closed {
             self.state = State::Closed;
-            self.ends.clear();
+            self.outcomes.clear();
         }
         if let (false, State::Probing { time, .. }) = (answered, self.state) {
-            self.open((time * 2).min(LONGEST_OPEN), now);
+            self.open((time * 2).min(MAX_OPEN_TIME), now);
         }
-        self.ends.push_back((now, answered));
+        self.outcomes.push_back((now, answered));
         let is_old = |at: Instant| now.saturating_duration_since(at) > WINDOW;
-        while self.ends.len() > MOST_ENDS || self.ends.front().is_some_and(|(at, _)| is_old(*at)) {
-            self.ends.pop_front();
+        while self.outcomes.len() > MAX_OUTCOMES
+            || self.outcomes.front().is_some_and(|(at, _)| is_old(*at))
+        {
+            self.outcomes.pop_front();
         }
-        if self.state == State::Closed && self.fails() {
-            self.open(FIRST_OPEN, now);
+        if self.state == State::Closed && self.is_failing() {
+            self.open(INITIAL_OPEN_TIME, now);
         }
     }
 
@@ -96,8 +98,9 @@
         self.state = State::Open { until: now + time, time };
     }
 
-    fn fails(&self) -> bool {
-        let failures = self.ends.iter().filter(|(_, answered)| !answered).count();
-        self.ends.len() >= LEAST_ENDS && failures as f64 >= self.ends.len() as f64 * OPEN_AT
+    fn is_failing(&self) -> bool {
+        let failures = self.outcomes.iter().filter(|(_, answered)| !answered).count();
+        self.outcomes.len() >= MIN_OUTCOMES
+            && failures as f64 >= self.outcomes.len() as f64 * FAILURE_THRESHOLD
     }
 }
--- a/crates/gateway/src/limits/queue.rs
+++ b/crates/gateway/src/limits/queue.rs
@@ -1,39 +1,39 @@
-//! Calls that wait for room at an application engine: bounded, urgent ones first, fair by tenant,
-//! earliest deadline first within a tenant. Pure.
+//! A bounded queue of calls waiting for a free slot at an application engine: urgent calls first,
+//! fair between tenants, earliest deadline first within a tenant. Pure.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use hooklug_types::TenantId;
 use tokio::time::Instant;
 
-/// A waiting call's place; earlier deadlines come first, then earlier arrivals.
-type Place = (Instant, u64);
+/// Sort key of a queued call: by deadline, then by arrival.
+type Position = (Instant, u64);
 
-/// Names a waiting call.
+/// Identifies a queued call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     tenant: Option<TenantId>,
-    place: Place,
+    position: Position,
 }
 
-/// What came of a call that asked to wait.
+/// Result of queueing a call.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Pushed<T> {
-    /// It waits.
+pub enum PushResult<T> {
+    /// The call is queued.
     Waiting(Ticket),
-    /// It waits, in place of another one, which has to go.
+    /// The call is queued and replaced another one, which is returned.
     Displaced(Ticket, T),
-    /// The queue is full, and nobody has more waiting than this tenant.
+    /// The queue is full and no tenant has more queued calls than this one.
     Full(T),
 }
 
-/// Waiting calls.
+/// Queue of calls.
 #[derive(Debug)]
 pub struct CallQueue<T> {
-    urgent: BTreeMap<Place, T>,
-    tenants: BTreeMap<TenantId, BTreeMap<Place, T>>,
-    /// Tenants with waiting calls, in the order of their next turns.
-    turns: VecDeque<TenantId>,
+    urgent: BTreeMap<Position, T>,
+    tenants: BTreeMap<TenantId, BTreeMap<Position, T>>,
+    /// Tenants with queued calls, in round-robin order.
+    rotation: VecDeque<TenantId>,
     arrivals: u64,
 }
 
@@ -42,27 +42,28 @@
         Self {
             urgent: BTreeMap::new(),
             tenants: BTreeMap::new(),
-            turns: VecDeque::new(),
+            rotation: VecDeque::new(),
             arrivals: 0,
         }
     }
 }
 
 impl<T> CallQueue<T> {
-    /// Calls that wait.
+    /// Returns the number of queued calls.
     #[must_use]
     pub fn len(&self) -> usize {
         self.urgent.len() + self.tenants.values().map(BTreeMap::len).sum::<usize>()
     }
 
-    /// Whether no call waits.
+    /// Returns whether no call is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.urgent.is_empty() && self.turns.is_empty()
+        self.urgent.is_empty() && self.rotation.is_empty()
     }
 
-    /// Lets a call wait, within a bound on all of them. At the bound, the tenant with the most
-    /// waiting loses its call with the latest deadline: one tenant's crowd costs the others nothing.
+    /// Queues a call within a bound on the total number of calls. At the bound, the tenant with the
+    /// most queued calls loses its call with the latest deadline, so that one tenant's burst does
+    /// not displace other tenants.
     pub fn push(
         &mut self,
         tenant: &TenantId,
@@ -70,53 +71,53 @@
         deadline: Instant,
         bound: usize,
         item: T,
-    ) -> Pushed<T> {
+    ) -> PushResult<T> {
         let displaced = if self.len() < bound {
             None
         } else {
             match self.displace(tenant, urgent) {
                 Some(displaced) => Some(displaced),
-                None => return Pushed::Full(item),
+                None => return PushResult::Full(item),
             }
         };
         self.arrivals += 1;
-        let place = (deadline, self.arrivals);
-        let ticket = Ticket { tenant: (!urgent).then(|| tenant.clone()), place };
+        let position = (deadline, self.arrivals);
+        let ticket = Ticket { tenant: (!urgent).then(|| tenant.clone()), position };
         if urgent {
-            self.urgent.insert(place, item);
+            self.urgent.insert(position, item);
         } else {
             if !self.tenants.contains_key(tenant) {
-                self.turns.push_back(tenant.clone());
+                self.rotation.push_back(tenant.clone());
             }
-            self.tenants.entry(tenant.clone()).or_default().insert(place, item);
+            self.tenants.entry(tenant.clone()).or_default().insert(position, item);
         }
         match displaced {
-            Some(displaced) => Pushed::Displaced(ticket, displaced),
-            None => Pushed::Waiting(ticket),
+            Some(displaced) => PushResult::Displaced(ticket, displaced),
+            None => PushResult::Waiting(ticket),
         }
     }
 
-    /// Takes the next call: urgent ones first, then each tenant in turn.
+    /// Removes the next call: urgent calls first, then round-robin between tenants.
     pub fn pop(&mut self) -> Option<T> {
         if let Some((_, item)) = self.urgent.pop_first() {
             return Some(item);
         }
-        let tenant = self.turns.pop_front()?;
+        let tenant = self.rotation.pop_front()?;
         let waiting = self.tenants.get_mut(&tenant)?;
         let item = waiting.pop_first().map(|(_, item)| item);
         if waiting.is_empty() {
             self.tenants.remove(&tenant);
         } else {
-            self.turns.push_back(tenant);
+            self.rotation.push_back(tenant);
         }
         item
     }
 
-    /// Takes a call out that waits no longer.
+    /// Removes a call that no longer waits.
     pub fn remove(&mut self, ticket: &Ticket) -> Option<T> {
-        let Some(tenant) = &ticket.tenant else { return self.urgent.remove(&ticket.place) };
+        let Some(tenant) = &ticket.tenant else { return self.urgent.remove(&ticket.position) };
         let waiting = self.tenants.get_mut(tenant)?;
-        let item = waiting.remove(&ticket.place);
+        let item = waiting.remove(&ticket.position);
         if waiting.is_empty() {
             self.forget(&tenant.clone());
         }
@@ -125,10 +126,11 @@
 
     fn forget(&mut self, tenant: &TenantId) {
         self.tenants.remove(tenant);
-        self.turns.retain(|waiting| waiting != tenant);
+        self.rotation.retain(|waiting| waiting != tenant);
     }
 
-    /// Makes room, unless nobody has more waiting than the newcomer's tenant would have.
+    /// Removes the call with the latest deadline of the tenant with the most queued calls. For a
+    /// non-urgent call, that tenant must have more calls than the new call's tenant would have.
     fn displace(&mut self, newcomer: &TenantId, urgent: bool) -> Option<T> {
         let own = self.tenants.get(newcomer).map_or(0, BTreeMap::len);
         let (largest, waiting) = self.tenants.iter_mut().max_by_key(|(_, w)| w.len())?;
--- a/crates/gateway/src/sessions/follower.rs
+++ b/crates/gateway/src/sessions/follower.rs
@@ -1,5 +1,5 @@
-//! Follows a session's stream for one caller: from its owner while there is one within reach, from
-//! the shard's committed events otherwise, without losing, repeating or splicing an event.
+//! Streams a session's events to one caller, from the owner while it is reachable and from the
+//! shard's committed events otherwise, without lost, duplicate or mixed-up events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,61 +11,61 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{debug, warn};
 
-use super::cursor::{Cursor, Step};
+use super::cursor::{Cursor, EventPosition};
 use super::engines::{EngineError, OwnerFault};
 use super::load::RoutedStream;
 use super::owner_table::OwnerEntry;
 use super::owners::{FailedOwner, OwnerError, Owners};
 use crate::api::sse;
 use crate::backoff::Backoff;
-use crate::client_stream::{ClientGone, ClientSink};
+use crate::client_stream::{ClientDisconnected, ClientSink};
 use crate::sessions::turns::TurnObserver;
 
-/// Longest time to find a broken stream's session again before the caller's stream is cut (ours):
-/// the lease time, one election of a shard, and one taker that does not answer.
-const RECOVERY_TIME: Duration = Duration::from_secs(15);
+/// Maximum time to recover a broken stream before the caller's stream is aborted; covers the lease
+/// time, one leader election and one engine that does not reply to a takeover request.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time between signs of life on an idle stream (ours).
-const KEEP_ALIVE_TIME: Duration = Duration::from_secs(10);
+/// Interval of keep-alive comments on an idle stream.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-const FIRST_WAIT: Duration = Duration::from_millis(10);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Where events come from at the moment.
+/// Current source of events.
 pub enum Feed {
-    /// The owner's answer to a turn: only this turn's events.
+    /// The owner's reply stream of a turn; only this turn's events.
     Turn(ItemStream<TurnItem>),
-    /// The owner's common stream.
+    /// The owner's session stream, shared by all followers.
     Session(ItemStream<JoinItem>),
 }
 
-/// An item of either feed.
+/// An item of either kind of feed.
 enum FeedItem {
     Event(Event),
     Sync(Vec<Event>),
-    /// The owner refused or let the session go.
-    Left(EngineRefusal),
-    /// Nothing to pass on.
-    Nothing,
+    /// The owner refused, or released the session.
+    Refused(EngineRefusal),
+    /// An item that is not forwarded.
+    Ignored,
 }
 
-/// Why the relay of a feed ended.
-enum Ended {
-    /// The stream's terminal event was passed on.
-    Whole,
-    /// The caller has gone, or takes nothing.
-    ClientGone,
-    /// Something does not fit: the stream must be cut.
-    Doubt(&'static str),
-    /// The feed broke; the session may go on elsewhere.
-    Broken(OwnerFault),
+/// Why relaying a feed ended.
+enum RelayEnd {
+    /// The stream's terminal event was forwarded.
+    Complete,
+    /// The caller disconnected or stopped reading.
+    ClientDisconnected,
+    /// The events are inconsistent; the stream must be aborted.
+    Inconsistent(&'static str),
+    /// The feed failed; the session may continue at another owner.
+    FeedFailed(OwnerFault),
 }
 
-/// One caller's view of a session's stream.
+/// Streams a session's events to one caller.
 pub struct Follower {
     owners: Arc<Owners>,
     key: SessionKey,
-    /// The turn to follow; `None` for the whole session.
+    /// The followed turn; `None` for the complete session.
     turn: Option<TurnId>,
     cursor: Cursor,
     sink: ClientSink,
@@ -74,7 +74,8 @@
 }
 
 impl Follower {
-    /// A follower of a turn (or, without one, of the session) after an event that the caller has.
+    /// Creates a follower of a turn, or of the session without one, that starts after an event that
+    /// the caller has.
     #[must_use]
     pub fn new(
         owners: Arc<Owners>,
@@ -87,14 +88,14 @@
         Self { owners, key, turn, cursor, sink, observer: None, recovering_since: None }
     }
 
-    /// Reports what the turn shows of its engine's version.
+    /// Records the turn's progress for its engine's version.
     #[must_use]
     pub fn observed_by(mut self, observer: TurnObserver) -> Self {
         self.observer = Some(observer);
         self
     }
 
-    /// Runs to the stream's end. A stream that must be cut ends without its terminal event.
+    /// Runs until the stream ends. An aborted stream ends without its terminal event.
     pub async fn run(mut self, first: Option<(OwnerEntry, Feed)>) {
         let mut feed = first;
         let mut failed = None;
@@ -102,23 +103,25 @@
             if let Some((entry, feed)) = feed.take() {
                 let routed = self.owners.engines.load.route(&entry.owner);
                 match self.relay(&entry.owner, feed, routed).await {
-                    Ended::Whole => return self.sink.finish(),
-                    Ended::ClientGone => return self.abandon("its caller has gone"),
-                    Ended::Doubt(why) => return self.abandon(why),
-                    Ended::Broken(fault) => failed = Some(FailedOwner { entry, fault }),
+                    RelayEnd::Complete => return self.sink.finish(),
+                    RelayEnd::ClientDisconnected => return self.abort("the caller disconnected"),
+                    RelayEnd::Inconsistent(reason) => return self.abort(reason),
+                    RelayEnd::FeedFailed(fault) => failed = Some(FailedOwner { entry, fault }),
                 }
             }
             match self.recover(failed.take()).await {
                 Ok(found) => feed = Some(found),
-                Err(Ended::Whole) => return self.sink.finish(),
-                Err(Ended::Doubt(why)) => return self.abandon(why),
-                Err(Ended::ClientGone | Ended::Broken(_)) => return self.abandon("not recovered"),
+                Err(RelayEnd::Complete) => return self.sink.finish(),
+                Err(RelayEnd::Inconsistent(reason)) => return self.abort(reason),
+                Err(RelayEnd::ClientDisconnected | RelayEnd::FeedFailed(_)) => {
+                    return self.abort("not recovered");
+                }
             }
         }
     }
 
-    fn abandon(self, why: &'static str) {
-        debug!(session = %self.key, last = %self.cursor.last(), why, "stream cut");
+    fn abort(self, reason: &'static str) {
+        debug!(session = %self.key, last = %self.cursor.last(), reason, "caller's event stream aborted");
         metrics::counter!("hooklug_gateway_streams_cut_total").increment(1);
     }
 
@@ -127,92 +130,96 @@
         owner: &EngineIncarnation,
         mut feed: Feed,
         _routed: RoutedStream,
-    ) -> Ended {
+    ) -> RelayEnd {
         loop {
             let item = tokio::select! {
                 item = next_item(&mut feed) => item,
-                () = self.sink.closed() => return Ended::ClientGone,
-                () = sleep(KEEP_ALIVE_TIME) => {
+                () = self.sink.closed() => return RelayEnd::ClientDisconnected,
+                () = sleep(KEEP_ALIVE_INTERVAL) => {
                     if self.sink.send(sse::KEEP_ALIVE).await.is_err() {
-                        return Ended::ClientGone;
+                        return RelayEnd::ClientDisconnected;
                     }
                     continue;
                 }
             };
-            let passed = match item {
-                Err(broken) => return Ended::Broken(self.fault(owner, broken)),
-                Ok(FeedItem::Left(refusal)) => return left(refusal),
-                Ok(FeedItem::Nothing) => Ok(false),
-                Ok(FeedItem::Sync(history)) => self.take_sync(&history).await,
-                Ok(FeedItem::Event(event)) => self.take(event).await,
+            let complete = match item {
+                Err(error) => return RelayEnd::FeedFailed(self.fault(owner, error)),
+                Ok(FeedItem::Refused(refusal)) => return owner_refused(refusal),
+                Ok(FeedItem::Ignored) => Ok(false),
+                Ok(FeedItem::Sync(history)) => self.apply_sync(&history).await,
+                Ok(FeedItem::Event(event)) => self.accept(event).await,
             };
             self.recovering_since = None;
-            match passed {
-                Ok(true) => return Ended::Whole,
+            match complete {
+                Ok(true) => return RelayEnd::Complete,
                 Ok(false) => {}
                 Err(ended) => return ended,
             }
         }
     }
 
-    /// What a broken feed says about the owner. One whose connection failed is suspected from now on.
-    fn fault(&self, owner: &EngineIncarnation, broken: FeedBroken) -> OwnerFault {
-        if let FeedBroken::Rpc(error @ RpcError::ConnectionLost) = broken {
-            self.owners.engines.failed(owner, error);
+    /// Returns what a failed feed implies about the owner; marks the owner as suspect if its
+    /// connection failed.
+    fn fault(&self, owner: &EngineIncarnation, error: FeedError) -> OwnerFault {
+        if let FeedError::Rpc(error @ RpcError::ConnectionLost) = error {
+            self.owners.engines.mark_failed(owner, error);
         }
-        OwnerFault::Interrupted
+        OwnerFault::ConnectionLost
     }
 
-    /// A sync in the middle of a stream only serves to close a gap.
-    async fn take_sync(&mut self, history: &[Event]) -> Result<bool, Ended> {
+    /// Handles a sync in the middle of a stream, which only fills gaps.
+    async fn apply_sync(&mut self, history: &[Event]) -> Result<bool, RelayEnd> {
         for event in history {
-            if self.take(event.clone()).await? {
+            if self.accept(event.clone()).await? {
                 return Ok(true);
             }
         }
         Ok(false)
     }
 
-    /// Takes an event that is known to be committed. Returns whether the stream is whole with it.
-    async fn take(&mut self, event: Event) -> Result<bool, Ended> {
-        match self.cursor.judge(event.seq) {
-            Step::Seen => return Ok(false),
-            Step::Next => {}
-            Step::Gap => {
-                let deadline = Instant::now() + RECOVERY_TIME;
+    /// Handles a committed event. Returns whether it completed the stream.
+    async fn accept(&mut self, event: Event) -> Result<bool, RelayEnd> {
+        match self.cursor.classify(event.seq) {
+            EventPosition::Duplicate => return Ok(false),
+            EventPosition::Next => {}
+            EventPosition::Gap => {
+                let deadline = Instant::now() + RECOVERY_TIMEOUT;
                 if self.catch_up(Some(event.seq), deadline).await? {
                     return Ok(true);
                 }
-                if self.cursor.judge(event.seq) != Step::Next {
-                    return Err(Ended::Doubt("events are missing"));
+                if self.cursor.classify(event.seq) != EventPosition::Next {
+                    return Err(RelayEnd::Inconsistent("events are missing from the feed"));
                 }
             }
         }
-        self.pass(&event).await
+        self.forward(&event).await
     }
 
-    /// Passes the next event on, if the caller follows it.
-    async fn pass(&mut self, event: &Event) -> Result<bool, Ended> {
+    /// Forwards the next event if it belongs to the followed turn. Returns whether it completed the
+    /// stream.
+    async fn forward(&mut self, event: &Event) -> Result<bool, RelayEnd> {
         if !self.cursor.advance(event.seq) {
-            return Err(Ended::Doubt("events do not follow each other"));
+            return Err(RelayEnd::Inconsistent("events are out of order"));
         }
-        if !self.follows(event)? {
+        if !self.is_followed(event)? {
             return Ok(false);
         }
         if let Some(observer) = &mut self.observer {
-            observer.saw(&event.body);
+            observer.observe(&event.body);
         }
         let sent = self.sink.send(sse::event(event)).await;
-        sent.map_err(|ClientGone| Ended::ClientGone)?;
+        sent.map_err(|ClientDisconnected| RelayEnd::ClientDisconnected)?;
         Ok(self.is_terminal(&event.body))
     }
 
-    fn follows(&self, event: &Event) -> Result<bool, Ended> {
+    fn is_followed(&self, event: &Event) -> Result<bool, RelayEnd> {
         match (&self.turn, &event.turn) {
             (None, _) => Ok(true),
-            (Some(wanted), Some(found)) if wanted == found => Ok(true),
+            (Some(followed), Some(found)) if followed == found => Ok(true),
             (Some(_), None) => Ok(false),
-            (Some(_), Some(_)) => Err(Ended::Doubt("another turn's event")),
+            (Some(_), Some(_)) => {
+                Err(RelayEnd::Inconsistent("the feed contains an event of another turn"))
+            }
         }
     }
 
@@ -224,20 +231,22 @@
         }
     }
 
-    /// Passes on committed events from the shard, up to (not with) a place, or all there are.
+    /// Forwards committed events from the shard, up to but excluding `before` or all of them.
+    /// Returns whether the stream is complete.
     async fn catch_up(
         &mut self,
         before: Option<EventSeq>,
         deadline: Instant,
-    ) -> Result<bool, Ended> {
+    ) -> Result<bool, RelayEnd> {
         loop {
             let read = self.owners.shards.events(&self.key, self.cursor.last(), deadline).await;
-            let (events, more) = read.map_err(|_| Ended::Broken(OwnerFault::Interrupted))?;
+            let (events, more) =
+                read.map_err(|_| RelayEnd::FeedFailed(OwnerFault::ConnectionLost))?;
             for event in &events {
                 if before.is_some_and(|before| event.seq >= before) {
                     return Ok(false);
                 }
-                if self.pass(event).await? {
+                if self.forward(event).await? {
                     return Ok(true);
                 }
             }
@@ -247,28 +256,28 @@
         }
     }
 
-    /// Finds the session again after its feed broke, and goes on after the last event passed on.
+    /// Finds the session's owner after its feed failed and resumes after the last forwarded event.
     async fn recover(
         &mut self,
         mut failed: Option<FailedOwner>,
-    ) -> Result<(OwnerEntry, Feed), Ended> {
+    ) -> Result<(OwnerEntry, Feed), RelayEnd> {
         let since = *self.recovering_since.get_or_insert_with(Instant::now);
-        let deadline = since + RECOVERY_TIME;
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let deadline = since + RECOVERY_TIMEOUT;
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         loop {
             match self.try_recover(failed.take(), deadline).await {
                 Ok(found) => return Ok(found),
-                Err(Retry::No(ended)) => return Err(ended),
-                Err(Retry::Yes(next)) => failed = next,
+                Err(RecoveryError::Final(ended)) => return Err(ended),
+                Err(RecoveryError::Retryable(next)) => failed = next,
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= deadline {
-                warn!(session = %self.key, "stream not recovered in time");
-                return Err(Ended::Doubt("not recovered in time"));
+                warn!(session = %self.key, "event stream not recovered in time");
+                return Err(RelayEnd::Inconsistent("not recovered in time"));
             }
             tokio::select! {
                 () = sleep(wait) => {}
-                () = self.sink.closed() => return Err(Ended::ClientGone),
+                () = self.sink.closed() => return Err(RelayEnd::ClientDisconnected),
             }
         }
     }
@@ -277,90 +286,96 @@
         &mut self,
         failed: Option<FailedOwner>,
         deadline: Instant,
-    ) -> Result<(OwnerEntry, Feed), Retry> {
+    ) -> Result<(OwnerEntry, Feed), RecoveryError> {
         match self.catch_up(None, deadline).await {
-            Ok(true) => return Err(Retry::No(Ended::Whole)),
+            Ok(true) => return Err(RecoveryError::Final(RelayEnd::Complete)),
             Ok(false) => {}
-            Err(Ended::Broken(_)) => return Err(Retry::Yes(failed)),
-            Err(ended) => return Err(Retry::No(ended)),
+            Err(RelayEnd::FeedFailed(_)) => return Err(RecoveryError::Retryable(failed)),
+            Err(ended) => return Err(RecoveryError::Final(ended)),
         }
         let entry = match self.owners.resolve(&self.key, failed, deadline).await {
             Ok(entry) => entry,
-            Err(OwnerError::Closed(_)) => return Err(self.closed(deadline).await),
-            Err(OwnerError::NoSession) => return Err(Retry::No(Ended::Doubt("no such session"))),
-            Err(OwnerError::Shard(_) | OwnerError::NotNow { .. }) => return Err(Retry::Yes(None)),
+            Err(OwnerError::Closed(_)) => return Err(self.finish_closed(deadline).await),
+            Err(OwnerError::NoSession) => {
+                return Err(RecoveryError::Final(RelayEnd::Inconsistent("no such session")));
+            }
+            Err(OwnerError::Shard(_) | OwnerError::Unavailable { .. }) => {
+                return Err(RecoveryError::Retryable(None));
+            }
         };
         let join = Join { place: entry.place(&self.key), last_seen: Some(self.cursor.last()) };
         match self.owners.engines.open(&entry.owner, &join, deadline).await {
             Ok(items) => Ok((entry, Feed::Session(items))),
             Err(error) => {
-                let fault = error.owner_fault().unwrap_or(OwnerFault::Interrupted);
-                Err(Retry::Yes(Some(FailedOwner { entry, fault })))
+                let fault = error.owner_fault().unwrap_or(OwnerFault::ConnectionLost);
+                Err(RecoveryError::Retryable(Some(FailedOwner { entry, fault })))
             }
         }
     }
 
-    /// The session has closed: its last events are committed.
-    async fn closed(&mut self, deadline: Instant) -> Retry {
+    /// Forwards the last events of a closed session, all of which are committed.
+    async fn finish_closed(&mut self, deadline: Instant) -> RecoveryError {
         match self.catch_up(None, deadline).await {
-            Ok(true) => Retry::No(Ended::Whole),
-            Ok(false) => Retry::No(Ended::Doubt("closed without the terminal event")),
-            Err(Ended::Broken(_)) => Retry::Yes(None),
-            Err(ended) => Retry::No(ended),
+            Ok(true) => RecoveryError::Final(RelayEnd::Complete),
+            Ok(false) => RecoveryError::Final(RelayEnd::Inconsistent(
+                "the session closed without the terminal event",
+            )),
+            Err(RelayEnd::FeedFailed(_)) => RecoveryError::Retryable(None),
+            Err(ended) => RecoveryError::Final(ended),
         }
     }
 }
 
-/// Whether to try to recover again.
-enum Retry {
-    Yes(Option<FailedOwner>),
-    No(Ended),
+/// Why a recovery attempt failed, and whether to retry.
+enum RecoveryError {
+    Retryable(Option<FailedOwner>),
+    Final(RelayEnd),
 }
 
-fn left(refusal: EngineRefusal) -> Ended {
+fn owner_refused(refusal: EngineRefusal) -> RelayEnd {
     let fault = EngineError::Refused(refusal).owner_fault();
-    Ended::Broken(fault.unwrap_or(OwnerFault::Interrupted))
+    RelayEnd::FeedFailed(fault.unwrap_or(OwnerFault::ConnectionLost))
 }
 
-/// Why a feed gives no more.
-enum FeedBroken {
-    /// The owner ended it, as it does with a client that is too slow.
-    Ended,
-    /// Its connection failed.
+/// Why a feed ended.
+enum FeedError {
+    /// The owner ended it, as it does for a slow client.
+    Closed,
+    /// The connection failed.
     Rpc(RpcError),
 }
 
-impl From<RpcError> for FeedBroken {
+impl From<RpcError> for FeedError {
     fn from(error: RpcError) -> Self {
         Self::Rpc(error)
     }
 }
 
-async fn next_item(feed: &mut Feed) -> Result<FeedItem, FeedBroken> {
+async fn next_item(feed: &mut Feed) -> Result<FeedItem, FeedError> {
     match feed {
         Feed::Turn(items) => Ok(match items.next().await? {
             Some(TurnItem::Event(event)) => FeedItem::Event(event),
-            Some(TurnItem::Accepted { .. }) => FeedItem::Nothing,
-            Some(TurnItem::Refused { refusal, .. }) => FeedItem::Left(refusal),
-            None => return Err(FeedBroken::Ended),
+            Some(TurnItem::Accepted { .. }) => FeedItem::Ignored,
+            Some(TurnItem::Refused { refusal, .. }) => FeedItem::Refused(refusal),
+            None => return Err(FeedError::Closed),
         }),
         Feed::Session(items) => Ok(match items.next().await? {
             Some(JoinItem::Event(event)) => FeedItem::Event(event),
             Some(JoinItem::Sync { history, .. }) => FeedItem::Sync(history),
-            Some(JoinItem::Refused(refusal)) => FeedItem::Left(refusal),
-            None => return Err(FeedBroken::Ended),
+            Some(JoinItem::Refused(refusal)) => FeedItem::Refused(refusal),
+            None => return Err(FeedError::Closed),
         }),
     }
 }
 
-/// The next item of a stream within a time, for first answers.
+/// Returns the next item of a stream before the deadline; used for the first reply.
 pub async fn first_item<T: serde::de::DeserializeOwned>(
     items: &mut ItemStream<T>,
     deadline: Instant,
 ) -> Result<T, EngineError> {
     let left = deadline.saturating_duration_since(Instant::now());
     match timeout(left, items.next()).await {
-        Err(_) => Err(EngineError::Lost("no answer in time".to_owned())),
+        Err(_) => Err(EngineError::Lost("no reply before the deadline".to_owned())),
         Ok(Err(error)) => Err(error.into()),
         Ok(Ok(None)) => Err(EngineError::Lost("the stream ended".to_owned())),
         Ok(Ok(Some(item))) => Ok(item),
--- a/crates/gateway/src/sessions/opening.rs
+++ b/crates/gateway/src/sessions/opening.rs
@@ -1,4 +1,4 @@
-//! Opens sessions: chooses an engine, which writes the ownership itself; the first writer wins.
+//! Opens sessions: selects an engine, which records its ownership itself; the first writer wins.
 
 use hooklug_protocol::engine::{EngineRefusal, OpenSession};
 use hooklug_state::shard::{SessionRecord, ShardRefusal};
@@ -7,36 +7,36 @@
 use tracing::info;
 
 use super::engines::EngineError;
-use super::owners::{OwnerError, Owners, not_now};
+use super::owners::{OwnerError, Owners, unavailable};
 use super::placement::{Candidate, choose};
-use super::takeover::PLACE_TRY_TIME;
+use super::takeover::PLACEMENT_ATTEMPT_TIMEOUT;
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals;
 use crate::backoff::Backoff;
 
-/// What a session is opened with.
+/// Parameters of a new session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Opening {
-    /// Which session.
+    /// The session.
     pub key: SessionKey,
-    /// Service that its model runs on.
+    /// Service that runs its model.
     pub service: ServiceName,
-    /// Shared prefix of its prompt.
+    /// Shared prefix of its prompts.
     pub prefix: Option<PrefixId>,
 }
 
 impl Owners {
-    /// Opens a session, or finds that it is open already.
+    /// Opens a session, or returns the record if it is already open.
     ///
     /// # Errors
-    /// A problem for the caller; `try_again` when no engine could be asked in time.
+    /// A problem for the caller; `try_again` when no engine accepted the session in time.
     pub async fn open(
         &self,
         opening: &Opening,
         deadline: Instant,
     ) -> Result<SessionRecord, Problem> {
         if let Some(record) = self.shards.session(&opening.key, deadline).await? {
-            return existing(opening, record);
+            return check_existing(opening, record);
         }
         let mut backoff = Backoff::new(
             std::time::Duration::from_millis(20),
@@ -48,23 +48,23 @@
             open.retain(|c| !tried.contains(&c.engine));
             let chosen = choose(&open, opening.prefix.as_ref(), &self.zone, &mut rand::rng());
             if let Some(candidate) = chosen {
-                if let Some(record) = self.ask_to_open(opening, &candidate, deadline).await? {
-                    return existing(opening, record);
+                if let Some(record) = self.request_open(opening, &candidate, deadline).await? {
+                    return check_existing(opening, record);
                 }
                 tried.push(candidate.engine);
                 continue;
             }
             let wait = backoff.next_wait();
             if Instant::now() + wait >= deadline {
-                return Err(not_now("no engine can take the session now").into());
+                return Err(unavailable("no engine is available for the session").into());
             }
             sleep(wait).await;
             tried.clear();
         }
     }
 
-    /// Asks one engine; `None` when another one should be asked.
-    async fn ask_to_open(
+    /// Asks one engine to open the session; `None` when another engine should be tried.
+    async fn request_open(
         &self,
         opening: &Opening,
         candidate: &Candidate,
@@ -76,7 +76,7 @@
             service: opening.service.clone(),
             prefix: opening.prefix.clone(),
         };
-        let try_until = deadline.min(Instant::now() + PLACE_TRY_TIME);
+        let try_until = deadline.min(Instant::now() + PLACEMENT_ATTEMPT_TIMEOUT);
         match self.engines.call(&candidate.engine, &request, try_until).await {
             Ok(record) => {
                 info!(session = %opening.key, engine = %candidate.engine, epoch = %record.epoch, "session opened");
@@ -94,26 +94,30 @@
                 Ok(Some(*record))
             }
             Err(EngineError::Refused(EngineRefusal::Ledger(refusal))) => {
-                Err(refusals::ledger(&refusal))
+                Err(refusals::from_shard(&refusal))
             }
-            // The engine may have written the ownership: whoever reads next finds it.
+            // The engine may have recorded its ownership: read the record.
             Err(EngineError::Lost(_)) => Ok(self.shards.session(&opening.key, deadline).await?),
             Err(EngineError::Refused(_) | EngineError::Unreachable(_)) => Ok(None),
         }
     }
 }
 
-/// A session that is there already must be the one that was asked for.
-fn existing(opening: &Opening, record: SessionRecord) -> Result<SessionRecord, Problem> {
+/// Checks that an existing session matches the request.
+fn check_existing(opening: &Opening, record: SessionRecord) -> Result<SessionRecord, Problem> {
     if record.closed {
         return Err(OwnerError::Closed(Box::new(record)).into());
     }
     if record.service != opening.service {
-        let detail = format!("it runs on service {}", record.service);
+        let detail = format!("the session uses service {}", record.service);
         return Err(Problem::field(Code::SessionDiffers, "model", detail));
     }
     if record.prefix != opening.prefix {
-        return Err(Problem::field(Code::SessionDiffers, "prefix", "it has another prefix"));
+        return Err(Problem::field(
+            Code::SessionDiffers,
+            "prefix",
+            "the session has another prefix",
+        ));
     }
     Ok(record)
 }
--- a/crates/gateway/src/sessions/owners.rs
+++ b/crates/gateway/src/sessions/owners.rs
@@ -1,4 +1,5 @@
-//! Who owns a session now: the table first, else the shard's record, else a takeover.
+//! Resolves a session's owner: from the owner table, then from the shard's record, then by a
+//! takeover.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -8,38 +9,38 @@
 use hooklug_types::{EngineIncarnation, ServiceName, ServiceVersion, SessionKey, ZoneName};
 use tokio::time::{Instant, sleep_until};
 
-use super::engines::{EngineError, Engines, OwnerFault};
+use super::engines::{EngineClient, EngineError, OwnerFault};
 use super::owner_table::{OWNER_TABLE_ENTRIES, OwnerEntry, OwnerTable};
-use super::placement::{Candidate, EngineKnowledge, candidates};
-use super::takeover::Waiting;
+use super::placement::{Candidate, EngineInfo, candidates};
+use super::takeover::LeaseWait;
 use crate::api::problem::{Code, Problem};
 use crate::api::refusals::{RETRY_SOON, RETRY_STORE};
 use crate::shards::{ShardError, Shards};
 use crate::single_flight::SingleFlight;
 use crate::versions::StoppedVersions;
 
-/// Wait before a session that is being handed over is looked up again (ours).
+/// Wait before the record of a session that is being handed over is read again.
 const HAND_OVER_WAIT: Duration = Duration::from_millis(20);
 
-/// Why a session has no owner that can be asked.
+/// Why no owner is available for a session.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OwnerError {
-    /// No such session.
+    /// The session does not exist.
     #[error("no such session")]
     NoSession,
-    /// It is closed.
+    /// The session is closed.
     #[error("the session is closed")]
     Closed(Box<SessionRecord>),
-    /// Its shard gave no answer.
+    /// Its shard returned no usable reply.
     #[error(transparent)]
     Shard(#[from] ShardError),
-    /// The former owner's lease still runs, or no engine could take the session.
+    /// The former owner's lease has not expired, or no engine accepted the session.
     #[error("{detail}")]
-    NotNow {
-        /// Why.
+    Unavailable {
+        /// The reason.
         detail: String,
-        /// When to come back.
-        after: Duration,
+        /// Delay after which to retry.
+        retry_after: Duration,
     },
 }
 
@@ -50,39 +51,39 @@
             OwnerError::NoSession => Problem::new(Code::NoSession, detail),
             OwnerError::Closed(_) => Problem::new(Code::SessionClosed, detail),
             OwnerError::Shard(_) => Problem::try_again(detail, RETRY_STORE),
-            OwnerError::NotNow { after, .. } => Problem::try_again(detail, after),
+            OwnerError::Unavailable { retry_after, .. } => Problem::try_again(detail, retry_after),
         }
     }
 }
 
-/// An owner that failed, and how.
+/// A failed owner and the kind of failure.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FailedOwner {
-    /// The entry that was used.
+    /// The owner entry that was used.
     pub entry: OwnerEntry,
-    /// How it failed.
+    /// The kind of failure.
     pub fault: OwnerFault,
 }
 
-/// The owners of sessions.
+/// Resolves and caches the owners of sessions.
 #[derive(Debug)]
 pub struct Owners {
     table: Mutex<OwnerTable>,
     flights: SingleFlight<SessionKey>,
     pub(super) shards: Shards,
-    /// The engines.
-    pub engines: Arc<Engines>,
+    /// Client of the session-host engines.
+    pub engines: Arc<EngineClient>,
     pub(super) node: NodeHandle,
     pub(super) zone: ZoneName,
     pub(super) stopped: StoppedVersions,
 }
 
 impl Owners {
-    /// Owners as a node's shards and engines know them.
+    /// Creates a resolver for a node.
     #[must_use]
     pub fn new(
         shards: Shards,
-        engines: Arc<Engines>,
+        engines: Arc<EngineClient>,
         node: NodeHandle,
         zone: ZoneName,
         stopped: StoppedVersions,
@@ -91,20 +92,20 @@
         Self { table, flights: SingleFlight::default(), shards, engines, node, zone, stopped }
     }
 
-    /// Notes a record that was read or replied.
+    /// Updates the owner table from a record.
     pub fn learn(&self, record: &SessionRecord) {
         self.lock().learn(record);
     }
 
-    /// Drops a session's entry.
+    /// Removes a session from the owner table.
     pub fn forget(&self, key: &SessionKey) {
         self.lock().forget(key);
     }
 
-    /// Finds the owner; after a failure, another one where the failed one is gone.
+    /// Returns the owner. After a failure, returns another one if the failed one is unavailable.
     ///
     /// # Errors
-    /// [`OwnerError`]; claims nothing about any turn.
+    /// [`OwnerError`]; it states nothing about any turn.
     pub async fn resolve(
         &self,
         key: &SessionKey,
@@ -112,21 +113,21 @@
         deadline: Instant,
     ) -> Result<OwnerEntry, OwnerError> {
         if let Some(failed) = &failed {
-            self.drop_failed(key, failed);
+            self.invalidate(key, failed);
         }
-        if let Some(entry) = self.known(key) {
+        if let Some(entry) = self.cached_owner(key) {
             return Ok(entry);
         }
-        let flight = tokio::time::timeout_at(deadline, self.flights.enter(key));
-        let _flight = flight.await.map_err(|_| not_now("the session is being taken over"))?;
-        // Whoever went first has found the owner.
-        if let Some(entry) = self.known(key) {
+        let flight = tokio::time::timeout_at(deadline, self.flights.acquire(key));
+        let _flight = flight.await.map_err(|_| unavailable("the session is being taken over"))?;
+        // The task that held the lock before may have found the owner.
+        if let Some(entry) = self.cached_owner(key) {
             return Ok(entry);
         }
-        self.look_up(key, failed, deadline).await
+        self.resolve_from_shard(key, failed, deadline).await
     }
 
-    async fn look_up(
+    async fn resolve_from_shard(
         &self,
         key: &SessionKey,
         failed: Option<FailedOwner>,
@@ -136,11 +137,11 @@
             sleep_until(deadline.min(Instant::now() + HAND_OVER_WAIT)).await;
         }
         let record = self.shards.session(key, deadline).await?.ok_or(OwnerError::NoSession)?;
-        self.settle(&record, failed.as_ref(), deadline).await
+        self.resolve_record(&record, failed.as_ref(), deadline).await
     }
 
-    /// The owner that a fresh record names, or a new one.
-    async fn settle(
+    /// Returns the owner in a freshly read record, or has the session taken over.
+    async fn resolve_record(
         &self,
         record: &SessionRecord,
         failed: Option<&FailedOwner>,
@@ -154,19 +155,19 @@
             return self.take_over(record, deadline).await;
         };
         let fault = failed.filter(|f| f.entry.owner == entry.owner).map(|f| &f.fault);
-        if matches!(fault, Some(OwnerFault::Gone)) || !self.is_listed(&entry.owner) {
-            return self.replace(record, &entry, Waiting::ForLease, deadline).await;
+        if matches!(fault, Some(OwnerFault::Failed)) || !self.is_listed(&entry.owner) {
+            return self.replace_owner(record, &entry, LeaseWait::UntilExpired, deadline).await;
         }
-        let is_in_doubt =
-            matches!(fault, Some(OwnerFault::Interrupted)) || self.engines.is_suspect(&entry.owner);
-        if is_in_doubt {
-            return self.replace(record, &entry, Waiting::Not, deadline).await;
+        let is_uncertain = matches!(fault, Some(OwnerFault::ConnectionLost))
+            || self.engines.is_suspect(&entry.owner);
+        if is_uncertain {
+            return self.replace_owner(record, &entry, LeaseWait::Never, deadline).await;
         }
         self.learn(record);
         Ok(entry)
     }
 
-    /// Engines that may get a session of a service now.
+    /// Returns the engines that are eligible for a session of a service.
     pub(super) fn candidates(&self, service: &ServiceName) -> Vec<Candidate> {
         let Some(bundle) = self.node.bundle.borrow().clone() else { return Vec::new() };
         let Some(entry) = bundle.bundle.services.get(service) else { return Vec::new() };
@@ -178,25 +179,26 @@
         super::placement::address_of(&self.node.view.borrow(), engine).is_some()
     }
 
-    /// The entry of the table, unless its owner is gone or failed just now: then the record is read, since a frozen
-    /// engine stays listed for seconds, and each message sent to it would wait for a connection in vain.
-    fn known(&self, key: &SessionKey) -> Option<OwnerEntry> {
+    /// Returns the cached entry unless its owner is no longer listed or failed recently. In that
+    /// case the record is read, because a frozen engine stays listed for seconds, and each message
+    /// sent to it would wait for a connection in vain.
+    fn cached_owner(&self, key: &SessionKey) -> Option<OwnerEntry> {
         let entry = self.lock().get(key)?;
-        let is_sound = self.is_listed(&entry.owner) && !self.engines.is_suspect(&entry.owner);
-        is_sound.then_some(entry)
+        let is_usable = self.is_listed(&entry.owner) && !self.engines.is_suspect(&entry.owner);
+        is_usable.then_some(entry)
     }
 
-    fn drop_failed(&self, key: &SessionKey, failed: &FailedOwner) {
+    fn invalidate(&self, key: &SessionKey, failed: &FailedOwner) {
         let mut table = self.lock();
         match &failed.fault {
             OwnerFault::Moved(Some(record)) => {
                 table.forget_epoch(key, failed.entry.epoch);
-                // An engine that still names itself has an older view than its own refusal.
+                // A refusing engine that reports itself as owner has an outdated record.
                 if record.owner.as_ref() != Some(&failed.entry.owner) {
                     table.learn(record);
                 }
             }
-            OwnerFault::Moved(None) | OwnerFault::Gone | OwnerFault::Interrupted => {
+            OwnerFault::Moved(None) | OwnerFault::Failed | OwnerFault::ConnectionLost => {
                 table.forget_epoch(key, failed.entry.epoch);
             }
         }
@@ -211,12 +213,12 @@
     failed.is_some_and(|f| matches!(f.fault, OwnerFault::Moved(None)))
 }
 
-/// Nothing can be said now, but soon.
-pub(super) fn not_now(detail: &str) -> OwnerError {
-    OwnerError::NotNow { detail: detail.to_owned(), after: RETRY_SOON }
+/// Creates a transient error.
+pub(super) fn unavailable(detail: &str) -> OwnerError {
+    OwnerError::Unavailable { detail: detail.to_owned(), retry_after: RETRY_SOON }
 }
 
-impl EngineKnowledge for Owners {
+impl EngineInfo for Owners {
     fn work(&self, engine: &EngineIncarnation) -> u32 {
         self.engines.load.work(engine)
     }
@@ -230,13 +232,13 @@
     }
 }
 
-/// What a message to an owner came to, when it was not answered well.
+/// Why a message to a session's owner failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// No owner could be asked.
+    /// No owner is available.
     #[error(transparent)]
     Owner(#[from] OwnerError),
-    /// The owner refused for a reason other than ownership.
+    /// The owner refused, or the message failed.
     #[error(transparent)]
     Engine(#[from] EngineError),
 }
--- a/crates/gateway/src/sessions/placement.rs
+++ b/crates/gateway/src/sessions/placement.rs
@@ -1,4 +1,5 @@
-//! Where a new session goes (design section 5). Pure: candidates, load and randomness are passed in.
+//! Placement of new sessions (design document, section 5). Pure: candidates, load and randomness
+//! are passed in.
 
 use std::net::SocketAddr;
 
@@ -7,37 +8,37 @@
 use hooklug_types::{EngineIncarnation, PrefixId, ServiceName, ServiceVersion, ZoneName};
 use rand::{Rng, RngExt};
 
-/// An engine may hold this share of the average load before its prefixes go elsewhere (ours; the
-/// usual factor of consistent hashing with bounded loads).
+/// Multiple of the average load that an engine may have before its prefixes go elsewhere; the usual
+/// factor of consistent hashing with bounded loads.
 const PREFIX_LOAD_FACTOR: f64 = 1.25;
 
-/// Work a slot at which an own-zone engine counts as full and other zones are asked too (ours).
+/// Load per slot at which engines of the local zone count as full and other zones are considered.
 const ZONE_OVERFLOW_AT: f64 = 1.0;
 
-/// An engine that may get a session.
+/// An engine that is eligible for a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its run.
+    /// The engine and its incarnation.
     pub engine: EngineIncarnation,
-    /// Its rpc address.
+    /// Its RPC address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
     /// Version that it runs.
     pub version: ServiceVersion,
-    /// Turns that it runs at once; at least 1.
+    /// Number of turns that it can run concurrently; at least 1.
     pub slots: u32,
-    /// Turns that run or wait there.
+    /// Number of running and queued turns.
     pub work: u32,
 }
 
 impl Candidate {
-    fn share(&self) -> f64 {
+    fn load_ratio(&self) -> f64 {
         f64::from(self.work) / f64::from(self.slots.max(1))
     }
 }
 
-/// The run of a session-host engine that a member is; `None` for other roles.
+/// Returns the incarnation of a member's session-host engine; `None` for other roles.
 #[must_use]
 pub fn engine_of(member: &Member) -> Option<EngineIncarnation> {
     let hosted = member.engine.as_ref()?;
@@ -47,7 +48,7 @@
     })
 }
 
-/// Where an engine listens, if the view lists this run of it and has not given it up.
+/// Returns an engine's address if the view lists this incarnation and does not consider it failed.
 #[must_use]
 pub fn address_of(view: &ClusterView, engine: &EngineIncarnation) -> Option<SocketAddr> {
     let alive = view.members.values().filter(|m| m.health != MemberHealth::Dead);
@@ -55,62 +56,64 @@
     found.next().map(|m| m.address.rpc)
 }
 
-/// What a gateway knows of engines beyond the view.
-pub trait EngineKnowledge {
-    /// Turns that run or wait at the engine.
+/// Local information about engines beyond the cluster view.
+pub trait EngineInfo {
+    /// Number of running and queued turns at the engine.
     fn work(&self, engine: &EngineIncarnation) -> u32;
-    /// Whether the engine must get no new session from here: it said that it drains, or just failed.
+    /// Whether the engine must get no new session from this gateway: it reported that it is
+    /// draining, or it failed recently.
     fn is_excluded(&self, engine: &EngineIncarnation) -> bool;
-    /// Whether this gateway stopped sending new traffic to a version on its own evidence.
+    /// Whether this gateway stopped sending new traffic to a version, based on its own statistics.
     fn is_stopped(&self, service: &ServiceName, version: &ServiceVersion) -> bool;
 }
 
-/// Engines of the service's newest sound version that can take a session now. While the newest has
-/// none (it is not started yet, or not ready), the next older sound version that has some.
+/// Returns the engines of the service's newest sound version that can accept a session now. If it
+/// has none (not started or not ready yet), those of the next older sound version that has some.
 #[must_use]
 pub fn candidates(
     view: &ClusterView,
     name: &ServiceName,
     service: &Service,
-    knowledge: &dyn EngineKnowledge,
+    engines: &dyn EngineInfo,
 ) -> Vec<Candidate> {
     let sound = service.versions.iter().rev().filter(|v| v.state == VersionState::Sound);
     sound
-        .filter(|entry| !knowledge.is_stopped(name, &entry.version))
-        .map(|entry| of_version(view, name, &entry.version, knowledge))
+        .filter(|entry| !engines.is_stopped(name, &entry.version))
+        .map(|entry| candidates_of_version(view, name, &entry.version, engines))
         .find(|found| !found.is_empty())
         .unwrap_or_default()
 }
 
-fn of_version(
+fn candidates_of_version(
     view: &ClusterView,
     name: &ServiceName,
     version: &ServiceVersion,
-    knowledge: &dyn EngineKnowledge,
+    engines: &dyn EngineInfo,
 ) -> Vec<Candidate> {
     let alive = view.members.values().filter(|m| m.health == MemberHealth::Alive);
     alive
         .filter_map(|member| {
             let hosted = member.engine.as_ref()?;
             let engine = engine_of(member)?;
-            let takes = hosted.service == *name
+            let eligible = hosted.service == *name
                 && hosted.version == *version
                 && hosted.ready
                 && !hosted.draining
-                && !knowledge.is_excluded(&engine);
-            takes.then(|| Candidate {
+                && !engines.is_excluded(&engine);
+            eligible.then(|| Candidate {
                 address: member.address.rpc,
                 zone: member.address.zone.clone(),
                 version: version.clone(),
                 slots: hosted.slots,
-                work: knowledge.work(&engine),
+                work: engines.work(&engine),
                 engine,
             })
         })
         .collect()
 }
 
-/// Chooses an engine: by prefix where there is one, else the better of two in the own zone first.
+/// Selects an engine: by prefix if there is one, otherwise the less loaded of two random ones,
+/// preferring the local zone.
 pub fn choose(
     candidates: &[Candidate],
     prefix: Option<&PrefixId>,
@@ -118,15 +121,15 @@
     random: &mut impl Rng,
 ) -> Option<Candidate> {
     match prefix {
-        Some(prefix) => by_prefix(candidates, prefix),
-        None => better_of_two(&zone_first(candidates, own_zone), random),
+        Some(prefix) => choose_by_prefix(candidates, prefix),
+        None => better_of_two(&prefer_own_zone(candidates, own_zone), random),
     }
     .cloned()
 }
 
-/// Rendezvous hashing with bounded load: the highest-ranked engine that is not over its share, so
-/// that every gateway sends a prefix to the same engine as long as it can take it.
-fn by_prefix<'a>(candidates: &'a [Candidate], prefix: &PrefixId) -> Option<&'a Candidate> {
+/// Rendezvous hashing with bounded load: selects the highest-ranked engine within its bound, so
+/// that all gateways send a prefix to the same engine while it has capacity.
+fn choose_by_prefix<'a>(candidates: &'a [Candidate], prefix: &PrefixId) -> Option<&'a Candidate> {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by_key(|c| std::cmp::Reverse(rank(prefix, c)));
     let slots: u32 = candidates.iter().map(|c| c.slots.max(1)).sum();
@@ -143,29 +146,32 @@
     let mut hasher = blake3::Hasher::new();
     hasher.update(prefix.as_str().as_bytes());
     hasher.update(&[0]);
-    // The engine's name, not its run: a restarted engine gets its prefixes back.
+    // Hash the engine's name, not its incarnation, so that a restarted engine gets its prefixes
+    // back.
     hasher.update(candidate.engine.engine.as_str().as_bytes());
     let mut rank = [0_u8; 8];
     rank.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
     rank
 }
 
-fn zone_first<'a>(candidates: &'a [Candidate], own_zone: &ZoneName) -> Vec<&'a Candidate> {
-    let own: Vec<&Candidate> =
-        candidates.iter().filter(|c| c.zone == *own_zone && c.share() < ZONE_OVERFLOW_AT).collect();
+fn prefer_own_zone<'a>(candidates: &'a [Candidate], own_zone: &ZoneName) -> Vec<&'a Candidate> {
+    let own: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|c| c.zone == *own_zone && c.load_ratio() < ZONE_OVERFLOW_AT)
+        .collect();
     if own.is_empty() { candidates.iter().collect() } else { own }
 }
 
-fn better_of_two<'a>(among: &[&'a Candidate], random: &mut impl Rng) -> Option<&'a Candidate> {
-    if among.len() <= 1 {
-        return among.first().copied();
+fn better_of_two<'a>(candidates: &[&'a Candidate], random: &mut impl Rng) -> Option<&'a Candidate> {
+    if candidates.len() <= 1 {
+        return candidates.first().copied();
     }
-    let first = random.random_range(0..among.len());
-    let second = (first + random.random_range(1..among.len())) % among.len();
-    let (a, b) = (among[first], among[second]);
-    Some(if b.share() < a.share() { b } else { a })
+    let first = random.random_range(0..candidates.len());
+    let second = (first + random.random_range(1..candidates.len())) % candidates.len();
+    let (a, b) = (candidates[first], candidates[second]);
+    Some(if b.load_ratio() < a.load_ratio() { b } else { a })
 }
 
 fn least_loaded(candidates: &[Candidate]) -> Option<&Candidate> {
-    candidates.iter().min_by(|a, b| a.share().total_cmp(&b.share()))
+    candidates.iter().min_by(|a, b| a.load_ratio().total_cmp(&b.load_ratio()))
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of one gateway share.
+//! State shared by all requests of one gateway.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -18,21 +18,22 @@
 use crate::calls::Calls;
 use crate::calls::repeat_history::RepeatHistory;
 use crate::calls::retry_budget::RetryBudget;
-use crate::evidence::Evidence;
-use crate::limits::tenants::Tenants;
-use crate::programs::{ProgramFacts, Programs};
-use crate::sessions::engines::Engines;
+use crate::limits::tenants::TenantLimiter;
+use crate::programs::{ProgramCache, ProgramInfo};
+use crate::sessions::engines::EngineClient;
 use crate::sessions::owners::Owners;
 use crate::shards::Shards;
+use crate::version_monitor::VersionMonitor;
 use crate::versions::StoppedVersions;
 
-/// Time for one read or command of a shard (ours): an election and some.
-const STATE_TIME: Duration = Duration::from_secs(5);
+/// Timeout of one shard query or command; covers a leader election with a margin.
+const SHARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for one message to a session's owner (ours): lease time, margin, an election, a taker.
-const SESSION_TIME: Duration = Duration::from_secs(10);
+/// Timeout of one message to a session's owner; covers the lease time with its margin, a leader
+/// election and one takeover attempt.
+const OWNER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One gateway's parts.
+/// Components of one gateway.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) ctx: NodeContext,
@@ -40,13 +41,13 @@
     pub(crate) owners: Arc<Owners>,
     pub(crate) backends: Arc<Backends>,
     pub(crate) calls: Arc<Calls>,
-    pub(crate) evidence: Evidence,
-    pub(crate) programs: Programs,
-    pub(crate) tenants: Tenants,
-    /// Requests and tasks under way; the gateway's stop waits for them.
+    pub(crate) version_monitor: VersionMonitor,
+    pub(crate) programs: ProgramCache,
+    pub(crate) tenants: TenantLimiter,
+    /// Running requests and tasks; shutdown waits for them.
     pub(crate) running: TaskTracker,
-    /// Cuts the streams that are left when the grace period is over.
-    pub(crate) cut: CancellationToken,
+    /// Aborts the streams that remain near the end of the grace period.
+    pub(crate) abort_streams: CancellationToken,
 }
 
 impl Shared {
@@ -54,7 +55,7 @@
         let shards = Shards::new(ctx.state.clone());
         let stopped = StoppedVersions::default();
         let zone = ctx.settings.zone.clone();
-        let engines = Arc::new(Engines::new(ctx.client.clone(), ctx.node.clone()));
+        let engines = Arc::new(EngineClient::new(ctx.client.clone(), ctx.node.clone()));
         let owners = Arc::new(Owners::new(
             shards.clone(),
             engines,
@@ -64,12 +65,13 @@
         ));
         let pool = Pool::new(ctx.identity.address.rpc.ip(), ctx.identity.faults.clone());
         let backends = Arc::new(Backends::new(pool, ctx.node.clone(), zone, stopped.clone()));
-        let evidence = Evidence::new(ctx.node.statistics.clone(), stopped, ctx.node.harm.clone());
+        let version_monitor =
+            VersionMonitor::new(ctx.node.statistics.clone(), stopped, ctx.node.harm.clone());
         let running = TaskTracker::new();
         let calls = Arc::new(Calls {
             backends: backends.clone(),
             shards: shards.clone(),
-            evidence: evidence.clone(),
+            version_monitor: version_monitor.clone(),
             node: ctx.node.clone(),
             retries: RetryBudget::new(ctx.settings.gateway.retry_share),
             mode: ctx.settings.gateway.mode,
@@ -82,57 +84,57 @@
             owners,
             backends,
             calls,
-            evidence,
-            programs: Programs::default(),
-            tenants: Tenants::default(),
+            version_monitor,
+            programs: ProgramCache::default(),
+            tenants: TenantLimiter::default(),
             running,
-            cut: CancellationToken::new(),
+            abort_streams: CancellationToken::new(),
         }
     }
 
-    /// When a read or command of a shard is given up.
-    pub(crate) fn state_deadline() -> Instant {
-        Instant::now() + STATE_TIME
+    /// Deadline of a shard query or command that starts now.
+    pub(crate) fn shard_deadline() -> Instant {
+        Instant::now() + SHARD_TIMEOUT
     }
 
-    /// When a message to a session's owner is given up.
+    /// Deadline of a message to a session's owner that starts now.
     pub(crate) fn session_deadline() -> Instant {
-        Instant::now() + SESSION_TIME
+        Instant::now() + OWNER_TIMEOUT
     }
 
-    /// Longest request body, in bytes.
+    /// Maximum request body size, in bytes.
     pub(crate) fn body_limit(&self) -> usize {
         self.ctx.settings.gateway.body_bytes
     }
 
-    /// Runs a task that the gateway's stop waits for.
+    /// Spawns a task that shutdown waits for.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.running.spawn(task);
     }
 
-    /// The program's facts, if it is the caller's own. Another tenant's program does not exist for it.
+    /// Returns the program's attributes if the caller's tenant owns it. For any other tenant the
+    /// program does not exist.
     pub(crate) async fn own_program(
         &self,
         caller: &Caller,
         program: &ProgramId,
-    ) -> Result<ProgramFacts, Problem> {
-        let facts = match self.programs.get(program) {
-            Some(facts) => Some(facts),
+    ) -> Result<ProgramInfo, Problem> {
+        let info = match self.programs.get(program) {
+            Some(info) => Some(info),
             None => {
-                let read = self.shards.program(program, Self::state_deadline()).await?;
+                let read = self.shards.program(program, Self::shard_deadline()).await?;
                 read.map(|record| self.programs.learn(&record))
             }
         };
-        facts
-            .filter(|facts| facts.tenant == caller.tenant)
+        info.filter(|info| info.tenant == caller.tenant)
             .ok_or_else(|| Problem::new(Code::NoProgram, "no such program"))
     }
 
-    /// Without a store in reach, nothing begins that a store has to record.
-    pub(crate) fn check_store_reach(&self) -> Result<(), Problem> {
+    /// Rejects work that a store has to record while no store is reachable.
+    pub(crate) fn check_store_reachable(&self) -> Result<(), Problem> {
         if self.ctx.node.reach.borrow().store {
             return Ok(());
         }
-        Err(Problem::try_again("this gateway reaches no store", RETRY_STORE))
+        Err(Problem::try_again("no store is reachable from this gateway", RETRY_STORE))
     }
 }
--- a/crates/gateway/tests/support/app_engine.rs
+++ b/crates/gateway/tests/support/app_engine.rs
@@ -1,5 +1,5 @@
-//! A scripted application engine on raw TCP, so that its answers can be anything. It keeps a ledger
-//! of the calls that it ran.
+//! A fake application engine on raw TCP, so that it can send malformed responses. It counts the
+//! calls that it ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,62 +13,62 @@
 
 use super::{id, loopback};
 
-/// What one call meets.
+/// How the engine handles one call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs and answers.
+    /// Runs the call and responds.
     Answer,
-    /// Runs and answers this status and body.
+    /// Runs the call and responds with this status and body.
     AnswerWith(u16, &'static str),
-    /// Runs, then closes the connection without an answer.
+    /// Runs the call, then closes the connection without a response.
     LoseAnswer,
-    /// Runs, then answers half of the body and closes.
+    /// Runs the call, then sends half of the body and closes the connection.
     CutShort,
-    /// Runs, then echoes another request's id.
-    CrossRequest,
-    /// Runs, then answers in another engine's name.
-    CrossEngine,
-    /// Runs, then answers something that is not JSON.
+    /// Runs the call, then echoes another request's id.
+    WrongRequestId,
+    /// Runs the call, then responds with another engine's identity.
+    WrongEngineIdentity,
+    /// Runs the call, then responds with invalid JSON.
     Garble,
-    /// Runs, then answers without a length.
+    /// Runs the call, then responds without a content length.
     NoLength,
-    /// Runs, then answers 500.
+    /// Runs the call, then responds with status 500.
     ServerError,
-    /// Refuses with the contract's header.
+    /// Refuses with this reason in the refusal header.
     Refuse(&'static str),
-    /// Closes before reading the request.
+    /// Closes the connection without running the call.
     CloseBefore,
-    /// Runs and answers after this time.
+    /// Runs the call and responds after this time.
     Slow(Duration),
 }
 
 #[derive(Debug, Default)]
-pub struct AppScript {
-    /// What the next calls meet; `Answer` when empty.
+pub struct AppEngineScript {
+    /// Behaviours of the next calls, in order.
     pub next: VecDeque<Behaviour>,
-    /// What all further calls meet.
+    /// Behaviour of all further calls; `Answer` when `None`.
     pub always: Option<Behaviour>,
-    /// Runs by `program/call`.
+    /// Number of runs by `program/call`.
     pub ran: BTreeMap<String, u32>,
-    /// Calls received, run or not.
+    /// Number of calls received, whether or not they ran.
     pub received: u32,
-    /// Calls whose caller closed the connection before the answer.
-    pub left: u32,
-    /// Deadlines in milliseconds, as the calls' headers told them.
+    /// Number of calls whose caller closed the connection before the response.
+    pub disconnected: u32,
+    /// Deadlines from the calls' headers, in milliseconds.
     pub deadlines: Vec<u64>,
-    /// Answers to look-ups tell what ran.
-    pub look_up: bool,
-    /// Look-ups are never answered.
-    pub stall_look_ups: bool,
-    /// Identity that is told in place of its own.
-    pub pretend: Option<String>,
+    /// Whether lookups report the calls that ran.
+    pub answer_lookups: bool,
+    /// Whether lookups never get a response.
+    pub stall_lookups: bool,
+    /// Identity that is reported instead of the engine's own.
+    pub reported_identity: Option<String>,
 }
 
 pub struct AppEngine {
     pub engine: EngineId,
     pub incarnation: Incarnation,
     pub address: SocketAddr,
-    pub script: Arc<Mutex<AppScript>>,
+    pub script: Arc<Mutex<AppEngineScript>>,
     stop: CancellationToken,
 }
 
@@ -76,7 +76,7 @@
 struct Server {
     identity: String,
     json: String,
-    script: Arc<Mutex<AppScript>>,
+    script: Arc<Mutex<AppEngineScript>>,
 }
 
 struct Received {
@@ -90,9 +90,9 @@
     }
 
     pub async fn start_version(name: &str, run: u64, version: &str) -> Self {
-        let listener = TcpListener::bind(loopback()).await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let script: Arc<Mutex<AppScript>> = Arc::default();
+        let listener = TcpListener::bind(loopback()).await.expect("failed to bind a port");
+        let address = listener.local_addr().expect("no local address");
+        let script: Arc<Mutex<AppEngineScript>> = Arc::default();
         let json = format!(
             r#"{{"service":"farm","engine":"{name}","incarnation":{run},"version":"{version}","kind":"application"}}"#
         );
@@ -124,27 +124,27 @@
         self.stop.cancel();
     }
 
-    pub fn script(&self, change: impl FnOnce(&mut AppScript)) {
-        change(&mut self.script.lock().expect("no panic under the lock"));
+    pub fn script(&self, change: impl FnOnce(&mut AppEngineScript)) {
+        change(&mut self.script.lock().expect("lock is poisoned"));
     }
 
     pub fn next(&self, behaviour: Behaviour) {
         self.script(|script| script.next.push_back(behaviour));
     }
 
-    /// How often a call ran here.
+    /// Returns how often a call ran on this engine.
     pub fn runs(&self, call: &str) -> u32 {
-        self.script.lock().expect("no panic under the lock").ran.get(call).copied().unwrap_or(0)
+        self.script.lock().expect("lock is poisoned").ran.get(call).copied().unwrap_or(0)
     }
 
-    /// Waits until a call has run here.
+    /// Waits until a call has run on this engine.
     pub async fn wait_ran(&self, call: &str) {
         while self.runs(call) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Waits until so many calls have come.
+    /// Waits until `count` calls were received.
     pub async fn wait_received(&self, count: u32) {
         while self.received() < count {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -152,19 +152,19 @@
     }
 
     /// Waits until the caller of a slow call has closed its connection.
-    pub async fn wait_left(&self) {
-        while self.script.lock().expect("no panic under the lock").left == 0 {
+    pub async fn wait_disconnected(&self) {
+        while self.script.lock().expect("lock is poisoned").disconnected == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Time that each call said it had left, in milliseconds.
+    /// Returns the deadlines from the calls' headers, in milliseconds.
     pub fn deadlines(&self) -> Vec<u64> {
-        self.script.lock().expect("no panic under the lock").deadlines.clone()
+        self.script.lock().expect("lock is poisoned").deadlines.clone()
     }
 
     pub fn received(&self) -> u32 {
-        self.script.lock().expect("no panic under the lock").received
+        self.script.lock().expect("lock is poisoned").received
     }
 }
 
@@ -175,12 +175,13 @@
             let Some(received) = read_request(&mut stream).await? else { return Ok(()) };
             let path = received.path.clone();
             let open = if path == "/identity" {
-                let pretend = self.script.lock().expect("no panic under the lock").pretend.clone();
-                let json = pretend.unwrap_or_else(|| self.json.clone());
+                let reported_identity =
+                    self.script.lock().expect("lock is poisoned").reported_identity.clone();
+                let json = reported_identity.unwrap_or_else(|| self.json.clone());
                 write(&mut stream, 200, &[], &json).await?;
                 true
             } else if let Some(call) = path.strip_prefix("/calls?call=") {
-                self.answer_look_up(&mut stream, &received, call).await?;
+                self.answer_lookup(&mut stream, &received, call).await?;
                 true
             } else {
                 self.answer_call(&mut stream, &received).await?
@@ -191,15 +192,15 @@
         }
     }
 
-    async fn answer_look_up(
+    async fn answer_lookup(
         &self,
         stream: &mut BufReader<TcpStream>,
         received: &Received,
         call: &str,
     ) -> std::io::Result<()> {
         let (known, ran, stalled) = {
-            let script = self.script.lock().expect("no panic under the lock");
-            (script.look_up, script.ran.contains_key(call), script.stall_look_ups)
+            let script = self.script.lock().expect("lock is poisoned");
+            (script.answer_lookups, script.ran.contains_key(call), script.stall_lookups)
         };
         if stalled {
             std::future::pending::<()>().await;
@@ -224,7 +225,7 @@
     }
 
     fn next_behaviour(&self) -> Behaviour {
-        let mut script = self.script.lock().expect("no panic under the lock");
+        let mut script = self.script.lock().expect("lock is poisoned");
         script.received += 1;
         let next = script.next.pop_front().or_else(|| script.always.clone());
         next.unwrap_or(Behaviour::Answer)
@@ -234,7 +235,7 @@
         let call = received.headers.get("x-hooklug-call").cloned().unwrap_or_default();
         let deadline =
             received.headers.get("x-hooklug-deadline-ms").and_then(|ms| ms.parse::<u64>().ok());
-        let mut script = self.script.lock().expect("no panic under the lock");
+        let mut script = self.script.lock().expect("lock is poisoned");
         script.deadlines.extend(deadline);
         *script.ran.entry(call).or_default() += 1;
     }
@@ -268,11 +269,11 @@
                 stream.write_all(format!("{head}{BODY}").as_bytes()).await?;
                 return Ok(false);
             }
-            Behaviour::CrossRequest => {
+            Behaviour::WrongRequestId => {
                 let crossed = replaced(&own, "x-hooklug-request", "another");
                 write(stream, 200, &crossed, BODY).await?;
             }
-            Behaviour::CrossEngine => {
+            Behaviour::WrongEngineIdentity => {
                 let crossed = replaced(&own, "x-hooklug-engine", "farm/other/1");
                 write(stream, 200, &crossed, BODY).await?;
             }
@@ -286,9 +287,10 @@
             Behaviour::Slow(time) => {
                 tokio::select! {
                     () = tokio::time::sleep(time) => {}
-                    // Nothing follows a request before its answer: a read ends only with the connection.
+                    // No data follows a request before its response, so a read ends only when the
+                    // connection closes.
                     _ = stream.read_u8() => {
-                        self.script.lock().expect("no panic under the lock").left += 1;
+                        self.script.lock().expect("lock is poisoned").disconnected += 1;
                         return Ok(false);
                     }
                 }
--- a/crates/gateway/tests/support/fake_engine/records.rs
+++ b/crates/gateway/tests/support/fake_engine/records.rs
@@ -1,4 +1,4 @@
-//! What the engine reads and writes at its sessions' shards.
+//! Shard queries and commands of the fake engine.
 
 use hooklug_protocol::engine::{EngineRefusal, RunTurn};
 use hooklug_state::shard::{
@@ -9,7 +9,7 @@
 use hooklug_types::*;
 
 use super::Host;
-use crate::support::soon;
+use crate::support::test_deadline;
 
 impl Host {
     pub(super) async fn execute(
@@ -18,7 +18,7 @@
         command: ShardCommand,
     ) -> Result<ShardReply, EngineRefusal> {
         let group = shard_of(program.as_str());
-        match self.state.execute_shard(group, &command, soon()).await {
+        match self.state.execute_shard(group, &command, test_deadline()).await {
             Ok(ShardReply::Refused(refusal)) => Err(EngineRefusal::Ledger(refusal)),
             Ok(reply) => Ok(reply),
             Err(_) => Err(EngineRefusal::StoreUnavailable),
@@ -28,7 +28,7 @@
     pub(super) async fn session(&self, key: &SessionKey) -> state::SessionRecord {
         let query = ShardQuery::Session(key.clone());
         let group = shard_of(key.program.as_str());
-        match self.state.query_shard(group, &query, soon()).await {
+        match self.state.query_shard(group, &query, test_deadline()).await {
             Ok(ShardAnswer::Session(Some(record))) => record,
             other => panic!("no session: {other:?}"),
         }
@@ -37,7 +37,7 @@
     pub(super) async fn events(&self, key: &SessionKey, after: EventSeq) -> Vec<Event> {
         let query = ShardQuery::Events { key: key.clone(), after, limit: 1000 };
         let group = shard_of(key.program.as_str());
-        match self.state.query_shard(group, &query, soon()).await {
+        match self.state.query_shard(group, &query, test_deadline()).await {
             Ok(ShardAnswer::Events { events, .. }) => events,
             other => panic!("no events: {other:?}"),
         }
@@ -57,8 +57,8 @@
             reason,
         });
         match self.execute(&key.program, command).await? {
-            ShardReply::Turn(grant) => Ok(grant.existing.expect("an ended turn")),
-            other => panic!("unexpected {other:?}"),
+            ShardReply::Turn(grant) => Ok(grant.existing.expect("turn has not ended")),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
@@ -103,7 +103,7 @@
                 tokens: TokenCount(0),
                 state: TurnState::Open,
             })),
-            other => panic!("unexpected {other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 }
--- a/crates/gateway/tests/support/fake_engine/turns.rs
+++ b/crates/gateway/tests/support/fake_engine/turns.rs
@@ -1,4 +1,4 @@
-//! Turns and the common stream, told to gateways as the script says.
+//! Turn and session streams of the fake engine, with scripted faults.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 impl Host {
     pub(super) async fn run_turn(&self, request: RunTurn, sink: ItemSink<TurnItem>) {
         let refused = |refusal| TurnItem::Refused { refusal, load: self.load() };
-        let begun = match self.enter("run_turn") {
+        let started = match self.receive("run_turn") {
             Ok(()) => self.begin(&request).await,
             Err(refusal) => Err(refusal),
         };
-        let turn = match begun {
+        let turn = match started {
             Ok(turn) => turn,
             Err(refusal) => {
                 let _ = sink.send(&refused(refusal)).await;
@@ -34,10 +34,10 @@
         self.stream_turn(&request, &turn, &sink).await;
     }
 
-    /// Produces `max_tokens` tokens, one an event, then ends the turn.
+    /// Generates `max_tokens` tokens, one per event, then ends the turn.
     pub(super) async fn generate(&self, request: &RunTurn) {
         let (hold, fail) = {
-            let script = self.script.lock().expect("no panic under the lock");
+            let script = self.script.lock().expect("lock is poisoned");
             (script.hold_turns, script.fail_turns)
         };
         let key = &request.place.key;
@@ -69,7 +69,7 @@
         sink: &ItemSink<TurnItem>,
     ) {
         let (cut, skip, twice) = {
-            let mut script = self.script.lock().expect("no panic under the lock");
+            let mut script = self.script.lock().expect("lock is poisoned");
             (script.cut_streams_after.pop_front(), script.skip_event.take(), script.send_twice)
         };
         let mut last = EventSeq(turn.started.0.saturating_sub(1)).max(request.last_seen);
@@ -106,7 +106,7 @@
     }
 
     pub(super) async fn join(&self, request: Join, sink: ItemSink<JoinItem>) {
-        if let Err(refusal) = self.enter("join") {
+        if let Err(refusal) = self.receive("join") {
             let _ = sink.send(&JoinItem::Refused(refusal)).await;
             return;
         }
