--- a/crates/gateway/src/api/problem.rs
+++ b/crates/gateway/src/api/problem.rs
@@ -98,7 +98,7 @@
             Self::SessionDiffers => "the session exists with other values",
             Self::TurnDiffers => "the turn exists with other content",
             Self::CallDiffers => "the call exists with other content",
-            Self::CallRepeatable => "a repeatable call is not recorded",
+            Self::CallRepeatable => "a call that may be repeated is not recorded",
             Self::CallSealed => "the call was sealed",
             Self::NotHead => "the turn does not follow the head",
             Self::TurnOpen => "another turn is open",
@@ -106,13 +106,13 @@
             Self::NoSuchTurn => "the earlier turn is not known",
             Self::BudgetSpent => "the token budget is spent",
             Self::ProgramEnded => "the program's end time has passed",
-            Self::BudgetReserved => "the rest of the token budget is reserved by other turns",
+            Self::BudgetReserved => "other turns hold what is left of the token budget",
             Self::TenantLimited => "the tenant's limit is reached",
-            Self::Overloaded => "the service is overloaded",
-            Self::TryAgain => "temporarily unavailable",
+            Self::Overloaded => "too much work is waiting",
+            Self::TryAgain => "cannot be answered now",
             Self::DeadlineExceeded => "the deadline has passed",
             Self::CallUnknown => "the call may have run",
-            Self::CallRefused => "no application engine accepted the call",
+            Self::CallRefused => "no application engine took the call",
         }
     }
 }
