--- a/crates/raft/examples/simulate.rs
+++ b/crates/raft/examples/simulate.rs
@@ -1,20 +1,20 @@
-//! Runs the simulator over many seeds, or one seed in words.
+//! Runs the simulator over many seeds, or replays one seed with a readable trace.
 //!
 //! `cargo run --release -p hooklug-raft --features simulation --example simulate -- --seeds 20000`
 
 use clap::Parser;
 use hooklug_raft::simulation::{Scenario, run, sweep};
 
-/// Runs a simulated group under faults and checks it after every step.
+/// Runs a simulated raft group under faults and checks it after every step.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// Number of seeds.
+    /// Number of seeds to run.
     #[arg(long, default_value_t = 2_000)]
     seeds: u64,
     /// First seed.
     #[arg(long, default_value_t = 0)]
     first: u64,
-    /// Threads; two by default, so that the machine stays usable.
+    /// Number of threads. The default of two leaves the machine usable.
     #[arg(long, default_value_t = 2)]
     threads: usize,
     /// Runs only the first seed and prints its last events.
--- a/crates/raft/src/conf_change.rs
+++ b/crates/raft/src/conf_change.rs
@@ -1,17 +1,16 @@
-//! Members of a group: what a change does to them, and what a quorum of them is.
+//! Membership of a group: applying membership changes and computing quorums.
 //!
-//! Ours: a change takes effect when its entry is **appended**, not when it is applied (Raft
-//! dissertation, section 4.1), and is undone when the entry is truncated. The invariant is that
-//! two neighbouring configurations differ by one voter, so any quorum of one shares a replica with
-//! any quorum of the other. It holds because a leader appends a change only when the change before
-//! is committed and an entry of its own term is committed.
+//! A change takes effect when its entry is **appended**, not when it is applied (Raft dissertation,
+//! section 4.1), and is reverted when the entry is truncated. Two consecutive configurations differ
+//! by one voter, so any quorum of one intersects any quorum of the other. This holds because a leader
+//! appends a change only after the previous change and an entry of its own term are committed.
 
 use hooklug_types::NodeId;
 
 use crate::message::{ConfChange, ConfState};
 
 impl ConfState {
-    /// Members after a change. Total: a change that does not fit leaves the members as they are.
+    /// Returns the members after a change. An inapplicable change leaves the members unchanged.
     #[must_use]
     pub fn with(&self, change: ConfChange) -> Self {
         let mut next = self.clone();
@@ -35,18 +34,18 @@
         next
     }
 
-    /// Whether a replica is a member of either kind.
+    /// Whether a replica is a voter or a learner.
     #[must_use]
     pub fn contains(&self, node: NodeId) -> bool {
         self.voters.contains(&node) || self.learners.contains(&node)
     }
 
-    /// Members of both kinds, voters first.
+    /// All members, voters first.
     pub fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// Whether a majority of the voters satisfies a condition; never for an empty voter set.
+    /// Whether a majority of the voters satisfies a predicate; false for an empty voter set.
     pub fn is_quorum(&self, holds: impl Fn(NodeId) -> bool) -> bool {
         self.voters.iter().filter(|node| holds(**node)).count() > self.voters.len() / 2
     }
--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of one replica and what it restores from disk.
+//! Settings of one replica and the state that it restores from disk.
 
 use hooklug_types::NodeId;
 
@@ -9,46 +9,51 @@
 /// Settings of one replica.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This replica's node; an empty disk is a new one.
+    /// Node id of this replica. A node that lost its disk must return under a new id.
     pub id: NodeId,
-    /// Ticks without a leader until an election; each wait is drawn from one to two times this.
+    /// Ticks without a leader before an election. Each election timeout is drawn at random between
+    /// one and two times this value.
     pub election_ticks: u32,
-    /// Ticks between heartbeats; less than `election_ticks`.
+    /// Ticks between heartbeats; must be less than `election_ticks`.
     pub heartbeat_ticks: u32,
-    /// Bytes of entries in one append; an append always holds at least one entry.
+    /// Maximum bytes of entries in one append message. A single entry may exceed it.
     pub max_append_bytes: usize,
-    /// Appends to one replica that may be unanswered.
+    /// Maximum number of unacknowledged append messages to one replica.
     pub max_inflight: usize,
-    /// Seed of the random election waits.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
 impl Config {
-    /// Checks the settings against each other.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
-    /// [`RaftError::InvalidConfig`] says which setting is wrong.
+    /// [`RaftError::InvalidConfig`] names the invalid setting.
     pub fn validate(&self) -> Result<(), RaftError> {
         if self.heartbeat_ticks == 0 {
-            return Err(RaftError::InvalidConfig("heartbeat_ticks must be above 0"));
+            return Err(RaftError::InvalidConfig("heartbeat_ticks must be greater than 0"));
         }
         if self.election_ticks <= self.heartbeat_ticks {
-            return Err(RaftError::InvalidConfig("election_ticks must be above heartbeat_ticks"));
+            return Err(RaftError::InvalidConfig(
+                "election_ticks must be greater than heartbeat_ticks",
+            ));
         }
         if self.max_inflight == 0 {
-            return Err(RaftError::InvalidConfig("max_inflight must be above 0"));
+            return Err(RaftError::InvalidConfig("max_inflight must be greater than 0"));
         }
         Ok(())
     }
 }
 
-/// What a replica had on disk.
+/// Persistent state of a replica, as read from disk at startup.
 #[derive(Debug, Clone)]
 pub struct Restored {
-    /// The hard state. A commit mark beyond the last entry (a torn tail) is lowered to it.
+    /// The hard state. A commit index beyond the last entry (possible after a torn write) is lowered
+    /// to the last entry.
     pub hard_state: HardState,
-    /// The newest snapshot; without one, index and term 0 and the group's first members. A replica
-    /// that joins a running group has no members here: it takes nothing but a snapshot first.
+    /// The newest snapshot. Without one, index and term are 0 and the members are the group's initial
+    /// ones. A replica that joins a running group has no members here and accepts only a snapshot at
+    /// first.
     pub snapshot: SnapshotMeta,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, leader stickiness and what changes with the role.
+//! Leader election: pre-vote, vote, leader stickiness and role transitions.
 
 use hooklug_types::NodeId;
 
@@ -7,31 +7,31 @@
 use crate::progress::Progress;
 use crate::ready::Role;
 
-/// Which question a vote request asks.
+/// Kind of a vote request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ballot {
-    /// Would you vote for me? Changes nothing.
+pub(crate) enum VoteKind {
+    /// Asks whether the receiver would grant its vote; changes no state.
     PreVote,
-    /// Vote for me.
+    /// Requests the receiver's vote.
     Vote {
-        /// A leader handed over to the candidate.
+        /// The election was started by a leadership transfer.
         transfer: bool,
     },
 }
 
-/// A vote request as received.
+/// A received vote request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct VoteRequest {
     pub(crate) from: NodeId,
     pub(crate) term: u64,
-    pub(crate) ballot: Ballot,
+    pub(crate) kind: VoteKind,
     pub(crate) last_index: u64,
     pub(crate) last_term: u64,
 }
 
 impl RawNode {
-    /// Asks for leadership now instead of after the election timeout: for a group's first leader
-    /// and for tests. Does nothing at a leader or a replica without a vote.
+    /// Starts an election without waiting for the election timeout. Used to elect the first leader of
+    /// a group, and in tests. Does nothing on a leader or a non-voter.
     pub fn campaign(&mut self) {
         if self.role == Role::Leader {
             return;
@@ -42,10 +42,10 @@
             return;
         }
         self.role = Role::PreCandidate;
-        self.ask_for_votes(Ballot::PreVote);
+        self.request_votes(VoteKind::PreVote);
     }
 
-    /// Asks for votes at once, without a pre-vote.
+    /// Requests votes immediately, without a pre-vote.
     pub(crate) fn start_election(&mut self, transfer: bool) {
         if self.role == Role::Leader || !self.is_promotable() {
             return;
@@ -56,11 +56,12 @@
         self.leader = None;
         self.term = next_term;
         self.vote = Some(self.config.id);
-        self.ask_for_votes(Ballot::Vote { transfer });
+        self.request_votes(VoteKind::Vote { transfer });
     }
 
-    /// Whether the replica may lead. One whose own removal is not committed still may: without it
-    /// a group of two could be left without any possible leader (Raft dissertation, 4.2.2).
+    /// Whether the replica may become leader. A replica whose own removal is not committed yet still
+    /// may: otherwise a group of two could be left without an eligible leader (Raft dissertation,
+    /// section 4.2.2).
     fn is_promotable(&self) -> bool {
         let id = self.config.id;
         let committed = self.log.conf_at(self.log.commit());
@@ -68,9 +69,9 @@
         is_voter && !self.log.has_pending_snapshot()
     }
 
-    fn ask_for_votes(&mut self, ballot: Ballot) {
+    fn request_votes(&mut self, kind: VoteKind) {
         self.votes.clear();
-        if ballot == Ballot::PreVote {
+        if kind == VoteKind::PreVote {
             self.votes.insert(self.config.id, true);
         }
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
@@ -78,12 +79,12 @@
         let voters = self.log.conf().voters.iter().copied();
         let others: Vec<NodeId> = voters.filter(|voter| *voter != own).collect();
         for voter in others {
-            match ballot {
-                Ballot::PreVote => {
+            match kind {
+                VoteKind::PreVote => {
                     let body = MessageBody::PreVote { last_index, last_term };
                     self.send_with_term(voter, self.term.saturating_add(1), body);
                 }
-                Ballot::Vote { transfer } => {
+                VoteKind::Vote { transfer } => {
                     self.send(voter, MessageBody::Vote { last_index, last_term, transfer });
                 }
             }
@@ -91,8 +92,8 @@
         self.count_votes();
     }
 
-    /// Counts a candidate's vote for itself once it is on disk. Otherwise a sole voter could crash
-    /// and lead the same term a second time, with other entries.
+    /// Counts a candidate's vote for itself once that vote is on disk. Counting it earlier would let a
+    /// sole voter crash and lead the same term again with different entries.
     pub(crate) fn count_own_vote(&mut self, synced_term: u64) {
         if self.role == Role::Candidate && synced_term == self.term {
             self.votes.insert(self.config.id, true);
@@ -118,13 +119,13 @@
             _ => request.term > self.term,
         };
         let granted = may_vote && self.log.is_up_to_date(request.last_index, request.last_term);
-        match request.ballot {
-            Ballot::PreVote => {
+        match request.kind {
+            VoteKind::PreVote => {
                 let term = if granted { request.term } else { self.term };
                 let body = MessageBody::PreVoteReply { granted };
                 self.send_with_term(request.from, term, body);
             }
-            Ballot::Vote { .. } => {
+            VoteKind::Vote { .. } => {
                 if granted {
                     self.vote = Some(request.from);
                     self.reset_election_timer();
@@ -134,8 +135,8 @@
         }
     }
 
-    /// An answer to a pre-vote. A grant carries the term asked about, so that one from an earlier
-    /// round is recognised.
+    /// Handles a pre-vote reply. A grant carries the requested term, so that a grant from an earlier
+    /// campaign is ignored.
     pub(crate) fn handle_pre_vote_reply(&mut self, from: NodeId, term: u64, granted: bool) {
         let asked_term = self.term.saturating_add(1);
         if self.role != Role::PreCandidate || (granted && term != asked_term) {
@@ -153,8 +154,8 @@
         self.count_votes();
     }
 
-    /// Whether a live leader is known, so that others' elections are not joined.
-    pub(crate) fn has_live_leader(&self) -> bool {
+    /// Whether the leader was heard from within an election timeout; vote requests are then ignored.
+    pub(crate) fn has_recent_leader(&self) -> bool {
         self.leader.is_some() && self.election_elapsed < self.config.election_ticks
     }
 
@@ -169,7 +170,7 @@
         self.progress.clear();
         self.transfer_to = None;
         let lost = self.reads.abandon();
-        self.lost_reads.extend(lost);
+        self.aborted_reads.extend(lost);
         self.reset_election_timer();
     }
 
@@ -183,9 +184,9 @@
         let last_index = self.log.last_index();
         let max_inflight = self.config.max_inflight;
         let members: Vec<NodeId> = self.log.conf().members().collect();
-        let fresh = |node| (node, Progress::new(last_index, max_inflight));
-        self.progress = members.into_iter().map(fresh).collect();
+        let new_progress = |node| (node, Progress::new(last_index, max_inflight));
+        self.progress = members.into_iter().map(new_progress).collect();
         self.log.append(self.term, EntryKind::Noop);
-        self.note_own_progress();
+        self.update_own_progress();
     }
 }
--- a/crates/raft/src/error.rs
+++ b/crates/raft/src/error.rs
@@ -1,63 +1,63 @@
-//! Errors of the consensus core.
+//! Errors of the raft state machine.
 
 use hooklug_types::NodeId;
 
-/// Why a replica can't be built or a call on its log is refused.
+/// Error of building a replica or of compacting its log.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RaftError {
-    /// A setting makes no sense.
-    #[error("raft setting {0}")]
+    /// A setting is invalid.
+    #[error("invalid raft configuration: {0}")]
     InvalidConfig(&'static str),
-    /// The restored entries leave a gap or go backwards.
-    #[error("restored log has index {found} where {expected} belongs")]
+    /// The indexes of the restored entries are not contiguous.
+    #[error("restored log is not contiguous: expected index {expected}, found {found}")]
     BrokenLog {
-        /// Index that should have come.
+        /// Index that follows the previous entry.
         expected: u64,
-        /// Index that came.
+        /// Index found in its position.
         found: u64,
     },
-    /// Entries that are not applied yet can't be dropped.
-    #[error("can't compact to {index}, applied is {applied}")]
+    /// The log can't be compacted beyond the applied index.
+    #[error("can't compact the log to index {index}: only {applied} is applied")]
     NotApplied {
-        /// Index asked for.
+        /// Requested compaction index.
         index: u64,
         /// Highest applied index.
         applied: u64,
     },
 }
 
-/// Why a proposal, a read or a transfer was not taken. Nothing was appended.
+/// Reason for which a proposal, a read or a leadership transfer was rejected. Nothing was appended.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, or none.
+    /// This replica is not the leader.
     #[error("not the leader")]
     NotLeader {
-        /// The leader as far as it is known.
+        /// The current leader, if known.
         leader: Option<NodeId>,
     },
-    /// Too much is uncommitted, or leadership is being handed over; try again.
-    #[error("busy, try again")]
+    /// Too many entries are uncommitted, or a leadership transfer is in progress; retry later.
+    #[error("too many uncommitted entries, or a leadership transfer is in progress")]
     Busy,
-    /// The leader has committed nothing in its own term yet; try again.
-    #[error("the leader has not committed in its term yet")]
+    /// The leader has not committed an entry of its own term yet; retry later.
+    #[error("the leader has not committed an entry of its term yet")]
     NotCommittedInTerm,
-    /// Another membership change is not committed yet; try again.
-    #[error("a membership change is under way")]
-    ConfChangeUnderWay,
-    /// The learner is not close enough to the leader's log to become a voter; try again.
-    #[error("learner {node} lags: it has {matched} of {last_index}")]
+    /// Another membership change is not committed yet; retry later.
+    #[error("another membership change is not committed yet")]
+    ConfChangePending,
+    /// The learner is too far behind the leader's log to become a voter; retry later.
+    #[error("learner {node} is too far behind: its log matches to index {matched} of {last_index}")]
     LearnerLags {
         /// The learner.
         node: NodeId,
-        /// Highest index known to match.
+        /// Highest index at which the learner's log is known to match the leader's.
         matched: u64,
-        /// Leader's last index.
+        /// Last index of the leader's log.
         last_index: u64,
     },
-    /// The change does not fit the members: already there, not there, or the last voter.
-    #[error("the membership change does not fit the members")]
+    /// The change is not applicable: the node is already a member, is not one, or is the last voter.
+    #[error("membership change is not applicable to the current members")]
     InvalidConfChange,
-    /// Leadership can only go to another voter.
-    #[error("node {0} is no other voter")]
+    /// The target of a leadership transfer must be another voter.
+    #[error("leadership can't be transferred to node {0}: it is not another voter")]
     InvalidTransferTarget(NodeId),
 }
--- a/crates/raft/src/leader.rs
+++ b/crates/raft/src/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's side: proposals, appends and their answers, heartbeats, commit, reads.
+//! The leader's side: proposals, append messages and their replies, heartbeats, commit and reads.
 
 use bytes::Bytes;
 use hooklug_types::NodeId;
@@ -10,22 +10,22 @@
 use crate::ready::Role;
 use crate::status::LogPosition;
 
-/// Most entries a leader keeps uncommitted before it refuses more (ours).
+/// Maximum number of uncommitted entries; a leader rejects further proposals.
 const MAX_UNCOMMITTED_ENTRIES: u64 = 65_536;
 
 impl RawNode {
-    /// Appends a command to the leader's log. Sent with the next [`crate::Ready`], so that
-    /// proposals of one round share an append and a sync.
+    /// Appends a command to the leader's log. It is sent with the next [`crate::Ready`], so that
+    /// proposals made before it share one append message and one sync.
     ///
     /// # Errors
-    /// [`ProposeError`]; nothing was appended then.
+    /// [`ProposeError`]; nothing was appended.
     pub fn propose(&mut self, command: impl Into<Bytes>) -> Result<LogPosition, ProposeError> {
         self.check_can_propose()?;
-        Ok(self.append_own(EntryKind::Command(command.into())))
+        Ok(self.append_entry(EntryKind::Command(command.into())))
     }
 
-    /// Asks for a linearizable read. The answer comes in [`crate::Ready::reads`], or the context
-    /// in [`crate::Ready::reads_lost`] when leadership is lost before.
+    /// Requests a linearizable read. Its confirmation is returned in [`crate::Ready::reads`]; if
+    /// leadership is lost first, the context is returned in [`crate::Ready::aborted_reads`].
     ///
     /// # Errors
     /// [`ProposeError::NotLeader`].
@@ -35,10 +35,10 @@
         Ok(())
     }
 
-    /// Tells the leader how a snapshot transfer to a replica ended; until then nothing else is
-    /// sent to it. The shell reports every transfer that [`crate::Ready::snapshots_wanted`] named.
-    /// The next append, or the next wish for a snapshot, waits for the replica's next heartbeat
-    /// answer, so that a failing transfer is not tried again at once.
+    /// Reports the result of a snapshot transfer to a replica. Until then no entries are sent to it.
+    /// The driver must report every transfer requested in [`crate::Ready::snapshot_requests`].
+    /// The next append or snapshot request waits for the replica's next heartbeat reply, so that a
+    /// failing transfer is not retried immediately.
     pub fn report_snapshot(&mut self, to: NodeId, sent: bool) {
         let first_index = self.log.first_index();
         let Some(progress) = self.progress.get_mut(&to) else { return };
@@ -66,12 +66,12 @@
         Ok(())
     }
 
-    pub(crate) fn append_own(&mut self, kind: EntryKind) -> LogPosition {
+    pub(crate) fn append_entry(&mut self, kind: EntryKind) -> LogPosition {
         LogPosition { term: self.term, index: self.log.append(self.term, kind) }
     }
 
-    /// Whether the leader has committed an entry of its own term, so that its commit index is
-    /// known to be the newest.
+    /// Whether the leader has committed an entry of its own term. Only then is its commit index known
+    /// to be up to date.
     pub(crate) fn has_committed_in_term(&self) -> bool {
         self.log.term_at(self.log.commit()) == Some(self.term)
     }
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Whether a quorum has been heard from since the last check; starts the next interval.
+    /// Returns whether a quorum was active since the last check, and starts the next interval.
     fn check_quorum(&mut self) -> bool {
         let id = self.config.id;
         let is_active = |node| node == id || self.progress.get(&node).is_some_and(Progress::active);
         let has_quorum = self.log.conf().is_quorum(is_active);
         for progress in self.progress.values_mut() {
-            progress.begin_interval();
+            progress.start_interval();
         }
         has_quorum
     }
@@ -118,17 +118,18 @@
         let Some(progress) = self.progress.get_mut(&from) else { return };
         progress.set_active(true);
         match rejected {
-            // Index 0 matches in every log that has members: this replica holds nothing, whatever it held before.
+            // Index 0 matches in every initialized log, so this replica's log is empty even if entries
+            // matched before.
             Some(hint) if hint.rejected_index == 0 => {
-                progress.forget();
-                self.want_snapshot(from);
+                progress.reset();
+                self.request_snapshot(from);
             }
             Some(hint) => {
-                let place = self.log.find_conflict_by_term(hint.hint_index, hint.hint_term);
-                progress.rejected(hint.rejected_index, place);
+                let match_hint = self.log.find_conflict_by_term(hint.hint_index, hint.hint_term);
+                progress.append_rejected(hint.rejected_index, match_hint);
             }
             None if matched <= last_index => {
-                progress.accepted(matched, first_index);
+                progress.append_accepted(matched, first_index);
                 self.advance_commit();
                 self.continue_transfer(from);
             }
@@ -139,17 +140,17 @@
     pub(crate) fn handle_heartbeat_reply(&mut self, from: NodeId, read_round: u64) {
         let last_index = self.log.last_index();
         let Some(progress) = self.progress.get_mut(&from) else { return };
-        progress.heard(last_index);
-        progress.ack_round(read_round);
+        progress.heartbeat_acked(last_index);
+        progress.ack_read_round(read_round);
         self.confirm_reads();
     }
 
-    /// Notes the leader's own synced entries.
-    pub(crate) fn note_own_progress(&mut self) {
+    /// Updates the leader's own progress to its synced entries.
+    pub(crate) fn update_own_progress(&mut self) {
         let stable = self.log.stable();
         let first_index = self.log.first_index();
         let Some(own) = self.progress.get_mut(&self.config.id) else { return };
-        own.accepted(stable, first_index);
+        own.append_accepted(stable, first_index);
         self.advance_commit();
     }
 
@@ -160,10 +161,11 @@
             return;
         }
         self.log.commit_to(index);
-        self.leave_if_removed();
+        self.step_down_if_removed();
     }
 
-    /// Only an entry of the own term is committed by counting (Raft, section 5.4.2).
+    /// Whether an entry may be committed by counting replicas: only one of the current term (Raft,
+    /// section 5.4.2).
     fn may_commit(&self, index: u64) -> bool {
         #[cfg(any(test, feature = "simulation"))]
         if self.broken_rule == Some(crate::simulation::BrokenRule::CommitOlderTermByCounting) {
@@ -188,13 +190,13 @@
         }
     }
 
-    fn wants_read_round(&self) -> bool {
-        self.role == Role::Leader && self.reads.wants_round() && self.has_committed_in_term()
+    fn needs_read_round(&self) -> bool {
+        self.role == Role::Leader && self.reads.needs_round() && self.has_committed_in_term()
     }
 
-    /// Starts a heartbeat round for the reads that wait.
+    /// Starts a heartbeat round for the waiting reads.
     pub(crate) fn start_read_round(&mut self) {
-        if self.wants_read_round() {
+        if self.needs_read_round() {
             self.reads.start_round(self.log.commit());
             self.send_heartbeats();
             self.confirm_reads();
@@ -206,7 +208,7 @@
         let newest = self.reads.round();
         let acked = |node| match self.progress.get(&node) {
             Some(_) if node == own => newest,
-            Some(progress) => progress.acked_round(),
+            Some(progress) => progress.acked_read_round(),
             None => 0,
         };
         let confirmed_round = self.log.conf().quorum_value(acked);
@@ -219,21 +221,21 @@
         self.confirmed_reads.extend(confirmed);
     }
 
-    /// Whether a leader has appends or a read round to send.
-    pub(crate) fn has_unsent(&self) -> bool {
+    /// Whether the leader has append messages or a read round to send.
+    pub(crate) fn has_unsent_requests(&self) -> bool {
         if self.role != Role::Leader {
             return false;
         }
         let (last_index, commit) = (self.log.last_index(), self.log.commit());
         let own = self.config.id;
-        self.wants_read_round()
+        self.needs_read_round()
             || self
                 .progress
                 .iter()
-                .any(|(node, progress)| *node != own && progress.wants_append(last_index, commit))
+                .any(|(node, progress)| *node != own && progress.needs_append(last_index, commit))
     }
 
-    /// Sends to each replica what it may be sent now.
+    /// Sends to each replica all append messages that flow control allows.
     pub(crate) fn send_appends(&mut self) {
         if self.role != Role::Leader {
             return;
@@ -245,16 +247,16 @@
         }
     }
 
-    /// Sends one append; gives whether one went out.
+    /// Sends one append message if one is due; returns whether it was sent.
     fn send_append(&mut self, to: NodeId) -> bool {
         let (last_index, commit) = (self.log.last_index(), self.log.commit());
         let Some(progress) = self.progress.get_mut(&to) else { return false };
-        if !progress.wants_append(last_index, commit) {
+        if !progress.needs_append(last_index, commit) {
             return false;
         }
         let prev_index = progress.next() - 1;
         let Some(prev_term) = self.log.term_at(prev_index) else {
-            self.want_snapshot(to);
+            self.request_snapshot(to);
             return false;
         };
         let entries = if progress.is_full() {
@@ -262,16 +264,16 @@
         } else {
             self.log.entries_from(progress.next(), self.config.max_append_bytes)
         };
-        progress.sent(prev_index + entries.len() as u64, commit);
+        progress.append_sent(prev_index + entries.len() as u64, commit);
         self.send_before_sync(to, MessageBody::Append { prev_index, prev_term, entries, commit });
         true
     }
 
-    fn want_snapshot(&mut self, to: NodeId) {
+    fn request_snapshot(&mut self, to: NodeId) {
         let Some(progress) = self.progress.get_mut(&to) else { return };
         if progress.state() != ProgressState::Snapshot {
             progress.become_snapshot();
-            self.snapshots_wanted.push(to);
+            self.snapshot_requests.push(to);
         }
     }
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,21 +1,24 @@
-//! Consensus without I/O: messages and ticks in, [`Ready`] out.
+//! Raft consensus as a state machine without I/O: messages and ticks go in, [`Ready`] comes out.
 //!
-//! No clock, no network, no global randomness, so that a whole group runs in a simulator and a
-//! failing seed replays exactly. The design follows the Raft dissertation (Ongaro, 2014); what was
-//! chosen where it leaves a choice stands in `docs/notes/replication-and-repair.md`.
+//! The crate uses no clock, no network and no global randomness, so a complete group can run in a
+//! simulator and a failing seed replays exactly. The design follows the Raft dissertation (Ongaro,
+//! 2014); choices that it leaves open are documented in `docs/notes/replication-and-repair.md`.
 //!
-//! A shell drives a [`RawNode`] so:
+//! The I/O layer that owns a [`RawNode`], called the driver, uses it as follows:
 //!
-//! 1. [`RawNode::tick`] on its clock, [`RawNode::step`] for each message, [`RawNode::propose`] and
-//!    [`RawNode::read_index`] for callers. These may come at any time, also between 2 and 4.
-//! 2. While [`RawNode::has_ready`], take [`RawNode::ready`] and do its work in the order that
-//!    [`Ready`] states. A hard state with only a newer commit index needs no sync.
-//! 3. Apply `committed`; for a membership change call [`RawNode::apply_conf_change`].
-//! 4. [`RawNode::advance`], which may itself give more to do: a sole voter commits there.
+//! 1. Call [`RawNode::tick`] at fixed intervals, [`RawNode::step`] for each received message, and
+//!    [`RawNode::propose`] and [`RawNode::read_index`] for client requests. These calls are allowed
+//!    at any time, also between steps 2 and 4.
+//! 2. While [`RawNode::has_ready`] is true, call [`RawNode::ready`] and process the result in the
+//!    order that [`Ready`] documents. A hard state in which only the commit index changed needs no
+//!    sync.
+//! 3. Apply `committed`; call [`RawNode::apply_conf_change`] for each membership change.
+//! 4. Call [`RawNode::advance`]. It may produce more work: a sole voter commits in it.
 //!
-//! For each node in [`Ready::snapshots_wanted`] the shell sends a snapshot at its applied index and
-//! then calls [`RawNode::report_snapshot`], whether it arrived or not. A replica that joins a
-//! running group starts without members; a new group's first voters all start with the same ones.
+//! For each node in [`Ready::snapshot_requests`] the driver sends a snapshot at its applied index and
+//! then calls [`RawNode::report_snapshot`], whether or not the transfer succeeded. A replica that
+//! joins a running group starts without members; the initial voters of a new group all start with
+//! the same members.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -1,4 +1,4 @@
-//! Proposals that change who leads or who belongs to the group.
+//! Membership changes and leadership transfer.
 
 use hooklug_types::NodeId;
 
@@ -8,32 +8,33 @@
 use crate::progress::Progress;
 use crate::status::LogPosition;
 
-/// Entries that a learner may lack when it is made a voter (ours): few enough to arrive within a
-/// heartbeat or two, so that the new quorum does not wait for it.
+/// Maximum number of entries that a learner may lack when it is promoted to voter: few enough to be
+/// replicated within one or two heartbeats, so that the new quorum does not wait for it.
 pub const MAX_PROMOTE_LAG_ENTRIES: u64 = 256;
 
 impl RawNode {
-    /// Appends a membership change, which counts from then on.
+    /// Appends a membership change, which takes effect immediately.
     ///
     /// # Errors
-    /// [`ProposeError`]: not the leader, busy, a change is under way, nothing committed in this
-    /// term, the learner lags, or the change does not fit the members.
+    /// [`ProposeError`]: not the leader, busy, another change is pending, nothing is committed in this
+    /// term, the learner is too far behind, or the change is not applicable.
     pub fn propose_conf_change(&mut self, change: ConfChange) -> Result<LogPosition, ProposeError> {
         self.check_can_propose()?;
         if !self.has_committed_in_term() {
             return Err(ProposeError::NotCommittedInTerm);
         }
         if self.log.conf_change_pending() {
-            return Err(ProposeError::ConfChangeUnderWay);
+            return Err(ProposeError::ConfChangePending);
         }
         self.check_change_fits(change)?;
-        let position = self.append_own(EntryKind::ConfChange(change));
-        self.follow_conf();
+        let position = self.append_entry(EntryKind::ConfChange(change));
+        self.sync_progress_with_conf();
         Ok(position)
     }
 
-    /// Hands leadership to another voter: proposals wait until it has the whole log and is told to
-    /// campaign at once. Given up after an election timeout.
+    /// Transfers leadership to another voter. Proposals are rejected until the target has the complete
+    /// log and has been told to campaign immediately. The transfer is aborted after an election
+    /// timeout.
     ///
     /// # Errors
     /// [`ProposeError::NotLeader`] or [`ProposeError::InvalidTransferTarget`].
@@ -48,7 +49,7 @@
         Ok(())
     }
 
-    /// Tells the transfer's target to campaign once it has the whole log.
+    /// Sends `TimeoutNow` to the target of a leadership transfer once it has the complete log.
     pub(crate) fn continue_transfer(&mut self, from: NodeId) {
         let last_index = self.log.last_index();
         let has_all = self.progress.get(&from).is_some_and(|p| p.matched() == last_index);
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Steps down once the leader's own removal is committed, and lets the best voter campaign.
-    pub(crate) fn leave_if_removed(&mut self) {
+    /// Steps down once the leader's own removal is committed, and tells the most up-to-date voter to
+    /// campaign.
+    pub(crate) fn step_down_if_removed(&mut self) {
         let is_voter = self.log.conf().voters.contains(&self.config.id);
         if is_voter || self.log.conf_change_pending() {
             return;
@@ -88,21 +90,21 @@
         let last_index = self.log.last_index();
         let progress = self.progress.get(&node);
         let matched = progress.map_or(0, Progress::matched);
-        let is_active = progress.is_some_and(Progress::lately_active);
+        let is_active = progress.is_some_and(Progress::recently_active);
         if !is_active || matched + MAX_PROMOTE_LAG_ENTRIES < last_index {
             return Err(ProposeError::LearnerLags { node, matched, last_index });
         }
         Ok(())
     }
 
-    /// Fits the progress map to the newest members.
-    fn follow_conf(&mut self) {
+    /// Adds and removes progress entries so that they match the newest members.
+    fn sync_progress_with_conf(&mut self) {
         let conf = self.log.conf().clone();
         self.progress.retain(|node, _| conf.contains(*node) || *node == self.config.id);
         let last_index = self.log.last_index();
         for node in conf.members() {
-            let fresh = || Progress::new(last_index, self.config.max_inflight);
-            self.progress.entry(node).or_insert_with(fresh);
+            let new_progress = || Progress::new(last_index, self.config.max_inflight);
+            self.progress.entry(node).or_insert_with(new_progress);
         }
     }
 }
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas of one group say to each other, and what they keep.
+//! Messages between the replicas of a group, log entries and persistent state.
 
 use std::collections::BTreeSet;
 
@@ -6,37 +6,37 @@
 use hooklug_types::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that created it.
     pub term: u64,
-    /// Place in the log, from 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
-    /// What it is.
+    /// The payload.
     pub kind: EntryKind,
 }
 
-/// What an entry is.
+/// Payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// A new leader's first entry.
+    /// The first entry of a new leader.
     Noop,
-    /// What the shell proposed; shared, since one entry goes to the log, to each replica and to the
-    /// state machine.
+    /// A proposed command. The bytes are reference-counted, since an entry is passed to the log, to
+    /// each replica and to the state machine.
     Command(Bytes),
-    /// A membership change; at most one is under way.
+    /// A membership change; at most one is uncommitted at a time.
     ConfChange(ConfChange),
 }
 
-/// One membership change at a time.
+/// A membership change of a single replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfChange {
-    /// Adds a learner: gets the log, has no vote.
+    /// Adds a learner, which receives the log but has no vote.
     AddLearner(NodeId),
-    /// Makes a learner (or a new node) a voter.
+    /// Promotes a learner (or a new node) to voter.
     PromoteVoter(NodeId),
-    /// Removes a replica of either kind.
+    /// Removes a voter or a learner.
     Remove(NodeId),
 }
 
@@ -45,16 +45,16 @@
 pub struct ConfState {
     /// Replicas with a vote.
     pub voters: BTreeSet<NodeId>,
-    /// Replicas without.
+    /// Replicas without a vote.
     pub learners: BTreeSet<NodeId>,
 }
 
-/// What must be on disk before a message that rests on it goes out.
+/// Persistent state that must be on disk before a message that depends on it is sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Newest term seen.
+    /// Highest term seen.
     pub term: u64,
-    /// Whom this replica voted for in it.
+    /// Candidate that this replica voted for in that term.
     pub vote: Option<NodeId>,
     /// Highest index known to be committed.
     pub commit: u64,
@@ -67,84 +67,86 @@
     pub from: NodeId,
     /// Receiver.
     pub to: NodeId,
-    /// Sender's term (for a pre-vote: the term it would campaign in).
+    /// Sender's term; in a pre-vote, the term that it would campaign in.
     pub term: u64,
-    /// What it says.
+    /// The payload.
     pub body: MessageBody,
 }
 
-/// What a message says.
+/// Payload of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Would you vote for me? Changes nothing at the receiver.
+    /// Asks whether the receiver would grant its vote; changes no state there.
     PreVote {
         /// Index of the sender's last entry.
         last_index: u64,
         /// Term of the sender's last entry.
         last_term: u64,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// Whether it would.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests the receiver's vote.
     Vote {
         /// Index of the sender's last entry.
         last_index: u64,
         /// Term of the sender's last entry.
         last_term: u64,
-        /// Whether a leader handed over to the sender, so that the leader lease does not forbid the vote.
+        /// Whether the election was started by a leadership transfer; the receiver then votes even if
+        /// it has heard from the leader recently.
         transfer: bool,
     },
-    /// Answer to a vote request.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries after a place.
+    /// Entries that follow the entry at `prev_index`.
     Append {
-        /// Index before the first entry.
+        /// Index of the entry before the first one.
         prev_index: u64,
-        /// Term at that index.
+        /// Term of the entry at `prev_index`.
         prev_term: u64,
-        /// The entries.
+        /// The entries; empty in a probe.
         entries: Vec<Entry>,
         /// Leader's commit index.
         commit: u64,
     },
-    /// Answer to an append.
+    /// Reply to an append.
     AppendReply {
-        /// Highest index that matches the leader's log, when accepted.
+        /// Highest index that matches the leader's log, if the append was accepted.
         matched: u64,
-        /// When refused: the place to try next.
+        /// Position to retry from, if the append was rejected.
         rejected: Option<AppendHint>,
     },
-    /// The leader lives; carries a read context to confirm, if any.
+    /// Maintains leadership, and confirms reads by their round number.
     Heartbeat {
-        /// Leader's commit index, as far as the receiver is known to match.
+        /// Leader's commit index, limited to the index up to which the receiver is known to match.
         commit: u64,
         /// Sequence number of the newest read round.
         read_round: u64,
     },
-    /// Answer to a heartbeat.
+    /// Reply to a heartbeat.
     HeartbeatReply {
-        /// The read round that it answers.
+        /// Read round of the heartbeat.
         read_round: u64,
     },
-    /// The receiver lacks entries that the leader no longer has; the shell sends the snapshot in chunks.
+    /// Announces a snapshot to a receiver that lacks entries which the leader has compacted. The
+    /// driver sends the data in chunks.
     InstallSnapshot(super::ready::SnapshotMeta),
-    /// Campaign at once: the leader hands over.
+    /// Tells the receiver to start an election immediately, as part of a leadership transfer.
     TimeoutNow,
 }
 
-/// Where a follower's log parts from the leader's.
+/// Position at which a follower's log diverges from the leader's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendHint {
-    /// Index that was refused.
+    /// `prev_index` of the rejected append.
     pub rejected_index: u64,
     /// Last index at which the logs may still agree.
     pub hint_index: u64,
-    /// Term at that index in the follower's log.
+    /// Term of the entry at `hint_index` in the follower's log.
     pub hint_term: u64,
 }
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -1,48 +1,48 @@
-//! What a leader knows of one replica's log, and how much it may have on the way to it.
+//! A leader's view of one replica's log, and flow control of the appends sent to it.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// How a leader sends to a replica.
+/// Replication mode of a leader towards one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgressState {
-    /// The matching place is unknown: one append at a time until it is found.
+    /// The matching index is unknown: one append is sent at a time until it is found.
     Probe,
-    /// The matching place is known: appends are pipelined.
+    /// The matching index is known: appends are pipelined.
     Replicate,
-    /// A snapshot is on its way: no appends until the shell reports or the replica answers.
+    /// A snapshot is being sent: no appends until the driver reports the result or the replica replies.
     Snapshot,
 }
 
-/// A leader's view of one replica.
+/// Replication state of one replica, as tracked by the leader.
 #[derive(Debug, Clone)]
 pub struct Progress {
     state: ProgressState,
-    /// Highest index known to match.
+    /// Highest index known to match the leader's log.
     matched: u64,
     /// Next index to send.
     next: u64,
-    /// Last index of each append that is not answered yet.
+    /// Last index of each unacknowledged append.
     inflight: VecDeque<u64>,
-    /// Most appends that may be unanswered.
+    /// Maximum number of unacknowledged appends.
     max_inflight: usize,
-    /// A probe was sent and is not answered.
+    /// A probe was sent and is unacknowledged.
     probe_sent: bool,
-    /// Send an append though there is nothing new, to find out what was lost.
-    check_wanted: bool,
-    /// Highest commit index that an append carried.
+    /// Send an append although there are no new entries, to detect lost appends.
+    append_check_due: bool,
+    /// Highest commit index sent in an append.
     sent_commit: u64,
-    /// Heard from since the last quorum check.
+    /// Whether the replica was heard from since the last quorum check.
     active: bool,
-    /// Heard from between the last two quorum checks.
+    /// Whether the replica was heard from between the last two quorum checks.
     active_before: bool,
-    /// Newest read round that it has answered.
-    acked_round: u64,
+    /// Newest read round that the replica has acknowledged.
+    acked_read_round: u64,
 }
 
 impl Progress {
-    /// A replica of which nothing is known but that the leader's log ends at `last_index`.
+    /// Creates the progress of a replica with unknown log; `last_index` is the end of the leader's log.
     #[must_use]
     pub fn new(last_index: u64, max_inflight: usize) -> Self {
         Self {
@@ -52,21 +52,21 @@
             inflight: VecDeque::new(),
             max_inflight,
             probe_sent: false,
-            check_wanted: false,
+            append_check_due: false,
             sent_commit: 0,
             active: false,
             active_before: false,
-            acked_round: 0,
+            acked_read_round: 0,
         }
     }
 
-    /// How the leader sends to it.
+    /// The replication mode.
     #[must_use]
     pub fn state(&self) -> ProgressState {
         self.state
     }
 
-    /// Highest index known to match.
+    /// Highest index known to match the leader's log.
     #[must_use]
     pub fn matched(&self) -> u64 {
         self.matched
@@ -78,68 +78,69 @@
         self.next
     }
 
-    /// Appends that are not answered yet.
+    /// Number of unacknowledged appends.
     #[must_use]
     pub fn inflight(&self) -> usize {
         self.inflight.len()
     }
 
-    /// Whether it was heard from since the last quorum check.
+    /// Whether the replica was heard from since the last quorum check.
     #[must_use]
     pub fn active(&self) -> bool {
         self.active
     }
 
-    /// Whether it was heard from within the last one or two intervals between quorum checks: steady
-    /// right after a check too, when nothing can have been heard yet.
+    /// Whether the replica was heard from in the current or the previous interval between quorum checks.
+    /// Unlike [`Progress::active`], this does not turn false right after a check.
     #[must_use]
-    pub fn lately_active(&self) -> bool {
+    pub fn recently_active(&self) -> bool {
         self.active || self.active_before
     }
 
-    /// Begins the next interval between quorum checks.
-    pub fn begin_interval(&mut self) {
+    /// Starts the next interval between quorum checks.
+    pub fn start_interval(&mut self) {
         self.active_before = std::mem::take(&mut self.active);
     }
 
-    /// Notes whether it was heard from.
+    /// Records whether the replica was heard from.
     pub fn set_active(&mut self, active: bool) {
         self.active = active;
     }
 
-    /// Newest read round that it has answered.
+    /// Newest read round that the replica has acknowledged.
     #[must_use]
-    pub fn acked_round(&self) -> u64 {
-        self.acked_round
+    pub fn acked_read_round(&self) -> u64 {
+        self.acked_read_round
     }
 
-    /// Notes the answer to a read round.
-    pub fn ack_round(&mut self, round: u64) {
-        self.acked_round = self.acked_round.max(round);
+    /// Records the acknowledgement of a read round.
+    pub fn ack_read_round(&mut self, round: u64) {
+        self.acked_read_round = self.acked_read_round.max(round);
     }
 
-    /// Whether the pipeline has no room.
+    /// Whether the limit of unacknowledged appends is reached.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.inflight.len() >= self.max_inflight
     }
 
-    /// Whether an append should go out, given the leader's last index and commit mark.
+    /// Whether an append should be sent, given the leader's last index and commit index.
     #[must_use]
-    pub fn wants_append(&self, last_index: u64, commit: u64) -> bool {
+    pub fn needs_append(&self, last_index: u64, commit: u64) -> bool {
         match self.state {
             ProgressState::Snapshot => false,
             ProgressState::Probe => !self.probe_sent,
             ProgressState::Replicate => {
-                let news = self.next <= last_index && !self.is_full();
-                news || self.check_wanted || self.sent_commit < commit
+                let has_new_entries = self.next <= last_index && !self.is_full();
+                has_new_entries || self.append_check_due || self.sent_commit < commit
             }
         }
     }
 
-    /// Notes that an append up to `last` (`next - 1` when it was empty) with `commit` went out.
-    pub fn sent(&mut self, last: u64, commit: u64) {
-        self.check_wanted = false;
+    /// Records that an append with the given commit index was sent. `last` is its last entry's index,
+    /// or `next - 1` if it was empty.
+    pub fn append_sent(&mut self, last: u64, commit: u64) {
+        self.append_check_due = false;
         self.sent_commit = self.sent_commit.max(commit);
         match self.state {
             ProgressState::Probe => self.probe_sent = true,
@@ -151,8 +152,9 @@
         }
     }
 
-    /// Notes that the replica's log matches up to an index. `first_index` is the leader's first.
-    pub fn accepted(&mut self, matched: u64, first_index: u64) {
+    /// Records that the replica's log matches up to an index. `first_index` is the first index of the
+    /// leader's log.
+    pub fn append_accepted(&mut self, matched: u64, first_index: u64) {
         let grew = matched > self.matched;
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched + 1);
@@ -166,11 +168,11 @@
         }
     }
 
-    /// Notes a refusal of the append after `rejected_index`; the logs may agree up to `hint`.
-    /// Gives `false` for a refusal that is out of date.
-    pub fn rejected(&mut self, rejected_index: u64, hint: u64) -> bool {
-        // A refusal at a place that matched before is out of date, or the replica has lost synced
-        // entries; answering that with another probe would go round without end.
+    /// Records the rejection of the append after `rejected_index`; the logs may agree up to `hint`.
+    /// Returns `false` for a stale rejection.
+    pub fn append_rejected(&mut self, rejected_index: u64, hint: u64) -> bool {
+        // A rejection at an index that matched before is stale, or the replica has lost synced
+        // entries; probing again would then loop forever.
         if rejected_index <= self.matched {
             return false;
         }
@@ -188,22 +190,23 @@
         }
     }
 
-    /// Notes a sign of life. A replica that misses entries is asked again, as appends may be lost.
-    pub fn heard(&mut self, last_index: u64) {
+    /// Records a heartbeat reply. If the replica lacks entries, an append is scheduled, since earlier
+    /// ones may have been lost.
+    pub fn heartbeat_acked(&mut self, last_index: u64) {
         self.active = true;
         self.probe_sent = false;
-        self.check_wanted = self.matched < last_index;
+        self.append_check_due = self.matched < last_index;
     }
 
-    /// Notes that the replica has lost its log: nothing of what it held counts any more.
-    pub fn forget(&mut self) {
+    /// Resets the progress of a replica that has lost its log.
+    pub fn reset(&mut self) {
         if self.matched > 0 {
             self.matched = 0;
             self.become_probe(1);
         }
     }
 
-    /// Goes to single appends from `next` on.
+    /// Switches to probing, starting at `next`.
     pub fn become_probe(&mut self, next: u64) {
         self.state = ProgressState::Probe;
         self.next = next;
@@ -211,12 +214,12 @@
         self.inflight.clear();
     }
 
-    /// Holds a probe back until the replica is heard from.
+    /// Delays the next probe until the replica is heard from.
     pub fn pause(&mut self) {
         self.probe_sent = true;
     }
 
-    /// Waits for a snapshot to arrive.
+    /// Stops appends until a snapshot has been sent.
     pub fn become_snapshot(&mut self) {
         self.state = ProgressState::Snapshot;
         self.inflight.clear();
--- a/crates/raft/src/raft_log.rs
+++ b/crates/raft/src/raft_log.rs
@@ -1,5 +1,5 @@
-//! The replicated log after the last snapshot, with its stable, commit and applied marks and the
-//! history of the members.
+//! The in-memory raft log since the last snapshot, with its stable, commit and applied indexes and
+//! its membership history.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use crate::message::{ConfState, Entry, EntryKind};
 use crate::ready::{Snapshot, SnapshotMeta};
 
-/// Bytes counted for an entry beside its command (ours, an estimate of the frame's overhead).
+/// Bytes counted for an entry in addition to its command: an estimate of the encoding overhead.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Bytes that an entry counts for in message limits.
+/// Size of an entry as counted against message and log limits.
 #[must_use]
 pub fn entry_bytes(entry: &Entry) -> usize {
     match &entry.kind {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Members from one index on.
+/// Members that are in effect from an index on.
 #[derive(Debug, Clone)]
 struct ConfAt {
     index: u64,
@@ -29,7 +29,7 @@
 /// The log of one replica.
 ///
 /// Invariants: `base.index <= commit <= last_index`, `stable <= last_index`, `applied <= commit`,
-/// entries are contiguous from `base.index + 1`, and nothing at or below `commit` is replaced.
+/// entries are contiguous from `base.index + 1`, and no entry at or below `commit` is replaced.
 #[derive(Debug, Clone)]
 pub struct RaftLog {
     base: SnapshotMeta,
@@ -42,10 +42,10 @@
 }
 
 impl RaftLog {
-    /// A log restored from disk; everything in it is stable, nothing after the snapshot applied.
+    /// Creates a log from persistent state. All entries are stable; none after the snapshot is applied.
     ///
     /// # Errors
-    /// [`RaftError::BrokenLog`] when the entries don't follow the snapshot without a gap.
+    /// [`RaftError::BrokenLog`] if the entries don't follow the snapshot without a gap.
     pub fn new(base: SnapshotMeta, entries: Vec<Entry>) -> Result<Self, RaftError> {
         let mut log = Self {
             confs: vec![ConfAt { index: base.index, conf: base.conf.clone() }],
@@ -67,13 +67,13 @@
         Ok(log)
     }
 
-    /// First index that is still in the log.
+    /// Index of the first entry that is not compacted.
     #[must_use]
     pub fn first_index(&self) -> u64 {
         self.base.index + 1
     }
 
-    /// Last index, that of the snapshot when no entry follows it.
+    /// Index of the last entry, or of the snapshot if no entry follows it.
     #[must_use]
     pub fn last_index(&self) -> u64 {
         self.base.index + self.entries.len() as u64
@@ -97,19 +97,19 @@
         self.commit
     }
 
-    /// Highest index that the shell has applied.
+    /// Highest index that the driver has applied.
     #[must_use]
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Whether the replica has no members yet: it joins and needs a snapshot first.
+    /// Whether the replica has no members yet: it is joining a group and needs a snapshot first.
     #[must_use]
     pub fn is_uninitialized(&self) -> bool {
         self.base.index == 0 && self.base.conf.voters.is_empty()
     }
 
-    /// Term of an index; `None` when it is compacted or beyond the end.
+    /// Term of the entry at an index; `None` if it is compacted or beyond the end.
     #[must_use]
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
@@ -118,28 +118,28 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entry at an index; `None` when it is compacted or beyond the end.
+    /// Entry at an index; `None` if it is compacted or beyond the end.
     #[must_use]
     pub fn entry(&self, index: u64) -> Option<&Entry> {
         let offset = index.checked_sub(self.first_index())?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from an index on, up to a number of bytes but at least one.
+    /// Entries from an index on, limited to a number of bytes but at least one entry.
     #[must_use]
     pub fn entries_from(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
         let Some(offset) = index.checked_sub(self.first_index()) else { return Vec::new() };
         let offset = usize::try_from(offset).unwrap_or(usize::MAX).min(self.entries.len());
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         for entry in self.entries.range(offset..) {
             bytes += entry_bytes(entry);
-            if bytes > max_bytes && !taken.is_empty() {
+            if bytes > max_bytes && !selected.is_empty() {
                 break;
             }
-            taken.push(entry.clone());
+            selected.push(entry.clone());
         }
-        taken
+        selected
     }
 
     /// Entries that are not stable yet.
@@ -148,7 +148,7 @@
         self.entries_from(self.stable + 1, usize::MAX)
     }
 
-    /// Committed entries that are not applied yet, at most `max` of them.
+    /// Committed entries that are not applied yet; at most `max`.
     #[must_use]
     pub fn committed_entries(&self, max: usize) -> Vec<Entry> {
         if !self.has_committed_entries() {
@@ -158,28 +158,28 @@
         (self.applied + 1..=end).filter_map(|index| self.entry(index).cloned()).collect()
     }
 
-    /// Whether there are committed entries to apply; none while a snapshot is to be installed.
+    /// Whether there are committed entries to apply; false while a snapshot waits to be installed.
     #[must_use]
     pub fn has_committed_entries(&self) -> bool {
         self.applied >= self.base.index && self.commit > self.applied
     }
 
-    /// Whether a log that ends so is at least as up to date as this one (Raft, section 5.4.1).
+    /// Whether a log with the given end is at least as up to date as this one (Raft, section 5.4.1).
     #[must_use]
     pub fn is_up_to_date(&self, last_index: u64, last_term: u64) -> bool {
         (last_term, last_index) >= (self.last_term(), self.last_index())
     }
 
-    /// Appends a leader's own entry and gives its index.
+    /// Appends an entry created by this leader and returns its index.
     pub fn append(&mut self, term: u64, kind: EntryKind) -> u64 {
         let index = self.last_index() + 1;
         self.push(Entry { term, index, kind });
         index
     }
 
-    /// Takes a leader's entries that follow a place known to match. Entries that are there already
-    /// stay; from the first conflict on they are replaced. Gives the last index that now matches,
-    /// `None` when the entries are malformed or would replace a committed one.
+    /// Appends a leader's entries after `prev_index`, which must match. Entries already present are
+    /// retained; from the first conflict on they are replaced. Returns the last index that now matches,
+    /// or `None` if the entries are malformed or would replace a committed one.
     pub fn append_matched(&mut self, prev_index: u64, entries: Vec<Entry>) -> Option<u64> {
         let contiguous = entries.iter().zip(prev_index + 1..).all(|(entry, i)| entry.index == i);
         if !contiguous {
@@ -201,8 +201,8 @@
         Some(last_new)
     }
 
-    /// Highest index not above `index` whose term is not above `term`: the last place where this
-    /// log may agree with one that has `term` there. Lets a probe skip whole terms.
+    /// Highest index up to `index` whose term does not exceed `term`: the last position at which this
+    /// log may agree with one that has `term` there. Lets a probe skip entire terms.
     #[must_use]
     pub fn find_conflict_by_term(&self, index: u64, term: u64) -> u64 {
         let mut index = index.min(self.last_index());
@@ -212,24 +212,24 @@
         index
     }
 
-    /// Moves the commit mark forward, never beyond the end.
+    /// Advances the commit index, at most to the last index.
     pub fn commit_to(&mut self, index: u64) {
         self.commit = self.commit.max(index.min(self.last_index()));
     }
 
-    /// Marks entries as synced, if the log still holds the entry that was.
+    /// Marks entries up to an index as synced, if the entry there still has the given term.
     pub fn stable_to(&mut self, index: u64, term: u64) {
         if index > self.stable && self.term_at(index) == Some(term) {
             self.stable = index;
         }
     }
 
-    /// Moves the applied mark forward, never beyond the commit mark.
+    /// Advances the applied index, at most to the commit index.
     pub fn applied_to(&mut self, index: u64) {
         self.applied = self.applied.max(index.min(self.commit));
     }
 
-    /// Replaces the whole log by a snapshot, which the shell has yet to install.
+    /// Replaces the entire log with a snapshot, which the driver has yet to install.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.base = snapshot.meta.clone();
         self.entries.clear();
@@ -239,21 +239,21 @@
         self.pending_snapshot = Some(snapshot);
     }
 
-    /// Whether a received snapshot waits to be handed to the shell.
+    /// Whether a received snapshot waits to be passed to the driver.
     #[must_use]
     pub fn has_pending_snapshot(&self) -> bool {
         self.pending_snapshot.is_some()
     }
 
-    /// Hands the received snapshot out, once.
+    /// Takes the received snapshot, if any.
     pub fn take_pending_snapshot(&mut self) -> Option<Snapshot> {
         self.pending_snapshot.take()
     }
 
-    /// Drops entries up to an index; the shell holds a snapshot there.
+    /// Removes entries up to an index, at which the driver must hold a snapshot.
     ///
     /// # Errors
-    /// [`RaftError::NotApplied`] when the index is beyond the applied mark.
+    /// [`RaftError::NotApplied`] if the index is beyond the applied index.
     pub fn compact(&mut self, index: u64) -> Result<SnapshotMeta, RaftError> {
         if index > self.applied {
             return Err(RaftError::NotApplied { index, applied: self.applied });
@@ -270,15 +270,15 @@
         Ok(base)
     }
 
-    /// Bytes that the entries held in memory count for.
+    /// Total size of the entries in memory, see [`entry_bytes`].
     #[must_use]
     pub fn held_bytes(&self) -> usize {
         self.entries.iter().map(entry_bytes).sum()
     }
 
-    /// Index before the last entries up to `index`: as many as both bounds allow.
+    /// Index to compact to so that the last entries up to `index` remain, as many as both limits allow.
     #[must_use]
-    pub fn start_of_last(&self, index: u64, max_entries: u64, max_bytes: usize) -> u64 {
+    pub fn trailing_start(&self, index: u64, max_entries: u64, max_bytes: usize) -> u64 {
         let lowest = index.saturating_sub(max_entries);
         let (mut start, mut bytes) = (index, 0);
         while start > lowest
@@ -293,7 +293,7 @@
         start
     }
 
-    /// What a snapshot at an index covers; for a compacted index that of the log's own base.
+    /// Metadata of a snapshot at an index; for a compacted index, that of the log's base snapshot.
     #[must_use]
     pub fn meta_at(&self, index: u64) -> SnapshotMeta {
         match self.term_at(index) {
@@ -332,8 +332,8 @@
     }
 
     fn truncate_from(&mut self, index: u64) {
-        let kept = index.saturating_sub(self.first_index());
-        self.entries.truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+        let retained = index.saturating_sub(self.first_index());
+        self.entries.truncate(usize::try_from(retained).unwrap_or(usize::MAX));
         self.stable = self.stable.min(self.last_index());
         let last_index = self.last_index();
         self.confs.retain(|at| at.index <= last_index);
--- a/crates/raft/src/read_only.rs
+++ b/crates/raft/src/read_only.rs
@@ -1,12 +1,12 @@
-//! Linearizable reads: a read is answered from the state at the commit index of its start, once a
-//! quorum has answered a heartbeat that was sent after the read came (Raft dissertation,
-//! section 6.4). Reads that come while a round is under way share the next one.
+//! Linearizable reads (ReadIndex): a read is served at the leader's commit index after a quorum has
+//! acknowledged a heartbeat that was sent after the read arrived (Raft dissertation, section 6.4).
+//! Reads that arrive during a heartbeat round share the next one.
 
 use std::collections::VecDeque;
 
 use crate::ready::ReadState;
 
-/// Reads that wait for the same round.
+/// Reads that wait for the same heartbeat round.
 #[derive(Debug, Clone)]
 struct ReadBatch {
     round: u64,
@@ -14,7 +14,7 @@
     contexts: Vec<u64>,
 }
 
-/// A leader's open reads.
+/// A leader's unconfirmed reads.
 #[derive(Debug, Clone, Default)]
 pub struct ReadOnly {
     round: u64,
@@ -23,25 +23,24 @@
 }
 
 impl ReadOnly {
-    /// Takes a read that waits for the next round.
+    /// Adds a read, which waits for the next round.
     pub fn add(&mut self, context: u64) {
         self.waiting.push(context);
     }
 
-    /// Newest round that was started in this term.
+    /// Number of the newest round started in this term.
     #[must_use]
     pub fn round(&self) -> u64 {
         self.round
     }
 
-    /// Whether reads wait and no round is under way.
+    /// Whether reads are waiting and no round is in progress.
     #[must_use]
-    pub fn wants_round(&self) -> bool {
+    pub fn needs_round(&self) -> bool {
         !self.waiting.is_empty() && self.confirming.is_empty()
     }
 
-    /// Starts a round for all waiting reads; `commit` is the leader's commit index now. Nothing
-    /// happens when no read waits.
+    /// Starts a round for all waiting reads, if any. `commit` is the leader's current commit index.
     pub fn start_round(&mut self, commit: u64) {
         if self.waiting.is_empty() {
             return;
@@ -51,7 +50,7 @@
         self.confirming.push_back(ReadBatch { round: self.round, index: commit, contexts });
     }
 
-    /// Reads whose round a quorum has answered.
+    /// Returns the reads whose round a quorum has acknowledged.
     pub fn confirm(&mut self, confirmed_round: u64) -> Vec<ReadState> {
         let mut confirmed = Vec::new();
         while self.confirming.front().is_some_and(|batch| batch.round <= confirmed_round) {
@@ -62,7 +61,7 @@
         confirmed
     }
 
-    /// Empties everything and gives the contexts of reads that were not confirmed.
+    /// Removes all reads and returns the contexts of those that were not confirmed.
     pub fn abandon(&mut self) -> Vec<u64> {
         let confirming = std::mem::take(&mut self.confirming);
         let mut lost: Vec<u64> = confirming.into_iter().flat_map(|batch| batch.contexts).collect();
--- a/crates/raft/src/ready.rs
+++ b/crates/raft/src/ready.rs
@@ -1,75 +1,77 @@
-//! What a replica wants done: persist, send, apply.
+//! The work that a replica hands to its driver: data to persist, messages to send, entries to apply.
 
 use hooklug_types::NodeId;
 use serde::{Deserialize, Serialize};
 
 use crate::message::{ConfState, Entry, HardState, Message};
 
-/// What a replica is at the moment.
+/// Role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Follows a leader, or none.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would win.
+    /// Runs a pre-vote to find out whether it could win an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads its term.
+    /// The leader of its term.
     Leader,
 }
 
-/// What a snapshot covers.
+/// Metadata of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
-    /// Members at that entry.
+    /// Members as of that entry.
     pub conf: ConfState,
 }
 
 /// A snapshot with its data.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// What it covers.
+    /// The metadata.
     pub meta: SnapshotMeta,
-    /// The state machine's bytes.
+    /// The encoded state of the state machine.
     pub data: Vec<u8>,
 }
 
-/// One round of work for the shell, to be done in this order: persist `hard_state`, `entries` and
-/// `snapshot` and sync when `must_sync`; then send `messages`; then apply `committed`; then `advance`.
-/// A leader's `Append`s may go out before its own sync (`messages_before_sync`), votes and replies never.
+/// Work for the driver, to be processed in this order: persist `hard_state`, `entries` and
+/// `snapshot`, and sync if `must_sync` is set; send `messages`; apply `committed`; call `advance`.
+/// A leader's appends may be sent before its own sync (`messages_before_sync`); votes and replies
+/// must not.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ready {
     /// New hard state, if it changed.
     pub hard_state: Option<HardState>,
-    /// Entries to append; overwrite what is there from the first one's index on.
+    /// Entries to append; they replace existing entries from the first one's index on.
     pub entries: Vec<Entry>,
-    /// A received snapshot to install before anything is applied.
+    /// A received snapshot to install before applying `committed`.
     pub snapshot: Option<Snapshot>,
-    /// Whether the log must be synced before `messages` go out.
+    /// Whether the log must be synced before `messages` are sent.
     pub must_sync: bool,
-    /// Messages that do not rest on this round's writes.
+    /// Messages that do not depend on the data persisted by this `Ready`.
     pub messages_before_sync: Vec<Message>,
-    /// Messages that do.
+    /// Messages that depend on the data persisted by this `Ready`.
     pub messages: Vec<Message>,
-    /// Entries to apply, in order.
+    /// Committed entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Reads that may be answered once `applied >= index`.
+    /// Confirmed reads, which may be served once `applied >= index`.
     pub reads: Vec<ReadState>,
-    /// Read contexts that must be tried again elsewhere: leadership was lost.
-    pub reads_lost: Vec<u64>,
-    /// Followers that need a snapshot sent.
-    pub snapshots_wanted: Vec<NodeId>,
+    /// Contexts of reads that were not confirmed because leadership was lost. Callers must retry them at
+    /// the new leader.
+    pub aborted_reads: Vec<u64>,
+    /// Replicas to which the driver must send a snapshot.
+    pub snapshot_requests: Vec<NodeId>,
 }
 
 /// A confirmed linearizable read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadState {
-    /// The caller's number for it.
+    /// Identifier that the caller passed to `read_index`.
     pub context: u64,
-    /// Index that must be applied before the read.
+    /// Index that must be applied before the read is served.
     pub index: u64,
 }
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -1,4 +1,4 @@
-//! A follower's side of replication: appends, heartbeats and snapshots.
+//! The follower's side of replication: append messages, heartbeats and snapshots.
 
 use hooklug_types::NodeId;
 
@@ -6,7 +6,7 @@
 use crate::node::RawNode;
 use crate::ready::{Role, Snapshot};
 
-/// An append as received.
+/// A received append message.
 #[derive(Debug)]
 pub(crate) struct AppendRequest {
     pub(crate) prev_index: u64,
@@ -22,7 +22,7 @@
         }
         let AppendRequest { prev_index, prev_term, entries, commit } = request;
         if self.log.is_uninitialized() {
-            self.send(from, refusal(0, 0, 0));
+            self.send(from, append_rejection(0, 0, 0));
             return;
         }
         if prev_index < self.log.commit() {
@@ -33,7 +33,7 @@
         if self.log.term_at(prev_index) != Some(prev_term) {
             let hint = self.log.find_conflict_by_term(prev_index, prev_term);
             let hint_term = self.log.term_at(hint).unwrap_or(0);
-            self.send(from, refusal(prev_index, hint, hint_term));
+            self.send(from, append_rejection(prev_index, hint, hint_term));
             return;
         }
         if let Some(matched) = self.log.append_matched(prev_index, entries) {
@@ -70,9 +70,9 @@
     }
 }
 
-/// A refused append. Index 0 matches in every log that has members, so a refusal at 0 means that
-/// the replica joins and needs a snapshot.
-fn refusal(rejected_index: u64, hint_index: u64, hint_term: u64) -> MessageBody {
+/// Reply that rejects an append. Index 0 matches in every initialized log, so a rejection at 0 means
+/// that the replica is joining and needs a snapshot.
+fn append_rejection(rejected_index: u64, hint_index: u64, hint_term: u64) -> MessageBody {
     let hint = AppendHint { rejected_index, hint_index, hint_term };
     MessageBody::AppendReply { matched: 0, rejected: Some(hint) }
 }
--- a/crates/raft/src/simulation/shell.rs
+++ b/crates/raft/src/simulation/shell.rs
@@ -81,10 +81,10 @@
         let Some(process) = self.process_of(run) else { return Ok(()) };
         process.raw.advance();
         process.confirmed.extend(ready.reads);
-        for context in ready.reads_lost {
+        for context in ready.aborted_reads {
             process.reads.remove(&context);
         }
-        for to in ready.snapshots_wanted {
+        for to in ready.snapshot_requests {
             self.send_snapshot(run, to);
         }
         self.answer(run.node)
--- a/crates/raft/src/status.rs
+++ b/crates/raft/src/status.rs
@@ -1,4 +1,4 @@
-//! A replica's state for operators and for decisions of the shell.
+//! Status of a replica, for operators and for the driver.
 
 use hooklug_types::NodeId;
 
@@ -7,8 +7,8 @@
 use crate::progress::ProgressState;
 use crate::ready::Role;
 
-/// Place of a proposal in the log. It is committed only if the entry that commits at `index` has
-/// this `term`.
+/// Position of a proposal in the log. The proposal is committed only if the entry committed at
+/// `index` has this `term`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogPosition {
     /// Term of the entry.
@@ -17,29 +17,29 @@
     pub index: u64,
 }
 
-/// What a leader knows of one replica.
+/// Replication progress of one replica, as seen by the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaProgress {
     /// The replica.
     pub node: NodeId,
     /// Highest index known to match the leader's log.
     pub matched: u64,
-    /// Whether it was heard from within the last two election timeouts; the leader itself always.
+    /// Whether it was heard from within the last two election timeouts; always true for the leader.
     pub active: bool,
-    /// How the leader sends to it.
+    /// Replication mode of the leader towards it.
     pub state: ProgressState,
 }
 
-/// A replica's state at one moment.
+/// Snapshot of a replica's raft state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
     /// This replica.
     pub id: NodeId,
-    /// What it is.
+    /// Its current role.
     pub role: Role,
-    /// Its term.
+    /// Its current term.
     pub term: u64,
-    /// The leader, as far as it is known.
+    /// The current leader, if known.
     pub leader: Option<NodeId>,
     /// Highest index known to be committed.
     pub commit: u64,
@@ -47,26 +47,26 @@
     pub applied: u64,
     /// Last index of its log.
     pub last_index: u64,
-    /// Newest members, committed or not.
+    /// Newest members, whether or not the change is committed.
     pub conf: ConfState,
-    /// Progress of all members; empty unless it leads.
+    /// Progress of all members; empty unless this replica is the leader.
     pub progress: Vec<ReplicaProgress>,
 }
 
 impl RawNode {
-    /// What the replica is.
+    /// The replica's current role.
     #[must_use]
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The leader, as far as it is known.
+    /// The current leader, if known.
     #[must_use]
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// State at this moment.
+    /// Returns the replica's current raft state.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -82,19 +82,19 @@
         }
     }
 
-    /// Bytes of the log's entries that are held in memory.
+    /// Total size of the log entries in memory.
     #[must_use]
     pub fn log_bytes(&self) -> usize {
         self.log.held_bytes()
     }
 
     fn replica_progress(&self) -> Vec<ReplicaProgress> {
-        let of = |(node, progress): (&NodeId, &crate::progress::Progress)| ReplicaProgress {
+        let describe = |(node, progress): (&NodeId, &crate::progress::Progress)| ReplicaProgress {
             node: *node,
             matched: progress.matched(),
-            active: progress.lately_active() || *node == self.config.id,
+            active: progress.recently_active() || *node == self.config.id,
             state: progress.state(),
         };
-        self.progress.iter().map(of).collect()
+        self.progress.iter().map(describe).collect()
     }
 }
--- a/crates/raft/src/step.rs
+++ b/crates/raft/src/step.rs
@@ -1,15 +1,16 @@
-//! Received messages: the rules on terms first, then each message's own handler.
+//! Processing of received messages: term checks first, then the handler of each message type.
 
 use hooklug_types::NodeId;
 
-use crate::election::{Ballot, VoteRequest};
+use crate::election::{VoteKind, VoteRequest};
 use crate::message::{Message, MessageBody};
 use crate::node::RawNode;
 use crate::ready::{Role, Snapshot};
 use crate::replication::AppendRequest;
 
 impl RawNode {
-    /// Takes a message. One that is stale, odd or for another replica changes nothing.
+    /// Processes a received message. Messages that are stale, malformed or addressed to another replica
+    /// are ignored.
     pub fn step(&mut self, message: Message) {
         if message.to != self.config.id || message.from == self.config.id {
             return;
@@ -19,8 +20,8 @@
         }
     }
 
-    /// Takes a snapshot that the shell has received whole and verified. It comes out as
-    /// [`crate::Ready::snapshot`] if it is newer than the log's committed part.
+    /// Accepts a snapshot that the driver has fully received and verified. It is returned in
+    /// [`crate::Ready::snapshot`] if it is newer than the commit index.
     pub fn receive_snapshot(&mut self, from: NodeId, term: u64, snapshot: Snapshot) {
         let announced = MessageBody::InstallSnapshot(snapshot.meta.clone());
         let message = Message { from, to: self.config.id, term, body: announced };
@@ -30,13 +31,13 @@
         }
     }
 
-    /// Compares terms; gives whether the message is to be handled.
+    /// Applies the term rules; returns whether the message is to be handled.
     fn accept_term(&mut self, message: &Message) -> bool {
         if message.term > self.term {
             return self.accept_newer_term(message);
         }
         if message.term < self.term {
-            self.refuse_older_term(message);
+            self.reject_older_term(message);
             return false;
         }
         true
@@ -44,9 +45,9 @@
 
     fn accept_newer_term(&mut self, message: &Message) -> bool {
         match message.body {
-            MessageBody::PreVote { .. } => !self.has_live_leader(),
+            MessageBody::PreVote { .. } => !self.has_recent_leader(),
             MessageBody::PreVoteReply { granted: true } => true,
-            MessageBody::Vote { transfer: false, .. } if self.has_live_leader() => false,
+            MessageBody::Vote { transfer: false, .. } if self.has_recent_leader() => false,
             MessageBody::Append { .. }
             | MessageBody::Heartbeat { .. }
             | MessageBody::InstallSnapshot(_) => {
@@ -60,9 +61,10 @@
         }
     }
 
-    /// Tells a sender that is behind of the newer term. A leader must hear it: with pre-vote this
-    /// replica never disturbs it by an election, so it would stay cut off for ever.
-    fn refuse_older_term(&mut self, message: &Message) {
+    /// Replies to a sender with an older term, so that it learns the newer one. A leader must receive
+    /// this reply: with pre-vote, this replica would never depose it by an election, and would stay
+    /// isolated from it forever.
+    fn reject_older_term(&mut self, message: &Message) {
         match message.body {
             MessageBody::Append { .. }
             | MessageBody::Heartbeat { .. }
@@ -80,12 +82,12 @@
         let Message { from, term, body, .. } = message;
         match body {
             MessageBody::PreVote { last_index, last_term } => {
-                let ballot = Ballot::PreVote;
-                self.handle_vote_request(VoteRequest { from, term, ballot, last_index, last_term });
+                let kind = VoteKind::PreVote;
+                self.handle_vote_request(VoteRequest { from, term, kind, last_index, last_term });
             }
             MessageBody::Vote { last_index, last_term, transfer } => {
-                let ballot = Ballot::Vote { transfer };
-                self.handle_vote_request(VoteRequest { from, term, ballot, last_index, last_term });
+                let kind = VoteKind::Vote { transfer };
+                self.handle_vote_request(VoteRequest { from, term, kind, last_index, last_term });
             }
             MessageBody::PreVoteReply { granted } => {
                 self.handle_pre_vote_reply(from, term, granted);
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Follows the leader of the current term. A leader never follows another in its own term.
+    /// Records the leader of the current term and becomes its follower. A leader ignores this: there is
+    /// no other leader in its term.
     fn follow(&mut self, leader: NodeId) {
         match self.role {
             Role::Leader => {}
--- a/crates/raft/tests/suite/common.rs
+++ b/crates/raft/tests/suite/common.rs
@@ -44,7 +44,7 @@
     pub nodes: BTreeMap<u64, RawNode>,
     pub applied: BTreeMap<u64, Vec<Entry>>,
     pub reads: Vec<ReadState>,
-    pub reads_lost: Vec<u64>,
+    pub aborted_reads: Vec<u64>,
     pub cut: BTreeSet<u64>,
 }
 
@@ -55,7 +55,7 @@
             nodes: BTreeMap::new(),
             applied: BTreeMap::new(),
             reads: Vec::new(),
-            reads_lost: Vec::new(),
+            aborted_reads: Vec::new(),
             cut: BTreeSet::new(),
         };
         for id in ids {
@@ -137,9 +137,9 @@
             self.applied.entry(id).or_default().push(entry);
         }
         self.reads.extend(ready.reads);
-        self.reads_lost.extend(ready.reads_lost);
+        self.aborted_reads.extend(ready.aborted_reads);
         self.at(id).advance();
-        for wanted in ready.snapshots_wanted {
+        for wanted in ready.snapshot_requests {
             self.send_snapshot(id, wanted.0);
         }
         sent
--- a/crates/raft/tests/suite/group.rs
+++ b/crates/raft/tests/suite/group.rs
@@ -69,7 +69,7 @@
     group.settle();
     assert_eq!(group.reads.len(), 1, "no quorum has answered");
     group.tick(25);
-    assert_eq!(group.reads_lost, vec![10]);
+    assert_eq!(group.aborted_reads, vec![10]);
     assert_eq!(group.at(1).status().role, Role::Follower, "check-quorum");
     assert_ne!(group.leader(), Some(1));
 }
@@ -118,7 +118,7 @@
     group.at(1).propose_conf_change(ConfChange::AddLearner(node(4))).expect("taken");
     assert_eq!(
         group.at(1).propose_conf_change(ConfChange::Remove(node(2))),
-        Err(ProposeError::ConfChangeUnderWay)
+        Err(ProposeError::ConfChangePending)
     );
     group.tick(6);
     assert_eq!(group.commands(4), vec![b"before".to_vec()]);
--- a/crates/raft/tests/suite/progress.rs
+++ b/crates/raft/tests/suite/progress.rs
@@ -45,19 +45,19 @@
         assert!(self.progress.inflight() <= self.max_inflight);
         let new_wanted = self.progress.next() <= self.last && !self.progress.is_full();
         if self.progress.state() == ProgressState::Replicate && new_wanted {
-            assert!(self.progress.wants_append(self.last, 0), "room and news, but no append");
+            assert!(self.progress.needs_append(self.last, 0), "room and news, but no append");
         }
     }
 
     /// Sends what is wanted now, one entry at most.
     fn send(&mut self, fate: Fate) {
-        if !self.progress.wants_append(self.last, 0) {
+        if !self.progress.needs_append(self.last, 0) {
             return;
         }
         let prev = self.progress.next() - 1;
         let is_full = self.progress.is_full();
         let end = if is_full { prev } else { self.last.min(prev + 1) };
-        self.progress.sent(end, 0);
+        self.progress.append_sent(end, 0);
         if matches!(fate, Fate::Lost) {
             return;
         }
@@ -69,16 +69,16 @@
             return;
         }
         if accepted {
-            self.progress.accepted(end, 1);
+            self.progress.append_accepted(end, 1);
         } else {
-            self.progress.rejected(prev, self.held);
+            self.progress.append_rejected(prev, self.held);
         }
     }
 
     fn step(&mut self, fate: Fate) {
         match fate {
             Fate::Grow => self.last += 1,
-            Fate::Heartbeat => self.progress.heard(self.last),
+            Fate::Heartbeat => self.progress.heartbeat_acked(self.last),
             _ => self.send(fate),
         }
     }
@@ -109,9 +109,9 @@
     #[test]
     fn a_refusal_out_of_date_changes_nothing(matched in 1u64..20, at in 1u64..20) {
         let mut progress = Progress::new(20, 4);
-        progress.accepted(matched, 1);
+        progress.append_accepted(matched, 1);
         let before = format!("{progress:?}");
-        let taken = progress.rejected(at.min(matched), 0);
+        let taken = progress.append_rejected(at.min(matched), 0);
         prop_assert!(!taken);
         prop_assert_eq!(format!("{progress:?}"), before);
     }
@@ -121,8 +121,8 @@
 fn nothing_is_sent_while_a_snapshot_is_on_its_way() {
     let mut progress = Progress::new(10, 4);
     progress.become_snapshot();
-    progress.heard(10);
-    assert!(!progress.wants_append(10, 10));
-    progress.accepted(10, 5);
+    progress.heartbeat_acked(10);
+    assert!(!progress.needs_append(10, 10));
+    progress.append_accepted(10, 5);
     assert_eq!(progress.state(), ProgressState::Replicate);
 }
--- a/crates/raft/tests/suite/raft_log.rs
+++ b/crates/raft/tests/suite/raft_log.rs
@@ -195,8 +195,8 @@
     }
     let one = entry_bytes(log.entry(log.last_index()).unwrap());
     let last = log.last_index();
-    assert_eq!(log.start_of_last(last, 3, usize::MAX), last - 3);
-    assert_eq!(log.start_of_last(last, u64::MAX, 4 * one), last - 4);
-    assert_eq!(log.start_of_last(last, 3, one - 1), last, "not even one");
-    assert_eq!(log.start_of_last(last, u64::MAX, usize::MAX), last - 10, "no more than there are");
+    assert_eq!(log.trailing_start(last, 3, usize::MAX), last - 3);
+    assert_eq!(log.trailing_start(last, u64::MAX, 4 * one), last - 4);
+    assert_eq!(log.trailing_start(last, 3, one - 1), last, "not even one");
+    assert_eq!(log.trailing_start(last, u64::MAX, usize::MAX), last - 10, "no more than there are");
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -192,7 +192,7 @@
             (self.log_bytes, self.log_commands) = (0, 0);
         }
         let committed = ready.committed.into_iter().map(|entry| self.commit(entry)).collect();
-        for context in ready.reads_lost {
+        for context in ready.aborted_reads {
             let reads = self.unconfirmed.remove(&context).unwrap_or_default();
             fail_reads(reads, &self.not_leader());
         }
@@ -209,7 +209,7 @@
             records,
             sync: ready.must_sync,
             late: Vec::new(),
-            snapshots_wanted: ready.snapshots_wanted,
+            snapshot_requests: ready.snapshot_requests,
         };
         if round.sync {
             self.after_sync = Some(ready.messages);
@@ -309,7 +309,7 @@
             return None;
         }
         // Applied when the round that held the entries is advanced; until then it stays whole.
-        let _ = self.node.compact_behind(meta.index, trailing, TRAILING_LOG_BYTES);
+        let _ = self.node.compact_with_trailing(meta.index, trailing, TRAILING_LOG_BYTES);
         self.snapshot = Some(meta.clone());
         Some(Record::Snapshot(meta))
     }
--- a/crates/replication/src/round.rs
+++ b/crates/replication/src/round.rs
@@ -49,5 +49,5 @@
     /// Messages that rest on nothing that waits for a sync.
     pub late: Vec<Message>,
     /// Replicas that need a snapshot.
-    pub snapshots_wanted: Vec<NodeId>,
+    pub snapshot_requests: Vec<NodeId>,
 }
--- a/crates/replication/src/rounds.rs
+++ b/crates/replication/src/rounds.rs
@@ -69,7 +69,7 @@
             self.workers.apply(group, ApplyTask::Answer { reads: round.reads, leading_since });
         }
         records.extend(round.records.into_iter().map(|record| GroupRecord { group, record }));
-        for to in round.snapshots_wanted {
+        for to in round.snapshot_requests {
             self.send_snapshot(group, to);
         }
     }
