--- a/crates/raft/src/simulation/clients.rs
+++ b/crates/raft/src/simulation/clients.rs
@@ -5,8 +5,8 @@
 
 use super::event::Event;
 use super::network::chance;
+use super::runner::World;
 use super::violation::Violation;
-use super::world::World;
 use crate::ready::Role;
 
 /// Chance per mille that a call goes to a replica that believes it leads.
--- a/crates/raft/src/simulation/shell.rs
+++ b/crates/raft/src/simulation/driver.rs
@@ -5,11 +5,11 @@
 
 use super::disk::Write;
 use super::event::{Event, Packet, Run};
+use super::fault_profile::TICK_UNITS;
 use super::machine::StateMachine;
 use super::replica::Replica;
+use super::runner::World;
 use super::violation::Violation;
-use super::weather::TICK_UNITS;
-use super::world::World;
 use crate::message::{Entry, EntryKind, Message};
 use crate::ready::{Ready, Snapshot};
 
--- a/crates/raft/src/simulation/faults.rs
+++ b/crates/raft/src/simulation/faults.rs
@@ -6,10 +6,10 @@
 use super::broken_rule::BrokenRule;
 use super::disk::Disk;
 use super::event::Event;
+use super::fault_profile::TICK_UNITS;
 use super::network::chance;
 use super::replica::Replica;
-use super::weather::TICK_UNITS;
-use super::world::World;
+use super::runner::World;
 
 impl World {
     /// Draws the faults of the next tick.
--- a/crates/raft/src/simulation/mod.rs
+++ b/crates/raft/src/simulation/mod.rs
@@ -8,23 +8,23 @@
 mod checker;
 mod clients;
 mod disk;
+mod driver;
 mod event;
+mod fault_profile;
 mod faults;
 mod fingerprint;
 mod machine;
 mod network;
 mod operator;
 mod replica;
-mod shell;
+mod runner;
 mod sweep;
 #[cfg(test)]
 mod tests;
 mod trace;
 mod violation;
-mod weather;
-mod world;
 
 pub use broken_rule::BrokenRule;
+pub use runner::{Outcome, Scenario, Totals, run};
 pub use sweep::{Failure, SweepReport, sweep};
 pub use violation::Violation;
-pub use world::{Outcome, Scenario, Totals, run};
--- a/crates/raft/src/simulation/network.rs
+++ b/crates/raft/src/simulation/network.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::weather::Weather;
+use super::fault_profile::Weather;
 
 /// Links that are cut, by direction.
 #[derive(Debug, Default)]
--- a/crates/raft/src/simulation/operator.rs
+++ b/crates/raft/src/simulation/operator.rs
@@ -4,10 +4,10 @@
 use rand::RngExt;
 
 use super::disk::Write;
+use super::fault_profile::TICK_UNITS;
 use super::network::chance;
 use super::replica::Replica;
-use super::weather::TICK_UNITS;
-use super::world::World;
+use super::runner::World;
 use crate::message::{ConfChange, ConfState};
 use crate::ready::Snapshot;
 
--- a/crates/raft/src/simulation/sweep.rs
+++ b/crates/raft/src/simulation/sweep.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::broken_rule::BrokenRule;
+use super::runner::{Scenario, Totals, run};
 use super::violation::Violation;
-use super::world::{Scenario, Totals, run};
 
 /// A seed that broke a promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
