--- a/crates/raft/examples/simulate.rs
+++ b/crates/raft/examples/simulate.rs
@@ -29,7 +29,7 @@
 }
 
 fn replay(seed: u64) -> bool {
-    let outcome = run(Scenario { seed, broken_rule: None, in_words: true });
+    let outcome = run(Scenario { seed, broken_rule: None, record_trace: true });
     for line in &outcome.lines {
         println!("{line}");
     }
--- a/crates/raft/src/simulation/broken_rule.rs
+++ b/crates/raft/src/simulation/broken_rule.rs
@@ -1,17 +1,16 @@
-//! Rules broken on purpose, each in its own test only: a simulator that never reports anything
-//! shows nothing.
+//! Protocol rules that tests break deliberately, to show that the simulator detects violations.
 
-/// A rule that a replica or its disk breaks.
+/// A protocol rule that a replica or its disk violates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BrokenRule {
-    /// A leader commits an older term's entry because a quorum holds it (Raft, figure 8).
+    /// A leader commits an entry of an older term because a quorum holds it (Raft, figure 8).
     CommitOlderTermByCounting,
-    /// A leader answers a read without a heartbeat round.
+    /// A leader serves a read without a heartbeat round.
     ReadWithoutRound,
-    /// Messages go out before the vote and term that they rest on are synced.
+    /// Messages are sent before the vote and term that they depend on are synced.
     VoteNotSynced,
-    /// Messages go out before the entries that they acknowledge are synced.
+    /// Messages are sent before the entries that they acknowledge are synced.
     EntriesNotSynced,
-    /// A replica that lost its disk goes on under its old id.
+    /// A replica that lost its disk continues under its old id.
     EmptyDiskKeepsId,
 }
--- a/crates/raft/src/simulation/checker.rs
+++ b/crates/raft/src/simulation/checker.rs
@@ -1,5 +1,5 @@
-//! The promises, checked after every step from what the replicas hold. Everything is kept per
-//! index of one log, and only what changed at the replica of the step is looked at.
+//! Checks raft's safety properties after every step. Observations are stored per log index, and only
+//! the changes at the replica of the last step are examined.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,49 +10,49 @@
 use crate::node::RawNode;
 use crate::ready::Role;
 
-/// An entry as first seen anywhere.
+/// An entry as first observed at any replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SeenEntry {
+struct ObservedEntry {
     digest: u64,
     prev_term: Option<u64>,
 }
 
-/// A committed entry.
+/// An entry observed as committed.
 #[derive(Debug, Clone, Copy)]
 struct CommittedEntry {
     term: u64,
-    /// Term of the replica at which it was first seen committed, as a rule the leader's.
+    /// Term of the replica that was first observed to have committed it, usually the leader.
     committed_in: u64,
 }
 
-/// What was already checked of one run of one replica.
+/// The part of a replica's state that was already checked in its current run.
 #[derive(Debug, Default)]
 struct Checked {
-    /// Term of each index whose entry was compared.
+    /// Term by index of the entries already compared.
     terms: HashMap<u64, u64>,
     commit: u64,
     leader_term: Option<u64>,
 }
 
-/// Knows everything that any replica has shown.
+/// Records the observed states of all replicas and checks them against each other.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
     leaders: HashMap<u64, NodeId>,
-    entries: HashMap<(u64, u64), SeenEntry>,
+    entries: HashMap<(u64, u64), ObservedEntry>,
     committed: BTreeMap<u64, CommittedEntry>,
-    /// State after each applied index.
+    /// State digest after each applied index.
     states: HashMap<u64, u64>,
     checked: HashMap<NodeId, Checked>,
     acknowledged: u64,
 }
 
 impl Checker {
-    /// Forgets what was checked of a replica that crashed; what it has shown stays.
-    pub(crate) fn restarted(&mut self, node: NodeId) {
+    /// Discards the check progress of a crashed replica; its observed entries and states are retained.
+    pub(crate) fn reset_replica(&mut self, node: NodeId) {
         self.checked.remove(&node);
     }
 
-    /// Highest index that a client was told of, by a write's acknowledgement or a read.
+    /// Highest index that a client has observed, by an acknowledged write or a read.
     pub(crate) fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
@@ -62,8 +62,8 @@
         self.committed.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// Checks a replica after a step, and the other leaders against what it committed. Gives
-    /// whether the replica has just become a leader.
+    /// Checks a replica after a step, and other leaders against the entries that it committed. Returns
+    /// whether the replica has just become leader.
     pub(crate) fn check<'a>(
         &mut self,
         raw: &RawNode,
@@ -81,13 +81,13 @@
         Ok(is_new_leader)
     }
 
-    /// A write was acknowledged.
-    pub(crate) fn write_acknowledged(&mut self, index: u64) {
+    /// Records an acknowledged write.
+    pub(crate) fn record_acknowledged(&mut self, index: u64) {
         self.acknowledged = self.acknowledged.max(index);
     }
 
-    /// A read that began when `acknowledged` was the highest index known was answered.
-    pub(crate) fn read_answered(
+    /// Checks a read result; `acknowledged` is the highest acknowledged index when the read started.
+    pub(crate) fn check_read(
         &mut self,
         node: NodeId,
         acknowledged: u64,
@@ -100,8 +100,8 @@
         Ok(())
     }
 
-    /// A replica applied an entry or installed a snapshot.
-    pub(crate) fn state_reached(
+    /// Checks the state that a replica reached by applying an entry or installing a snapshot.
+    pub(crate) fn check_state(
         &mut self,
         node: NodeId,
         machine: StateMachine,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Log matching: each (index, term) has one entry and one term before it, so by induction one
-    /// past. Goes down from the end to the first place already compared.
+    /// Log matching: each (index, term) has one entry and one preceding term, so by induction one
+    /// prefix. Compares from the end of the log down to the first entry already compared.
     fn check_log(&mut self, raw: &RawNode) -> Result<(), Violation> {
         let node = raw.config.id;
         let checked = self.checked.entry(node).or_default();
@@ -125,8 +125,10 @@
             if checked.terms.insert(index, term) == Some(term) {
                 break;
             }
-            let seen =
-                SeenEntry { digest: entry_digest(entry), prev_term: raw.log.term_at(index - 1) };
+            let seen = ObservedEntry {
+                digest: entry_digest(entry),
+                prev_term: raw.log.term_at(index - 1),
+            };
             let known = *self.entries.entry((index, term)).or_insert(seen);
             if known != seen {
                 return Err(Violation::LogMismatch { node, index, term });
@@ -166,8 +168,8 @@
         Ok(true)
     }
 
-    /// A leader holds what was committed in earlier terms. An old entry may be committed in a later
-    /// term than that of a leader whose votes were long on their way; that leader may lack it.
+    /// Leader completeness: a leader holds all entries committed in earlier terms. If its votes were
+    /// delayed, an entry may have been committed in a later term than the leader's; it may lack that one.
     fn check_complete(&self, leader: &RawNode, from: u64) -> Result<(), Violation> {
         let first = from.max(leader.log.first_index() - 1);
         for (index, entry) in self.committed.range(first..) {
--- a/crates/raft/src/simulation/clients.rs
+++ b/crates/raft/src/simulation/clients.rs
@@ -1,27 +1,28 @@
-//! Clients: writes and linearizable reads, most of them at a replica that believes it leads.
+//! Simulated clients: writes and linearizable reads, mostly sent to a replica that considers itself
+//! the leader.
 
 use hooklug_types::NodeId;
 use rand::RngExt;
 
 use super::event::Event;
 use super::network::chance;
-use super::runner::World;
+use super::runner::Simulation;
 use super::violation::Violation;
 use crate::ready::Role;
 
-/// Chance per mille that a call goes to a replica that believes it leads.
+/// Probability per mille that a request is sent to a replica that considers itself the leader.
 const TO_LEADER: u32 = 850;
-/// Chance per mille that a call is a write.
+/// Probability per mille that a request is a write.
 const WRITES: u32 = 600;
 
-impl World {
-    /// Draws the next call and schedules the one after it.
-    pub(super) fn next_call(&mut self) {
+impl Simulation {
+    /// Schedules a client request now and the draw of the one after it.
+    pub(super) fn next_request(&mut self) {
         if self.clients_stopped {
             return;
         }
-        let pause = self.random.random_range(1..=self.weather.max_client_pause);
-        self.events.schedule(self.now + pause, Event::NextCall);
+        let interval = self.random.random_range(1..=self.fault_profile.max_request_interval);
+        self.events.schedule(self.now + interval, Event::NextRequest);
         let leaders = self.leaders();
         let all: Vec<NodeId> = self.replicas.keys().copied().collect();
         let to_leader = !leaders.is_empty() && chance(&mut self.random, TO_LEADER);
@@ -33,8 +34,8 @@
     }
 
     pub(super) fn write(&mut self, node: NodeId) {
-        self.calls += 1;
-        let command = self.calls.to_le_bytes().to_vec();
+        self.requests += 1;
+        let command = self.requests.to_le_bytes().to_vec();
         let Some(process) = self.process_mut(node) else { return };
         if let Ok(position) = process.raw.propose(command) {
             process.writes.insert(position.index, position.term);
@@ -42,8 +43,8 @@
     }
 
     pub(super) fn read(&mut self, node: NodeId) {
-        self.calls += 1;
-        let context = self.calls;
+        self.requests += 1;
+        let context = self.requests;
         let acknowledged = self.checker.acknowledged();
         let Some(process) = self.process_mut(node) else { return };
         if process.raw.read_index(context).is_ok() {
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Answers writes and reads that a replica's applied index has reached.
-    pub(super) fn answer(&mut self, node: NodeId) -> Result<(), Violation> {
+    /// Completes the confirmed reads whose index the replica has applied.
+    pub(super) fn complete_reads(&mut self, node: NodeId) -> Result<(), Violation> {
         let Some(process) = self.replicas.get_mut(&node).and_then(|r| r.process.as_mut()) else {
             return Ok(());
         };
@@ -63,13 +64,13 @@
         for read in due {
             if let Some(acknowledged) = process.reads.remove(&read.context) {
                 self.totals.reads += 1;
-                self.checker.read_answered(node, acknowledged, applied)?;
+                self.checker.check_read(node, acknowledged, applied)?;
             }
         }
         Ok(())
     }
 
-    /// Replicas that run and believe they lead.
+    /// Running replicas that consider themselves the leader.
     pub(super) fn leaders(&self) -> Vec<NodeId> {
         let processes = self.replicas.values().filter_map(|r| Some((r.id, r.process.as_ref()?)));
         let leading = processes.filter(|(_, process)| process.raw.role == Role::Leader);
--- a/crates/raft/src/simulation/disk.rs
+++ b/crates/raft/src/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A replica's disk: writes last only once they are synced; a crash keeps any prefix of the rest.
+//! Simulated disk: synced writes are durable; a crash keeps an arbitrary prefix of the unsynced ones.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,17 @@
 use crate::message::{ConfState, Entry, HardState};
 use crate::ready::{Snapshot, SnapshotMeta};
 
-/// One write, in the order of writing.
+/// A single write.
 #[derive(Debug, Clone)]
 pub(crate) enum Write {
     HardState(HardState),
-    /// One entry; drops what is there from its index on.
+    /// Appends an entry and removes existing entries from its index on.
     Entry(Entry),
-    /// A snapshot; drops entries up to its index, and all if they don't fit.
+    /// Stores a snapshot and removes the entries up to its index, or all if they conflict with it.
     Snapshot(Snapshot),
 }
 
-/// What is on a disk.
+/// Contents of a disk.
 #[derive(Debug, Clone)]
 struct Image {
     hard_state: HardState,
@@ -25,7 +25,7 @@
     entries: VecDeque<Entry>,
 }
 
-/// A disk with its unsynced writes.
+/// A disk and its unsynced writes.
 #[derive(Debug, Clone)]
 pub(crate) struct Disk {
     synced: Image,
@@ -33,7 +33,7 @@
 }
 
 impl Disk {
-    /// A disk that holds nothing but a group's first members.
+    /// Creates a disk that holds only the initial members of a group.
     pub(crate) fn empty(conf: ConfState) -> Self {
         let meta = SnapshotMeta { index: 0, term: 0, conf };
         let snapshot = Snapshot { meta, data: Vec::new() };
@@ -45,9 +45,10 @@
         self.unsynced.push_back(write);
     }
 
-    /// Makes all writes last. A broken rule leaves the last write of its kind unsynced.
+    /// Makes all writes durable. With a broken sync rule, the last write of the affected kind stays
+    /// unsynced.
     pub(crate) fn sync(&mut self, broken: Option<BrokenRule>) {
-        let left_out = match broken {
+        let skipped = match broken {
             Some(BrokenRule::VoteNotSynced) => {
                 self.unsynced.iter().rposition(|w| matches!(w, Write::HardState(_)))
             }
@@ -57,8 +58,8 @@
             _ => None,
         };
         let mut kept = VecDeque::new();
-        for (place, write) in std::mem::take(&mut self.unsynced).into_iter().enumerate() {
-            if Some(place) == left_out {
+        for (position, write) in std::mem::take(&mut self.unsynced).into_iter().enumerate() {
+            if Some(position) == skipped {
                 kept.push_back(write);
             } else {
                 self.synced.apply(write);
@@ -67,19 +68,19 @@
         self.unsynced = kept;
     }
 
-    /// How many writes are not synced.
+    /// Number of unsynced writes.
     pub(crate) fn unsynced(&self) -> usize {
         self.unsynced.len()
     }
 
-    /// A crash after which only the first `kept` of the unsynced writes are there.
+    /// Simulates a crash that keeps only the first `kept` unsynced writes.
     pub(crate) fn crash(&mut self, kept: usize) {
         for write in std::mem::take(&mut self.unsynced).into_iter().take(kept) {
             self.synced.apply(write);
         }
     }
 
-    /// What a start finds.
+    /// Returns the persistent state and the snapshot data as found at startup.
     pub(crate) fn restore(&self) -> (Restored, Vec<u8>) {
         let image = &self.synced;
         let restored = Restored {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// An entry that would leave a gap is dropped: it followed one that was not kept.
+    /// Appends an entry. An entry that would leave a gap is ignored: it follows one that was lost in a
+    /// crash.
     fn append(&mut self, entry: Entry) {
         let first = self.snapshot.meta.index + 1;
         let next = first + self.entries.len() as u64;
--- a/crates/raft/src/simulation/event.rs
+++ b/crates/raft/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens when: a queue of events in simulated time.
+//! Events of a run and their queue, ordered by simulated time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -8,7 +8,7 @@
 use crate::message::Message;
 use crate::ready::Snapshot;
 
-/// Something on its way between two replicas.
+/// A packet in transit between two replicas.
 #[derive(Debug, Clone)]
 pub(crate) enum Packet {
     Message(Message),
@@ -24,44 +24,44 @@
     }
 }
 
-/// One run of a replica; events of an earlier run are void.
+/// Identifies a run of a replica's process. Events of an earlier run are ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Run {
+pub(crate) struct RunId {
     pub(crate) node: NodeId,
     pub(crate) number: u64,
 }
 
-/// An event.
+/// A scheduled event.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
-    Tick(Run),
+    Tick(RunId),
     Deliver {
         packet: Packet,
-        sent_in: Run,
+        sender_run: RunId,
     },
-    SyncDone(Run),
+    SyncDone(RunId),
     ReportSnapshot {
-        run: Run,
+        run: RunId,
         to: NodeId,
         sent: bool,
     },
     Write(NodeId),
     Read(NodeId),
     Restart(NodeId),
-    /// The end that was drawn for a leader.
-    LeaderFalls(NodeId),
+    /// The scheduled failure of a leader.
+    LeaderFailure(NodeId),
     HealLink {
         from: NodeId,
         to: NodeId,
     },
-    /// Draws the next client call.
-    NextCall,
-    /// Draws faults, compactions and operators' actions.
+    /// Draws the next client request.
+    NextRequest,
+    /// Draws faults and operator actions.
     NextFaults,
 }
 
 impl Event {
-    /// The replica that must be awake for it.
+    /// The replica that handles the event; the event is postponed while that replica is frozen.
     pub(crate) fn node(&self) -> Option<NodeId> {
         match self {
             Self::Tick(run) | Self::SyncDone(run) | Self::ReportSnapshot { run, .. } => {
@@ -70,9 +70,9 @@
             Self::Deliver { packet, .. } => Some(packet.to()),
             Self::Write(node) | Self::Read(node) => Some(*node),
             Self::Restart(_)
-            | Self::LeaderFalls(_)
+            | Self::LeaderFailure(_)
             | Self::HealLink { .. }
-            | Self::NextCall
+            | Self::NextRequest
             | Self::NextFaults => None,
         }
     }
@@ -100,13 +100,13 @@
 }
 
 impl Ord for Scheduled {
-    /// The earliest is the greatest, as the heap gives the greatest first.
+    /// Reverses the order by time, since `BinaryHeap` pops the greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events by time; those of one time in the order of their scheduling.
+/// Event queue ordered by time, then by the order of scheduling.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Scheduled>,
--- a/crates/raft/src/simulation/fingerprint.rs
+++ b/crates/raft/src/simulation/fingerprint.rs
@@ -1,11 +1,11 @@
-//! A running 64-bit digest (FNV-1a) for comparing runs and states; no defence against forgery.
+//! Incremental 64-bit FNV-1a digest for comparing runs and states; not collision-resistant.
 
-/// Offset basis of FNV-1a with 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Prime of FNV-1a with 64 bits.
+/// Prime of 64-bit FNV-1a.
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A running digest.
+/// An incremental digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Fingerprint(u64);
 
@@ -16,7 +16,7 @@
 }
 
 impl Fingerprint {
-    /// Goes on from a value given by [`Fingerprint::value`].
+    /// Resumes from a value returned by [`Fingerprint::value`].
     pub(crate) fn resume(value: u64) -> Self {
         Self(value)
     }
--- a/crates/raft/src/simulation/machine.rs
+++ b/crates/raft/src/simulation/machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine of the simulator: a digest over everything applied, so that two
-//! states are equal only if the same entries were applied in the same order.
+//! The simulator's replicated state machine: a digest over all applied entries, so that two states
+//! are equal only if the same entries were applied in the same order.
 
 use super::fingerprint::Fingerprint;
 use crate::message::{ConfChange, Entry, EntryKind};
@@ -21,12 +21,12 @@
         self.applied = entry.index;
     }
 
-    /// Bytes for a snapshot.
+    /// Encodes the state for a snapshot.
     pub(crate) fn encode(self) -> Vec<u8> {
         [self.applied.to_le_bytes(), self.digest.to_le_bytes()].concat()
     }
 
-    /// State from a snapshot's bytes; the state before the first entry if there are none.
+    /// Decodes the state from a snapshot; empty data is the state before the first entry.
     pub(crate) fn decode(bytes: &[u8]) -> Self {
         let number = |from: usize| {
             let bytes = bytes.get(from..from + 8).and_then(|bytes| bytes.try_into().ok());
--- a/crates/raft/src/simulation/mod.rs
+++ b/crates/raft/src/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A seeded simulator of a whole group, with checks after every step.
+//! Deterministic simulator of a complete raft group that checks safety after every step.
 //!
-//! One seed decides everything: the faults' rates, every delay, crash, cut, membership change and
-//! client call. The same seed gives the same run, event by event. Compiled only for tests and with the
-//! `simulation` feature; nothing in a shipped build depends on it.
+//! The seed determines everything: fault rates, delays, crashes, network partitions, membership
+//! changes and client requests. The same seed reproduces the same run, event by event. The simulator
+//! is compiled only for tests and with the `simulation` feature, never into a release build.
 
 mod broken_rule;
 mod checker;
--- a/crates/raft/src/simulation/operator.rs
+++ b/crates/raft/src/simulation/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: membership changes, replacement of lost replicas, compaction, transfers.
+//! Simulated operator actions: membership changes, replacement of lost replicas, log compaction and
+//! leadership transfer.
 
 use hooklug_types::NodeId;
 use rand::RngExt;
@@ -7,26 +8,26 @@
 use super::fault_profile::TICK_UNITS;
 use super::network::chance;
 use super::replica::Replica;
-use super::runner::World;
+use super::runner::Simulation;
 use crate::message::{ConfChange, ConfState};
 use crate::ready::Snapshot;
 
-/// Most replicas that a run creates, lost and removed ones included.
+/// Maximum number of replicas created in a run, including lost and removed ones.
 const MAX_REPLICAS: usize = 12;
-/// Most voters of a group.
+/// Maximum number of voters of a group.
 const MAX_VOTERS: usize = 5;
-/// Entries that a compaction leaves at most before the applied one.
-const MAX_KEPT_ENTRIES: u64 = 8;
+/// Maximum number of applied entries that a compaction retains.
+const MAX_TRAILING_ENTRIES: u64 = 8;
 
-impl World {
-    pub(super) fn next_operations(&mut self) {
-        if chance(&mut self.random, self.weather.change_members) {
+impl Simulation {
+    pub(super) fn next_operator_actions(&mut self) {
+        if chance(&mut self.random, self.fault_profile.change_members) {
             self.change_members();
         }
-        if chance(&mut self.random, self.weather.compact) {
+        if chance(&mut self.random, self.fault_profile.compact) {
             self.compact_one();
         }
-        if chance(&mut self.random, self.weather.transfer) {
+        if chance(&mut self.random, self.fault_profile.transfer) {
             self.transfer();
         }
     }
@@ -52,7 +53,7 @@
         let Some(leader) = self.pick_leader() else { return };
         let Some(conf) = self.conf_at(leader) else { return };
         let Some(change) = self.draw_change(&conf) else { return };
-        if !self.has_live_quorum(&conf.with(change), None) {
+        if !self.has_surviving_quorum(&conf.with(change), None) {
             return;
         }
         let Some(process) = self.process_mut(leader) else { return };
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A lost member goes first; else something at random.
+    /// Chooses the removal of a member with a lost disk if there is one, else a random change.
     fn draw_change(&mut self, conf: &ConfState) -> Option<ConfChange> {
         let lost = conf.members().find(|node| self.replicas.get(node).is_some_and(|r| r.lost));
         if let Some(lost) = lost {
@@ -69,7 +70,7 @@
         }
         let members: Vec<NodeId> = conf.members().collect();
         match self.random.random_range(0..3) {
-            0 => self.draw_newcomer(conf).map(ConfChange::AddLearner),
+            0 => self.pick_non_member(conf).map(ConfChange::AddLearner),
             1 if conf.voters.len() < MAX_VOTERS => {
                 conf.learners.first().copied().map(ConfChange::PromoteVoter)
             }
@@ -81,8 +82,8 @@
         }
     }
 
-    /// A running replica that is no member (new, or removed before), else a new one.
-    fn draw_newcomer(&mut self, conf: &ConfState) -> Option<NodeId> {
+    /// Returns a replica that is not a member (new or removed before), or creates one.
+    fn pick_non_member(&mut self, conf: &ConfState) -> Option<NodeId> {
         let idle = self.replicas.values().find(|r| !r.lost && !conf.contains(r.id));
         match idle.map(|replica| replica.id) {
             Some(id) => Some(id),
@@ -93,12 +94,13 @@
     fn compact_one(&mut self) {
         let all: Vec<NodeId> = self.replicas.keys().copied().collect();
         let node = all[self.random.random_range(0..all.len())];
-        let kept = self.random.random_range(0..=MAX_KEPT_ENTRIES);
-        self.compact(node, kept);
+        let retained = self.random.random_range(0..=MAX_TRAILING_ENTRIES);
+        self.compact(node, retained);
     }
 
-    /// Syncs a snapshot at the applied index, then drops the entries that it covers but `kept`.
-    fn compact(&mut self, node: NodeId, kept: u64) {
+    /// Syncs a snapshot at the applied index, then removes the entries that it covers except the last
+    /// `retained`.
+    fn compact(&mut self, node: NodeId, retained: u64) {
         let broken = self.scenario.broken_rule;
         let Some(replica) = self.replicas.get_mut(&node) else { return };
         let Some(process) = &mut replica.process else { return };
@@ -106,7 +108,7 @@
         if process.syncing.is_some() || meta.index == 0 {
             return;
         }
-        let index = meta.index.saturating_sub(kept);
+        let index = meta.index.saturating_sub(retained);
         let snapshot = Snapshot { meta, data: process.machine.encode() };
         replica.disk.write(Write::Snapshot(snapshot));
         replica.disk.sync(broken);
@@ -139,8 +141,8 @@
         Some(process.raw.log.conf().clone())
     }
 
-    /// Whether a majority of the voters keeps its disks when one more replica loses its own.
-    pub(super) fn has_live_quorum(&self, conf: &ConfState, losing: Option<NodeId>) -> bool {
+    /// Whether a majority of the voters still has its disk if the given replica loses its own too.
+    pub(super) fn has_surviving_quorum(&self, conf: &ConfState, losing: Option<NodeId>) -> bool {
         let keeps =
             |node| Some(node) != losing && self.replicas.get(&node).is_some_and(|r| !r.lost);
         conf.voters.is_empty() || conf.is_quorum(keeps)
--- a/crates/raft/src/simulation/replica.rs
+++ b/crates/raft/src/simulation/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the simulated group: its disk, and its process while it runs.
+//! A replica of the simulated group: its disk, and its process while it runs.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::broken_rule::BrokenRule;
 use super::disk::Disk;
-use super::event::Run;
+use super::event::RunId;
 use super::machine::StateMachine;
 use crate::config::{Config, Restored};
 use crate::message::ConfState;
@@ -14,33 +14,33 @@
 use crate::raft_log::RaftLog;
 use crate::ready::{ReadState, Ready};
 
-/// What a process holds in memory.
+/// In-memory state of a running replica.
 #[derive(Debug)]
 pub(crate) struct Process {
     pub(crate) raw: RawNode,
     pub(crate) machine: StateMachine,
-    /// Work that waits for its sync.
+    /// Work that is waiting for its sync.
     pub(crate) syncing: Option<Ready>,
-    /// Writes that clients wait for: index and term.
+    /// Unacknowledged client writes: index and term.
     pub(crate) writes: BTreeMap<u64, u64>,
-    /// Reads that clients wait for: context, and the index acknowledged when each began.
+    /// Unanswered client reads: context, and the highest acknowledged index when the read started.
     pub(crate) reads: BTreeMap<u64, u64>,
-    /// Reads confirmed that wait for their index to be applied.
+    /// Confirmed reads that wait for their index to be applied.
     pub(crate) confirmed: Vec<ReadState>,
 }
 
-/// One replica.
+/// A simulated replica.
 #[derive(Debug)]
 pub(crate) struct Replica {
     pub(crate) id: NodeId,
     pub(crate) disk: Disk,
     pub(crate) process: Option<Process>,
-    /// Its disk is gone; it never comes back.
+    /// Whether its disk is lost; such a replica never restarts.
     pub(crate) lost: bool,
-    /// Number of its current run.
+    /// Number of the current run, incremented at each start.
     pub(crate) run: u64,
     pub(crate) frozen_until: u64,
-    /// Time units between its ticks: clocks differ.
+    /// Time units per tick; differs between replicas to simulate clock drift.
     pub(crate) tick_units: u64,
 }
 
@@ -50,12 +50,12 @@
         Self { id, disk, process: None, lost: false, run: 0, frozen_until: 0, tick_units }
     }
 
-    /// Starts the process from the disk.
+    /// Starts the process from the state on disk.
     pub(crate) fn start(&mut self, config: Config, broken: Option<BrokenRule>) {
         let (restored, state) = self.disk.restore();
         let mut raw = match RawNode::new(config, restored) {
             Ok(raw) => raw,
-            Err(error) => panic!("replica {} can't start from its disk: {error}", self.id),
+            Err(error) => panic!("replica {} can't restore its state from disk: {error}", self.id),
         };
         raw.broken_rule = broken;
         self.run += 1;
@@ -69,11 +69,11 @@
         });
     }
 
-    pub(crate) fn current_run(&self) -> Run {
-        Run { node: self.id, number: self.run }
+    pub(crate) fn current_run(&self) -> RunId {
+        RunId { node: self.id, number: self.run }
     }
 
-    /// Members that it goes by: the newest and the newest committed.
+    /// The newest members and the newest committed members that the replica knows.
     pub(crate) fn confs(&self) -> Vec<ConfState> {
         if let Some(process) = &self.process {
             return confs_of(&process.raw.log);
--- a/crates/raft/src/simulation/runner.rs
+++ b/crates/raft/src/simulation/runner.rs
@@ -1,4 +1,4 @@
-//! One run: a group, its clients, its operator and its faults in simulated time.
+//! One simulation run: a group, its clients, its operator and its faults in simulated time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,8 +9,8 @@
 
 use super::broken_rule::BrokenRule;
 use super::checker::Checker;
-use super::event::{Event, EventQueue, Packet, Run};
-use super::fault_profile::{TICK_UNITS, Weather};
+use super::event::{Event, EventQueue, Packet, RunId};
+use super::fault_profile::{FaultProfile, TICK_UNITS};
 use super::network::{Network, chance};
 use super::replica::{Process, Replica};
 use super::trace::Trace;
@@ -19,138 +19,144 @@
 use crate::message::ConfState;
 use crate::ready::Role;
 
-/// Length of the part of a run that has faults.
+/// Duration of the phase with faults.
 const FAULT_UNITS: u64 = 400 * TICK_UNITS;
-/// Time that the group has to recover: several elections that fail, then one that succeeds.
+/// Time limit for the group to recover: enough for several failed elections and a successful one.
 const RECOVERY_UNITS: u64 = 300 * TICK_UNITS;
-/// Time that members have to catch up with the clients still. Long, as a backlog may travel one
-/// entry a round trip; a run ends as soon as they have.
+/// Time limit for members to catch up after the clients have stopped. It is long because a backlog
+/// may be replicated at one entry per round trip. The run ends as soon as they have caught up.
 const CATCH_UP_UNITS: u64 = 4_000 * TICK_UNITS;
 
-/// Events after which a run is cut off: some fifty times the usual number.
+/// Maximum number of events in a run, about fifty times the usual number.
 const MAX_EVENTS: u64 = 500_000;
 
-/// Which run.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scenario {
-    /// Decides everything.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// A rule to break, to see whether it is noticed.
+    /// Protocol rule to break, to test that the checker detects it.
     pub broken_rule: Option<BrokenRule>,
-    /// Whether to keep the last events in words.
-    pub in_words: bool,
+    /// Whether to record the last events as readable text.
+    pub record_trace: bool,
 }
 
-/// What happened in a run or in many.
+/// Event counts of one or more runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Events.
+    /// Events processed.
     pub events: u64,
     /// Writes acknowledged.
     pub writes: u64,
-    /// Linearizable reads answered.
+    /// Linearizable reads served.
     pub reads: u64,
-    /// Crashes.
+    /// Process crashes.
     pub crashes: u64,
-    /// Cuts, each of one link or of all links of a replica.
-    pub cuts: u64,
-    /// Freezes.
+    /// Network partitions, each of one link or of all links of a replica.
+    pub partitions: u64,
+    /// Process freezes.
     pub freezes: u64,
     /// Lost disks.
     pub lost_disks: u64,
     /// Membership changes appended.
     pub conf_changes: u64,
-    /// Compactions.
+    /// Log compactions.
     pub compactions: u64,
-    /// Snapshots installed at a follower.
+    /// Snapshots installed by followers.
     pub snapshots: u64,
-    /// Transfers of leadership begun.
+    /// Leadership transfers started.
     pub transfers: u64,
 }
 
-/// The end of a run.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// Digest over all events and states; the same for the same scenario.
+    /// Digest over all events and states; equal scenarios have equal digests.
     pub digest: u64,
-    /// The first violation; the run ends there.
+    /// The violation that ended the run, if any.
     pub violation: Option<Violation>,
-    /// What happened.
+    /// Event counts.
     pub totals: Totals,
-    /// The last events, when asked for.
+    /// The last events as text, if requested.
     pub lines: Vec<String>,
 }
 
-/// Runs a scenario from start to end.
+/// Runs a scenario to its end or to the first violation.
 #[must_use]
 pub fn run(scenario: Scenario) -> Outcome {
-    let mut world = World::new(scenario);
-    let violation = world.play().err();
-    let totals = Totals { events: world.trace.events(), ..world.totals };
-    Outcome { digest: world.trace.digest(), violation, totals, lines: world.trace.into_lines() }
+    let mut simulation = Simulation::new(scenario);
+    let violation = simulation.run_phases().err();
+    let totals = Totals { events: simulation.trace.events(), ..simulation.totals };
+    Outcome {
+        digest: simulation.trace.digest(),
+        violation,
+        totals,
+        lines: simulation.trace.into_lines(),
+    }
 }
 
-/// Everything that a run holds.
-pub(super) struct World {
+/// The state of a run.
+pub(super) struct Simulation {
     pub(super) scenario: Scenario,
     pub(super) random: ChaCha8Rng,
-    pub(super) weather: Weather,
+    pub(super) fault_profile: FaultProfile,
     pub(super) now: u64,
     pub(super) events: EventQueue,
     pub(super) network: Network,
     pub(super) replicas: BTreeMap<NodeId, Replica>,
     pub(super) first_conf: ConfState,
     pub(super) checker: Checker,
-    pub(super) calls: u64,
+    pub(super) requests: u64,
     pub(super) totals: Totals,
     trace: Trace,
-    /// Highest index of a write acknowledged that was proposed after the faults ended.
+    /// Index of the latest acknowledged write that was proposed after the faults ended.
     pub(super) recovered_to: Option<u64>,
-    pub(super) calm_since_call: Option<u64>,
+    pub(super) last_request_with_faults: Option<u64>,
     pub(super) clients_stopped: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: Scenario) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
-        // Breaking this rule shows in storms only.
-        let always_storm = scenario.broken_rule == Some(BrokenRule::CommitOlderTermByCounting);
-        let weather = Weather::draw(&mut random, always_storm);
-        let count = random.random_range(weather.min_voters..=weather.max_voters);
+        // A violation of this rule shows only with frequent leader failures.
+        let always_unstable_leaders =
+            scenario.broken_rule == Some(BrokenRule::CommitOlderTermByCounting);
+        let fault_profile = FaultProfile::draw(&mut random, always_unstable_leaders);
+        let count = random.random_range(fault_profile.min_voters..=fault_profile.max_voters);
         let voters: BTreeSet<NodeId> = (1..=count).map(NodeId).collect();
         let first_conf = ConfState { voters, learners: BTreeSet::new() };
-        let mut world = Self {
+        let mut simulation = Self {
             scenario,
             random,
-            weather,
+            fault_profile,
             now: 0,
             events: EventQueue::default(),
             network: Network::default(),
             replicas: BTreeMap::new(),
             first_conf: first_conf.clone(),
             checker: Checker::default(),
-            calls: 0,
+            requests: 0,
             totals: Totals::default(),
-            trace: Trace::new(scenario.in_words),
+            trace: Trace::new(scenario.record_trace),
             recovered_to: None,
-            calm_since_call: None,
+            last_request_with_faults: None,
             clients_stopped: false,
         };
         for id in &first_conf.voters {
-            world.add_replica(*id, first_conf.clone());
+            simulation.add_replica(*id, first_conf.clone());
         }
-        world.events.schedule(1, Event::NextCall);
-        world.events.schedule(1, Event::NextFaults);
-        world
+        simulation.events.schedule(1, Event::NextRequest);
+        simulation.events.schedule(1, Event::NextFaults);
+        simulation
     }
 
-    fn play(&mut self) -> Result<(), Violation> {
-        self.play_until(FAULT_UNITS)?;
-        self.weather = self.weather.calm();
-        self.calm_down();
-        self.calm_since_call = Some(self.calls);
+    fn run_phases(&mut self) -> Result<(), Violation> {
+        self.run_until(FAULT_UNITS)?;
+        self.fault_profile = self.fault_profile.without_faults();
+        self.end_faults();
+        self.last_request_with_faults = Some(self.requests);
         let commit_before = self.checker.committed();
-        self.play_until(FAULT_UNITS + RECOVERY_UNITS)?;
+        self.run_until(FAULT_UNITS + RECOVERY_UNITS)?;
         if self.checker.committed() == commit_before {
             return Err(Violation::NoRecovery { units: RECOVERY_UNITS });
         }
@@ -162,7 +168,7 @@
         Ok(())
     }
 
-    /// With the clients still, all that a leader has must be committed and every member hold it.
+    /// After the clients have stopped, every member must commit and apply the leader's entire log.
     fn catch_up(&mut self) -> Result<(), Violation> {
         let end = self.now + CATCH_UP_UNITS;
         loop {
@@ -170,11 +176,11 @@
             if behind.is_ok() || self.now >= end {
                 return behind;
             }
-            self.play_until(self.now + 10 * TICK_UNITS)?;
+            self.run_until(self.now + 10 * TICK_UNITS)?;
         }
     }
 
-    fn play_until(&mut self, end: u64) -> Result<(), Violation> {
+    fn run_until(&mut self, end: u64) -> Result<(), Violation> {
         while let Some((at, event)) = self.events.pop() {
             if at > end {
                 self.events.schedule(at, event);
@@ -184,15 +190,15 @@
             if self.trace.events() >= MAX_EVENTS {
                 return Err(Violation::EventStorm { events: MAX_EVENTS });
             }
-            if let Some(wake) = self.frozen_until(&event) {
-                self.events.schedule(wake, event);
+            if let Some(resume_at) = self.frozen_until(&event) {
+                self.events.schedule(resume_at, event);
                 continue;
             }
             self.trace.event(at, &event);
             let node = event.node();
-            self.happen(event)?;
+            self.handle_event(event)?;
             if let Some(node) = node {
-                self.work(node)?;
+                self.process_ready(node)?;
                 self.check(node)?;
             }
         }
@@ -204,36 +210,36 @@
         (until > self.now).then_some(until)
     }
 
-    fn happen(&mut self, event: Event) -> Result<(), Violation> {
+    fn handle_event(&mut self, event: Event) -> Result<(), Violation> {
         match event {
             Event::Tick(run) => self.tick(run),
-            Event::Deliver { packet, sent_in } => self.deliver(packet, sent_in),
+            Event::Deliver { packet, sender_run } => self.deliver(packet, sender_run),
             Event::SyncDone(run) => return self.sync_done(run),
             Event::ReportSnapshot { run, to, sent } => {
-                if let Some(process) = self.process_of(run) {
+                if let Some(process) = self.process_in_run(run) {
                     process.raw.report_snapshot(to, sent);
                 }
             }
             Event::Write(node) => self.write(node),
             Event::Read(node) => self.read(node),
             Event::Restart(node) => self.restart(node),
-            Event::LeaderFalls(node) => self.fell_leader(node),
+            Event::LeaderFailure(node) => self.fail_leader(node),
             Event::HealLink { from, to } => self.network.heal(from, to),
-            Event::NextCall => self.next_call(),
+            Event::NextRequest => self.next_request(),
             Event::NextFaults => self.next_faults(),
         }
         Ok(())
     }
 
-    fn tick(&mut self, run: Run) {
-        let Some(process) = self.process_of(run) else { return };
+    fn tick(&mut self, run: RunId) {
+        let Some(process) = self.process_in_run(run) else { return };
         process.raw.tick();
         let units = self.replicas.get(&run.node).map_or(TICK_UNITS, |r| r.tick_units);
         self.events.schedule(self.now + units, Event::Tick(run));
     }
 
-    fn deliver(&mut self, packet: Packet, sent_in: Run) {
-        if self.is_lost_on_the_way(sent_in, packet.to()) {
+    fn deliver(&mut self, packet: Packet, sender_run: RunId) {
+        if self.is_lost_in_transit(sender_run, packet.to()) {
             return;
         }
         match packet {
@@ -250,17 +256,18 @@
         }
     }
 
-    /// A cut or a crash of the sender takes what is on its way, the latter half of the time.
-    fn is_lost_on_the_way(&mut self, sent_in: Run, to: NodeId) -> bool {
-        let sender = self.replicas.get(&sent_in.node);
-        let runs = sender.is_some_and(|r| r.run == sent_in.number && r.process.is_some());
-        self.network.is_cut(sent_in.node, to) || (!runs && chance(&mut self.random, 500))
+    /// Whether a packet is lost in transit: always if its link is partitioned, and in half of the cases
+    /// if the sending process has exited.
+    fn is_lost_in_transit(&mut self, sender_run: RunId, to: NodeId) -> bool {
+        let sender = self.replicas.get(&sender_run.node);
+        let runs = sender.is_some_and(|r| r.run == sender_run.number && r.process.is_some());
+        self.network.is_blocked(sender_run.node, to) || (!runs && chance(&mut self.random, 500))
     }
 
     pub(super) fn restart(&mut self, node: NodeId) {
         let stopped = self.replicas.get(&node).is_some_and(|r| r.process.is_none() && !r.lost);
         if stopped {
-            self.checker.restarted(node);
+            self.checker.reset_replica(node);
             self.start(node);
         }
     }
@@ -279,7 +286,7 @@
         self.replicas.get_mut(&node)?.process.as_mut()
     }
 
-    pub(super) fn process_of(&mut self, run: Run) -> Option<&mut Process> {
+    pub(super) fn process_in_run(&mut self, run: RunId) -> Option<&mut Process> {
         let replica = self.replicas.get_mut(&run.node)?;
         if replica.run == run.number { replica.process.as_mut() } else { None }
     }
@@ -293,12 +300,12 @@
         let others = others.filter_map(|r| r.process.as_ref()).map(|process| &process.raw);
         let is_new_leader = self.checker.check(&process.raw, others)?;
         if is_new_leader {
-            self.draw_fall(node);
+            self.schedule_leader_failure(node);
         }
         Ok(())
     }
 
-    /// Whether every member of the newest leader's group has applied all that is committed.
+    /// Checks that every running member of the newest leader's group has applied the leader's log.
     fn check_caught_up(&self) -> Result<(), Violation> {
         let processes = self.replicas.values().filter_map(|r| r.process.as_ref());
         let leaders = processes.filter(|process| process.raw.role == Role::Leader);
@@ -321,8 +328,8 @@
             id,
             election_ticks: 10,
             heartbeat_ticks: 2,
-            max_append_bytes: self.weather.max_append_bytes as usize,
-            max_inflight: self.weather.max_inflight as usize,
+            max_append_bytes: self.fault_profile.max_append_bytes as usize,
+            max_inflight: self.fault_profile.max_inflight as usize,
             seed,
         }
     }
--- a/crates/raft/src/simulation/sweep.rs
+++ b/crates/raft/src/simulation/sweep.rs
@@ -1,4 +1,4 @@
-//! Many seeds on several threads.
+//! Runs many seeds on several threads.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,23 +7,23 @@
 use super::runner::{Scenario, Totals, run};
 use super::violation::Violation;
 
-/// A seed that broke a promise.
+/// A seed whose run violated a property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// The seed; running it again gives the same.
+    /// The seed; it reproduces the failure.
     pub seed: u64,
-    /// What it broke.
+    /// The violation.
     pub violation: Violation,
 }
 
-/// What a range of seeds gave.
+/// Result of running a range of seeds.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SweepReport {
-    /// Seeds run.
+    /// Number of seeds run.
     pub seeds: u64,
-    /// Sums over all of them.
+    /// Event counts summed over all seeds.
     pub totals: Totals,
-    /// Failures in the order of their seeds.
+    /// Failures, ordered by seed.
     pub failures: Vec<Failure>,
 }
 
@@ -37,8 +37,8 @@
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
                 let part = sweep_part(first, count, &next, broken);
-                if let Ok(mut whole) = report.lock() {
-                    whole.add(part);
+                if let Ok(mut total) = report.lock() {
+                    total.add(part);
                 }
             });
         }
@@ -56,7 +56,7 @@
             return report;
         }
         let seed = first + offset;
-        let outcome = run(Scenario { seed, broken_rule: broken, in_words: false });
+        let outcome = run(Scenario { seed, broken_rule: broken, record_trace: false });
         let failures = outcome.violation.map(|violation| Failure { seed, violation });
         let failures = failures.into_iter().collect();
         report.add(SweepReport { seeds: 1, totals: outcome.totals, failures });
@@ -77,7 +77,7 @@
         self.writes += other.writes;
         self.reads += other.reads;
         self.crashes += other.crashes;
-        self.cuts += other.cuts;
+        self.partitions += other.partitions;
         self.freezes += other.freezes;
         self.lost_disks += other.lost_disks;
         self.conf_changes += other.conf_changes;
--- a/crates/raft/src/simulation/tests.rs
+++ b/crates/raft/src/simulation/tests.rs
@@ -1,10 +1,10 @@
-//! The simulator run over many seeds, its exact replay, and proof that it notices broken rules.
+//! Tests of the simulator: a run over many seeds, exact replay, and detection of broken rules.
 
 use super::{BrokenRule, Scenario, SweepReport, Violation, run, sweep};
 
-/// Seeds of the regular run.
+/// Number of seeds of the regular run.
 const SEEDS: u64 = 2_000;
-/// Threads of one sweep; the test harness runs several tests at once beside it.
+/// Threads of one sweep. The test harness runs several sweeps concurrently.
 const THREADS: usize = 4;
 
 fn broken(rule: BrokenRule, seeds: u64) -> SweepReport {
@@ -37,7 +37,7 @@
         totals.writes,
         totals.reads,
         totals.crashes,
-        totals.cuts,
+        totals.partitions,
         totals.freezes,
         totals.lost_disks,
         totals.conf_changes,
@@ -45,17 +45,20 @@
         totals.snapshots,
         totals.transfers,
     ];
-    assert!(kinds.iter().all(|count| *count > 100), "a kind of event hardly happened: {totals:?}");
+    assert!(
+        kinds.iter().all(|count| *count > 100),
+        "an event kind occurred too rarely: {totals:?}"
+    );
 }
 
 #[test]
 fn a_seed_replays_exactly() {
     for seed in 0..50 {
-        let scenario = Scenario { seed, broken_rule: None, in_words: false };
+        let scenario = Scenario { seed, broken_rule: None, record_trace: false };
         let first = run(scenario);
         assert_eq!(first, run(scenario), "seed {seed}");
-        let told = run(Scenario { in_words: true, ..scenario });
-        assert_eq!(told.digest, first.digest, "seed {seed} told in words");
+        let traced = run(Scenario { record_trace: true, ..scenario });
+        assert_eq!(traced.digest, first.digest, "seed {seed} with a trace");
         let other = run(Scenario { seed: seed + 1, ..scenario });
         assert_ne!(other.digest, first.digest, "seeds {seed} and {}", seed + 1);
     }
--- a/crates/raft/src/simulation/trace.rs
+++ b/crates/raft/src/simulation/trace.rs
@@ -1,4 +1,4 @@
-//! A digest of a run, and its last events in words when asked for.
+//! Digest of a run and, if requested, a readable trace of its last events.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use crate::node::RawNode;
 use crate::ready::Role;
 
-/// Events kept in words (ours): enough to see how a violation came about.
-const KEPT_LINES: usize = 400;
+/// Number of trace lines retained: enough to see what led to a violation.
+const MAX_TRACE_LINES: usize = 400;
 
-/// The record of one run.
+/// Digest and trace of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
     digest: Fingerprint,
@@ -19,11 +19,11 @@
 }
 
 impl Trace {
-    pub(crate) fn new(in_words: bool) -> Self {
-        Self { lines: in_words.then(VecDeque::new), ..Self::default() }
+    pub(crate) fn new(record_trace: bool) -> Self {
+        Self { lines: record_trace.then(VecDeque::new), ..Self::default() }
     }
 
-    /// Notes an event before it happens.
+    /// Records an event before it is processed.
     pub(crate) fn event(&mut self, at: u64, event: &Event) {
         self.events += 1;
         self.digest.number(at);
@@ -32,12 +32,12 @@
             self.digest.number(message.from.0);
             self.digest.number(message.term);
         }
-        if !matches!(event, Event::Tick(_) | Event::NextCall | Event::NextFaults) {
-            self.say(at, || format!("{event:?}"));
+        if !matches!(event, Event::Tick(_) | Event::NextRequest | Event::NextFaults) {
+            self.push_line(at, || format!("{event:?}"));
         }
     }
 
-    /// Notes a replica's state after an event.
+    /// Records a replica's state after an event.
     pub(crate) fn state(&mut self, at: u64, raw: &RawNode) {
         let role = match raw.role {
             Role::Follower => 0,
@@ -49,7 +49,7 @@
         for number in numbers {
             self.digest.number(number);
         }
-        self.say(at, || {
+        self.push_line(at, || {
             let [_, term, last, commit, applied] = numbers;
             let (id, role, stable) = (raw.config.id, raw.role, raw.log.stable());
             format!(
@@ -58,10 +58,10 @@
         });
     }
 
-    /// Adds a line when the run is told in words.
-    pub(crate) fn say(&mut self, at: u64, line: impl FnOnce() -> String) {
+    /// Adds a line to the trace, if one is recorded.
+    pub(crate) fn push_line(&mut self, at: u64, line: impl FnOnce() -> String) {
         if let Some(lines) = &mut self.lines {
-            if lines.len() == KEPT_LINES {
+            if lines.len() == MAX_TRACE_LINES {
                 lines.pop_front();
             }
             lines.push_back(format!("{at:>6} {}", line()));
--- a/crates/raft/src/simulation/violation.rs
+++ b/crates/raft/src/simulation/violation.rs
@@ -1,22 +1,22 @@
-//! What the checker reports.
+//! Violations that the checker reports.
 
 use hooklug_types::NodeId;
 
-/// A promise of consensus that a run broke.
+/// A safety or liveness property that a run violated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// Election safety.
+    /// Election safety: two leaders in one term.
     #[error("term {term} has two leaders, {first} and {second}")]
     TwoLeaders {
         /// The term.
         term: u64,
-        /// Its first leader.
+        /// First leader observed.
         first: NodeId,
-        /// Its second.
+        /// Second leader observed.
         second: NodeId,
     },
-    /// Log matching: one (index, term), two entries or two pasts.
-    #[error("log of {node} at {index}, term {term}, differs from another log's")]
+    /// Log matching: two logs differ in the entry at one (index, term), or in the entries before it.
+    #[error("log of {node} conflicts with another log at index {index}, term {term}")]
     LogMismatch {
         /// The replica whose log differs.
         node: NodeId,
@@ -25,8 +25,8 @@
         /// Term of the entry.
         term: u64,
     },
-    /// Leader completeness.
-    #[error("leader {node} of term {term} lacks the committed entry {index}")]
+    /// Leader completeness: a leader lacks a committed entry.
+    #[error("leader {node} of term {term} lacks the committed entry at index {index}")]
     LeaderIncomplete {
         /// The leader.
         node: NodeId,
@@ -35,62 +35,62 @@
         /// Index of the entry.
         index: u64,
     },
-    /// Two replicas hold different entries for committed.
-    #[error("{node} committed another entry at {index} than was committed before")]
+    /// Two replicas committed different entries at the same index.
+    #[error("{node} committed a different entry at index {index} than another replica")]
     CommitMismatch {
         /// The replica.
         node: NodeId,
         /// Index of the entry.
         index: u64,
     },
-    /// State-machine safety.
-    #[error("{node} reached another state at {index} than another replica")]
+    /// State-machine safety: two replicas differ in state after the same index.
+    #[error("{node} reached a different state at index {index} than another replica")]
     StateMismatch {
         /// The replica.
         node: NodeId,
         /// Applied index.
         index: u64,
     },
-    /// Entries were not applied one after another.
-    #[error("{node} applied {index} where {expected} was next")]
+    /// Entries were not applied in order of their index.
+    #[error("{node} applied index {index} where {expected} was expected")]
     ApplyGap {
         /// The replica.
         node: NodeId,
         /// Index applied.
         index: u64,
-        /// Index that was next.
+        /// Index that follows the last applied one.
         expected: u64,
     },
-    /// A linearizable read missed something that was acknowledged before it began.
-    #[error("a read at {node} saw the state at {seen}, {acknowledged} was acknowledged before")]
+    /// A linearizable read returned a state older than one acknowledged before the read started.
+    #[error("stale read at {node}: served at index {seen} after {acknowledged} was acknowledged")]
     StaleRead {
-        /// The replica that answered.
+        /// The replica that served the read.
         node: NodeId,
-        /// Applied index at the answer.
+        /// Applied index at which the read was served.
         seen: u64,
-        /// Highest index acknowledged or read when it began.
+        /// Highest index acknowledged or read when the read started.
         acknowledged: u64,
     },
-    /// Messages multiply without end.
+    /// The number of events exceeded the limit, for example because messages multiply endlessly.
     #[error("more than {events} events in one run")]
     EventStorm {
         /// The limit.
         events: u64,
     },
-    /// With all faults gone the group did not commit again in time.
+    /// After all faults ended, the group did not commit a write in time.
     #[error("no write was committed within {units} time units after all faults ended")]
     NoRecovery {
-        /// Time given.
+        /// The time limit.
         units: u64,
     },
-    /// With all faults gone a member did not catch up in time.
-    #[error("member {node} stayed at {applied}, the group is at {commit}")]
+    /// After all faults ended, a member did not catch up in time.
+    #[error("member {node} did not catch up: applied {applied}, group commit index {commit}")]
     NotCaughtUp {
         /// The member.
         node: NodeId,
         /// Its applied index.
         applied: u64,
-        /// Commit index of the leader.
+        /// Last index of the leader's log, all of which must be committed.
         commit: u64,
     },
 }
--- a/crates/raft/tests/suite/common.rs
+++ b/crates/raft/tests/suite/common.rs
@@ -1,4 +1,4 @@
-//! A small group without faults: messages go round until nothing is left to do.
+//! A small raft group without faults, driven until it is idle.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 };
 use hooklug_types::NodeId;
 
-/// Replica number `n`.
+/// Node id `n`.
 pub fn node(n: u64) -> NodeId {
     NodeId(n)
 }
@@ -25,12 +25,12 @@
     }
 }
 
-/// Members without learners.
+/// A configuration with the given voters and no learners.
 pub fn voters(ids: &[u64]) -> ConfState {
     ConfState { voters: ids.iter().map(|id| node(*id)).collect(), learners: BTreeSet::new() }
 }
 
-/// A disk on which nothing but the first members is noted.
+/// Persistent state that holds only the initial members.
 pub fn empty_disk(conf: ConfState) -> Restored {
     Restored {
         hard_state: HardState::default(),
@@ -39,24 +39,24 @@
     }
 }
 
-/// A group whose messages arrive at once and in order.
+/// A group whose messages are delivered immediately and in order.
 pub struct Group {
     pub nodes: BTreeMap<u64, RawNode>,
     pub applied: BTreeMap<u64, Vec<Entry>>,
     pub reads: Vec<ReadState>,
     pub aborted_reads: Vec<u64>,
-    pub cut: BTreeSet<u64>,
+    pub partitioned: BTreeSet<u64>,
 }
 
 impl Group {
-    /// Voters with the given numbers.
+    /// Starts a group of voters with the given ids.
     pub fn new(ids: &[u64]) -> Self {
         let mut group = Self {
             nodes: BTreeMap::new(),
             applied: BTreeMap::new(),
             reads: Vec::new(),
             aborted_reads: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
         };
         for id in ids {
             group.start(*id, voters(ids));
@@ -75,7 +75,7 @@
         self.nodes.get_mut(&id).expect("a known replica")
     }
 
-    /// Works until no replica has anything to do.
+    /// Processes work and delivers messages until no replica has any.
     pub fn settle(&mut self) {
         loop {
             let ids: Vec<u64> = self.nodes.keys().copied().collect();
@@ -89,7 +89,9 @@
                 return;
             }
             for message in sent {
-                if self.cut.contains(&message.from.0) || self.cut.contains(&message.to.0) {
+                if self.partitioned.contains(&message.from.0)
+                    || self.partitioned.contains(&message.to.0)
+                {
                     continue;
                 }
                 if let Some(receiver) = self.nodes.get_mut(&message.to.0) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Ticks every replica that is not cut off, then settles.
+    /// Ticks every replica and settles, the given number of times.
     pub fn tick(&mut self, ticks: u32) {
         for _ in 0..ticks {
             let ids: Vec<u64> = self.nodes.keys().copied().collect();
@@ -139,8 +141,8 @@
         self.reads.extend(ready.reads);
         self.aborted_reads.extend(ready.aborted_reads);
         self.at(id).advance();
-        for wanted in ready.snapshot_requests {
-            self.send_snapshot(id, wanted.0);
+        for receiver in ready.snapshot_requests {
+            self.send_snapshot(id, receiver.0);
         }
         sent
     }
@@ -148,7 +150,7 @@
     fn send_snapshot(&mut self, from: u64, to: u64) {
         let status = self.at(from).status();
         let meta = self.at(from).snapshot_meta();
-        if !self.cut.contains(&to) {
+        if !self.partitioned.contains(&to) {
             let snapshot = Snapshot { meta, data: Vec::new() };
             let applied = self.applied.get(&from).cloned().unwrap_or_default();
             self.applied.insert(to, applied);
--- a/crates/raft/tests/suite/group.rs
+++ b/crates/raft/tests/suite/group.rs
@@ -1,9 +1,10 @@
-//! A group without faults: elections, replication, reads, membership, transfer.
+//! Tests of a group without faults: elections, replication, reads, membership changes and
+//! leadership transfer.
 
 use crate::common::{Group, node, voters};
 use hooklug_raft::{ConfChange, ConfState, ProposeError, ReadState, Role};
 
-fn led_by_one() -> Group {
+fn group_led_by_node_1() -> Group {
     let mut group = Group::new(&[1, 2, 3]);
     group.at(1).campaign();
     group.settle();
@@ -23,9 +24,9 @@
 
 #[test]
 fn commands_reach_every_replica_in_order() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     for n in 0..20u8 {
-        group.at(1).propose(vec![n; 600]).expect("taken");
+        group.at(1).propose(vec![n; 600]).expect("accepted");
     }
     group.settle();
     let expected: Vec<Vec<u8>> = (0..20u8).map(|n| vec![n; 600]).collect();
@@ -36,7 +37,7 @@
 
 #[test]
 fn a_follower_refuses_proposals_and_names_the_leader() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     let refused = group.at(2).propose(b"x".to_vec());
     assert_eq!(refused, Err(ProposeError::NotLeader { leader: Some(node(1)) }));
     assert_eq!(group.at(3).read_index(1), Err(ProposeError::NotLeader { leader: Some(node(1)) }));
@@ -47,8 +48,8 @@
     let mut group = Group::new(&[1]);
     group.at(1).campaign();
     group.settle();
-    group.at(1).propose(b"x".to_vec()).expect("taken");
-    group.at(1).read_index(5).expect("taken");
+    group.at(1).propose(b"x".to_vec()).expect("accepted");
+    group.at(1).read_index(5).expect("accepted");
     group.settle();
     assert_eq!(group.commands(1), vec![b"x".to_vec()]);
     assert_eq!(group.reads.len(), 1);
@@ -56,16 +57,16 @@
 
 #[test]
 fn a_read_needs_a_quorum_that_answers_after_it() {
-    let mut group = led_by_one();
-    group.at(1).propose(b"x".to_vec()).expect("taken");
+    let mut group = group_led_by_node_1();
+    group.at(1).propose(b"x".to_vec()).expect("accepted");
     group.settle();
     let commit = group.at(1).status().commit;
-    group.at(1).read_index(9).expect("taken");
+    group.at(1).read_index(9).expect("accepted");
     group.settle();
     assert_eq!(group.reads, vec![ReadState { context: 9, index: commit }]);
 
-    group.cut.insert(1);
-    group.at(1).read_index(10).expect("taken");
+    group.partitioned.insert(1);
+    group.at(1).read_index(10).expect("accepted");
     group.settle();
     assert_eq!(group.reads.len(), 1, "no quorum has answered");
     group.tick(25);
@@ -76,9 +77,9 @@
 
 #[test]
 fn reads_that_come_together_share_a_round() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     for context in 0..50 {
-        group.at(1).read_index(context).expect("taken");
+        group.at(1).read_index(context).expect("accepted");
     }
     let ready = group.at(1).ready();
     assert_eq!(ready.messages_before_sync.len(), 2, "one heartbeat a follower");
@@ -86,11 +87,11 @@
 
 #[test]
 fn a_replica_that_was_cut_off_does_not_depose_the_leader() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     let term = group.at(1).status().term;
-    group.cut.insert(3);
+    group.partitioned.insert(3);
     group.tick(100);
-    group.cut.clear();
+    group.partitioned.clear();
     group.tick(10);
     assert_eq!(group.leader(), Some(1));
     assert_eq!(group.at(1).status().term, term, "pre-vote kept the term");
@@ -98,12 +99,12 @@
 
 #[test]
 fn leadership_goes_to_the_named_voter() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     assert_eq!(
         group.at(1).transfer_leadership(node(9)),
         Err(ProposeError::InvalidTransferTarget(node(9)))
     );
-    group.at(1).transfer_leadership(node(3)).expect("taken");
+    group.at(1).transfer_leadership(node(3)).expect("accepted");
     assert_eq!(group.at(1).propose(b"x".to_vec()), Err(ProposeError::Busy));
     group.settle();
     assert_eq!(group.leader(), Some(3));
@@ -111,11 +112,11 @@
 
 #[test]
 fn an_empty_node_joins_as_learner_by_snapshot_and_becomes_a_voter() {
-    let mut group = led_by_one();
-    group.at(1).propose(b"before".to_vec()).expect("taken");
+    let mut group = group_led_by_node_1();
+    group.at(1).propose(b"before".to_vec()).expect("accepted");
     group.settle();
     group.start(4, ConfState::default());
-    group.at(1).propose_conf_change(ConfChange::AddLearner(node(4))).expect("taken");
+    group.at(1).propose_conf_change(ConfChange::AddLearner(node(4))).expect("accepted");
     assert_eq!(
         group.at(1).propose_conf_change(ConfChange::Remove(node(2))),
         Err(ProposeError::ConfChangePending)
@@ -124,24 +125,24 @@
     assert_eq!(group.commands(4), vec![b"before".to_vec()]);
     group.at(1).propose_conf_change(ConfChange::PromoteVoter(node(4))).expect("caught up");
     group.tick(2);
-    group.at(1).propose_conf_change(ConfChange::Remove(node(3))).expect("taken");
+    group.at(1).propose_conf_change(ConfChange::Remove(node(3))).expect("accepted");
     group.tick(2);
     assert_eq!(group.at(4).status().conf, voters(&[1, 2, 4]));
 }
 
-/// Guards against a member that its leader takes for level for ever, while it holds nothing: its refusals were dropped as
-/// out of date, and as a voter it let no entry commit.
+/// Guards against a member that restarts with an empty log but whose leader still considers it up to
+/// date: its rejections were ignored as stale, and as a voter it kept entries from committing.
 #[test]
 fn a_member_that_comes_back_without_its_log_is_sent_a_snapshot() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     for n in 0..10u8 {
-        group.at(1).propose(vec![n]).expect("taken");
+        group.at(1).propose(vec![n]).expect("accepted");
     }
     group.settle();
     group.start(3, ConfState::default());
     group.applied.remove(&3);
-    group.cut.insert(2);
-    group.at(1).propose(b"after".to_vec()).expect("taken");
+    group.partitioned.insert(2);
+    group.at(1).propose(b"after".to_vec()).expect("accepted");
     group.tick(6);
     assert_eq!(group.commands(3), group.commands(1));
     assert!(group.commands(3).contains(&b"after".to_vec()), "committed by 1 and 3");
@@ -149,8 +150,8 @@
 
 #[test]
 fn a_learner_that_lags_is_not_promoted() {
-    let mut group = led_by_one();
-    group.at(1).propose_conf_change(ConfChange::AddLearner(node(4))).expect("taken");
+    let mut group = group_led_by_node_1();
+    group.at(1).propose_conf_change(ConfChange::AddLearner(node(4))).expect("accepted");
     group.settle();
     let refused = group.at(1).propose_conf_change(ConfChange::PromoteVoter(node(4)));
     assert!(matches!(refused, Err(ProposeError::LearnerLags { .. })), "{refused:?}");
@@ -158,7 +159,7 @@
 
 #[test]
 fn a_change_that_does_not_fit_is_refused() {
-    let mut group = led_by_one();
+    let mut group = group_led_by_node_1();
     for change in [ConfChange::AddLearner(node(2)), ConfChange::Remove(node(9))] {
         let refused = group.at(1).propose_conf_change(change);
         assert_eq!(refused, Err(ProposeError::InvalidConfChange), "{change:?}");
@@ -172,12 +173,12 @@
 
 #[test]
 fn a_leader_that_removes_itself_hands_over() {
-    let mut group = led_by_one();
-    group.at(1).propose_conf_change(ConfChange::Remove(node(1))).expect("taken");
+    let mut group = group_led_by_node_1();
+    group.at(1).propose_conf_change(ConfChange::Remove(node(1))).expect("accepted");
     group.settle();
     let leader = group.leader().expect("a leader");
     assert_ne!(leader, 1);
-    group.at(leader).propose(b"after".to_vec()).expect("taken");
+    group.at(leader).propose(b"after".to_vec()).expect("accepted");
     group.settle();
     assert_eq!(group.at(leader).status().conf, voters(&[2, 3]));
     assert!(group.commands(leader).contains(&b"after".to_vec()));
@@ -185,15 +186,15 @@
 
 #[test]
 fn a_follower_behind_the_compacted_log_gets_a_snapshot() {
-    let mut group = led_by_one();
-    group.cut.insert(3);
+    let mut group = group_led_by_node_1();
+    group.partitioned.insert(3);
     for n in 0..10u8 {
-        group.at(1).propose(vec![n]).expect("taken");
+        group.at(1).propose(vec![n]).expect("accepted");
     }
     group.settle();
     let applied = group.at(1).status().applied;
-    group.at(1).compact(applied).expect("applied");
-    group.cut.clear();
+    group.at(1).compact(applied).expect("the index is applied");
+    group.partitioned.clear();
     group.tick(10);
     assert_eq!(group.at(3).status().commit, group.at(1).status().commit);
     assert_eq!(group.commands(3), group.commands(1));
--- a/crates/raft/tests/suite/main.rs
+++ b/crates/raft/tests/suite/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the consensus core from outside; the simulator's own are in `src/simulation`.
+//! Tests of the raft state machine through its public interface; the tests of the simulator are in
+//! `src/simulation`.
 
 mod common;
 mod group;
--- a/crates/raft/tests/suite/odd_messages.rs
+++ b/crates/raft/tests/suite/odd_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no sound replica would send: nothing may panic, and nothing committed go back.
+//! Malformed and inconsistent messages must not cause a panic or revert committed entries.
 
 use crate::common::{Group, node, voters};
 use hooklug_raft::{
@@ -10,7 +10,7 @@
     0..8
 }
 
-/// Mostly small, now and then at the end of the range.
+/// Mostly small values, sometimes the end of the range.
 fn any_size() -> impl Strategy<Value = u64> {
     prop_oneof![8 => small(), 1 => any::<u64>(), 1 => Just(u64::MAX)]
 }
@@ -78,7 +78,7 @@
         if leads {
             group.at(1).campaign();
             group.settle();
-            group.at(1).propose(b"kept".to_vec()).expect("taken");
+            group.at(1).propose(b"kept".to_vec()).expect("accepted");
             group.settle();
         }
         let kept = group.commands(1);
--- a/crates/raft/tests/suite/progress.rs
+++ b/crates/raft/tests/suite/progress.rs
@@ -1,35 +1,35 @@
-//! Flow control: a leader's view of one replica against a replica whose messages get lost.
+//! Flow control: a leader's progress tracking with a replica whose messages may be lost.
 
 use hooklug_raft::progress::{Progress, ProgressState};
 use proptest::prelude::*;
 
-/// What becomes of the append that the leader would send now.
+/// Outcome of the append that the leader would send next, or another event.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
-    /// It arrives, and so does the answer.
+enum AppendOutcome {
+    /// The append and its reply arrive.
     Answered,
-    /// It arrives, the answer does not.
+    /// The append arrives; its reply is lost.
     AnswerLost,
-    /// It is lost.
+    /// The append is lost.
     Lost,
-    /// Nothing is sent; a heartbeat is answered.
+    /// No append is sent; a heartbeat is acknowledged.
     Heartbeat,
-    /// The leader gets another entry.
+    /// An entry is added to the leader's log.
     Grow,
 }
 
-fn fates() -> impl Strategy<Value = Vec<Fate>> {
-    let fate = prop_oneof![
-        Just(Fate::Answered),
-        Just(Fate::AnswerLost),
-        Just(Fate::Lost),
-        Just(Fate::Heartbeat),
-        Just(Fate::Grow),
+fn append_outcomes() -> impl Strategy<Value = Vec<AppendOutcome>> {
+    let outcome = prop_oneof![
+        Just(AppendOutcome::Answered),
+        Just(AppendOutcome::AnswerLost),
+        Just(AppendOutcome::Lost),
+        Just(AppendOutcome::Heartbeat),
+        Just(AppendOutcome::Grow),
     ];
-    proptest::collection::vec(fate, 1..100)
+    proptest::collection::vec(outcome, 1..100)
 }
 
-/// A leader's log of `last` entries, of which the replica holds the first `held`.
+/// The connection of a leader whose log has `last` entries to a replica that holds the first `held`.
 #[derive(Debug)]
 struct Link {
     progress: Progress,
@@ -40,17 +40,23 @@
 
 impl Link {
     fn check(&self) {
-        assert!(self.progress.matched() <= self.held, "no entry counts that the replica lacks");
+        assert!(
+            self.progress.matched() <= self.held,
+            "matched includes entries that the replica lacks"
+        );
         assert!(self.progress.next() > self.progress.matched());
         assert!(self.progress.inflight() <= self.max_inflight);
-        let new_wanted = self.progress.next() <= self.last && !self.progress.is_full();
-        if self.progress.state() == ProgressState::Replicate && new_wanted {
-            assert!(self.progress.needs_append(self.last, 0), "room and news, but no append");
+        let can_send_new = self.progress.next() <= self.last && !self.progress.is_full();
+        if self.progress.state() == ProgressState::Replicate && can_send_new {
+            assert!(
+                self.progress.needs_append(self.last, 0),
+                "new entries and capacity, but no append"
+            );
         }
     }
 
-    /// Sends what is wanted now, one entry at most.
-    fn send(&mut self, fate: Fate) {
+    /// Sends the append that is due, if any, with at most one entry.
+    fn send(&mut self, outcome: AppendOutcome) {
         if !self.progress.needs_append(self.last, 0) {
             return;
         }
@@ -58,14 +64,14 @@
         let is_full = self.progress.is_full();
         let end = if is_full { prev } else { self.last.min(prev + 1) };
         self.progress.append_sent(end, 0);
-        if matches!(fate, Fate::Lost) {
+        if matches!(outcome, AppendOutcome::Lost) {
             return;
         }
         let accepted = prev <= self.held;
         if accepted {
             self.held = self.held.max(end);
         }
-        if matches!(fate, Fate::AnswerLost) {
+        if matches!(outcome, AppendOutcome::AnswerLost) {
             return;
         }
         if accepted {
@@ -75,11 +81,11 @@
         }
     }
 
-    fn step(&mut self, fate: Fate) {
-        match fate {
-            Fate::Grow => self.last += 1,
-            Fate::Heartbeat => self.progress.heartbeat_acked(self.last),
-            _ => self.send(fate),
+    fn step(&mut self, outcome: AppendOutcome) {
+        match outcome {
+            AppendOutcome::Grow => self.last += 1,
+            AppendOutcome::Heartbeat => self.progress.heartbeat_acked(self.last),
+            _ => self.send(outcome),
         }
     }
 }
@@ -87,20 +93,20 @@
 proptest! {
     #[test]
     fn a_replica_catches_up_whatever_was_lost(
-        fates in fates(), last in 0u64..30, held in 0u64..30, max_inflight in 1usize..5,
+        append_outcomes in append_outcomes(), last in 0u64..30, held in 0u64..30, max_inflight in 1usize..5,
     ) {
         let held = held.min(last);
         let progress = Progress::new(last, max_inflight);
         let mut link = Link { progress, last, held, max_inflight };
-        for fate in fates {
-            link.step(fate);
+        for outcome in append_outcomes {
+            link.step(outcome);
             link.check();
         }
-        // Without losses: each round answers a heartbeat and a few appends.
+        // Without message loss: each iteration acknowledges a heartbeat and two appends.
         for _ in 0..4 * (link.last + 1) {
-            link.step(Fate::Heartbeat);
-            link.step(Fate::Answered);
-            link.step(Fate::Answered);
+            link.step(AppendOutcome::Heartbeat);
+            link.step(AppendOutcome::Answered);
+            link.step(AppendOutcome::Answered);
             link.check();
         }
         prop_assert_eq!(link.progress.matched(), link.last);
@@ -111,8 +117,8 @@
         let mut progress = Progress::new(20, 4);
         progress.append_accepted(matched, 1);
         let before = format!("{progress:?}");
-        let taken = progress.append_rejected(at.min(matched), 0);
-        prop_assert!(!taken);
+        let accepted = progress.append_rejected(at.min(matched), 0);
+        prop_assert!(!accepted);
         prop_assert_eq!(format!("{progress:?}"), before);
     }
 }
--- a/crates/raft/tests/suite/raft_log.rs
+++ b/crates/raft/tests/suite/raft_log.rs
@@ -1,4 +1,4 @@
-//! The log against a plain list that does the same in the simplest way.
+//! Compares the log with a model that uses a plain list.
 
 use crate::common::voters;
 use hooklug_raft::raft_log::{RaftLog, entry_bytes};
@@ -6,19 +6,19 @@
 use hooklug_types::NodeId;
 use proptest::prelude::*;
 
-/// One operation on the log; places are taken modulo what the log allows.
+/// An operation on the log; positions are limited to the range that the log allows.
 #[derive(Debug, Clone)]
 enum Operation {
-    /// A leader's entry; a membership change when the number says so.
+    /// Appends an entry as leader: a membership change if `member` is set.
     Append {
         member: Option<u64>,
     },
-    /// A new leader's entries that replace the log's end, `back` entries from it.
+    /// Replaces the last `back` entries with entries of a new leader.
     Replace {
         back: u64,
         count: u64,
     },
-    /// Entries that are there already come again.
+    /// Receives the last `back` entries a second time.
     Repeat {
         back: u64,
     },
@@ -41,7 +41,7 @@
     proptest::collection::vec(operation, 1..80)
 }
 
-/// The whole log from index 1, never compacted, with the marks.
+/// The complete log from index 1, never compacted, and the expected indexes.
 #[derive(Debug, Default)]
 struct Model {
     entries: Vec<Entry>,
@@ -169,8 +169,8 @@
         }
         log.commit_to(committed);
         let other = Entry { term: 2, index: at, kind: EntryKind::Noop };
-        let taken = log.append_matched(at - 1, vec![other]);
-        prop_assert_eq!(taken.is_some(), at > committed);
+        let matched = log.append_matched(at - 1, vec![other]);
+        prop_assert_eq!(matched.is_some(), at > committed);
         prop_assert_eq!(log.term_at(committed), Some(1));
     }
 
@@ -197,6 +197,6 @@
     let last = log.last_index();
     assert_eq!(log.trailing_start(last, 3, usize::MAX), last - 3);
     assert_eq!(log.trailing_start(last, u64::MAX, 4 * one), last - 4);
-    assert_eq!(log.trailing_start(last, 3, one - 1), last, "not even one");
-    assert_eq!(log.trailing_start(last, u64::MAX, usize::MAX), last - 10, "no more than there are");
+    assert_eq!(log.trailing_start(last, 3, one - 1), last, "the limit is below one entry");
+    assert_eq!(log.trailing_start(last, u64::MAX, usize::MAX), last - 10, "all entries");
 }
