--- a/crates/raft/src/conf_change.rs
+++ b/crates/raft/src/conf_change.rs
@@ -2,8 +2,9 @@
 //!
 //! A change takes effect when its entry is **appended**, not when it is applied (Raft dissertation,
 //! section 4.1), and is reverted when the entry is truncated. Two consecutive configurations differ
-//! by one voter, so any quorum of one intersects any quorum of the other. This holds because a leader
-//! appends a change only after the previous change and an entry of its own term are committed.
+//! by one voter, so any quorum of one intersects any quorum of the other. This holds because a
+//! leader appends a change only after the previous change and an entry of its own term are
+//! committed.
 
 use hooklug_types::NodeId;
 
--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -48,12 +48,12 @@
 /// Persistent state of a replica, as read from disk at startup.
 #[derive(Debug, Clone)]
 pub struct Restored {
-    /// The hard state. A commit index beyond the last entry (possible after a torn write) is lowered
-    /// to the last entry.
+    /// The hard state. A commit index beyond the last entry (possible after a torn write) is
+    /// lowered to the last entry.
     pub hard_state: HardState,
-    /// The newest snapshot. Without one, index and term are 0 and the members are the group's initial
-    /// ones. A replica that joins a running group has no members here and accepts only a snapshot at
-    /// first.
+    /// The newest snapshot. Without one, index and term are 0 and the members are the group's
+    /// initial ones. A replica that joins a running group has no members here and accepts only a
+    /// snapshot at first.
     pub snapshot: SnapshotMeta,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -30,8 +30,8 @@
 }
 
 impl RawNode {
-    /// Starts an election without waiting for the election timeout. Used to elect the first leader of
-    /// a group, and in tests. Does nothing on a leader or a non-voter.
+    /// Starts an election without waiting for the election timeout. Used to elect the first leader
+    /// of a group, and in tests. Does nothing on a leader or a non-voter.
     pub fn campaign(&mut self) {
         if self.role == Role::Leader {
             return;
@@ -59,9 +59,9 @@
         self.request_votes(VoteKind::Vote { transfer });
     }
 
-    /// Whether the replica may become leader. A replica whose own removal is not committed yet still
-    /// may: otherwise a group of two could be left without an eligible leader (Raft dissertation,
-    /// section 4.2.2).
+    /// Whether the replica may become leader. A replica whose own removal is not committed yet
+    /// still may: otherwise a group of two could be left without an eligible leader (Raft
+    /// dissertation, section 4.2.2).
     fn is_promotable(&self) -> bool {
         let id = self.config.id;
         let committed = self.log.conf_at(self.log.commit());
@@ -92,8 +92,8 @@
         self.count_votes();
     }
 
-    /// Counts a candidate's vote for itself once that vote is on disk. Counting it earlier would let a
-    /// sole voter crash and lead the same term again with different entries.
+    /// Counts a candidate's vote for itself once that vote is on disk. Counting it earlier would
+    /// let a sole voter crash and lead the same term again with different entries.
     pub(crate) fn count_own_vote(&mut self, synced_term: u64) {
         if self.role == Role::Candidate && synced_term == self.term {
             self.votes.insert(self.config.id, true);
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Handles a pre-vote reply. A grant carries the requested term, so that a grant from an earlier
-    /// campaign is ignored.
+    /// Handles a pre-vote reply. A grant carries the requested term, so that a grant from an
+    /// earlier campaign is ignored.
     pub(crate) fn handle_pre_vote_reply(&mut self, from: NodeId, term: u64, granted: bool) {
         let asked_term = self.term.saturating_add(1);
         if self.role != Role::PreCandidate || (granted && term != asked_term) {
@@ -154,7 +154,8 @@
         self.count_votes();
     }
 
-    /// Whether the leader was heard from within an election timeout; vote requests are then ignored.
+    /// Whether the leader was heard from within an election timeout; vote requests are then
+    /// ignored.
     pub(crate) fn has_recent_leader(&self) -> bool {
         self.leader.is_some() && self.election_elapsed < self.config.election_ticks
     }
--- a/crates/raft/src/error.rs
+++ b/crates/raft/src/error.rs
@@ -54,7 +54,8 @@
         /// Last index of the leader's log.
         last_index: u64,
     },
-    /// The change is not applicable: the node is already a member, is not one, or is the last voter.
+    /// The change is not applicable: the node is already a member, is not one, or is the last
+    /// voter.
     #[error("membership change is not applicable to the current members")]
     InvalidConfChange,
     /// The target of a leadership transfer must be another voter.
--- a/crates/raft/src/leader.rs
+++ b/crates/raft/src/leader.rs
@@ -35,8 +35,8 @@
         Ok(())
     }
 
-    /// Reports the result of a snapshot transfer to a replica. Until then no entries are sent to it.
-    /// The driver must report every transfer requested in [`crate::Ready::snapshot_requests`].
+    /// Reports the result of a snapshot transfer to a replica. Until then no entries are sent to
+    /// it. The driver must report every transfer requested in [`crate::Ready::snapshot_requests`].
     /// The next append or snapshot request waits for the replica's next heartbeat reply, so that a
     /// failing transfer is not retried immediately.
     pub fn report_snapshot(&mut self, to: NodeId, sent: bool) {
@@ -70,8 +70,8 @@
         LogPosition { term: self.term, index: self.log.append(self.term, kind) }
     }
 
-    /// Whether the leader has committed an entry of its own term. Only then is its commit index known
-    /// to be up to date.
+    /// Whether the leader has committed an entry of its own term. Only then is its commit index
+    /// known to be up to date.
     pub(crate) fn has_committed_in_term(&self) -> bool {
         self.log.term_at(self.log.commit()) == Some(self.term)
     }
@@ -118,8 +118,8 @@
         let Some(progress) = self.progress.get_mut(&from) else { return };
         progress.set_active(true);
         match rejected {
-            // Index 0 matches in every initialized log, so this replica's log is empty even if entries
-            // matched before.
+            // Index 0 matches in every initialized log, so this replica's log is empty even if
+            // entries matched before.
             Some(hint) if hint.rejected_index == 0 => {
                 progress.reset();
                 self.request_snapshot(from);
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -15,10 +15,10 @@
 //! 3. Apply `committed`; call [`RawNode::apply_conf_change`] for each membership change.
 //! 4. Call [`RawNode::advance`]. It may produce more work: a sole voter commits in it.
 //!
-//! For each node in [`Ready::snapshot_requests`] the driver sends a snapshot at its applied index and
-//! then calls [`RawNode::report_snapshot`], whether or not the transfer succeeded. A replica that
-//! joins a running group starts without members; the initial voters of a new group all start with
-//! the same members.
+//! For each node in [`Ready::snapshot_requests`] the driver sends a snapshot at its applied index
+//! and then calls [`RawNode::report_snapshot`], whether or not the transfer succeeded. A replica
+//! that joins a running group starts without members; the initial voters of a new group all start
+//! with the same members.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -16,8 +16,8 @@
     /// Appends a membership change, which takes effect immediately.
     ///
     /// # Errors
-    /// [`ProposeError`]: not the leader, busy, another change is pending, nothing is committed in this
-    /// term, the learner is too far behind, or the change is not applicable.
+    /// [`ProposeError`]: not the leader, busy, another change is pending, nothing is committed in
+    /// this term, the learner is too far behind, or the change is not applicable.
     pub fn propose_conf_change(&mut self, change: ConfChange) -> Result<LogPosition, ProposeError> {
         self.check_can_propose()?;
         if !self.has_committed_in_term() {
@@ -32,9 +32,9 @@
         Ok(position)
     }
 
-    /// Transfers leadership to another voter. Proposals are rejected until the target has the complete
-    /// log and has been told to campaign immediately. The transfer is aborted after an election
-    /// timeout.
+    /// Transfers leadership to another voter. Proposals are rejected until the target has the
+    /// complete log and has been told to campaign immediately. The transfer is aborted after an
+    /// election timeout.
     ///
     /// # Errors
     /// [`ProposeError::NotLeader`] or [`ProposeError::InvalidTransferTarget`].
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Steps down once the leader's own removal is committed, and tells the most up-to-date voter to
-    /// campaign.
+    /// Steps down once the leader's own removal is committed, and tells the most up-to-date voter
+    /// to campaign.
     pub(crate) fn step_down_if_removed(&mut self) {
         let is_voter = self.log.conf().voters.contains(&self.config.id);
         if is_voter || self.log.conf_change_pending() {
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -94,8 +94,8 @@
         last_index: u64,
         /// Term of the sender's last entry.
         last_term: u64,
-        /// Whether the election was started by a leadership transfer; the receiver then votes even if
-        /// it has heard from the leader recently.
+        /// Whether the election was started by a leadership transfer; the receiver then votes even
+        /// if it has heard from the leader recently.
         transfer: bool,
     },
     /// Reply to a vote request.
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -15,8 +15,8 @@
 use crate::read_only::ReadOnly;
 use crate::ready::{ReadState, Ready, Role, SnapshotMeta};
 
-/// Maximum number of committed entries in one [`Ready`], so that replaying a long log does not delay
-/// the replica's ticks.
+/// Maximum number of committed entries in one [`Ready`], so that replaying a long log does not
+/// delay the replica's ticks.
 const MAX_COMMITTED_PER_READY: usize = 1024;
 
 /// The parts of the last [`Ready`] that [`RawNode::advance`] marks as done.
@@ -131,8 +131,8 @@
             || self.has_unsent_requests()
     }
 
-    /// Returns the next work for the driver. Until [`RawNode::advance`] is called, further calls return
-    /// an empty [`Ready`].
+    /// Returns the next work for the driver. Until [`RawNode::advance`] is called, further calls
+    /// return an empty [`Ready`].
     pub fn ready(&mut self) -> Ready {
         if self.pending_ready.is_some() {
             return Ready::default();
@@ -179,8 +179,9 @@
         self.update_own_progress();
     }
 
-    /// Records that the driver applied a membership change and returns the members as of that entry.
-    /// The change has been in effect since the entry was appended, see [`crate::conf_change`].
+    /// Records that the driver applied a membership change and returns the members as of that
+    /// entry. The change has been in effect since the entry was appended, see
+    /// [`crate::conf_change`].
     pub fn apply_conf_change(&mut self, change: ConfChange) -> ConfState {
         self.applied_conf = self.applied_conf.with(change);
         self.applied_conf.clone()
@@ -194,8 +195,8 @@
         self.log.compact(index)
     }
 
-    /// Removes the entries that a snapshot at an applied index covers, except the most recent ones: as
-    /// many as both limits allow are retained for replicas that are slightly behind.
+    /// Removes the entries that a snapshot at an applied index covers, except the most recent ones:
+    /// as many as both limits allow are retained for replicas that are slightly behind.
     ///
     /// # Errors
     /// [`RaftError::NotApplied`] if the index is beyond the applied one.
@@ -232,8 +233,8 @@
         self.outbox.push(Message { from: self.config.id, to, term, body });
     }
 
-    /// Queues a leader's message that may be sent before the sync. It depends only on the leader's term,
-    /// which was synced before the election was won.
+    /// Queues a leader's message that may be sent before the sync. It depends only on the leader's
+    /// term, which was synced before the election was won.
     pub(crate) fn send_before_sync(&mut self, to: NodeId, body: MessageBody) {
         let message = Message { from: self.config.id, to, term: self.term, body };
         self.outbox_before_sync.push(message);
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -11,7 +11,8 @@
     Probe,
     /// The matching index is known: appends are pipelined.
     Replicate,
-    /// A snapshot is being sent: no appends until the driver reports the result or the replica replies.
+    /// A snapshot is being sent: no appends until the driver reports the result or the replica
+    /// replies.
     Snapshot,
 }
 
@@ -42,7 +43,8 @@
 }
 
 impl Progress {
-    /// Creates the progress of a replica with unknown log; `last_index` is the end of the leader's log.
+    /// Creates the progress of a replica with unknown log; `last_index` is the end of the leader's
+    /// log.
     #[must_use]
     pub fn new(last_index: u64, max_inflight: usize) -> Self {
         Self {
@@ -90,8 +92,8 @@
         self.active
     }
 
-    /// Whether the replica was heard from in the current or the previous interval between quorum checks.
-    /// Unlike [`Progress::active`], this does not turn false right after a check.
+    /// Whether the replica was heard from in the current or the previous interval between quorum
+    /// checks. Unlike [`Progress::active`], this does not turn false right after a check.
     #[must_use]
     pub fn recently_active(&self) -> bool {
         self.active || self.active_before
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Records that an append with the given commit index was sent. `last` is its last entry's index,
-    /// or `next - 1` if it was empty.
+    /// Records that an append with the given commit index was sent. `last` is its last entry's
+    /// index, or `next - 1` if it was empty.
     pub fn append_sent(&mut self, last: u64, commit: u64) {
         self.append_check_due = false;
         self.sent_commit = self.sent_commit.max(commit);
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Records that the replica's log matches up to an index. `first_index` is the first index of the
-    /// leader's log.
+    /// Records that the replica's log matches up to an index. `first_index` is the first index of
+    /// the leader's log.
     pub fn append_accepted(&mut self, matched: u64, first_index: u64) {
         let grew = matched > self.matched;
         self.matched = self.matched.max(matched);
@@ -190,8 +192,8 @@
         }
     }
 
-    /// Records a heartbeat reply. If the replica lacks entries, an append is scheduled, since earlier
-    /// ones may have been lost.
+    /// Records a heartbeat reply. If the replica lacks entries, an append is scheduled, since
+    /// earlier ones may have been lost.
     pub fn heartbeat_acked(&mut self, last_index: u64) {
         self.active = true;
         self.probe_sent = false;
--- a/crates/raft/src/raft_log.rs
+++ b/crates/raft/src/raft_log.rs
@@ -42,7 +42,8 @@
 }
 
 impl RaftLog {
-    /// Creates a log from persistent state. All entries are stable; none after the snapshot is applied.
+    /// Creates a log from persistent state. All entries are stable; none after the snapshot is
+    /// applied.
     ///
     /// # Errors
     /// [`RaftError::BrokenLog`] if the entries don't follow the snapshot without a gap.
@@ -164,7 +165,8 @@
         self.applied >= self.base.index && self.commit > self.applied
     }
 
-    /// Whether a log with the given end is at least as up to date as this one (Raft, section 5.4.1).
+    /// Whether a log with the given end is at least as up to date as this one (Raft, section
+    /// 5.4.1).
     #[must_use]
     pub fn is_up_to_date(&self, last_index: u64, last_term: u64) -> bool {
         (last_term, last_index) >= (self.last_term(), self.last_index())
@@ -178,8 +180,8 @@
     }
 
     /// Appends a leader's entries after `prev_index`, which must match. Entries already present are
-    /// retained; from the first conflict on they are replaced. Returns the last index that now matches,
-    /// or `None` if the entries are malformed or would replace a committed one.
+    /// retained; from the first conflict on they are replaced. Returns the last index that now
+    /// matches, or `None` if the entries are malformed or would replace a committed one.
     pub fn append_matched(&mut self, prev_index: u64, entries: Vec<Entry>) -> Option<u64> {
         let contiguous = entries.iter().zip(prev_index + 1..).all(|(entry, i)| entry.index == i);
         if !contiguous {
@@ -201,8 +203,8 @@
         Some(last_new)
     }
 
-    /// Highest index up to `index` whose term does not exceed `term`: the last position at which this
-    /// log may agree with one that has `term` there. Lets a probe skip entire terms.
+    /// Highest index up to `index` whose term does not exceed `term`: the last position at which
+    /// this log may agree with one that has `term` there. Lets a probe skip entire terms.
     #[must_use]
     pub fn find_conflict_by_term(&self, index: u64, term: u64) -> u64 {
         let mut index = index.min(self.last_index());
@@ -276,7 +278,8 @@
         self.entries.iter().map(entry_bytes).sum()
     }
 
-    /// Index to compact to so that the last entries up to `index` remain, as many as both limits allow.
+    /// Index to compact to so that the last entries up to `index` remain, as many as both limits
+    /// allow.
     #[must_use]
     pub fn trailing_start(&self, index: u64, max_entries: u64, max_bytes: usize) -> u64 {
         let lowest = index.saturating_sub(max_entries);
--- a/crates/raft/src/ready.rs
+++ b/crates/raft/src/ready.rs
@@ -1,4 +1,5 @@
-//! The work that a replica hands to its driver: data to persist, messages to send, entries to apply.
+//! The work that a replica hands to its driver: data to persist, messages to send, entries to
+//! apply.
 
 use hooklug_types::NodeId;
 use serde::{Deserialize, Serialize};
@@ -60,8 +61,8 @@
     pub committed: Vec<Entry>,
     /// Confirmed reads, which may be served once `applied >= index`.
     pub reads: Vec<ReadState>,
-    /// Contexts of reads that were not confirmed because leadership was lost. Callers must retry them at
-    /// the new leader.
+    /// Contexts of reads that were not confirmed because leadership was lost. Callers must retry
+    /// them at the new leader.
     pub aborted_reads: Vec<u64>,
     /// Replicas to which the driver must send a snapshot.
     pub snapshot_requests: Vec<NodeId>,
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Reply that rejects an append. Index 0 matches in every initialized log, so a rejection at 0 means
-/// that the replica is joining and needs a snapshot.
+/// Reply that rejects an append. Index 0 matches in every initialized log, so a rejection at 0
+/// means that the replica is joining and needs a snapshot.
 fn append_rejection(rejected_index: u64, hint_index: u64, hint_term: u64) -> MessageBody {
     let hint = AppendHint { rejected_index, hint_index, hint_term };
     MessageBody::AppendReply { matched: 0, rejected: Some(hint) }
--- a/crates/raft/src/simulation/checker.rs
+++ b/crates/raft/src/simulation/checker.rs
@@ -1,5 +1,5 @@
-//! Checks raft's safety properties after every step. Observations are stored per log index, and only
-//! the changes at the replica of the last step are examined.
+//! Checks raft's safety properties after every step. Observations are stored per log index, and
+//! only the changes at the replica of the last step are examined.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -47,7 +47,8 @@
 }
 
 impl Checker {
-    /// Discards the check progress of a crashed replica; its observed entries and states are retained.
+    /// Discards the check progress of a crashed replica; its observed entries and states are
+    /// retained.
     pub(crate) fn reset_replica(&mut self, node: NodeId) {
         self.checked.remove(&node);
     }
@@ -62,8 +63,8 @@
         self.committed.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// Checks a replica after a step, and other leaders against the entries that it committed. Returns
-    /// whether the replica has just become leader.
+    /// Checks a replica after a step, and other leaders against the entries that it committed.
+    /// Returns whether the replica has just become leader.
     pub(crate) fn check<'a>(
         &mut self,
         raw: &RawNode,
@@ -86,7 +87,8 @@
         self.acknowledged = self.acknowledged.max(index);
     }
 
-    /// Checks a read result; `acknowledged` is the highest acknowledged index when the read started.
+    /// Checks a read result; `acknowledged` is the highest acknowledged index when the read
+    /// started.
     pub(crate) fn check_read(
         &mut self,
         node: NodeId,
@@ -168,8 +170,9 @@
         Ok(true)
     }
 
-    /// Leader completeness: a leader holds all entries committed in earlier terms. If its votes were
-    /// delayed, an entry may have been committed in a later term than the leader's; it may lack that one.
+    /// Leader completeness: a leader holds all entries committed in earlier terms. If its votes
+    /// were delayed, an entry may have been committed in a later term than the leader's; it may
+    /// lack that one.
     fn check_complete(&self, leader: &RawNode, from: u64) -> Result<(), Violation> {
         let first = from.max(leader.log.first_index() - 1);
         for (index, entry) in self.committed.range(first..) {
--- a/crates/raft/src/simulation/disk.rs
+++ b/crates/raft/src/simulation/disk.rs
@@ -1,4 +1,5 @@
-//! Simulated disk: synced writes are durable; a crash keeps an arbitrary prefix of the unsynced ones.
+//! Simulated disk: synced writes are durable; a crash keeps an arbitrary prefix of the unsynced
+//! ones.
 
 use std::collections::VecDeque;
 
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Appends an entry. An entry that would leave a gap is ignored: it follows one that was lost in a
-    /// crash.
+    /// Appends an entry. An entry that would leave a gap is ignored: it follows one that was lost
+    /// in a crash.
     fn append(&mut self, entry: Entry) {
         let first = self.snapshot.meta.index + 1;
         let next = first + self.entries.len() as u64;
--- a/crates/raft/src/simulation/fault_profile.rs
+++ b/crates/raft/src/simulation/fault_profile.rs
@@ -49,8 +49,8 @@
         if unstable_leaders { base.with_unstable_leaders(random) } else { base }
     }
 
-    /// Makes leaders fail in quick succession while entries are replicated one at a time, so that logs
-    /// diverge and uncommitted entries of several terms coexist (Raft, figure 8).
+    /// Makes leaders fail in quick succession while entries are replicated one at a time, so that
+    /// logs diverge and uncommitted entries of several terms coexist (Raft, figure 8).
     fn with_unstable_leaders(self, random: &mut ChaCha8Rng) -> Self {
         let max_delay = random.random_range(2..25);
         Self {
--- a/crates/raft/src/simulation/faults.rs
+++ b/crates/raft/src/simulation/faults.rs
@@ -35,8 +35,8 @@
         all[self.random.random_range(0..all.len())]
     }
 
-    /// Draws a replica, in half of the cases one that considers itself the leader: faults at leaders are
-    /// the most likely to reveal violations.
+    /// Draws a replica, in half of the cases one that considers itself the leader: faults at
+    /// leaders are the most likely to reveal violations.
     fn draw_leader_or_replica(&mut self) -> NodeId {
         let leaders = self.leaders();
         if !leaders.is_empty() && chance(&mut self.random, 500) {
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Makes a replica lose its disk permanently, if every configuration known to any replica still has
-    /// a quorum without it. An empty replica with a new id is added as a replacement.
+    /// Makes a replica lose its disk permanently, if every configuration known to any replica still
+    /// has a quorum without it. An empty replica with a new id is added as a replacement.
     fn lose_one_disk(&mut self) {
         let node = self.draw_replica();
         let confs: Vec<_> = self.replicas.values().flat_map(Replica::confs).collect();
--- a/crates/raft/src/simulation/mod.rs
+++ b/crates/raft/src/simulation/mod.rs
@@ -1,8 +1,9 @@
 //! Deterministic simulator of a complete raft group that checks safety after every step.
 //!
 //! The seed determines everything: fault rates, delays, crashes, network partitions, membership
-//! changes and client requests. The same seed reproduces the same run, event by event. The simulator
-//! is compiled only for tests and with the `simulation` feature, never into a release build.
+//! changes and client requests. The same seed reproduces the same run, event by event. The
+//! simulator is compiled only for tests and with the `simulation` feature, never into a release
+//! build.
 
 mod broken_rule;
 mod checker;
--- a/crates/raft/src/simulation/operator.rs
+++ b/crates/raft/src/simulation/operator.rs
@@ -98,7 +98,7 @@
         self.compact(node, retained);
     }
 
-    /// Syncs a snapshot at the applied index, then removes the entries that it covers except the last
+    /// Syncs a snapshot at the applied index, then removes the entries that it covers
     /// `retained`.
     fn compact(&mut self, node: NodeId, retained: u64) {
         let broken = self.scenario.broken_rule;
--- a/crates/raft/src/simulation/runner.rs
+++ b/crates/raft/src/simulation/runner.rs
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Whether a packet is lost in transit: always if its link is partitioned, and in half of the cases
-    /// if the sending process has exited.
+    /// Whether a packet is lost in transit: always if its link is partitioned, and in half of the
+    /// cases if the sending process has exited.
     fn is_lost_in_transit(&mut self, sender_run: RunId, to: NodeId) -> bool {
         let sender = self.replicas.get(&sender_run.node);
         let runs = sender.is_some_and(|r| r.run == sender_run.number && r.process.is_some());
--- a/crates/raft/src/simulation/violation.rs
+++ b/crates/raft/src/simulation/violation.rs
@@ -15,7 +15,8 @@
         /// Second leader observed.
         second: NodeId,
     },
-    /// Log matching: two logs differ in the entry at one (index, term), or in the entries before it.
+    /// Log matching: two logs differ in the entry at one (index, term), or in the entries before
+    /// it.
     #[error("log of {node} conflicts with another log at index {index}, term {term}")]
     LogMismatch {
         /// The replica whose log differs.
--- a/crates/raft/src/step.rs
+++ b/crates/raft/src/step.rs
@@ -9,8 +9,8 @@
 use crate::replication::AppendRequest;
 
 impl RawNode {
-    /// Processes a received message. Messages that are stale, malformed or addressed to another replica
-    /// are ignored.
+    /// Processes a received message. Messages that are stale, malformed or addressed to another
+    /// replica are ignored.
     pub fn step(&mut self, message: Message) {
         if message.to != self.config.id || message.from == self.config.id {
             return;
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Replies to a sender with an older term, so that it learns the newer one. A leader must receive
-    /// this reply: with pre-vote, this replica would never depose it by an election, and would stay
-    /// isolated from it forever.
+    /// Replies to a sender with an older term, so that it learns the newer one. A leader must
+    /// receive this reply: with pre-vote, this replica would never depose it by an election, and
+    /// would stay isolated from it forever.
     fn reject_older_term(&mut self, message: &Message) {
         match message.body {
             MessageBody::Append { .. }
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Records the leader of the current term and becomes its follower. A leader ignores this: there is
-    /// no other leader in its term.
+    /// Records the leader of the current term and becomes its follower. A leader ignores this:
+    /// there is no other leader in its term.
     fn follow(&mut self, leader: NodeId) {
         match self.role {
             Role::Leader => {}
--- a/crates/raft/tests/suite/group.rs
+++ b/crates/raft/tests/suite/group.rs
@@ -130,8 +130,8 @@
     assert_eq!(group.at(4).status().conf, voters(&[1, 2, 4]));
 }
 
-/// Guards against a member that restarts with an empty log but whose leader still considers it up to
-/// date: its rejections were ignored as stale, and as a voter it kept entries from committing.
+/// Guards against a member that restarts with an empty log but whose leader still considers it up
+/// to date: its rejections were ignored as stale, and as a voter it kept entries from committing.
 #[test]
 fn a_member_that_comes_back_without_its_log_is_sent_a_snapshot() {
     let mut group = group_led_by_node_1();
--- a/crates/raft/tests/suite/progress.rs
+++ b/crates/raft/tests/suite/progress.rs
@@ -18,7 +18,7 @@
     Grow,
 }
 
-fn append_outcomes() -> impl Strategy<Value = Vec<AppendOutcome>> {
+fn outcomes() -> impl Strategy<Value = Vec<AppendOutcome>> {
     let outcome = prop_oneof![
         Just(AppendOutcome::Answered),
         Just(AppendOutcome::AnswerLost),
@@ -29,7 +29,8 @@
     proptest::collection::vec(outcome, 1..100)
 }
 
-/// The connection of a leader whose log has `last` entries to a replica that holds the first `held`.
+/// The connection of a leader whose log has `last` entries to a replica that holds the first
+/// `held`.
 #[derive(Debug)]
 struct Link {
     progress: Progress,
@@ -93,12 +94,12 @@
 proptest! {
     #[test]
     fn a_replica_catches_up_whatever_was_lost(
-        append_outcomes in append_outcomes(), last in 0u64..30, held in 0u64..30, max_inflight in 1usize..5,
+        outcomes in outcomes(), last in 0u64..30, held in 0u64..30, max_inflight in 1usize..5,
     ) {
         let held = held.min(last);
         let progress = Progress::new(last, max_inflight);
         let mut link = Link { progress, last, held, max_inflight };
-        for outcome in append_outcomes {
+        for outcome in outcomes {
             link.step(outcome);
             link.check();
         }
--- a/crates/replication/src/compaction.rs
+++ b/crates/replication/src/compaction.rs
@@ -1,5 +1,5 @@
-//! The thread that encodes, writes and removes snapshots, so that neither consensus nor applying waits
-//! for them.
+//! The thread that encodes, writes and removes snapshots, so that neither consensus nor applying
+//! waits for them.
 
 use std::sync::mpsc::{Receiver, Sender};
 
--- a/crates/replication/src/handle.rs
+++ b/crates/replication/src/handle.rs
@@ -137,8 +137,8 @@
         self.tell(Input::Campaign { group });
     }
 
-    /// Makes the first replica of a group that begins with these members; durable when this returns.
-    /// A replica that is there already stays as it is.
+    /// Makes the first replica of a group that begins with these members; durable when this
+    /// returns. A replica that is there already stays as it is.
     ///
     /// # Errors
     /// [`ReplicationError::Failed`].
@@ -148,7 +148,8 @@
         result.await.map_err(gone)?
     }
 
-    /// Removes the replica of a group that its group has let go, as its status showed. Its vote stays known.
+    /// Removes the replica of a group that its group has let go, as its status showed. Its vote
+    /// stays known.
     ///
     /// # Errors
     /// [`ReplicationError::Refused`] while it leads, or when it has heard a leader since that status.
@@ -235,7 +236,8 @@
         self.ended().await;
     }
 
-    /// Waits until the driver has ended: it was told to stop, or it panicked. Nothing is answered then.
+    /// Waits until the driver has ended: it was told to stop, or it panicked. Nothing is answered
+    /// then.
     pub async fn ended(&self) {
         let mut ended = self.ended.clone();
         while ended.changed().await.is_ok() {}
--- a/crates/replication/src/joined.rs
+++ b/crates/replication/src/joined.rs
@@ -1,7 +1,7 @@
 //! Several commands in one log entry: what waits together costs one entry, one record and one task.
 //!
-//! A joined entry holds its commands in order, each after its length (u32, little endian). Replicas apply
-//! them one after another, so the state is the same as with an entry each.
+//! A joined entry holds its commands in order, each after its length (u32, little endian). Replicas
+//! apply them one after another, so the state is the same as with an entry each.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,8 @@
 
 use crate::Reply;
 
-/// Bytes of commands after which an entry takes no more (ours); a longer command has one of its own.
+/// Bytes of commands after which an entry takes no more (ours); a longer command has one of its
+/// own.
 pub const MAX_JOINED_BYTES: usize = 64 << 10;
 /// Commands in one entry at most (ours).
 pub const MAX_JOINED_COMMANDS: usize = 1_024;
--- a/crates/replication/src/lifecycle.rs
+++ b/crates/replication/src/lifecycle.rs
@@ -11,8 +11,8 @@
 use crate::driver::Driver;
 use crate::{OpenError, Replica, ReplicationError};
 
-/// Term and index of a group's first snapshot: the empty state with its first members. A replica that
-/// joins later lacks it and so gets a snapshot with the members before anything else (ours).
+/// Term and index of a group's first snapshot: the empty state with its first members. A replica
+/// that joins later lacks it and so gets a snapshot with the members before anything else (ours).
 const FIRST_INDEX: u64 = 1;
 
 impl Driver {
--- a/crates/replication/src/proposals.rs
+++ b/crates/replication/src/proposals.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Who waits for a committed entry; those who wait for another one at its place hear that theirs is uncertain.
+    /// Who waits for a committed entry; those who wait for another one at its place hear that
+    /// theirs is uncertain.
     pub(crate) fn committed(&mut self, entry: &Entry) -> Vec<Reply> {
         let Some(PendingEntry { term, replies }) = self.pending.remove(&entry.index) else {
             return Vec::new();
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -107,8 +107,8 @@
         self.node.report_snapshot(to, sent);
     }
 
-    /// A command; its result or an error goes to `reply`. Commands that come while a round is under way
-    /// share the entries of the next one.
+    /// A command; its result or an error goes to `reply`. Commands that come while a round is under
+    /// way share the entries of the next one.
     pub fn propose(&mut self, command: &[u8], reply: impl Into<Reply>) {
         if self.node.role() == Role::Leader {
             self.proposals.gather(command, reply.into());
@@ -280,8 +280,9 @@
         fail_reads(std::mem::take(&mut self.arrived), error);
     }
 
-    /// Whether enough was applied since the last snapshot to take another: so many commands, or more bytes
-    /// than both a fixed amount and the last snapshot, so that a large state is not written too often.
+    /// Whether enough was applied since the last snapshot to take another: so many commands, or
+    /// more bytes than both a fixed amount and the last snapshot, so that a large state is not
+    /// written too often.
     #[must_use]
     pub fn wants_snapshot(&self, snapshot_commands: u64) -> bool {
         let is_large = self.log_bytes >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
@@ -332,8 +333,9 @@
         self.leading_since.is_some()
     }
 
-    /// Whether the group may have let this replica go, as it was when it had taken so many messages of leaders. One that has
-    /// heard a leader since may be a member again, and its leader may count on what it holds.
+    /// Whether the group may have let this replica go, as it was when it had taken so many messages
+    /// of leaders. One that has heard a leader since may be a member again, and its leader may
+    /// count on what it holds.
     ///
     /// # Errors
     /// [`ReplicationError::Refused`] says why it must stay.
@@ -353,8 +355,8 @@
         self.hard_state
     }
 
-    /// The replica for operators and for repair. Its members are those of the applied entries: a store
-    /// must not act on a removal that may yet be undone.
+    /// The replica for operators and for repair. Its members are those of the applied entries: a
+    /// store must not act on a removal that may yet be undone.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let status = self.node.status();
--- a/crates/replication/src/reply.rs
+++ b/crates/replication/src/reply.rs
@@ -7,8 +7,8 @@
 /// What a command or a membership change came to: the state machine's encoded reply.
 pub type Outcome = Result<Vec<u8>, ReplicationError>;
 
-/// Takes the outcome of one command or membership change, once, in whichever thread knows it. Must not block.
-/// Dropped without one, it says that the outcome is uncertain.
+/// Takes the outcome of one command or membership change, once, in whichever thread knows it. Must
+/// not block. Dropped without one, it says that the outcome is uncertain.
 pub struct Reply {
     /// `None` once it is used.
     answer: Option<Box<dyn FnOnce(Outcome) + Send>>,
--- a/crates/replication/src/rounds.rs
+++ b/crates/replication/src/rounds.rs
@@ -21,7 +21,7 @@
         for (group, replica) in &self.replicas {
             figures::log_memory(*group, replica.log_memory());
         }
-        for group in self.wal.holders_of_oldest(self.settings.max_segments) {
+        for group in self.wal.groups_pinning_oldest(self.settings.max_segments) {
             self.ask_for_snapshot(group, 1);
         }
     }
--- a/crates/replication/src/start.rs
+++ b/crates/replication/src/start.rs
@@ -18,7 +18,8 @@
 use crate::transport::Transport;
 use crate::{AddressBook, OpenError, ReplicationSettings, Replicator};
 
-/// Threads that own state machines (ours): a long command of one group holds up half of them at most.
+/// Threads that own state machines (ours): a long command of one group holds up half of them at
+/// most.
 const APPLIERS: usize = 2;
 
 /// Makes the empty state machine of a group.
--- a/crates/replication/src/transport.rs
+++ b/crates/replication/src/transport.rs
@@ -19,7 +19,8 @@
 
 /// Messages that may wait for one store; more are dropped, consensus sends them again.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
-/// Entries that may wait for one store, in bytes, so that a store that is frozen costs no more memory.
+/// Entries that may wait for one store, in bytes, so that a store that is frozen costs no more
+/// memory.
 const MAX_QUEUED_ENTRY_BYTES: usize = 64 << 20;
 /// Messages in one frame at most.
 const MAX_FRAME_MESSAGES: usize = 1_024;
--- a/crates/replication/tests/joined.rs
+++ b/crates/replication/tests/joined.rs
@@ -1,4 +1,5 @@
-//! Commands that share an entry: their order, their replies, their bounds, and a leader that loses its place.
+//! Commands that share an entry: their order, their replies, their bounds, and a leader that loses
+//! its place.
 
 mod support;
 
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -133,8 +133,8 @@
     assert!(replica.finish_snapshot(meta, 9, 0).is_none(), "not newer");
 }
 
-/// Guards against a member that forgets its log: between a store's question whether it was let go and its removal, a leader
-/// may have added it again and count on what it holds.
+/// Guards against a member that forgets its log: between a store's question whether it was let go
+/// and its removal, a leader may have added it again and count on what it holds.
 #[test]
 fn a_replica_that_has_heard_a_leader_since_its_status_is_not_let_go() {
     let mut replica = replica(&[1, 2, 3]);
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -29,7 +29,8 @@
     Replica::new(GroupId(1), node, hard_state, Some(meta))
 }
 
-/// Does all rounds at once, as if each sync succeeded; gives them and what went out after the syncs.
+/// Does all rounds at once, as if each sync succeeded; gives them and what went out after the
+/// syncs.
 pub fn settle(replica: &mut Replica) -> (Vec<Round>, Vec<Message>) {
     let (mut rounds, mut sent) = (Vec::new(), Vec::new());
     while let Some(round) = replica.round(Instant::now()) {
--- a/crates/wal/src/block.rs
+++ b/crates/wal/src/block.rs
@@ -1,19 +1,20 @@
-//! The unit of writing: a block of records with a checksum.
+//! Block format of the log: a checksummed group of records that is written in one operation.
 //!
-//! Layout: mark (4 bytes), length of the body (u32), CRC-32 of length and body (u32), body. Each block
-//! says how far its segment was known to be synced when it was written; that tells a torn tail, which
-//! was never acknowledged, from damage to synced bytes (ours).
+//! Layout: magic number (4 bytes), body length (u32), CRC-32 of length and body (u32), body. Each
+//! block records the offset up to which its segment was known to be synced when the block was
+//! written. This distinguishes a torn tail, which was never acknowledged, from corruption of synced
+//! bytes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::GroupRecord;
 
-const MARK: [u8; 4] = *b"hkB1";
+const MAGIC: [u8; 4] = *b"hkB1";
 
-/// Bytes of a block before its body.
+/// Size of the block header in bytes.
 pub(crate) const HEADER_BYTES: usize = 12;
 
-/// Records written together.
+/// A group of records that are written together.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Block {
     /// Offset up to which the segment was synced before this block was written.
@@ -22,70 +23,71 @@
     pub records: Vec<GroupRecord>,
 }
 
-/// Why bytes are no block.
+/// Error of decoding a block.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum DecodeFault {
-    /// They end before the block does.
-    #[error("the block is cut short")]
-    Short,
-    /// They do not start with the mark.
-    #[error("no block starts here")]
-    NoMark,
-    /// The checksum differs.
-    #[error("the checksum differs")]
-    Checksum,
-    /// The checksum fits and the body does not decode: written by another version.
-    #[error("the body does not decode: {0}")]
+pub enum DecodeError {
+    /// The bytes end before the block does.
+    #[error("block is truncated")]
+    Truncated,
+    /// The bytes do not start with the magic number.
+    #[error("block has no magic number")]
+    BadMagic,
+    /// The checksum does not match.
+    #[error("block checksum does not match")]
+    ChecksumMismatch,
+    /// The checksum matches but the body can't be decoded: it was written by another version.
+    #[error("can't decode the block body: {0}")]
     Body(String),
 }
 
 impl Block {
-    /// The block as bytes.
+    /// Encodes the block with its header.
     ///
     /// # Errors
-    /// When the body is longer than a `u32` can say.
+    /// If the length of the body exceeds a `u32`.
     pub fn encode(&self) -> Result<Vec<u8>, std::io::Error> {
-        let head = vec![0_u8; HEADER_BYTES];
-        let mut bytes = postcard::to_extend(self, head).map_err(std::io::Error::other)?;
+        let header = vec![0_u8; HEADER_BYTES];
+        let mut bytes = postcard::to_extend(self, header).map_err(std::io::Error::other)?;
         let length = u32::try_from(bytes.len() - HEADER_BYTES).map_err(std::io::Error::other)?;
-        bytes[..4].copy_from_slice(&MARK);
+        bytes[..4].copy_from_slice(&MAGIC);
         bytes[4..8].copy_from_slice(&length.to_le_bytes());
         let sum = checksum(&bytes[4..8], &bytes[HEADER_BYTES..]);
         bytes[8..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
         Ok(bytes)
     }
 
-    /// The block at the start of some bytes, and its length with the header.
+    /// Decodes the block at the start of `bytes`; returns it and its length including the header.
     ///
     /// # Errors
-    /// [`DecodeFault`] says what does not fit.
-    pub fn decode(bytes: &[u8]) -> Result<(Self, usize), DecodeFault> {
+    /// [`DecodeError`] if the bytes are not a valid block.
+    pub fn decode(bytes: &[u8]) -> Result<(Self, usize), DecodeError> {
         let body = checked_body(bytes)?;
-        let block = postcard::from_bytes(body).map_err(|e| DecodeFault::Body(e.to_string()))?;
+        let block = postcard::from_bytes(body).map_err(|e| DecodeError::Body(e.to_string()))?;
         Ok((block, HEADER_BYTES + body.len()))
     }
 }
 
-fn checked_body(bytes: &[u8]) -> Result<&[u8], DecodeFault> {
-    let head = bytes.get(..HEADER_BYTES).ok_or(DecodeFault::Short)?;
-    if head[..4] != MARK {
-        return Err(DecodeFault::NoMark);
+fn checked_body(bytes: &[u8]) -> Result<&[u8], DecodeError> {
+    let header = bytes.get(..HEADER_BYTES).ok_or(DecodeError::Truncated)?;
+    if header[..4] != MAGIC {
+        return Err(DecodeError::BadMagic);
     }
-    let length = read_u32(&head[4..8]) as usize;
-    let body = bytes.get(HEADER_BYTES..HEADER_BYTES + length).ok_or(DecodeFault::Short)?;
-    if checksum(&head[4..8], body) != read_u32(&head[8..HEADER_BYTES]) {
-        return Err(DecodeFault::Checksum);
+    let length = read_u32(&header[4..8]) as usize;
+    let body = bytes.get(HEADER_BYTES..HEADER_BYTES + length).ok_or(DecodeError::Truncated)?;
+    if checksum(&header[4..8], body) != read_u32(&header[8..HEADER_BYTES]) {
+        return Err(DecodeError::ChecksumMismatch);
     }
     Ok(body)
 }
 
-/// Whether a whole block after `damage` says that the bytes at `damage` had been synced.
-pub(crate) fn synced_later(bytes: &[u8], damage: usize) -> bool {
-    let mut at = damage + 1;
-    while let Some(step) = bytes.get(at..).and_then(find_mark) {
+/// Whether a valid block after offset `invalid_at` records that the bytes at `invalid_at` were
+/// synced.
+pub(crate) fn is_known_synced(bytes: &[u8], invalid_at: usize) -> bool {
+    let mut at = invalid_at + 1;
+    while let Some(step) = bytes.get(at..).and_then(find_magic) {
         at += step;
         match Block::decode(&bytes[at..]) {
-            Ok((block, _)) if block.synced > damage as u64 => return true,
+            Ok((block, _)) if block.synced > invalid_at as u64 => return true,
             Ok((_, length)) => at += length,
             Err(_) => at += 1,
         }
@@ -93,8 +95,8 @@
     false
 }
 
-fn find_mark(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(MARK.len()).position(|window| window == MARK)
+fn find_magic(bytes: &[u8]) -> Option<usize> {
+    bytes.windows(MAGIC.len()).position(|window| window == MAGIC)
 }
 
 fn checksum(length: &[u8], body: &[u8]) -> u32 {
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,35 +1,35 @@
-//! What can go wrong with the log.
+//! Errors of the write-ahead log.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why the log could not be opened, or does not acknowledge.
+/// Error of opener the log or of appending to it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WalError {
-    /// The system refused an operation on a file.
-    #[error("{operation} of {}: {reason}", path.display())]
+    /// A file operation failed.
+    #[error("can't {operation} {}: {reason}", path.display())]
     Io {
-        /// What was tried.
+        /// The operation, as a verb.
         operation: &'static str,
-        /// On which file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// The system's words.
+        /// The operating system's error message.
         reason: String,
     },
-    /// Bytes that were synced are not what was written. Nothing is repaired: the store must not serve.
+    /// Synced bytes differ from what was written. Nothing is repaired; the store must not serve.
     #[error("{} is corrupt at offset {offset}: {reason}", path.display())]
     Corrupt {
-        /// Which file.
+        /// The corrupt file.
         path: PathBuf,
-        /// Where, in bytes from its start.
+        /// Offset of the corruption from the start of the file, in bytes.
         offset: u64,
-        /// What does not fit.
+        /// Description of the corruption.
         reason: String,
     },
-    /// An earlier write or sync failed; nothing is acknowledged any more.
-    #[error("the log failed: {reason}")]
+    /// An earlier write or sync failed; the log acknowledges no further appends.
+    #[error("write-ahead log failed: {reason}")]
     Failed {
-        /// The first failure.
+        /// The first error.
         reason: String,
     },
 }
--- a/crates/wal/src/files.rs
+++ b/crates/wal/src/files.rs
@@ -1,4 +1,4 @@
-//! The file operations that the log needs, behind a trait so that tests can make them fail.
+//! File system operations used by the log, behind a trait so that tests can inject failures.
 
 use std::fmt::Debug;
 use std::fs::{File, OpenOptions};
@@ -9,71 +9,71 @@
 
 /// A file open for appending.
 pub trait LogFile: Send {
-    /// Appends all bytes.
+    /// Appends all of `bytes`.
     ///
     /// # Errors
-    /// The system's; a part may have been written.
+    /// The operating system's error; some of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes all that was appended durable.
+    /// Makes all appended bytes durable.
     ///
     /// # Errors
-    /// The system's; what was appended may be lost even if a later sync succeeds.
+    /// The operating system's error; the appended bytes may be lost even if a later sync succeeds.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Files and folders.
+/// A file system.
 pub trait Files: Send + Sync + Debug {
-    /// Makes a folder and its parents.
+    /// Creates a directory and its parents.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn create_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Paths of a folder's files.
+    /// Lists the paths of a directory's files.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn list(&self, folder: &Path) -> io::Result<Vec<PathBuf>>;
 
-    /// A file's bytes.
+    /// Reads a file.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// Makes an empty file, replacing what is there.
+    /// Creates an empty file, replacing an existing one.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn create(&self, path: &Path) -> io::Result<Box<dyn LogFile>>;
 
-    /// Opens a file for appending, cut to a length.
+    /// Truncates a file to a length and opens it for appending.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn open_cut(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>>;
 
-    /// Renames a file, replacing what is there.
+    /// Renames a file, replacing an existing one.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Makes creations, renames and removals in a folder durable.
+    /// Makes file creations, renames and removals in a directory durable.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
-/// The system's files.
+/// The operating system's file system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OsFiles;
 
@@ -123,10 +123,11 @@
     }
 }
 
-/// Puts a file in place as a whole: a reader finds the old bytes or the new ones, also after power loss.
+/// Atomically replaces the content of a file: readers find either the old or the new bytes, also
+/// after a power loss.
 ///
 /// # Errors
-/// [`WalError::Io`]; the old file then still stands.
+/// [`WalError::Io`]; the file then has either the old or the new content.
 pub fn replace_file(files: &dyn Files, path: &Path, bytes: &[u8]) -> Result<(), WalError> {
     let folder = path.parent().unwrap_or_else(|| Path::new("."));
     let temporary = path.with_extension("tmp");
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -1,4 +1,4 @@
-//! The log's handle, and opening it.
+//! Handle of the write-ahead log, and opener it.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Sender, channel};
@@ -7,14 +7,14 @@
 
 use hooklug_types::GroupId;
 
-use crate::recovery::GroupHead;
+use crate::recovery::GroupMeta;
 use crate::writer::{SegmentIndex, SegmentSpan, SharedIndex, Writer};
 use crate::{Files, GroupRecord, Record, Recovered, WalError, segment};
 
-/// How the log behaves.
+/// Options of the log.
 #[derive(Debug, Clone)]
 pub struct WalOptions {
-    /// Length at which a segment is closed and the next one begun, in bytes (default 32 MiB; ours).
+    /// Length in bytes at which a segment is sealed and the next one is started (default 32 MiB).
     pub segment_bytes: u64,
 }
 
@@ -24,17 +24,17 @@
     }
 }
 
-/// Told from the writer's thread when an append is durable, or never will be. Must not block.
-pub type Done = Box<dyn FnOnce(Result<(), WalError>) + Send>;
+/// Callback of an append, called with its result on the writer thread. Must not block.
+pub type AppendCallback = Box<dyn FnOnce(Result<(), WalError>) + Send>;
 
-/// Records that wait for the writer.
+/// A queued append.
 pub(crate) struct Append {
     pub(crate) records: Vec<GroupRecord>,
     pub(crate) sync: bool,
-    pub(crate) done: Done,
+    pub(crate) done: AppendCallback,
 }
 
-/// The log.
+/// The write-ahead log of a process.
 #[derive(Debug)]
 pub struct Wal {
     queue: Sender<Append>,
@@ -43,65 +43,69 @@
 }
 
 impl Wal {
-    /// Opens the log in a folder, making it if need be, and reads back what it holds.
+    /// Opens the log in a directory, which is created if missing, and recovers its content.
     ///
     /// # Errors
-    /// [`WalError::Corrupt`] names the file and offset of damage to synced bytes.
+    /// [`WalError::Corrupt`] if synced bytes are corrupt, with file and offset.
     pub fn open(
         files: Arc<dyn Files>,
         folder: &Path,
         options: WalOptions,
     ) -> Result<(Self, Recovered), WalError> {
         files.create_folder(folder).map_err(|e| WalError::io("create", folder, &e))?;
-        let mut opening = Opening { files, folder: folder.to_owned(), options };
-        let (writer, recovered) = opening.open()?;
+        let mut opener = LogOpener { files, folder: folder.to_owned(), options };
+        let (writer, recovered) = opener.open()?;
         let index = writer.index.clone();
         let (queue, appends) = channel();
         let writer = std::thread::Builder::new()
             .name("wal-writer".to_owned())
             .spawn(move || writer.run(&appends))
-            .map_err(|e| WalError::io("start the writer", folder, &e))?;
+            .map_err(|e| WalError::io("start the writer thread for the log in", folder, &e))?;
         Ok((Self { queue, index, writer }, recovered))
     }
 
-    /// Waits until all that is queued is written, and ends the writer.
+    /// Waits until all queued appends are written, and stops the writer.
     pub fn close(self) {
         drop(self.queue);
-        // A writer that panicked has acknowledged nothing more; there is nothing to add to that.
+        // If the writer panicked, it acknowledged nothing further, so there is nothing to report.
         let _ = self.writer.join();
     }
 
-    /// Queues records. `done` is told when they are written, and synced if `sync` is set. Appends are
-    /// written in the order in which they are queued.
-    pub fn append(&self, records: Vec<GroupRecord>, sync: bool, done: Done) {
+    /// Queues records. `done` is called after they are written and, if `sync` is set, synced.
+    /// Appends are written in the order in which they are queued.
+    pub fn append(&self, records: Vec<GroupRecord>, sync: bool, done: AppendCallback) {
         if let Err(refused) = self.queue.send(Append { records, sync, done }) {
-            let reason = "the writer has ended".to_owned();
+            let reason = "the writer thread has exited".to_owned();
             (refused.0.done)(Err(WalError::Failed { reason }));
         }
     }
 
-    /// Groups whose entries keep the oldest segment, when there are more than so many closed ones.
-    /// They should take a snapshot.
+    /// If there are more than `allowed_segments` sealed segments, returns the groups whose entries
+    /// prevent the removal of the oldest one. They should take a snapshot.
     #[must_use]
-    pub fn holders_of_oldest(&self, allowed_segments: usize) -> Vec<GroupId> {
+    pub fn groups_pinning_oldest(&self, allowed_segments: usize) -> Vec<GroupId> {
         let index = self.index.lock().unwrap_or_else(PoisonError::into_inner);
-        if index.sealed.len() <= allowed_segments { Vec::new() } else { index.holders_of_oldest() }
+        if index.sealed.len() <= allowed_segments {
+            Vec::new()
+        } else {
+            index.groups_pinning_oldest()
+        }
     }
 
-    /// Segments on the disk.
+    /// Number of segments on disk.
     #[must_use]
     pub fn segments(&self) -> usize {
         self.index.lock().unwrap_or_else(PoisonError::into_inner).sealed.len() + 1
     }
 }
 
-struct Opening {
+struct LogOpener {
     files: Arc<dyn Files>,
     folder: PathBuf,
     options: WalOptions,
 }
 
-impl Opening {
+impl LogOpener {
     fn open(&mut self) -> Result<(Writer, Recovered), WalError> {
         let numbers = segment::numbers(self.files.as_ref(), &self.folder)?;
         let mut recovered = Recovered::default();
@@ -119,18 +123,21 @@
                 index.sealed.insert(*number, span);
             }
         }
-        self.check(&recovered)?;
-        let heads = recovered.groups.iter().map(|(group, state)| (*group, GroupHead::of(state)));
-        index.heads = heads.collect();
+        self.check_contiguous(&recovered)?;
+        let group_metas = recovered
+            .groups
+            .iter()
+            .map(|(group, state)| (*group, GroupMeta::from_recovered(state)));
+        index.group_metas = group_metas.collect();
         let mut writer = self.writer(active, Arc::new(Mutex::new(index)))?;
-        writer.begin_segment()?;
+        writer.start_segment()?;
         Ok((writer, recovered))
     }
 
-    /// A group whose entries are not whole must not vote or lead.
-    fn check(&self, recovered: &Recovered) -> Result<(), WalError> {
+    /// Fails if the entries of a group have a gap. Such a group must not vote or lead.
+    fn check_contiguous(&self, recovered: &Recovered) -> Result<(), WalError> {
         let Some((group, entry)) = recovered.gap() else { return Ok(()) };
-        let reason = format!("entry {entry} of {group} is missing");
+        let reason = format!("entry {entry} of group {group} is missing");
         Err(WalError::corrupt(&self.folder, 0, reason))
     }
 
@@ -144,7 +151,7 @@
         let opened =
             if length == 0 { self.files.create(&path) } else { self.files.open_cut(&path, length) };
         let mut file = opened.map_err(|e| WalError::io("open", &path, &e))?;
-        // What was read back counts from now on, so it has to be durable now.
+        // The recovered records are relied on from now on, so they must be durable.
         file.sync().map_err(|e| WalError::io("sync", &path, &e))?;
         let folder = self.folder.clone();
         self.files.sync_folder(&folder).map_err(|e| WalError::io("sync", &folder, &e))?;
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,23 +1,23 @@
-//! What the log holds for each group.
+//! Records of the log.
 
 use hooklug_raft::{Entry, HardState, SnapshotMeta};
 use hooklug_types::GroupId;
 use serde::{Deserialize, Serialize};
 
-/// One change of a group's persistent state.
+/// A change of a group's persistent state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Entries in order; what the log held from the first one's index on is overwritten.
+    /// Appends entries; existing entries from the first one's index on are replaced.
     Append(Vec<Entry>),
-    /// The newest term, vote and commit index.
+    /// Sets the term, vote and commit index.
     HardState(HardState),
-    /// A snapshot file covers the log up to here; its entries are not needed any more.
+    /// A snapshot file covers the log up to this index; the covered entries are no longer needed.
     Snapshot(SnapshotMeta),
-    /// The replica was removed. Its hard state stays, so that a vote is never forgotten.
+    /// The replica was removed. Its hard state is retained, so that a vote is never lost.
     Removed,
 }
 
-/// A record and whose it is.
+/// A record and the group that it belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRecord {
     /// The group.
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! From records back to each group's persistent state.
+//! Recovery: replays records into each group's persistent state.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 
 use crate::{GroupRecord, Record};
 
-/// All groups that the log holds.
+/// Persistent state of all groups in the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// By group; removed replicas too, for their hard state.
+    /// State by group; includes removed replicas, for their hard state.
     pub groups: BTreeMap<GroupId, RecoveredGroup>,
 }
 
-/// One group's persistent state.
+/// Persistent state of a group.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecoveredGroup {
-    /// Newest term, vote and commit index.
+    /// Latest term, vote and commit index.
     pub hard_state: HardState,
-    /// The snapshot that covers the log's start; `None` for a replica that never had one.
+    /// The snapshot that precedes the entries; `None` if the replica never had one.
     pub snapshot: Option<SnapshotMeta>,
-    /// Entries after the snapshot, without gaps.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<Entry>,
     /// Whether the replica was removed.
     pub removed: bool,
 }
 
 impl RecoveredGroup {
-    /// Index that the snapshot covers; 0 without one.
+    /// Last index that the snapshot covers; 0 without a snapshot.
     #[must_use]
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |meta| meta.index)
@@ -38,7 +38,7 @@
         match record {
             Record::Append(entries) => self.append(entries),
             Record::HardState(state) => self.hard_state = state,
-            Record::Snapshot(meta) => self.cover(meta),
+            Record::Snapshot(meta) => self.apply_snapshot(meta),
             Record::Removed => {
                 *self = Self { hard_state: self.hard_state, removed: true, ..Self::default() };
             }
@@ -48,7 +48,7 @@
     fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first().map(|e| e.index) else { return };
         self.removed = false;
-        // A gap is filled by a later snapshot, or found by `check`.
+        // A gap is either covered by a later snapshot or reported when the log is opened.
         let follows = self.entries.last().is_none_or(|last| first <= last.index + 1);
         if follows {
             self.entries.retain(|e| e.index < first);
@@ -58,8 +58,9 @@
         self.entries.extend(entries);
     }
 
-    /// A snapshot replaces a log that it goes beyond or contradicts; else it only cuts the log's start.
-    fn cover(&mut self, meta: SnapshotMeta) {
+    /// Applies a snapshot. It replaces the entries if it extends beyond them or conflicts with
+    /// them; otherwise it only removes the entries that it covers.
+    fn apply_snapshot(&mut self, meta: SnapshotMeta) {
         self.removed = false;
         let beyond = self.entries.last().is_none_or(|last| last.index < meta.index);
         let contradicts = |e: &Entry| e.index == meta.index && e.term != meta.term;
@@ -71,11 +72,11 @@
         self.snapshot = Some(meta);
     }
 
-    /// The first index that is missing or out of place, if any.
+    /// First index at which the entries are not contiguous, if any.
     fn gap(&self) -> Option<u64> {
         let expected = self.snapshot_index() + 1..;
-        let mut places = expected.zip(&self.entries);
-        places.find(|(index, entry)| entry.index != *index).map(|(index, _)| index)
+        let mut positions = expected.zip(&self.entries);
+        positions.find(|(index, entry)| entry.index != *index).map(|(index, _)| index)
     }
 }
 
@@ -85,32 +86,33 @@
         self.groups.entry(record.group).or_default().apply(record.record);
     }
 
-    /// A group whose log has a gap, and where.
+    /// A group whose log has a gap, and the missing index.
     pub(crate) fn gap(&self) -> Option<(GroupId, u64)> {
         self.groups.iter().find_map(|(group, state)| Some((*group, state.gap()?)))
     }
 
-    /// What a new segment starts with, so that older ones are only needed for entries.
-    pub(crate) fn checkpoint(heads: &BTreeMap<GroupId, GroupHead>) -> Vec<GroupRecord> {
-        heads.iter().flat_map(|(group, head)| head.records(*group)).collect()
+    /// The records at the start of a new segment, so that older segments are only needed for their
+    /// entries.
+    pub(crate) fn checkpoint(group_metas: &BTreeMap<GroupId, GroupMeta>) -> Vec<GroupRecord> {
+        group_metas.iter().flat_map(|(group, meta)| meta.records(*group)).collect()
     }
 }
 
-/// A group's persistent state without its entries.
+/// Persistent state of a group without its entries.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct GroupHead {
+pub(crate) struct GroupMeta {
     hard_state: HardState,
     snapshot: Option<SnapshotMeta>,
     removed: bool,
 }
 
-impl GroupHead {
-    pub(crate) fn of(state: &RecoveredGroup) -> Self {
+impl GroupMeta {
+    pub(crate) fn from_recovered(state: &RecoveredGroup) -> Self {
         let (hard_state, removed) = (state.hard_state, state.removed);
         Self { hard_state, snapshot: state.snapshot.clone(), removed }
     }
 
-    pub(crate) fn note(&mut self, record: &Record) {
+    pub(crate) fn apply(&mut self, record: &Record) {
         match record {
             Record::Append(_) => self.removed = false,
             Record::HardState(state) => self.hard_state = *state,
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Entries up to this index are not needed.
-    pub(crate) fn covered(&self) -> u64 {
+    /// Index up to which entries are not needed.
+    pub(crate) fn covered_index(&self) -> u64 {
         if self.removed { u64::MAX } else { self.snapshot.as_ref().map_or(0, |s| s.index) }
     }
 
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -1,23 +1,23 @@
-//! Segment files: their names, and reading them back.
+//! Segment files: naming and reading.
 
 use std::path::{Path, PathBuf};
 
 use tracing::warn;
 
-use crate::block::{Block, DecodeFault, synced_later};
+use crate::block::{Block, DecodeError, is_known_synced};
 use crate::{Files, GroupRecord, WalError};
 
 const EXTENSION: &str = "segment";
 
-/// Path of a segment.
+/// Path of a segment file.
 pub(crate) fn path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{number:016}.{EXTENSION}"))
 }
 
-/// Numbers of the segments in a folder, in order.
+/// Numbers of the segments in a directory, in order.
 ///
 /// # Errors
-/// When the folder cannot be read, or a segment between two others is missing.
+/// If the directory can't be read or the numbers have a gap.
 pub(crate) fn numbers(files: &dyn Files, folder: &Path) -> Result<Vec<u64>, WalError> {
     let paths = files.list(folder).map_err(|e| WalError::io("list", folder, &e))?;
     let mut numbers: Vec<u64> = paths.iter().filter_map(|path| number(path)).collect();
@@ -25,7 +25,7 @@
     match numbers.windows(2).find(|pair| pair[1] != pair[0] + 1) {
         Some(pair) => {
             let missing = path(folder, pair[0] + 1);
-            Err(WalError::corrupt(&missing, 0, "the segment is missing between two others"))
+            Err(WalError::corrupt(&missing, 0, "the segment is missing, but later ones exist"))
         }
         None => Ok(numbers),
     }
@@ -38,16 +38,16 @@
     path.file_stem()?.to_str()?.parse().ok()
 }
 
-/// What a segment holds.
+/// Content of a segment.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentContent {
-    /// Its records, in order.
+    /// The records, in order.
     pub(crate) records: Vec<GroupRecord>,
-    /// Bytes up to the end of the last whole block.
+    /// Offset of the end of the last complete block.
     pub(crate) length: u64,
 }
 
-/// Reads a segment. A torn tail is cut off the last one; any other damage is refused.
+/// Reads a segment. A torn tail is ignored in the last segment; any other corruption is an error.
 pub(crate) fn read(
     files: &dyn Files,
     path: &Path,
@@ -64,7 +64,10 @@
             }
             Err(fault) if is_last && is_torn(&fault, &bytes, at) => {
                 let (offset, cut) = (at, bytes.len() - at);
-                warn!(path = %path.display(), offset, cut, %fault, "cut a torn tail off the log");
+                warn!(
+                    path = %path.display(), offset, cut, %fault,
+                    "discarding the torn tail of a log segment"
+                );
                 break;
             }
             Err(fault) => return Err(WalError::corrupt(path, at as u64, fault.to_string())),
@@ -74,7 +77,7 @@
     Ok(content)
 }
 
-/// Whether the damage lies where nothing was ever synced.
-fn is_torn(fault: &DecodeFault, bytes: &[u8], at: usize) -> bool {
-    !matches!(fault, DecodeFault::Body(_)) && !synced_later(bytes, at)
+/// Whether the invalid bytes at offset `at` were never synced.
+fn is_torn(fault: &DecodeError, bytes: &[u8], at: usize) -> bool {
+    !matches!(fault, DecodeError::Body(_)) && !is_known_synced(bytes, at)
 }
--- a/crates/wal/src/snapshot.rs
+++ b/crates/wal/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshot files: one a group, named by the index that it covers.
+//! Snapshot files, named by group and by the last index that they cover.
 //!
-//! Layout: mark (8 bytes), CRC-32 of the data (u32), data. Written to a temporary name,
-//! synced, renamed, folder synced.
+//! Layout: magic number (8 bytes), CRC-32 of the data (u32), data. A file is written under a
+//! temporary name, synced and renamed; then its directory is synced.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 use crate::files::replace_file;
 use crate::{Files, WalError};
 
-const MARK: [u8; 8] = *b"hkSnap1\n";
+const MAGIC: [u8; 8] = *b"hkSnap1\n";
 const HEADER_BYTES: usize = 12;
 const EXTENSION: &str = "snapshot";
 
-/// Snapshot files of one folder. Cheap to clone.
+/// The snapshot files in a directory. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct SnapshotStore {
     files: Arc<dyn Files>,
@@ -23,7 +23,7 @@
 }
 
 impl SnapshotStore {
-    /// Opens the folder, making it if need be.
+    /// Opens the directory, which is created if missing.
     ///
     /// # Errors
     /// [`WalError::Io`].
@@ -32,53 +32,57 @@
         Ok(Self { files, folder: folder.to_owned() })
     }
 
-    /// Writes a group's snapshot; durable when this returns. Blocks on the disk.
+    /// Writes a group's snapshot, which is durable when this returns. Blocks on disk I/O.
     ///
     /// # Errors
-    /// [`WalError::Io`]; earlier snapshots still stand.
+    /// [`WalError::Io`]; earlier snapshots are not affected.
     pub fn write(&self, group: GroupId, index: u64, data: &[u8]) -> Result<(), WalError> {
         let mut bytes = Vec::with_capacity(HEADER_BYTES + data.len());
-        bytes.extend_from_slice(&MARK);
+        bytes.extend_from_slice(&MAGIC);
         bytes.extend_from_slice(&crc32fast::hash(data).to_le_bytes());
         bytes.extend_from_slice(data);
         replace_file(self.files.as_ref(), &self.path(group, index), &bytes)
     }
 
-    /// Reads a group's snapshot. Blocks on the disk.
+    /// Reads a group's snapshot. Blocks on disk I/O.
     ///
     /// # Errors
-    /// [`WalError::Io`] when it is not there, [`WalError::Corrupt`] when it is not what was written.
+    /// [`WalError::Io`] if the file can't be read, [`WalError::Corrupt`] if its content is invalid.
     pub fn read(&self, group: GroupId, index: u64) -> Result<Vec<u8>, WalError> {
         let path = self.path(group, index);
         let mut bytes = self.files.read(&path).map_err(|e| WalError::io("read", &path, &e))?;
-        let head = bytes.get(..HEADER_BYTES).filter(|head| head[..8] == MARK);
-        let Some(head) = head else {
-            return Err(WalError::corrupt(&path, 0, "no snapshot starts here"));
+        let header = bytes.get(..HEADER_BYTES).filter(|header| header[..8] == MAGIC);
+        let Some(header) = header else {
+            return Err(WalError::corrupt(&path, 0, "the snapshot header is invalid"));
         };
-        let expected = [head[8], head[9], head[10], head[11]];
+        let expected = [header[8], header[9], header[10], header[11]];
         let data = bytes.split_off(HEADER_BYTES);
         if crc32fast::hash(&data).to_le_bytes() != expected {
-            return Err(WalError::corrupt(&path, HEADER_BYTES as u64, "the checksum differs"));
+            return Err(WalError::corrupt(
+                &path,
+                HEADER_BYTES as u64,
+                "the snapshot checksum does not match",
+            ));
         }
         Ok(data)
     }
 
-    /// Removes a group's snapshots that cover less than an index, and files left half written.
+    /// Removes a group's snapshots that end before an index.
     ///
     /// # Errors
-    /// [`WalError::Io`]; what is left is removed the next time.
+    /// [`WalError::Io`]; the remaining files are removed by the next call.
     pub fn remove_before(&self, group: GroupId, index: u64) -> Result<(), WalError> {
         let folder = &self.folder;
         let paths = self.files.list(folder).map_err(|e| WalError::io("list", folder, &e))?;
         for path in paths {
-            if parse(&path).is_some_and(|(of, covers)| of == group && covers < index) {
+            if parse(&path).is_some_and(|(owner, covered)| owner == group && covered < index) {
                 self.files.remove(&path).map_err(|e| WalError::io("remove", &path, &e))?;
             }
         }
         Ok(())
     }
 
-    /// Indexes that a group's snapshot files cover, in order.
+    /// Last indexes of a group's snapshot files, in ascending order.
     ///
     /// # Errors
     /// [`WalError::Io`].
@@ -88,7 +92,7 @@
         let mut indexes: Vec<u64> = paths
             .iter()
             .filter_map(|path| parse(path))
-            .filter(|(of, _)| *of == group)
+            .filter(|(owner, _)| *owner == group)
             .map(|(_, index)| index)
             .collect();
         indexes.sort_unstable();
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer: one thread that turns all that is queued into one block and one sync.
+//! The writer thread: writes all queued appends as one block and syncs once.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,34 +10,34 @@
 
 use crate::block::Block;
 use crate::log::{Append, WalOptions};
-use crate::recovery::GroupHead;
+use crate::recovery::GroupMeta;
 use crate::{Files, GroupRecord, LogFile, Record, Recovered, WalError, segment};
 
-/// Appends taken into one block at most; bounds the time to the first acknowledgement.
+/// Maximum number of appends in one block; limits the time to the first acknowledgement.
 const MAX_BLOCK_APPENDS: usize = 4096;
 
-/// Highest entry index of each group in one segment.
+/// Highest entry index of each group in a segment.
 pub(crate) type SegmentSpan = BTreeMap<GroupId, u64>;
 
-/// Which segments are there and what they hold; shared with the handle.
+/// The existing segments and their content; shared with the log's handle.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentIndex {
-    /// All segments but the active one, oldest first.
+    /// All segments except the active one, by number.
     pub(crate) sealed: BTreeMap<u64, SegmentSpan>,
-    /// Each group without its entries.
-    pub(crate) heads: BTreeMap<GroupId, GroupHead>,
+    /// Persistent state of each group without its entries.
+    pub(crate) group_metas: BTreeMap<GroupId, GroupMeta>,
 }
 
 impl SegmentIndex {
-    /// Groups that keep the oldest segment alive.
-    pub(crate) fn holders_of_oldest(&self) -> Vec<GroupId> {
+    /// Groups whose entries prevent the removal of the oldest sealed segment.
+    pub(crate) fn groups_pinning_oldest(&self) -> Vec<GroupId> {
         let Some(span) = self.sealed.values().next() else { return Vec::new() };
         let holds = |(group, last): &(&GroupId, &u64)| !self.is_covered(**group, **last);
         span.iter().filter(holds).map(|(group, _)| *group).collect()
     }
 
     fn is_covered(&self, group: GroupId, index: u64) -> bool {
-        self.heads.get(&group).is_some_and(|head| index <= head.covered())
+        self.group_metas.get(&group).is_some_and(|meta| index <= meta.covered_index())
     }
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Writer {
-    /// Serves until all handles are gone. After the first failure every append is refused.
+    /// Runs until all handles are dropped. After the first failure every append is rejected.
     pub(crate) fn run(mut self, queue: &Receiver<Append>) {
         let mut failure: Option<WalError> = None;
         while let Ok(first) = queue.recv() {
@@ -64,7 +64,7 @@
             appends.extend(queue.try_iter().take(MAX_BLOCK_APPENDS - 1));
             if failure.is_none() {
                 failure = self.write(&mut appends).err().map(|error| {
-                    error!(%error, "the log failed; nothing is acknowledged any more");
+                    error!(%error, "write-ahead log failed; rejecting all further appends");
                     WalError::Failed { reason: error.to_string() }
                 });
             }
@@ -97,14 +97,14 @@
         let written = written.map_err(|e| WalError::io("write", &path, &e))?;
         metrics::counter!("hooklug_wal_bytes_total").increment(written);
         self.length += written;
-        self.note(&block.records);
+        self.index_records(&block.records);
         Ok(())
     }
 
-    fn note(&mut self, records: &[GroupRecord]) {
+    fn index_records(&mut self, records: &[GroupRecord]) {
         let mut index = self.index.lock().unwrap_or_else(PoisonError::into_inner);
         for GroupRecord { group, record } in records {
-            index.heads.entry(*group).or_default().note(record);
+            index.group_metas.entry(*group).or_default().apply(record);
             if let Record::Append(entries) = record {
                 let last = entries.last().map_or(0, |entry| entry.index);
                 let highest = self.span.entry(*group).or_default();
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Starts a new segment.
+    /// Seals the active segment and starts a new one.
     fn rotate(&mut self) -> Result<(), WalError> {
         self.sync()?;
         let number = self.number + 1;
@@ -134,33 +134,39 @@
             .sealed
             .insert(self.number, sealed);
         (self.number, self.length, self.synced) = (number, 0, 0);
-        self.begin_segment()
+        self.start_segment()
     }
 
-    /// Writes the head of every group into an empty segment, so that older ones are only needed for entries.
-    pub(crate) fn begin_segment(&mut self) -> Result<(), WalError> {
+    /// Writes the state of every group without its entries into an empty segment, so that older
+    /// segments are only needed for entries.
+    pub(crate) fn start_segment(&mut self) -> Result<(), WalError> {
         if self.length > 0 {
             return Ok(());
         }
         let checkpoint = {
             let index = self.index.lock().unwrap_or_else(PoisonError::into_inner);
-            Recovered::checkpoint(&index.heads)
+            Recovered::checkpoint(&index.group_metas)
         };
         self.append(checkpoint)?;
         self.sync()?;
         self.files.sync_folder(&self.folder).map_err(|e| WalError::io("sync", &self.folder, &e))
     }
 
-    /// Removes the oldest segments as long as snapshots cover all their entries. Only a prefix may go:
-    /// a later segment may say that entries of an earlier one were overwritten.
+    /// Removes the oldest segments while snapshots cover all their entries. Only a prefix may be
+    /// removed: a later segment may replace entries of an earlier one.
     fn remove_covered(&mut self) -> Result<(), WalError> {
         loop {
             let oldest = {
                 let index = self.index.lock().unwrap_or_else(PoisonError::into_inner);
-                index.sealed.keys().next().copied().filter(|_| index.holders_of_oldest().is_empty())
+                index
+                    .sealed
+                    .keys()
+                    .next()
+                    .copied()
+                    .filter(|_| index.groups_pinning_oldest().is_empty())
             };
             let Some(oldest) = oldest else { return Ok(()) };
-            // What made it removable must be durable first.
+            // The record that made the segment removable must be durable first.
             if self.synced < self.length {
                 self.sync()?;
             }
--- a/crates/wal/tests/damage.rs
+++ b/crates/wal/tests/damage.rs
@@ -1,4 +1,4 @@
-//! A small log cut and flipped at every byte.
+//! A small log, truncated and corrupted at every byte.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use hooklug_wal::{GroupRecord, WalError};
 use support::{append, hard_state, open, replayed, snapshot, write};
 
-/// Five synced appends of two groups.
+/// Five synced appends for two groups.
 fn appends() -> Vec<Vec<GroupRecord>> {
     vec![
         vec![hard_state(1, 1, 0), append(1, 1..=3, 1)],
@@ -25,7 +25,7 @@
     path
 }
 
-/// Writes the log and returns its bytes, and its length after each append (first: before any).
+/// Writes the log and returns its bytes and its length before the first and after each append.
 fn written() -> (Vec<u8>, Vec<usize>) {
     let folder = tempfile::tempdir().unwrap();
     let (wal, _) = open(folder.path(), 1 << 20).unwrap();
@@ -48,8 +48,8 @@
 fn a_log_cut_anywhere_keeps_every_whole_append() {
     let (bytes, lengths) = written();
     for cut in 0..=bytes.len() {
-        let whole = lengths.iter().filter(|length| **length <= cut).count().saturating_sub(1);
-        let expected: Vec<_> = appends().into_iter().take(whole).flatten().collect();
+        let complete = lengths.iter().filter(|length| **length <= cut).count().saturating_sub(1);
+        let expected: Vec<_> = appends().into_iter().take(complete).flatten().collect();
         let recovered = reopen(&bytes[..cut]).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
         assert_eq!(recovered.groups, replayed(&expected), "cut at {cut}");
     }
@@ -85,7 +85,7 @@
     for place in lengths[lengths.len() - 2]..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[place] ^= 0x10;
-        // No later sync vouches for these bytes, so they count as a torn tail.
+        // No later block records these bytes as synced, so they are treated as a torn tail.
         let recovered = reopen(&damaged).unwrap_or_else(|e| panic!("flip at {place}: {e}"));
         assert_eq!(recovered.groups, replayed(&before), "flip at {place}");
     }
--- a/crates/wal/tests/failures.rs
+++ b/crates/wal/tests/failures.rs
@@ -1,4 +1,4 @@
-//! A disk that fails: nothing is acknowledged after it.
+//! Disk failures: no append is acknowledged after one.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use hooklug_wal::{Files, LogFile, OsFiles, WalError};
 use support::{append, open, open_with, write};
 
-/// Switches of a failing disk, shared with its files.
+/// Failures to inject, shared with the open files.
 #[derive(Debug, Default)]
 struct Faults {
     fail_sync: AtomicBool,
@@ -109,15 +109,15 @@
     let folder = tempfile::tempdir().unwrap();
     let files = FailingFiles::default();
     let (wal, _) = open_with(Arc::new(files.clone()), folder.path(), 1 << 20).unwrap();
-    // The first completion holds the writer until all the others are queued.
+    // The callback of the first append blocks the writer until all the others are queued.
     let (release, released) = std::sync::mpsc::channel::<()>();
     let hold = move |_| released.recv().unwrap();
     wal.append(vec![append(1, 1..=1, 1)], true, Box::new(hold));
     let (done, results) = std::sync::mpsc::channel();
     for group in 2..102 {
         let done = done.clone();
-        let tell = move |outcome: Result<(), WalError>| done.send(outcome).unwrap();
-        wal.append(vec![append(group, 1..=1, 1)], true, Box::new(tell));
+        let report = move |outcome: Result<(), WalError>| done.send(outcome).unwrap();
+        wal.append(vec![append(group, 1..=1, 1)], true, Box::new(report));
     }
     let before = files.faults.syncs.load(Ordering::SeqCst);
     release.send(()).unwrap();
--- a/crates/wal/tests/segments.rs
+++ b/crates/wal/tests/segments.rs
@@ -1,4 +1,4 @@
-//! Segments come and go; what they hold does not depend on it.
+//! The recovered content does not depend on how records are distributed over segments.
 
 mod support;
 
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 use support::{append, hard_state, open, record, replayed, snapshot, write};
 
-/// One step of a group that keeps to raft's rules: indexes follow, snapshots cover what is there.
+/// An operation of a group that follows raft's rules: indexes are contiguous, and a compaction
+/// covers existing entries only.
 #[derive(Debug, Clone)]
 enum Step {
     Append { count: u64 },
@@ -30,7 +31,7 @@
     ]
 }
 
-/// Where one group stands while records are made up.
+/// Log position of a group while records are generated.
 #[derive(Debug, Clone, Copy, Default)]
 struct Cursor {
     first: u64,
@@ -88,14 +89,14 @@
         let mut cursors = [Cursor::default(); 4];
         let mut records = Vec::new();
         for (count, (group, step)) in steps.iter().enumerate() {
-            let made = cursors[*group as usize].record(*group, step);
-            records.push(made.clone());
-            write(&wal, vec![made]).unwrap();
+            let generated = cursors[*group as usize].record(*group, step);
+            records.push(generated.clone());
+            write(&wal, vec![generated]).unwrap();
             if count % reopen_every == 0 {
                 wal.close();
-                let (again, recovered) = open(folder.path(), 300).unwrap();
+                let (reopened, recovered) = open(folder.path(), 300).unwrap();
                 prop_assert_eq!(&recovered.groups, &replayed(&records));
-                wal = again;
+                wal = reopened;
             }
         }
         wal.close();
@@ -131,10 +132,10 @@
     assert!(before > 5);
     write(&wal, vec![snapshot(1, 99, 1)]).unwrap();
     assert_eq!(wal.segments(), before, "group 2 still needs the oldest segment");
-    assert_eq!(wal.holders_of_oldest(3), vec![GroupId(2)]);
+    assert_eq!(wal.groups_pinning_oldest(3), vec![GroupId(2)]);
     write(&wal, vec![snapshot(2, 1, 1)]).unwrap();
     assert!(wal.segments() <= 2);
-    assert!(wal.holders_of_oldest(0).len() <= 1);
+    assert!(wal.groups_pinning_oldest(0).len() <= 1);
     wal.close();
     let (_, recovered) = open(folder.path(), 400).unwrap();
     assert_eq!(recovered.groups[&GroupId(1)].entries, vec![support::entry(100, 1)]);
@@ -178,10 +179,13 @@
     assert_eq!(store.indexes(group).unwrap(), vec![9]);
     let path = std::fs::read_dir(folder.path()).unwrap().next().unwrap().unwrap().path();
     let bytes = std::fs::read(&path).unwrap();
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         let mut damaged = bytes.clone();
-        damaged[place] ^= 1;
+        damaged[position] ^= 1;
         std::fs::write(&path, &damaged).unwrap();
-        assert!(matches!(store.read(group, 9), Err(WalError::Corrupt { .. })), "flip at {place}");
+        assert!(
+            matches!(store.read(group, 9), Err(WalError::Corrupt { .. })),
+            "flip at {position}"
+        );
     }
 }
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Helpers of the log's tests.
+//! Helpers for the tests of the write-ahead log.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -46,14 +46,14 @@
     Wal::open(files, folder, WalOptions { segment_bytes })
 }
 
-/// Appends and waits until it is durable or refused.
+/// Appends records and waits until they are durable or rejected.
 pub fn write(wal: &Wal, records: Vec<GroupRecord>) -> Result<(), WalError> {
     let (done, result) = channel();
     wal.append(records, true, Box::new(move |outcome| drop(done.send(outcome))));
-    result.recv().expect("the writer answers")
+    result.recv().expect("the writer calls the callback")
 }
 
-/// What a log that held these records must give back.
+/// The state that must be recovered from a log with these records.
 pub fn replayed(records: &[GroupRecord]) -> BTreeMap<GroupId, RecoveredGroup> {
     let mut groups: BTreeMap<GroupId, RecoveredGroup> = BTreeMap::new();
     for GroupRecord { group, record } in records {
