--- a/crates/replication/src/addresses.rs
+++ b/crates/replication/src/addresses.rs
@@ -1,4 +1,4 @@
-//! Where the stores listen, by node id.
+//! Addresses of the stores, by node id.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,14 +6,15 @@
 
 use hooklug_types::{Incarnation, NodeId};
 
-/// Addresses of stores; a newer run of a process replaces an older one's. Cheap to clone.
+/// Addresses of the stores. The address of a newer incarnation replaces that of an older one. Cheap
+/// to clone.
 #[derive(Debug, Clone, Default)]
 pub struct AddressBook {
     entries: Arc<RwLock<BTreeMap<NodeId, (Incarnation, SocketAddr)>>>,
 }
 
 impl AddressBook {
-    /// Notes where a run of a store listens; an older run changes nothing.
+    /// Records the address of a store. An address of an older incarnation is ignored.
     pub fn note(&self, node: NodeId, incarnation: Incarnation, address: SocketAddr) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         let known = entries.entry(node).or_insert((incarnation, address));
@@ -22,14 +23,14 @@
         }
     }
 
-    /// Where a store listens, as far as it is known.
+    /// Address of a store, if known.
     #[must_use]
     pub fn get(&self, node: NodeId) -> Option<SocketAddr> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
         entries.get(&node).map(|(_, address)| *address)
     }
 
-    /// All known stores.
+    /// Addresses of all known stores.
     #[must_use]
     pub fn all(&self) -> Vec<(NodeId, SocketAddr)> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
--- a/crates/replication/src/applier.rs
+++ b/crates/replication/src/applier.rs
@@ -1,4 +1,5 @@
-//! Threads that own the state machines: they apply, answer reads and take snapshots.
+//! Applier threads, which own the state machines: they apply entries, serve reads and take
+//! snapshots.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::{Receiver, Sender};
@@ -14,36 +15,36 @@
 use crate::input::Input;
 use crate::{ConfirmedRead, Proposal, ReadWaiter, ReplicaDigest, ReplicationError, split};
 
-/// One task of an applier, for one group.
+/// A task of an applier thread for one group.
 pub(crate) enum ApplyTask {
-    /// Takes a group's state machine over.
+    /// Adds a group with its state machine.
     Adopt { machine: Box<dyn StateMachine>, meta: SnapshotMeta },
-    /// Lets a group go.
+    /// Removes the group.
     Release,
-    /// Replaces the state.
+    /// Replaces the state by a snapshot.
     Install(Snapshot),
-    /// Applies entries and tells who waits.
+    /// Applies entries and completes their replies.
     Apply(Vec<Proposal>),
-    /// Answers confirmed reads.
+    /// Serves confirmed reads.
     Answer { reads: Vec<ReadWaiter>, leading_since: Instant },
-    /// Answers from the state as it is, however old.
+    /// Serves a query from the current local state, which may be stale.
     AnswerLocal { query: Vec<u8>, reply: oneshot::Sender<Result<Vec<u8>, ReplicationError>> },
-    /// Has a snapshot of the state as it is written by the snapshot thread.
+    /// Freezes the current state and passes it to the snapshot thread.
     Snapshot,
-    /// Tells the digest of the state.
+    /// Computes the digest of the state.
     Digest(oneshot::Sender<ReplicaDigest>),
 }
 
-/// A task and its group.
+/// A task and the group that it is for.
 pub(crate) type GroupTask = (GroupId, ApplyTask);
 
-/// A state machine and what it has applied.
+/// A state machine and the position up to which it has applied entries.
 struct Applied {
     machine: Box<dyn StateMachine>,
     meta: SnapshotMeta,
 }
 
-/// One applier thread.
+/// State of an applier thread.
 pub(crate) struct Applier {
     groups: BTreeMap<GroupId, Applied>,
     snapshots: Sender<SnapshotJob>,
@@ -55,12 +56,12 @@
         Self { groups: BTreeMap::new(), snapshots, driver }
     }
 
-    /// Serves until all senders are gone.
+    /// Processes tasks until all senders are dropped.
     pub(crate) fn run(mut self, tasks: &Receiver<GroupTask>) {
         while let Ok((group, task)) = tasks.recv() {
             if let Err(fault) = self.handle(group, task) {
-                // The replica can no longer agree with the others.
-                error!(%group, %fault, "a state machine failed");
+                // The state of this replica may now differ from that of the others.
+                error!(%group, %fault, "state machine failed");
                 self.groups.remove(&group);
                 let reason = format!("{group}: {fault}");
                 let _ = self.driver.send(Input::Failed { reason });
--- a/crates/replication/src/compaction.rs
+++ b/crates/replication/src/compaction.rs
@@ -1,5 +1,5 @@
-//! The thread that encodes, writes and removes snapshots, so that neither consensus nor applying
-//! waits for them.
+//! The snapshot thread, which encodes, writes and removes snapshots so that neither the driver nor
+//! the appliers wait for them.
 
 use std::sync::mpsc::{Receiver, Sender};
 
@@ -11,15 +11,15 @@
 
 use crate::input::Input;
 
-/// One task of the snapshot thread.
+/// A job of the snapshot thread.
 pub(crate) enum SnapshotJob {
-    /// Writes a snapshot of the own state.
+    /// Writes a snapshot of the local state.
     Write { group: GroupId, meta: SnapshotMeta, state: FrozenState },
-    /// Removes what covers less than an index; the log names a newer one.
+    /// Removes snapshots that end before an index, after the log records a newer one.
     RemoveBefore { group: GroupId, index: u64 },
 }
 
-/// Serves until all senders are gone.
+/// Processes jobs until all senders are dropped.
 pub(crate) fn run(store: &SnapshotStore, jobs: &Receiver<SnapshotJob>, driver: &Sender<Input>) {
     while let Ok(job) = jobs.recv() {
         match job {
@@ -33,7 +33,7 @@
             }
             SnapshotJob::RemoveBefore { group, index } => {
                 if let Err(error) = store.remove_before(group, index) {
-                    warn!(%group, %error, "old snapshots are left for the next time");
+                    warn!(%group, %error, "can't remove old snapshots; retrying after the next snapshot");
                 }
             }
         }
--- a/crates/replication/src/driver.rs
+++ b/crates/replication/src/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that owns all replicas.
+//! The driver thread, which owns all replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
@@ -19,14 +19,14 @@
 use crate::transport::Transport;
 use crate::{Replica, ReplicationError, ReplicationSettings};
 
-/// Inputs taken before replicas are turned over; bounds how long a message waits.
+/// Maximum number of inputs handled per cycle; limits how long a message waits to be processed.
 const MAX_INPUTS_PER_CYCLE: usize = 4_096;
-/// Ticks made up for at most after the process was held up: time that passed while it was frozen
-/// says nothing about its leaders.
+/// Maximum number of overdue ticks processed at once after the process was suspended: the time that
+/// passed in the meantime is no evidence that a leader failed.
 const MAX_TICKS_AT_ONCE: u32 = 2;
-/// Ticks between looks at how many log segments are kept.
+/// Ticks between checks of the number of log segments.
 const PRESSURE_TICKS: u32 = 20;
-/// Senders to the threads around the driver.
+/// Channels to the threads that work for the driver, and to the driver itself.
 pub(crate) struct Workers {
     pub(crate) appliers: Vec<Sender<GroupTask>>,
     pub(crate) snapshots: Sender<SnapshotJob>,
@@ -36,16 +36,16 @@
 impl Workers {
     pub(crate) fn apply(&self, group: GroupId, task: ApplyTask) {
         let applier = group.0 as usize % self.appliers.len();
-        // The appliers outlive the driver.
+        // Sending can't fail: the appliers outlive the driver.
         let _ = self.appliers[applier].send((group, task));
     }
 }
 
-/// The driver's state.
+/// State of the driver thread.
 pub(crate) struct Driver {
     pub(crate) settings: ReplicationSettings,
     pub(crate) replicas: BTreeMap<GroupId, Replica>,
-    /// Hard states of removed replicas: a vote is never forgotten.
+    /// Hard states of removed replicas, retained so that a vote is never lost.
     pub(crate) removed: BTreeMap<GroupId, HardState>,
     pub(crate) wal: Wal,
     pub(crate) snapshot_store: SnapshotStore,
@@ -56,12 +56,12 @@
     pub(crate) failure: watch::Sender<Option<String>>,
     pub(crate) dirty: BTreeSet<GroupId>,
     pub(crate) groups: Arc<Mutex<BTreeSet<GroupId>>>,
-    /// Closed when the driver has ended and the log is whole.
+    /// Dropped, which closes the channel, after the driver has stopped and the log is closed.
     pub(crate) ended: watch::Sender<()>,
 }
 
 impl Driver {
-    /// Serves until told to stop, then closes the log.
+    /// Runs until the driver is stopped, then closes the log.
     pub(crate) fn run(mut self, inputs: &Receiver<Input>) {
         self.serve(inputs);
         self.wal.close();
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The replica of a group, to be turned over in this cycle.
+    /// Returns the replica of a group and schedules it for processing in this cycle.
     pub(crate) fn replica(&mut self, group: GroupId) -> Result<&mut Replica, ReplicationError> {
         if let Some(reason) = self.failure.borrow().clone() {
             return Err(ReplicationError::Failed(reason));
@@ -181,7 +181,8 @@
     }
 
     fn step(&mut self, group: GroupId, message: Message, now: Instant) {
-        // Only a leader's word makes a replica; one without members must not answer a vote request.
+        // Only a leader's message creates a replica, and a replica without members must not reply
+        // to vote requests.
         let from_leader = is_from_leader(&message);
         let replica = if from_leader { self.replica_or_new(group) } else { self.replica(group) };
         if let Ok(replica) = replica
@@ -200,12 +201,12 @@
         }
     }
 
-    /// Stops acknowledging for good.
+    /// Fails all waiting requests and permanently stops acknowledging.
     fn fail(&mut self, reason: String) {
         if self.failure.borrow().is_some() {
             return;
         }
-        error!(reason, "this store acknowledges nothing any more");
+        error!(reason, "replication failed; rejecting all requests until the process restarts");
         let error = ReplicationError::Failed(reason.clone());
         self.failure.send_replace(Some(reason));
         self.replicas.values_mut().for_each(|replica| replica.fail_waiting(&error));
--- a/crates/replication/src/error.rs
+++ b/crates/replication/src/error.rs
@@ -1,34 +1,34 @@
-//! Why the groups could not be opened, or a request was not answered.
+//! Errors of opening the groups and of requests.
 
 use hooklug_raft::{ProposeError, RaftError};
 use hooklug_state::MachineError;
 use hooklug_types::{GroupId, NodeId};
 use hooklug_wal::WalError;
 
-/// Why a request was not answered. Only `NotLeader`, `NoReplica`, `Busy` and `Refused` say that
-/// nothing was appended.
+/// Error of a request. Only `NotLeader`, `NoReplica`, `Busy` and `Refused` guarantee that nothing
+/// was appended.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicationError {
-    /// This replica does not lead the group.
+    /// This replica is not the leader of the group.
     #[error("not the leader")]
     NotLeader {
-        /// Who does, as far as it knows.
+        /// The current leader, if known.
         leader: Option<NodeId>,
     },
     /// This process holds no replica of the group.
-    #[error("no replica of {0} here")]
+    #[error("no replica of {0} on this node")]
     NoReplica(GroupId),
-    /// The entry was lost or leadership went before it was known to be committed.
+    /// The entry was replaced, or leadership was lost, before it was known to be committed.
     #[error("not known to be committed")]
     Uncertain,
-    /// Too much is waiting, or something else is under way; try again.
+    /// A queue is full, or a conflicting operation is in progress; retry later.
     #[error("busy: {0}")]
     Busy(String),
-    /// The request does not fit the group's state.
+    /// The request is not applicable to the group's state.
     #[error("refused: {0}")]
     Refused(String),
-    /// The disk or a state machine failed; nothing is acknowledged any more.
-    #[error("failed: {0}")]
+    /// The disk, a state machine or a thread failed; no request is acknowledged any more.
+    #[error("replication failed: {0}")]
     Failed(String),
 }
 
@@ -44,29 +44,29 @@
     }
 }
 
-/// Why the groups could not be opened. The process must not serve then.
+/// Error of opening the groups, on which the process must not serve.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The log or a snapshot is damaged or cannot be read.
+    /// The log or a snapshot is corrupt or can't be read.
     #[error(transparent)]
     Wal(#[from] WalError),
-    /// The log of a group makes no sense.
-    #[error("{group}: {error}")]
+    /// The raft state of a group can't be restored.
+    #[error("can't restore the raft state of group {group}: {error}")]
     Raft {
         /// The group.
         group: GroupId,
-        /// What does not fit.
+        /// The cause.
         error: RaftError,
     },
-    /// A snapshot does not decode.
-    #[error("{group}: {error}")]
+    /// A snapshot can't be decoded.
+    #[error("can't restore the snapshot of group {group}: {error}")]
     Machine {
         /// The group.
         group: GroupId,
-        /// What does not fit.
+        /// The cause.
         error: MachineError,
     },
     /// A thread could not be started.
-    #[error("cannot start a thread: {0}")]
+    #[error("can't start a thread: {0}")]
     Thread(#[from] std::io::Error),
 }
--- a/crates/replication/src/figures.rs
+++ b/crates/replication/src/figures.rs
@@ -1,14 +1,14 @@
-//! Names of the metrics of replicas, and what sets them.
+//! Metrics of the replicas.
 
 use hooklug_types::GroupId;
 use metrics::gauge;
 
-/// Bytes of a group's log entries that are held in memory.
+/// Sets the size of a group's log entries in memory.
 pub(crate) fn log_memory(group: GroupId, bytes: usize) {
     gauge!("hooklug_log_memory_bytes", "group" => group.to_string()).set(bytes as f64);
 }
 
-/// Bytes of the newest snapshot of a group that was taken here.
+/// Sets the size of the newest snapshot of a group that was taken on this node.
 pub(crate) fn snapshot_taken(group: GroupId, bytes: u64) {
     gauge!("hooklug_snapshot_bytes", "group" => group.to_string()).set(bytes as f64);
 }
--- a/crates/replication/src/handle.rs
+++ b/crates/replication/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which the rest of the process uses its groups.
+//! Handle through which the rest of the process uses its raft groups.
 
 use std::collections::BTreeSet;
 use std::sync::mpsc::Sender;
@@ -17,25 +17,25 @@
 use crate::snapshot_inbox::{ChunkOutcome, SnapshotInbox};
 use crate::{ReadWaiter, ReplicationError, Reply};
 
-/// The answer to a linearizable read.
+/// Result of a linearizable read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfirmedRead {
-    /// The encoded answer.
+    /// The encoded query result.
     pub answer: Vec<u8>,
-    /// Since when the replica that answered leads.
+    /// Time since which the replica that served the read is the leader.
     pub leading_since: Instant,
 }
 
 /// Digest of a replica's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaDigest {
-    /// Highest index applied to it.
+    /// Highest index applied to the state.
     pub applied: u64,
     /// The digest.
     pub digest: Digest,
 }
 
-/// The groups of this process. Cheap to clone.
+/// Handle of the raft groups of this process. Cheap to clone.
 #[derive(Clone)]
 pub struct Replicator {
     pub(crate) node: NodeId,
@@ -54,17 +54,17 @@
     }
 }
 
-/// What a dropped reply channel means: the driver has ended, or let the request go.
+/// Error for a dropped reply channel: the driver has stopped or has discarded the request.
 fn gone<T>(_: T) -> ReplicationError {
     ReplicationError::Uncertain
 }
 
 impl Replicator {
-    /// Applies an encoded command and gives the state machine's reply. Cancelling the call does not
-    /// cancel the command.
+    /// Replicates and applies an encoded command; returns the state machine's result. Dropping the
+    /// future does not cancel the command.
     ///
     /// # Errors
-    /// [`ReplicationError`]; `Uncertain` claims nothing.
+    /// [`ReplicationError`]; after `Uncertain`, the request may or may not take effect.
     pub async fn execute(
         &self,
         group: GroupId,
@@ -75,12 +75,13 @@
         result.await.map_err(gone)?
     }
 
-    /// Applies an encoded command; the state machine's reply, or an error, goes to `reply`.
+    /// Replicates and applies an encoded command; the state machine's result or an error is sent to
+    /// `reply`.
     pub fn propose(&self, group: GroupId, command: Bytes, reply: Reply) {
         self.tell(Input::Propose { group, command, reply });
     }
 
-    /// Answers an encoded query linearizably.
+    /// Serves an encoded query as a linearizable read.
     ///
     /// # Errors
     /// [`ReplicationError`].
@@ -94,10 +95,10 @@
         result.await.map_err(gone)?
     }
 
-    /// Answers an encoded query from the replica here, however old its state is.
+    /// Serves an encoded query from the local replica, whose state may be stale.
     ///
     /// # Errors
-    /// [`ReplicationError::NoReplica`], or `Refused` when the query does not decode.
+    /// [`ReplicationError::NoReplica`], or `Refused` if the query can't be decoded.
     pub async fn read_local(
         &self,
         group: GroupId,
@@ -111,7 +112,7 @@
     /// Proposes a membership change and waits until it is committed.
     ///
     /// # Errors
-    /// [`ReplicationError`]; `Uncertain` claims nothing.
+    /// [`ReplicationError`]; after `Uncertain`, the request may or may not take effect.
     pub async fn change_members(
         &self,
         group: GroupId,
@@ -122,23 +123,23 @@
         result.await.map_err(gone)?.map(drop)
     }
 
-    /// Starts to hand leadership of a group over.
+    /// Starts a leadership transfer.
     ///
     /// # Errors
-    /// When this replica does not lead, or the target has no vote.
+    /// If this replica is not the leader or the target is not another voter.
     pub async fn transfer(&self, group: GroupId, to: NodeId) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
         self.tell(Input::Transfer { group, to, reply });
         result.await.map_err(gone)?
     }
 
-    /// Asks for leadership of a group without waiting for the election timeout.
+    /// Starts an election in a group without waiting for the election timeout.
     pub fn campaign(&self, group: GroupId) {
         self.tell(Input::Campaign { group });
     }
 
-    /// Makes the first replica of a group that begins with these members; durable when this
-    /// returns. A replica that is there already stays as it is.
+    /// Creates the initial replica of a new group with the given members; it is durable when this
+    /// returns. An existing replica is left unchanged.
     ///
     /// # Errors
     /// [`ReplicationError::Failed`].
@@ -148,11 +149,12 @@
         result.await.map_err(gone)?
     }
 
-    /// Removes the replica of a group that its group has let go, as its status showed. Its vote
-    /// stays known.
+    /// Removes a local replica that, according to the status `seen`, is no longer a member of its
+    /// group. Its term and vote are retained.
     ///
     /// # Errors
-    /// [`ReplicationError::Refused`] while it leads, or when it has heard a leader since that status.
+    /// [`ReplicationError::Refused`] if it is the leader or has heard from a leader since that
+    /// status.
     pub async fn remove(&self, seen: &ReplicaStatus) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
         let (group, leader_messages) = (seen.group, seen.leader_messages);
@@ -160,28 +162,28 @@
         result.await.map_err(gone)?
     }
 
-    /// All replicas here.
+    /// Status of all local replicas.
     pub async fn status(&self) -> Vec<ReplicaStatus> {
         let (reply, result) = oneshot::channel();
         self.tell(Input::Status { reply });
         result.await.unwrap_or_default()
     }
 
-    /// Digest of a replica's state; `None` without a replica.
+    /// Digest of the state of a local replica; `None` if there is none.
     pub async fn digest(&self, group: GroupId) -> Option<ReplicaDigest> {
         let (reply, result) = oneshot::channel();
         self.apply(group, ApplyTask::Digest(reply));
         result.await.ok()
     }
 
-    /// Groups that have a replica here.
+    /// Groups that have a local replica.
     #[must_use]
     pub fn groups(&self) -> BTreeSet<GroupId> {
         self.groups.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Takes messages from another store. Those that do not come from it or are not meant for this
-    /// node are dropped.
+    /// Passes on messages from another store. Messages with a different sender or receiver are
+    /// dropped.
     pub fn deliver(&self, from: NodeId, mut messages: Vec<(GroupId, Message)>) {
         messages.retain(|(_, message)| message.from == from && message.to == self.node);
         if !messages.is_empty() {
@@ -189,10 +191,11 @@
         }
     }
 
-    /// Takes a piece of a snapshot. The last one is answered when the snapshot is durable.
+    /// Receives a chunk of a snapshot. For the last chunk, this returns after the snapshot is
+    /// durable.
     ///
     /// # Errors
-    /// [`ReplicationError::Failed`] when the disk fails.
+    /// [`ReplicationError::Failed`] if the snapshot can't be written.
     pub async fn receive_chunk(
         &self,
         chunk: SnapshotChunk,
@@ -218,33 +221,33 @@
         Ok(SnapshotProgress { next_offset })
     }
 
-    /// Why nothing is acknowledged any more; `None` while all is well.
+    /// The failure because of which no request is acknowledged any more; `None` without one.
     #[must_use]
     pub fn failure(&self) -> Option<String> {
         self.failure.borrow().clone()
     }
 
-    /// Follows [`Replicator::failure`].
+    /// Watches for changes of [`Replicator::failure`].
     #[must_use]
     pub fn watch_failure(&self) -> watch::Receiver<Option<String>> {
         self.failure.clone()
     }
 
-    /// Stops all replicas at once, and waits until the log's files are let go.
+    /// Stops all replicas and waits until the log is closed.
     pub async fn stop(&self) {
         self.tell(Input::Stop);
         self.ended().await;
     }
 
-    /// Waits until the driver has ended: it was told to stop, or it panicked. Nothing is answered
-    /// then.
+    /// Waits until the driver has stopped or panicked. No request is served after that.
     pub async fn ended(&self) {
         let mut ended = self.ended.clone();
         while ended.changed().await.is_ok() {}
     }
 
     fn tell(&self, input: Input) {
-        // After the driver's end the reply channel in the input closes, which the caller sees.
+        // If the driver has stopped, the input's reply channel is dropped, which the caller
+        // notices.
         let _ = self.driver.send(input);
     }
 
--- a/crates/replication/src/input.rs
+++ b/crates/replication/src/input.rs
@@ -1,4 +1,4 @@
-//! What the driver thread is told.
+//! Inputs of the driver thread.
 
 use bytes::Bytes;
 use hooklug_protocol::store::ReplicaStatus;
@@ -9,44 +9,45 @@
 
 use crate::{ReadWaiter, ReplicationError, Reply};
 
-/// One input of the driver.
+/// An input of the driver thread.
 pub(crate) enum Input {
-    /// Messages of other replicas, all from one store.
+    /// Raft messages received from a store.
     Messages(Vec<(GroupId, Message)>),
-    /// A command.
+    /// Proposes a command.
     Propose { group: GroupId, command: Bytes, reply: Reply },
-    /// A membership change.
+    /// Proposes a membership change.
     ChangeMembers { group: GroupId, change: ConfChange, reply: Reply },
-    /// A linearizable read.
+    /// Requests a linearizable read.
     Read { group: GroupId, read: ReadWaiter },
-    /// Hands leadership over.
+    /// Transfers leadership.
     Transfer { group: GroupId, to: NodeId, reply: oneshot::Sender<Result<(), ReplicationError>> },
-    /// Asks for leadership.
+    /// Starts an election.
     Campaign { group: GroupId },
-    /// Makes a replica of a group that begins now, unless there is one.
+    /// Creates the initial replica of a new group, unless a replica of it exists.
     Bootstrap {
         group: GroupId,
         conf: ConfState,
         reply: oneshot::Sender<Result<(), ReplicationError>>,
     },
-    /// Removes a replica, if it has heard no leader since it had taken so many messages of them.
+    /// Removes a replica if its count of messages from leaders is still `leader_messages`.
     Remove {
         group: GroupId,
         leader_messages: u64,
         reply: oneshot::Sender<Result<(), ReplicationError>>,
     },
-    /// Asks for all replicas.
+    /// Requests the status of all replicas.
     Status { reply: oneshot::Sender<Vec<ReplicaStatus>> },
-    /// Records of these groups are written, and synced, or never will be.
+    /// Reports that an append to the log completed or failed; `groups` are those that waited for
+    /// the sync.
     Persisted { groups: Vec<GroupId>, outcome: Result<(), WalError> },
-    /// A snapshot of the own state is durable.
+    /// Reports that a snapshot of the local state is durable.
     SnapshotWritten { group: GroupId, meta: SnapshotMeta, bytes: u64 },
-    /// A leader's snapshot is whole, verified and durable.
+    /// Reports that a leader's snapshot is complete, verified and durable.
     SnapshotReceived { group: GroupId, from: NodeId, term: u64, snapshot: Snapshot },
-    /// How the transfer of a snapshot ended.
+    /// Reports the result of a snapshot transfer.
     SnapshotSent { group: GroupId, to: NodeId, sent: bool },
-    /// A disk or a state machine failed.
+    /// Reports a failure of the disk, a state machine or a thread.
     Failed { reason: String },
-    /// Ends the driver.
+    /// Stops the driver.
     Stop,
 }
--- a/crates/replication/src/joined.rs
+++ b/crates/replication/src/joined.rs
@@ -1,7 +1,8 @@
-//! Several commands in one log entry: what waits together costs one entry, one record and one task.
+//! Batching of commands: commands that wait together share one log entry, one record and one
+//! applier task.
 //!
-//! A joined entry holds its commands in order, each after its length (u32, little endian). Replicas
-//! apply them one after another, so the state is the same as with an entry each.
+//! A batch holds its commands in order, each preceded by its length (u32, little endian). Replicas
+//! apply them one by one, so the resulting state is the same as with one entry per command.
 
 use std::collections::VecDeque;
 
@@ -10,20 +11,19 @@
 
 use crate::Reply;
 
-/// Bytes of commands after which an entry takes no more (ours); a longer command has one of its
-/// own.
+/// Maximum size of a batch in bytes. A command that exceeds it gets a batch of its own.
 pub const MAX_JOINED_BYTES: usize = 64 << 10;
-/// Commands in one entry at most (ours).
+/// Maximum number of commands in a batch.
 pub const MAX_JOINED_COMMANDS: usize = 1_024;
-/// Bytes of the length before each command.
+/// Size of the length prefix of each command.
 const LENGTH_BYTES: usize = size_of::<u32>();
 
-/// An entry that is not in the log yet.
+/// Commands of one log entry that is not appended yet.
 #[derive(Debug, Default)]
 pub(crate) struct JoinedEntry {
-    /// The commands as the log holds them.
+    /// The encoded commands.
     pub(crate) bytes: Vec<u8>,
-    /// Who waits for their results, in the same order.
+    /// The replies to the commands, in the same order.
     pub(crate) replies: Vec<Reply>,
 }
 
@@ -34,7 +34,7 @@
     }
 
     fn push(&mut self, command: &[u8], reply: Reply) {
-        // The rpc's frames are shorter than a u32 can say.
+        // RPC frames are limited to less than `u32::MAX` bytes, so the conversion can't fail.
         let length = u32::try_from(command.len()).unwrap_or(u32::MAX);
         self.bytes.extend_from_slice(&length.to_le_bytes());
         self.bytes.extend_from_slice(command);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Commands that wait for the next round, joined into entries.
+/// Queue of batches that wait to be appended.
 #[derive(Debug, Default)]
 pub(crate) struct Gathered {
     entries: VecDeque<JoinedEntry>,
@@ -50,7 +50,7 @@
 }
 
 impl Gathered {
-    /// Adds a command behind all others.
+    /// Adds a command to the last batch, or to a new one if that is full.
     pub(crate) fn push(&mut self, command: &[u8], reply: Reply) {
         self.bytes += command.len();
         if !self.entries.back().is_some_and(|entry| entry.has_room(command)) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The next entry, in order.
+    /// Removes and returns the first batch.
     pub(crate) fn pop(&mut self) -> Option<JoinedEntry> {
         let entry = self.entries.pop_front();
         if self.entries.is_empty() {
@@ -70,21 +70,21 @@
         entry
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of the commands that wait.
+    /// Total size of the queued commands.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-/// The commands of a joined entry, in order.
+/// Iterates over the commands of a batch, in order.
 ///
 /// # Errors
-/// An item is an error when the bytes end inside a command; nothing follows it.
+/// If the bytes end within a command, the last item is an error.
 pub fn split(entry: &Bytes) -> impl Iterator<Item = Result<&[u8], MachineError>> {
     let mut rest = entry.as_ref();
     std::iter::from_fn(move || {
@@ -94,8 +94,8 @@
         let command = take_command(rest);
         rest = command.map_or(&[], |command| &rest[LENGTH_BYTES + command.len()..]);
         Some(command.ok_or_else(|| MachineError::Decode {
-            what: "joined entry",
-            reason: "it ends inside a command".to_owned(),
+            what: "command batch",
+            reason: "truncated command".to_owned(),
         }))
     })
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs the replicated groups of one process.
+//! Runs the raft groups of a process: consensus, persistence, application and transport.
 //!
-//! One driver thread owns all replicas: it ticks them, steps messages and turns each `Ready` into
-//! work for others. The log's writer syncs entries of many groups together, applier threads own the
-//! state machines, and one task a peer store sends what gathered for it in shared frames.
+//! A single driver thread owns all replicas: it ticks them, steps messages and dispatches the work
+//! of each `Ready`. The log writer syncs entries of many groups together, applier threads own the
+//! state machines, and one task per peer store sends the queued messages in shared frames.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/replication/src/lifecycle.rs
+++ b/crates/replication/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How replicas come to a process and leave it.
+//! Lifecycle of replicas: restoring, creating and removing them.
 
 use std::sync::PoisonError;
 
@@ -11,12 +11,12 @@
 use crate::driver::Driver;
 use crate::{OpenError, Replica, ReplicationError};
 
-/// Term and index of a group's first snapshot: the empty state with its first members. A replica
-/// that joins later lacks it and so gets a snapshot with the members before anything else (ours).
+/// Term and index of the initial snapshot of a group: the empty state with the initial members. A
+/// replica that joins later lacks it, and therefore receives a snapshot with the members first.
 const FIRST_INDEX: u64 = 1;
 
 impl Driver {
-    /// Restores one replica from what the log holds of it.
+    /// Restores a replica from its recovered state.
     pub(crate) fn restore(
         &mut self,
         group: GroupId,
@@ -24,7 +24,7 @@
     ) -> Result<(), OpenError> {
         let meta = match state.snapshot {
             Some(meta) if !state.removed => meta,
-            // Removed, or a replica that joined and never got its members.
+            // The replica was removed, or it joined and never received the members.
             _ => {
                 self.removed.insert(group, state.hard_state);
                 return Ok(());
@@ -46,13 +46,14 @@
         Ok(())
     }
 
-    /// The replica of a group; made without members when there is none, to be filled by a snapshot.
+    /// Returns the replica of a group. A missing replica is created without members, to be filled
+    /// by a snapshot.
     pub(crate) fn replica_or_new(
         &mut self,
         group: GroupId,
     ) -> Result<&mut Replica, ReplicationError> {
         if !self.replicas.contains_key(&group) && self.failure.borrow().is_none() {
-            info!(%group, "a replica is placed here");
+            info!(%group, "creating a replica at the leader's request");
             let conf = ConfState::default();
             let empty = SnapshotMeta { index: 0, term: 0, conf };
             self.adopt(group, empty, None)?;
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// Makes the first replica of a group that begins with these members.
+    /// Creates the initial replica of a new group with the given members.
     pub(crate) fn bootstrap(
         &mut self,
         group: GroupId,
@@ -99,8 +100,8 @@
         ];
         let (done, outcome) = std::sync::mpsc::channel();
         self.wal.append(records, true, Box::new(move |written| drop(done.send(written))));
-        let lost = |_| ReplicationError::Failed("the log's writer has ended".to_owned());
-        outcome.recv().map_err(lost)?.map_err(failed)?;
+        let disconnected = |_| ReplicationError::Failed("the log writer has exited".to_owned());
+        outcome.recv().map_err(disconnected)?.map_err(failed)?;
         self.adopt(group, meta.clone(), Some(meta))
     }
 
@@ -112,7 +113,7 @@
         let replica = self.replica(group)?;
         replica.check_let_go(leader_messages)?;
         replica.fail_waiting(&ReplicationError::NoReplica(group));
-        info!(%group, "a replica is removed from here");
+        info!(%group, "removing the replica");
         let hard_state = replica.hard_state();
         self.replicas.remove(&group);
         self.removed.insert(group, hard_state);
--- a/crates/replication/src/proposals.rs
+++ b/crates/replication/src/proposals.rs
@@ -1,4 +1,4 @@
-//! The commands and membership changes of one leader whose results are waited for.
+//! Pending commands and membership changes of a leader.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,34 @@
 use crate::joined::{Gathered, JoinedEntry};
 use crate::{ReplicationError, Reply};
 
-/// Commands that may wait for their results at one leader (ours).
+/// Maximum number of commands that wait for their results at a leader.
 const MAX_WAITING_COMMANDS: usize = 65_536;
-/// Bytes of commands that may wait for the sync under way (ours); a single command may be longer.
+/// Maximum size of the commands that wait to be appended. A single command may exceed it.
 const MAX_GATHERED_BYTES: usize = 64 << 20;
 
-/// An entry of this leader that is not committed yet.
+/// An appended entry that is not committed yet.
 #[derive(Debug)]
 struct PendingEntry {
     term: u64,
     replies: Vec<Reply>,
 }
 
-/// Who waits at one leader.
+/// Pending proposals of a leader.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
-    /// Commands that came since the last round began; they are not in the log.
+    /// Commands that are not appended to the log yet.
     gathered: Gathered,
-    /// Entries in the log, by index.
+    /// Uncommitted entries in the log, by index.
     pending: BTreeMap<u64, PendingEntry>,
-    /// Results that are waited for, of both.
+    /// Number of replies in `gathered` and `pending`.
     waiting: usize,
 }
 
 impl Proposals {
-    /// Adds a command to the next entry, or refuses it when too much waits.
+    /// Queues a command for the next log entry, or rejects it if the queue is full.
     pub(crate) fn gather(&mut self, command: &[u8], reply: Reply) {
         if self.is_full(command) {
-            reply.send(Err(ReplicationError::Busy("too many commands wait".to_owned())));
+            reply.send(Err(ReplicationError::Busy("too many commands are pending".to_owned())));
         } else {
             self.waiting += 1;
             self.gathered.push(command, reply);
@@ -47,7 +47,7 @@
         self.waiting >= MAX_WAITING_COMMANDS || has_no_bytes_left
     }
 
-    /// Puts what was gathered into the log, in order.
+    /// Appends all queued commands to the log, in order.
     pub(crate) fn append_gathered(
         &mut self,
         mut append: impl FnMut(Vec<u8>) -> Result<LogPosition, ProposeError>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Waits for a membership change.
+    /// Adds a membership change that waits to be committed.
     pub(crate) fn wait_for_change(
         &mut self,
         position: Result<LogPosition, ProposeError>,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Who waits for a committed entry; those who wait for another one at its place hear that
-    /// theirs is uncertain.
+    /// Returns the replies to a committed entry. If a different entry was pending at its index,
+    /// that entry's replies are completed as uncertain.
     pub(crate) fn committed(&mut self, entry: &Entry) -> Vec<Reply> {
         let Some(PendingEntry { term, replies }) = self.pending.remove(&entry.index) else {
             return Vec::new();
@@ -93,14 +93,14 @@
         replies
     }
 
-    /// Answers those whose commands are not in the log with an error.
+    /// Fails all commands that are not in the log with an error.
     pub(crate) fn fail_gathered(&mut self, error: &ReplicationError) {
         while let Some(entry) = self.gathered.pop() {
             self.fail(entry.replies, error);
         }
     }
 
-    /// Answers all with an error.
+    /// Fails all pending proposals with an error.
     pub(crate) fn fail_all(&mut self, error: &ReplicationError) {
         self.fail_gathered(error);
         for (_, pending) in std::mem::take(&mut self.pending) {
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,5 @@
-//! One replica: consensus with the requests that wait on it. No I/O; time comes in as an argument.
+//! A replica: raft state machine plus the client requests that wait for it. Performs no I/O; the
+//! current time is passed as an argument.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -14,46 +15,47 @@
 use crate::proposals::Proposals;
 use crate::{Proposal, ReadWaiter, ReplicationError, Reply, Round, split};
 
-/// Bytes of commands after which a group takes a snapshot, however few they are (ours).
+/// Size of applied commands after which a group takes a snapshot, regardless of their number.
 const SNAPSHOT_LOG_BYTES: u64 = 32 << 20;
 
-/// Bytes of entries that stay in memory behind a snapshot at most (ours).
+/// Maximum size of the entries retained in memory after a snapshot covers them.
 const TRAILING_LOG_BYTES: usize = 8 << 20;
-/// One replica of one group.
+/// A replica of a group.
 #[derive(Debug)]
 pub struct Replica {
     group: GroupId,
     node: RawNode,
-    /// The newest hard state that was handed out.
+    /// The latest hard state passed to the driver.
     hard_state: HardState,
     proposals: Proposals,
-    /// Reads that wait for their round, by context.
+    /// Reads that wait for their heartbeat round, by context.
     unconfirmed: BTreeMap<u64, Vec<ReadWaiter>>,
-    /// Reads that wait for entries up to an index.
+    /// Confirmed reads that wait until the given index is passed to the state machine.
     confirmed: Vec<(u64, Vec<ReadWaiter>)>,
-    /// Reads of this driver cycle; they share one context.
+    /// Reads that arrived in this driver cycle; they share one context.
     arrived: Vec<ReadWaiter>,
     next_context: u64,
-    /// Highest index handed to the state machine.
+    /// Highest index passed to the state machine.
     handed_over: u64,
     /// The newest durable snapshot.
     snapshot: Option<SnapshotMeta>,
     snapshotting: bool,
-    /// Bytes of that snapshot, as far as it was taken here.
+    /// Size of the newest snapshot taken on this node.
     snapshot_bytes: u64,
-    /// Bytes of commands handed to the state machine since the snapshot.
+    /// Size of the commands passed to the state machine since the snapshot.
     log_bytes: u64,
-    /// Commands, and entries without any, handed to the state machine since the snapshot.
+    /// Number of commands and entries without commands passed to the state machine since the
+    /// snapshot.
     log_commands: u64,
     leading_since: Option<Instant>,
-    /// Messages of leaders that were taken.
+    /// Number of messages received from leaders.
     leader_messages: u64,
-    /// Messages that wait for the sync under way; `None` when none is.
+    /// Messages to send after the sync in progress; `None` if there is none.
     after_sync: Option<Vec<Message>>,
 }
 
 impl Replica {
-    /// A replica around a consensus core that has applied nothing after its snapshot.
+    /// Creates a replica from a raft node that has applied nothing after its snapshot.
     #[must_use]
     pub fn new(
         group: GroupId,
@@ -82,33 +84,33 @@
         }
     }
 
-    /// One tick.
+    /// Advances the logical clock by one tick.
     pub fn tick(&mut self, now: Instant) {
         self.node.tick();
         self.note_role(now);
     }
 
-    /// A message of another replica.
+    /// Processes a message of another replica.
     pub fn step(&mut self, message: Message, now: Instant) {
         self.leader_messages += u64::from(is_from_leader(&message));
         self.node.step(message);
         self.note_role(now);
     }
 
-    /// A verified snapshot of the leader.
+    /// Accepts a verified snapshot of the leader.
     pub fn receive_snapshot(&mut self, from: NodeId, term: u64, snapshot: Snapshot, now: Instant) {
         self.leader_messages += 1;
         self.node.receive_snapshot(from, term, snapshot);
         self.note_role(now);
     }
 
-    /// How a snapshot transfer ended.
+    /// Reports the result of a snapshot transfer.
     pub fn report_snapshot(&mut self, to: NodeId, sent: bool) {
         self.node.report_snapshot(to, sent);
     }
 
-    /// A command; its result or an error goes to `reply`. Commands that come while a round is under
-    /// way share the entries of the next one.
+    /// Proposes a command; its result or an error is sent to `reply`. Commands that arrive during a
+    /// sync share the next log entries.
     pub fn propose(&mut self, command: &[u8], reply: impl Into<Reply>) {
         if self.node.role() == Role::Leader {
             self.proposals.gather(command, reply.into());
@@ -117,7 +119,8 @@
         }
     }
 
-    /// A membership change; `reply` gets empty bytes once it is committed.
+    /// Proposes a membership change; `reply` receives empty bytes after it is committed and
+    /// applied.
     pub fn change_members(&mut self, change: ConfChange, reply: impl Into<Reply>) {
         self.append_gathered();
         let position = self.node.propose_conf_change(change);
@@ -133,7 +136,7 @@
         ReplicationError::NotLeader { leader: self.node.leader() }
     }
 
-    /// A linearizable read; all reads of one cycle share a round.
+    /// Requests a linearizable read. All reads of a driver cycle share a heartbeat round.
     pub fn read(&mut self, read: ReadWaiter) {
         if self.node.role() == Role::Leader {
             self.arrived.push(read);
@@ -142,20 +145,20 @@
         }
     }
 
-    /// Hands leadership over.
+    /// Transfers leadership.
     ///
     /// # Errors
-    /// When this replica does not lead or the target has no vote.
+    /// If this replica is not the leader or the target is not another voter.
     pub fn transfer(&mut self, to: NodeId) -> Result<(), ReplicationError> {
         self.node.transfer_leadership(to).map_err(ReplicationError::from)
     }
 
-    /// Asks for leadership.
+    /// Starts an election.
     pub fn campaign(&mut self) {
         self.node.campaign();
     }
 
-    /// The next round of work, if there is any and none is under way.
+    /// Returns the next work, if there is any and no sync is in progress.
     pub fn round(&mut self, now: Instant) -> Option<Round> {
         self.start_reads();
         if self.after_sync.is_some() {
@@ -220,7 +223,7 @@
         round
     }
 
-    /// Notes that the last round is synced; gives the messages that waited for it.
+    /// Records that the last work is synced; returns the messages that depended on it.
     pub fn persisted(&mut self, now: Instant) -> Vec<Message> {
         let Some(messages) = self.after_sync.take() else { return Vec::new() };
         self.node.advance();
@@ -258,8 +261,8 @@
         due
     }
 
-    /// Notes since when this replica leads. One that stopped leading answers what waits at once, so
-    /// that callers turn to the new leader.
+    /// Tracks since when this replica is the leader. A replica that lost leadership fails all
+    /// waiting requests immediately, so that callers turn to the new leader.
     fn note_role(&mut self, now: Instant) {
         let leads = self.node.role() == Role::Leader;
         if leads == self.leading_since.is_some() {
@@ -267,22 +270,22 @@
         }
         self.leading_since = leads.then_some(now);
         if !leads {
-            // What is not in the log can be sent to the next leader at once.
+            // Commands that are not in the log yet can safely be retried at the next leader.
             let error = self.not_leader();
             self.proposals.fail_gathered(&error);
             self.fail_waiting(&ReplicationError::Uncertain);
         }
     }
 
-    /// Answers all commands, membership changes and new reads with an error.
+    /// Fails all commands, membership changes and unstarted reads with an error.
     pub fn fail_waiting(&mut self, error: &ReplicationError) {
         self.proposals.fail_all(error);
         fail_reads(std::mem::take(&mut self.arrived), error);
     }
 
-    /// Whether enough was applied since the last snapshot to take another: so many commands, or
-    /// more bytes than both a fixed amount and the last snapshot, so that a large state is not
-    /// written too often.
+    /// Whether enough was applied since the last snapshot to take another one: `snapshot_commands`
+    /// commands, or more bytes than both a fixed limit and the size of the last snapshot. The
+    /// latter keeps a large state from being written too often.
     #[must_use]
     pub fn wants_snapshot(&self, snapshot_commands: u64) -> bool {
         let is_large = self.log_bytes >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
@@ -290,14 +293,14 @@
         !self.snapshotting && self.log_commands > 0 && (is_long || is_large)
     }
 
-    /// Notes that a snapshot of the state was asked for.
+    /// Records that a snapshot of the state was requested.
     pub fn begin_snapshot(&mut self) {
         self.snapshotting = true;
         (self.log_bytes, self.log_commands) = (0, 0);
     }
 
-    /// Notes that a snapshot of the state is durable and drops the entries that it covers, but for
-    /// some. Gives the record to persist; `None` when a newer snapshot stands already.
+    /// Records that a snapshot of the state is durable and compacts the log, except for `trailing`
+    /// entries. Returns the record to persist, or `None` if a newer snapshot exists.
     pub fn finish_snapshot(
         &mut self,
         meta: SnapshotMeta,
@@ -309,7 +312,9 @@
         if self.snapshot.as_ref().is_some_and(|newest| newest.index >= meta.index) {
             return None;
         }
-        // Applied when the round that held the entries is advanced; until then it stays whole.
+        // Compaction fails if the entries are not yet marked as applied, which happens when the
+        // work that contained them is advanced. The log then stays uncompacted until the next
+        // snapshot.
         let _ = self.node.compact_with_trailing(meta.index, trailing, TRAILING_LOG_BYTES);
         self.snapshot = Some(meta.clone());
         Some(Record::Snapshot(meta))
@@ -321,42 +326,47 @@
         self.snapshot.as_ref()
     }
 
-    /// Whether it has members to vote with: one that joins gets them with its first snapshot.
+    /// Whether the replica knows the group's members. A joining replica receives them with its
+    /// first snapshot.
     #[must_use]
     pub fn has_members(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// Whether it leads.
+    /// Whether this replica is the leader.
     #[must_use]
     pub fn leads(&self) -> bool {
         self.leading_since.is_some()
     }
 
-    /// Whether the group may have let this replica go, as it was when it had taken so many messages
-    /// of leaders. One that has heard a leader since may be a member again, and its leader may
-    /// count on what it holds.
+    /// Checks that the replica may be removed based on a status in which it had received
+    /// `leader_messages` messages from leaders. If it has heard from a leader since, it may have
+    /// been added to the group again, and the leader may rely on its log.
     ///
     /// # Errors
-    /// [`ReplicationError::Refused`] says why it must stay.
+    /// [`ReplicationError::Refused`] with the reason why it must not be removed.
     pub fn check_let_go(&self, leader_messages: u64) -> Result<(), ReplicationError> {
         if self.leads() {
-            return Err(ReplicationError::Refused("it leads the group".to_owned()));
+            return Err(ReplicationError::Refused(
+                "the replica is the leader of the group".to_owned(),
+            ));
         }
         if self.leader_messages != leader_messages {
-            return Err(ReplicationError::Refused("it has heard a leader since".to_owned()));
+            return Err(ReplicationError::Refused(
+                "the replica has heard from a leader since its status was read".to_owned(),
+            ));
         }
         Ok(())
     }
 
-    /// Term and vote that a later replica of the group on this node must not forget.
+    /// Term and vote that a later replica of the group on this node must not lose.
     #[must_use]
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// The replica for operators and for repair. Its members are those of the applied entries: a
-    /// store must not act on a removal that may yet be undone.
+    /// Status of the replica, for operators and for repair. `conf` holds the members as of the
+    /// applied entries, since a store must not act on a removal that may still be reverted.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let status = self.node.status();
@@ -381,20 +391,20 @@
         }
     }
 
-    /// Bytes of the log's entries that are held in memory.
+    /// Size of the log entries in memory.
     #[must_use]
     pub fn log_memory(&self) -> usize {
         self.node.log_bytes()
     }
 
-    /// The leader's term, for the messages of a snapshot transfer.
+    /// The current term, sent with the chunks of a snapshot.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.node.status().term
     }
 }
 
-/// Whether only a leader sends such a message.
+/// Whether a message is of a type that only leaders send.
 pub(crate) fn is_from_leader(message: &Message) -> bool {
     matches!(
         message.body,
--- a/crates/replication/src/reply.rs
+++ b/crates/replication/src/reply.rs
@@ -1,26 +1,27 @@
-//! Where the answer to a command goes.
+//! The reply to a command.
 
 use tokio::sync::oneshot;
 
 use crate::ReplicationError;
 
-/// What a command or a membership change came to: the state machine's encoded reply.
+/// Outcome of a command or a membership change: the state machine's encoded result, or an error.
 pub type Outcome = Result<Vec<u8>, ReplicationError>;
 
-/// Takes the outcome of one command or membership change, once, in whichever thread knows it. Must
-/// not block. Dropped without one, it says that the outcome is uncertain.
+/// One-shot callback for the outcome of a command or membership change. It is called on whichever
+/// thread determines the outcome and must not block. If it is dropped before being sent, the
+/// outcome is [`ReplicationError::Uncertain`].
 pub struct Reply {
-    /// `None` once it is used.
+    /// `None` after the outcome is sent.
     answer: Option<Box<dyn FnOnce(Outcome) + Send>>,
 }
 
 impl Reply {
-    /// A reply that calls a function.
+    /// Creates a reply that calls a function with the outcome.
     pub fn new(answer: impl FnOnce(Outcome) + Send + 'static) -> Self {
         Self { answer: Some(Box::new(answer)) }
     }
 
-    /// Gives the outcome.
+    /// Sends the outcome.
     pub fn send(mut self, outcome: Outcome) {
         self.give(outcome);
     }
--- a/crates/replication/src/round.rs
+++ b/crates/replication/src/round.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of the threads around it, one round at a time.
+//! Work that a replica hands to the driver.
 
 use std::time::Instant;
 
@@ -9,45 +9,45 @@
 
 use crate::{ConfirmedRead, ReplicationError, Reply};
 
-/// A committed entry and who waits for its results.
+/// A committed entry and the replies to its proposers.
 #[derive(Debug)]
 pub struct Proposal {
     /// The entry.
     pub entry: Entry,
-    /// One for each command of the entry, in order; none when nobody waits here.
+    /// One reply per command of the entry, in order; empty if the entry was proposed elsewhere.
     pub replies: Vec<Reply>,
 }
 
-/// A read and who waits for its answer.
+/// A pending read.
 #[derive(Debug)]
 pub struct ReadWaiter {
     /// The encoded query.
     pub query: Vec<u8>,
-    /// Gets the answer, and since when this replica leads.
+    /// Receives the result.
     pub reply: oneshot::Sender<Result<ConfirmedRead, ReplicationError>>,
 }
 
-/// One `Ready` as work for the shell: send `early`; install `snapshot`, apply `committed` and answer
-/// `reads`, in this order; persist `records` and, if `sync`, wait for it; then send what
-/// [`Replica::persisted`](crate::Replica::persisted) gives.
+/// The work of a raft `Ready` for the driver: send `early` and `late`; install `snapshot`, apply
+/// `committed` and serve `reads`, in this order; persist `records`. If `sync` is set, sync them and
+/// then send the messages that [`Replica::persisted`](crate::Replica::persisted) returns.
 #[derive(Debug, Default)]
 pub struct Round {
-    /// Messages that do not rest on this round's writes.
+    /// Messages that do not depend on `records`.
     pub early: Vec<Message>,
-    /// A snapshot to put in place of the state.
+    /// A snapshot that replaces the state.
     pub snapshot: Option<Snapshot>,
-    /// Entries to apply.
+    /// Committed entries to apply.
     pub committed: Vec<Proposal>,
-    /// Reads to answer after them.
+    /// Reads to serve after applying `committed`.
     pub reads: Vec<ReadWaiter>,
-    /// Since when this replica leads, for the answers to reads.
+    /// Time since which this replica is the leader, for the results of reads.
     pub leading_since: Option<Instant>,
-    /// What to persist.
+    /// Records to persist.
     pub records: Vec<Record>,
-    /// Whether the replica waits for the sync.
+    /// Whether the replica waits for the records to be synced.
     pub sync: bool,
-    /// Messages that rest on nothing that waits for a sync.
+    /// Messages that would have to wait for the sync; empty if `sync` is set.
     pub late: Vec<Message>,
-    /// Replicas that need a snapshot.
+    /// Replicas to which a snapshot must be sent.
     pub snapshot_requests: Vec<NodeId>,
 }
--- a/crates/replication/src/rounds.rs
+++ b/crates/replication/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Turning the replicas' work over to the log, the appliers and the transport.
+//! Dispatches the replicas' work to the log, the appliers and the transport.
 
 use std::time::Instant;
 
@@ -16,7 +16,7 @@
 use crate::snapshot_sender::Transfer;
 
 impl Driver {
-    /// Asks the groups that keep old log segments for snapshots.
+    /// Requests snapshots of the groups that prevent the removal of old log segments.
     pub(crate) fn relieve_log(&mut self) {
         for (group, replica) in &self.replicas {
             figures::log_memory(*group, replica.log_memory());
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Does the work of all replicas that have some; all that they persist shares one append.
+    /// Dispatches the pending work of all replicas; their records share one append to the log.
     pub(crate) fn turn_over(&mut self) {
         let now = Instant::now();
         let (mut records, mut waiting) = (Vec::new(), Vec::new());
@@ -98,13 +98,13 @@
         let trailing = self.settings.trailing_entries();
         let index = meta.index;
         figures::snapshot_taken(group, bytes);
-        debug!(%group, index, bytes, "a snapshot was taken");
+        debug!(%group, index, bytes, "snapshot written");
         let Ok(replica) = self.replica(group) else { return };
         let Some(record) = replica.finish_snapshot(meta, bytes, trailing) else { return };
         self.append_snapshot(group, index, record);
     }
 
-    /// Persists that a snapshot stands, and removes older files once that is synced.
+    /// Appends a snapshot or removal record, and removes older snapshot files after it is synced.
     pub(crate) fn append_snapshot(&mut self, group: GroupId, index: u64, record: Record) {
         let (snapshots, driver) = (self.workers.snapshots.clone(), self.workers.driver.clone());
         let done = move |outcome: Result<(), WalError>| match outcome {
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -1,4 +1,4 @@
-//! How replicas run.
+//! Replication settings.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,31 +6,32 @@
 use hooklug_types::NodeId;
 use hooklug_wal::WalOptions;
 
-/// Settings of all replicas of one process.
+/// Settings of all replicas of a process.
 #[derive(Debug, Clone)]
 pub struct ReplicationSettings {
-    /// This process's node id.
+    /// Node id of this process.
     pub node: NodeId,
-    /// Folder of the log and the snapshots.
+    /// Directory of the log and the snapshots.
     pub folder: PathBuf,
-    /// Time of one raft tick.
+    /// Duration of a raft tick.
     pub tick: Duration,
     /// Ticks without a leader before an election.
     pub election_ticks: u32,
-    /// Ticks between heartbeats (ours: 2).
+    /// Ticks between heartbeats (default 2).
     pub heartbeat_ticks: u32,
-    /// Applied commands after which a group takes a snapshot.
+    /// Number of applied commands after which a group takes a snapshot.
     pub snapshot_commands: u64,
-    /// Closed log segments after which the groups that hold the oldest take a snapshot (ours: 8).
+    /// Number of sealed log segments (default 8) above which the groups that prevent the removal of
+    /// the oldest one take a snapshot.
     pub max_segments: usize,
-    /// How the log behaves.
+    /// Options of the write-ahead log.
     pub wal: WalOptions,
-    /// Seed of election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
 impl ReplicationSettings {
-    /// Settings with the usual values.
+    /// Creates settings with default values.
     #[must_use]
     pub fn new(node: NodeId, folder: PathBuf) -> Self {
         Self {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Applied entries that stay in memory behind a snapshot, so that a replica that lags a little
-    /// gets entries and not the whole state.
+    /// Number of applied entries that are retained in memory after a snapshot, so that a slightly
+    /// lagging replica is sent entries instead of the complete state.
     pub(crate) fn trailing_entries(&self) -> u64 {
         self.snapshot_commands / 4
     }
@@ -64,8 +65,8 @@
     }
 }
 
-/// Entries of one append, in bytes (ours).
+/// Maximum size of the entries in one append message.
 const MAX_APPEND_BYTES: usize = 256 << 10;
 
-/// Appends to one replica that may be unanswered (ours).
+/// Maximum number of unacknowledged append messages to one replica.
 const MAX_INFLIGHT_APPENDS: usize = 64;
--- a/crates/replication/src/snapshot_inbox.rs
+++ b/crates/replication/src/snapshot_inbox.rs
@@ -1,4 +1,4 @@
-//! Snapshots on their way in: pieces in order, verified as a whole. No I/O.
+//! Assembles incoming snapshots from chunks and verifies their digest. Performs no I/O.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use hooklug_raft::{Snapshot, SnapshotMeta};
 use hooklug_types::{Digest, GroupId, NodeId};
 
-/// Longest snapshot accepted, in bytes (ours).
+/// Maximum size of an accepted snapshot in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 4 << 30;
 
 #[derive(Debug)]
@@ -17,23 +17,23 @@
     data: Vec<u8>,
 }
 
-/// What a piece came to.
+/// Result of receiving a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ChunkOutcome {
-    /// The piece was taken, or not: this offset is expected next.
+    /// The snapshot is incomplete; the chunk at this offset is expected next.
     Expect(u64),
-    /// The snapshot is whole and its digest fits.
+    /// The snapshot is complete and its digest matches.
     Whole(Snapshot),
 }
 
-/// Snapshots that are not whole yet, one a group.
+/// Partially received snapshots, at most one per group.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotInbox {
     partial: BTreeMap<GroupId, Partial>,
 }
 
 impl SnapshotInbox {
-    /// Takes a piece. The first piece of another snapshot replaces one that is not whole.
+    /// Adds a chunk. The first chunk of a snapshot discards a partial one of the same group.
     pub(crate) fn take(&mut self, chunk: &SnapshotChunk) -> ChunkOutcome {
         let group = chunk.group;
         if chunk.offset == 0 {
--- a/crates/replication/src/snapshot_inbox/tests.rs
+++ b/crates/replication/src/snapshot_inbox/tests.rs
@@ -1,4 +1,4 @@
-//! Pieces of snapshots in and out of order.
+//! Tests of receiving snapshot chunks in and out of order.
 
 use hooklug_protocol::store::SnapshotChunk;
 use hooklug_raft::SnapshotMeta;
--- a/crates/replication/src/snapshot_sender.rs
+++ b/crates/replication/src/snapshot_sender.rs
@@ -1,4 +1,4 @@
-//! Snapshots on their way out, in pieces.
+//! Sends snapshots to other stores in chunks.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 
 use crate::AddressBook;
 
-/// Bytes of one piece (ours).
+/// Size of a chunk in bytes.
 const CHUNK_BYTES: usize = 512 << 10;
-/// Time for one piece to be answered; the last one waits for the receiver's disk.
+/// Timeout of the reply to a chunk. The reply to the last chunk includes the receiver's disk write.
 const CHUNK_TIME: Duration = Duration::from_secs(10);
-/// Pieces that may fail or be asked for again in one transfer.
+/// Maximum number of chunks that fail or are requested again in one transfer.
 const MAX_SETBACKS: u32 = 5;
 
-/// One transfer.
+/// A snapshot transfer.
 #[derive(Debug, Clone)]
 pub(crate) struct Transfer {
     pub(crate) group: GroupId,
@@ -30,7 +30,7 @@
 }
 
 impl Transfer {
-    /// Sends the snapshot; gives whether the receiver has it whole.
+    /// Sends the snapshot; returns whether the receiver has the complete snapshot.
     pub(crate) async fn run(
         self,
         store: SnapshotStore,
@@ -42,8 +42,9 @@
         let data = match read {
             Ok(Ok(data)) => data,
             Ok(Err(error)) => {
-                // A newer one has taken its place, most likely; the receiver asks again.
-                debug!(%group, %error, "a snapshot to send is gone");
+                // Most likely a newer snapshot has replaced it. The transfer is retried with that
+                // one.
+                debug!(%group, %error, "can't read the snapshot to send");
                 return false;
             }
             Err(_) => return false,
@@ -63,11 +64,11 @@
             let next = match answer {
                 Ok(Ok(progress)) => usize::try_from(progress.next_offset).unwrap_or(0),
                 Ok(Err(fault)) => {
-                    debug!(group = %self.group, to = %self.to, %fault, "snapshot refused");
+                    debug!(group = %self.group, to = %self.to, %fault, "receiver rejected the snapshot");
                     return false;
                 }
                 Err(error) => {
-                    debug!(group = %self.group, to = %self.to, %error, "snapshot piece lost");
+                    debug!(group = %self.group, to = %self.to, %error, "can't send a snapshot chunk");
                     setbacks += 1;
                     continue;
                 }
--- a/crates/replication/src/start.rs
+++ b/crates/replication/src/start.rs
@@ -1,4 +1,4 @@
-//! Opening the log and starting the threads.
+//! Startup: opens the log, restores the replicas and starts the threads.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -18,31 +18,32 @@
 use crate::transport::Transport;
 use crate::{AddressBook, OpenError, ReplicationSettings, Replicator};
 
-/// Threads that own state machines (ours): a long command of one group holds up half of them at
-/// most.
+/// Number of applier threads. With two, a slow command of one group delays at most half of the
+/// groups.
 const APPLIERS: usize = 2;
 
-/// Makes the empty state machine of a group.
+/// Creates the empty state machine of a group.
 pub type MachineFactory = Arc<dyn Fn(GroupId) -> Box<dyn StateMachine> + Send + Sync>;
 
-/// What replicas share with the rest of the process.
+/// Resources that replication shares with the rest of the process.
 #[derive(Debug, Clone)]
 pub struct StartContext {
-    /// Calls other stores.
+    /// Client for calls to other stores.
     pub client: RpcClient,
-    /// Where they listen.
+    /// Addresses of the other stores.
     pub addresses: AddressBook,
-    /// Runs the sending tasks.
+    /// Runtime of the tasks that send messages and snapshots.
     pub runtime: Handle,
-    /// The disk.
+    /// File system of the log and the snapshots.
     pub files: Arc<dyn Files>,
 }
 
 impl Replicator {
-    /// Opens the log, restores all replicas that it holds and starts them.
+    /// Opens the log, restores all replicas in it and starts them.
     ///
     /// # Errors
-    /// [`OpenError`] when anything on the disk is not what was written.
+    /// [`OpenError`] if the log or a snapshot can't be read or is corrupt, or a thread can't be
+    /// started.
     pub fn start(
         settings: ReplicationSettings,
         machines: MachineFactory,
@@ -55,8 +56,10 @@
         let (driver, inputs) = channel();
         let (snapshot_jobs, jobs) = channel();
         let appliers = start_appliers(&snapshot_jobs, &driver)?;
-        let (store, back) = (snapshots.clone(), driver.clone());
-        spawn_watched("snapshots", &driver, move || compaction::run(&store, &jobs, &back))?;
+        let (store, inputs_sender) = (snapshots.clone(), driver.clone());
+        spawn_watched("snapshots", &driver, move || {
+            compaction::run(&store, &jobs, &inputs_sender)
+        })?;
         let (failure, failed) = watch::channel(None);
         let (ended, watch_end) = watch::channel(());
         let groups = Arc::default();
@@ -112,13 +115,14 @@
     (0..APPLIERS).map(start).collect()
 }
 
-/// Starts a thread whose panic stops all acknowledgements: its groups could not go on.
+/// Starts a thread whose panic is reported to the driver as a failure, since its groups can't
+/// continue without it.
 fn spawn_watched(
     name: &str,
     driver: &Sender<crate::input::Input>,
     run: impl FnOnce() + Send + 'static,
 ) -> Result<(), OpenError> {
-    let (driver, reason) = (driver.clone(), format!("the thread {name} panicked"));
+    let (driver, reason) = (driver.clone(), format!("thread {name} panicked"));
     spawn(name, move || {
         if catch_unwind(AssertUnwindSafe(run)).is_err() {
             let _ = driver.send(crate::input::Input::Failed { reason });
--- a/crates/replication/src/transport.rs
+++ b/crates/replication/src/transport.rs
@@ -1,4 +1,5 @@
-//! Messages to other stores: what gathers for one store while a frame is under way shares the next.
+//! Sends raft messages to other stores. Messages to a store that are queued while frames are in
+//! flight share the next frame.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,20 +18,20 @@
 
 use crate::AddressBook;
 
-/// Messages that may wait for one store; more are dropped, consensus sends them again.
+/// Maximum number of messages queued for a store. Further messages are dropped; raft resends them.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
-/// Entries that may wait for one store, in bytes, so that a store that is frozen costs no more
-/// memory.
+/// Maximum size of the entries queued for a store, which limits the memory used for an unresponsive
+/// store.
 const MAX_QUEUED_ENTRY_BYTES: usize = 64 << 20;
-/// Messages in one frame at most.
+/// Maximum number of messages in a frame.
 const MAX_FRAME_MESSAGES: usize = 1_024;
-/// Entries in one frame, in bytes; a frame holds at least one message.
+/// Maximum size of the entries in a frame. A single message may exceed it.
 const MAX_FRAME_ENTRY_BYTES: usize = 4 << 20;
-/// Frames to one store that may be unanswered.
+/// Maximum number of unacknowledged frames to a store.
 const MAX_INFLIGHT_FRAMES: usize = 16;
-/// Time after which a frame counts as lost.
+/// Timeout after which a frame is considered lost.
 const FRAME_TIME: Duration = Duration::from_secs(1);
-/// Pause after a store could not be reached.
+/// Delay after a frame was lost.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The messages of the next frame.
+    /// Removes and returns the messages of the next frame.
     fn take_frame(&mut self) -> Vec<(GroupId, Message)> {
         let mut bytes = 0;
         let mut fits = |(_, message): &(GroupId, Message)| {
@@ -74,7 +75,7 @@
     }
 }
 
-/// Queues by store, each with a task of its own.
+/// The message queues by store, each drained by its own task.
 #[derive(Debug)]
 pub(crate) struct Transport {
     client: RpcClient,
@@ -88,7 +89,7 @@
         Self { client, addresses, runtime, peers: BTreeMap::new() }
     }
 
-    /// Queues messages of one group.
+    /// Queues messages of a group.
     pub(crate) fn send(&mut self, group: GroupId, messages: Vec<Message>) {
         for message in messages {
             let peer = self.peer(message.to);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Starts the sending of what was queued.
+    /// Notifies the tasks whose queues are not empty.
     pub(crate) fn flush(&self) {
         for peer in self.peers.values() {
             let waiting = peer.waiting.lock().unwrap_or_else(PoisonError::into_inner);
@@ -125,7 +126,7 @@
     }
 }
 
-/// Sends frames to one store until its queue is gone.
+/// Sends frames to a store until its queue is dropped.
 async fn send_frames(
     node: NodeId,
     queue: std::sync::Weak<PeerQueue>,
@@ -145,14 +146,14 @@
             }
             continue;
         }
-        // Without an address the messages are dropped; consensus sends them again.
+        // Without a known address the messages are dropped; raft resends them.
         if let Some(address) = addresses.get(node) {
             let client = client.clone();
             inflight.push(async move {
                 let batch = RaftBatch { to: node, messages };
                 let called = client.call(address, &batch, Instant::now() + FRAME_TIME).await;
                 if let Err(error) = called {
-                    debug!(%node, %error, "a frame of raft messages was lost");
+                    debug!(%node, %error, "can't send a frame of raft messages");
                     tokio::time::sleep(UNREACHABLE_PAUSE).await;
                 }
             });
--- a/crates/replication/tests/joined.rs
+++ b/crates/replication/tests/joined.rs
@@ -1,5 +1,4 @@
-//! Commands that share an entry: their order, their replies, their bounds, and a leader that loses
-//! its place.
+//! Commands that share a log entry: order, replies, limits, and the loss of leadership.
 
 mod support;
 
@@ -19,7 +18,7 @@
 
 const OTHER: NodeId = NodeId(2);
 
-/// A replica that leads a group of three.
+/// The leader of a group of three.
 fn leader_of_three() -> Replica {
     let mut replica = replica(&[1, 2, 3]);
     replica.campaign();
@@ -44,7 +43,7 @@
     answer
 }
 
-/// Proposals of commands, as an applier gets them.
+/// Committed commands, as passed to an applier.
 fn commands_committed(rounds: Vec<Round>) -> Vec<Proposal> {
     let committed = rounds.into_iter().flat_map(|round| round.committed);
     committed.filter(|proposal| matches!(proposal.entry.kind, EntryKind::Command(_))).collect()
@@ -101,7 +100,7 @@
         assert_eq!(commands.len(), proposal.replies.len());
     }
     let applied: Vec<_> = committed.iter().flat_map(|p| commands_in(&p.entry)).collect();
-    assert_eq!(applied, sent, "in the order of their coming");
+    assert_eq!(applied, sent, "in the order of their arrival");
 }
 
 #[test]
@@ -150,7 +149,7 @@
             Err(TryRecvError::Empty) => answers.push(answer),
             other => break other,
         }
-        assert!(answers.len() <= 1 << 20, "some bound");
+        assert!(answers.len() <= 1 << 20, "the number of pending commands is not limited");
     };
     assert!(matches!(refused.unwrap(), Err(ReplicationError::Busy(_))));
     let replies: usize =
@@ -160,7 +159,7 @@
 }
 
 proptest! {
-    /// Damage never panics: whole commands come first, then one error at most.
+    /// Corrupt input never panics: it yields complete commands and then at most one error.
     #[test]
     fn splitting_any_bytes_ends(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         let bytes = Bytes::from(bytes);
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,4 +1,4 @@
-//! One replica without I/O: who is answered, when, and what is persisted first.
+//! A replica without I/O: when requests are answered and what is persisted before.
 
 mod support;
 
@@ -16,7 +16,7 @@
     committed.flat_map(|proposal| commands_in(&proposal.entry)).collect()
 }
 
-/// An entry's bytes as another leader would have made them of one command.
+/// The bytes of an entry with one command, as encoded by another leader.
 fn joined(command: &[u8]) -> bytes::Bytes {
     let length = u32::try_from(command.len()).unwrap();
     [&length.to_le_bytes(), command].concat().into()
@@ -65,7 +65,7 @@
     assert_eq!(answer.try_recv().unwrap(), Err(expected));
 }
 
-/// A leader of three that has proposed a command which no other replica has.
+/// A leader of three that has proposed a command which no other replica has received.
 fn leader_with_a_lonely_command() -> (Replica, oneshot::Receiver<Result<Vec<u8>, ReplicationError>>)
 {
     let mut replica = replica(&[1, 2, 3]);
@@ -133,17 +133,18 @@
     assert!(replica.finish_snapshot(meta, 9, 0).is_none(), "not newer");
 }
 
-/// Guards against a member that forgets its log: between a store's question whether it was let go
-/// and its removal, a leader may have added it again and count on what it holds.
+/// Guards against removing the log of a current member: between the status on which a store bases
+/// the removal and the removal itself, a leader may have added the replica again and rely on its
+/// log.
 #[test]
 fn a_replica_that_has_heard_a_leader_since_its_status_is_not_let_go() {
     let mut replica = replica(&[1, 2, 3]);
     let seen = replica.status().leader_messages;
-    replica.check_let_go(seen).expect("nothing was heard since");
+    replica.check_let_go(seen).expect("no leader was heard from since");
     let heartbeat = MessageBody::Heartbeat { commit: 1, read_round: 0 };
     let message = Message { from: NodeId(2), to: OWN, term: 2, body: heartbeat };
     replica.step(message, Instant::now());
     let refused = replica.check_let_go(seen);
     assert!(matches!(refused, Err(ReplicationError::Refused(_))), "{refused:?}");
-    replica.check_let_go(replica.status().leader_messages).expect("nothing was heard since");
+    replica.check_let_go(replica.status().leader_messages).expect("no leader was heard from since");
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One replica without I/O.
+//! Helpers for tests of a single replica without I/O.
 
 use std::time::Instant;
 
@@ -10,7 +10,7 @@
 
 pub const OWN: NodeId = NodeId(1);
 
-/// A replica of a group that began with these voters.
+/// A replica of a new group with the given initial voters.
 pub fn replica(voters: &[u64]) -> Replica {
     let config = Config {
         id: OWN,
@@ -29,7 +29,7 @@
     Replica::new(GroupId(1), node, hard_state, Some(meta))
 }
 
-/// Does all rounds at once, as if each sync succeeded; gives them and what went out after the
+/// Processes all pending work as if each sync succeeded; returns it and the messages sent after the
 /// syncs.
 pub fn settle(replica: &mut Replica) -> (Vec<Round>, Vec<Message>) {
     let (mut rounds, mut sent) = (Vec::new(), Vec::new());
@@ -45,10 +45,10 @@
 /// The commands of an entry, in order.
 pub fn commands_in(entry: &Entry) -> Vec<Vec<u8>> {
     let EntryKind::Command(joined) = &entry.kind else { return Vec::new() };
-    split(joined).map(|command| command.expect("whole commands").to_vec()).collect()
+    split(joined).map(|command| command.expect("a complete command").to_vec()).collect()
 }
 
-/// A replica that leads a group of its own.
+/// The leader of a group with a single voter.
 pub fn leader_alone() -> Replica {
     let mut replica = replica(&[1]);
     replica.campaign();
