--- a/crates/replication/src/rounds.rs
+++ b/crates/replication/src/dispatch.rs
@@ -11,15 +11,15 @@
 use crate::applier::ApplyTask;
 use crate::compaction::SnapshotJob;
 use crate::driver::Driver;
-use crate::figures;
 use crate::input::Input;
+use crate::metrics;
 use crate::snapshot_sender::Transfer;
 
 impl Driver {
     /// Requests snapshots of the groups that prevent the removal of old log segments.
     pub(crate) fn relieve_log(&mut self) {
         for (group, replica) in &self.replicas {
-            figures::log_memory(*group, replica.log_memory());
+            metrics::log_memory(*group, replica.log_memory());
         }
         for group in self.wal.groups_pinning_oldest(self.settings.max_segments) {
             self.ask_for_snapshot(group, 1);
@@ -97,7 +97,7 @@
     pub(crate) fn snapshot_written(&mut self, group: GroupId, meta: SnapshotMeta, bytes: u64) {
         let trailing = self.settings.trailing_entries();
         let index = meta.index;
-        figures::snapshot_taken(group, bytes);
+        metrics::snapshot_taken(group, bytes);
         debug!(%group, index, bytes, "snapshot written");
         let Ok(replica) = self.replica(group) else { return };
         let Some(record) = replica.finish_snapshot(meta, bytes, trailing) else { return };
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -9,19 +9,19 @@
 
 mod addresses;
 mod applier;
+mod command_batch;
 mod compaction;
+mod dispatch;
 mod driver;
 mod error;
-mod figures;
 mod handle;
 mod input;
-mod joined;
 mod lifecycle;
+mod metrics;
 mod proposals;
 mod replica;
+mod replica_work;
 mod reply;
-mod round;
-mod rounds;
 mod settings;
 mod snapshot_inbox;
 mod snapshot_sender;
@@ -29,11 +29,11 @@
 mod transport;
 
 pub use addresses::AddressBook;
+pub use command_batch::{MAX_JOINED_BYTES, MAX_JOINED_COMMANDS, split};
 pub use error::{OpenError, ReplicationError};
 pub use handle::{ConfirmedRead, ReplicaDigest, Replicator};
-pub use joined::{MAX_JOINED_BYTES, MAX_JOINED_COMMANDS, split};
 pub use replica::Replica;
+pub use replica_work::{Proposal, ReadWaiter, Round};
 pub use reply::{Outcome, Reply};
-pub use round::{Proposal, ReadWaiter, Round};
 pub use settings::ReplicationSettings;
 pub use start::{MachineFactory, StartContext};
--- a/crates/replication/src/figures.rs
+++ b/crates/replication/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of the replicas.
 
+use ::metrics::gauge;
 use hooklug_types::GroupId;
-use metrics::gauge;
 
 /// Sets the size of a group's log entries in memory.
 pub(crate) fn log_memory(group: GroupId, bytes: usize) {
--- a/crates/replication/src/proposals.rs
+++ b/crates/replication/src/proposals.rs
@@ -4,7 +4,7 @@
 
 use hooklug_raft::{Entry, LogPosition, ProposeError};
 
-use crate::joined::{Gathered, JoinedEntry};
+use crate::command_batch::{Gathered, JoinedEntry};
 use crate::{ReplicationError, Reply};
 
 /// Maximum number of commands that wait for their results at a leader.
