--- a/crates/replication/src/applier.rs
+++ b/crates/replication/src/applier.rs
@@ -13,24 +13,26 @@
 
 use crate::compaction::SnapshotJob;
 use crate::input::Input;
-use crate::{ConfirmedRead, Proposal, ReadWaiter, ReplicaDigest, ReplicationError, split};
+use crate::{
+    CommittedEntry, ConfirmedRead, ReadWaiter, ReplicaDigest, ReplicationError, split_batch,
+};
 
 /// A task of an applier thread for one group.
 pub(crate) enum ApplyTask {
     /// Adds a group with its state machine.
-    Adopt { machine: Box<dyn StateMachine>, meta: SnapshotMeta },
+    AddGroup { machine: Box<dyn StateMachine>, meta: SnapshotMeta },
     /// Removes the group.
-    Release,
+    RemoveGroup,
     /// Replaces the state by a snapshot.
-    Install(Snapshot),
+    InstallSnapshot(Snapshot),
     /// Applies entries and completes their replies.
-    Apply(Vec<Proposal>),
+    Apply(Vec<CommittedEntry>),
     /// Serves confirmed reads.
-    Answer { reads: Vec<ReadWaiter>, leading_since: Instant },
+    ServeReads { reads: Vec<ReadWaiter>, leading_since: Instant },
     /// Serves a query from the current local state, which may be stale.
-    AnswerLocal { query: Vec<u8>, reply: oneshot::Sender<Result<Vec<u8>, ReplicationError>> },
+    QueryLocal { query: Vec<u8>, reply: oneshot::Sender<Result<Vec<u8>, ReplicationError>> },
     /// Freezes the current state and passes it to the snapshot thread.
-    Snapshot,
+    TakeSnapshot,
     /// Computes the digest of the state.
     Digest(oneshot::Sender<ReplicaDigest>),
 }
@@ -39,14 +41,14 @@
 pub(crate) type GroupTask = (GroupId, ApplyTask);
 
 /// A state machine and the position up to which it has applied entries.
-struct Applied {
+struct AppliedState {
     machine: Box<dyn StateMachine>,
     meta: SnapshotMeta,
 }
 
 /// State of an applier thread.
 pub(crate) struct Applier {
-    groups: BTreeMap<GroupId, Applied>,
+    groups: BTreeMap<GroupId, AppliedState>,
     snapshots: Sender<SnapshotJob>,
     driver: Sender<Input>,
 }
@@ -70,30 +72,30 @@
     }
 
     fn handle(&mut self, group: GroupId, task: ApplyTask) -> Result<(), MachineError> {
-        if let ApplyTask::Adopt { machine, meta } = task {
-            self.groups.insert(group, Applied { machine, meta });
+        if let ApplyTask::AddGroup { machine, meta } = task {
+            self.groups.insert(group, AppliedState { machine, meta });
             return Ok(());
         }
         let Some(applied) = self.groups.get_mut(&group) else { return Ok(()) };
         match task {
-            ApplyTask::Adopt { .. } => {}
-            ApplyTask::Release => drop(self.groups.remove(&group)),
-            ApplyTask::Install(snapshot) => {
+            ApplyTask::AddGroup { .. } => {}
+            ApplyTask::RemoveGroup => drop(self.groups.remove(&group)),
+            ApplyTask::InstallSnapshot(snapshot) => {
                 applied.machine.restore(&snapshot.data)?;
                 applied.meta = snapshot.meta;
             }
-            ApplyTask::Apply(proposals) => {
-                for proposal in proposals {
-                    applied.apply(proposal)?;
+            ApplyTask::Apply(entries) => {
+                for committed in entries {
+                    applied.apply(committed)?;
                 }
             }
-            ApplyTask::Answer { reads, leading_since } => {
-                reads.into_iter().for_each(|read| applied.answer(read, leading_since));
+            ApplyTask::ServeReads { reads, leading_since } => {
+                reads.into_iter().for_each(|read| applied.serve_read(read, leading_since));
             }
-            ApplyTask::AnswerLocal { query, reply } => {
+            ApplyTask::QueryLocal { query, reply } => {
                 drop(reply.send(applied.query(&query)));
             }
-            ApplyTask::Snapshot => {
+            ApplyTask::TakeSnapshot => {
                 let (meta, state) = (applied.meta.clone(), applied.machine.freeze());
                 let _ = self.snapshots.send(SnapshotJob::Write { group, meta, state });
             }
@@ -106,14 +108,14 @@
     }
 }
 
-impl Applied {
-    fn apply(&mut self, proposal: Proposal) -> Result<(), MachineError> {
-        let Proposal { entry, replies } = proposal;
+impl AppliedState {
+    fn apply(&mut self, committed: CommittedEntry) -> Result<(), MachineError> {
+        let CommittedEntry { entry, replies } = committed;
         let mut replies = replies.into_iter();
         let mut answer = |result| replies.next().map(|reply| reply.send(Ok(result)));
         match &entry.kind {
-            EntryKind::Command(joined) => {
-                for command in split(joined) {
+            EntryKind::Command(batch) => {
+                for command in split_batch(batch) {
                     answer(self.machine.apply(command?)?);
                 }
             }
@@ -127,7 +129,7 @@
         Ok(())
     }
 
-    fn answer(&self, read: ReadWaiter, leading_since: Instant) {
+    fn serve_read(&self, read: ReadWaiter, leading_since: Instant) {
         let answer = self.query(&read.query);
         let read_reply = answer.map(|answer| ConfirmedRead { answer, leading_since });
         drop(read.reply.send(read_reply));
--- a/crates/replication/src/command_batch.rs
+++ b/crates/replication/src/command_batch.rs
@@ -12,25 +12,25 @@
 use crate::Reply;
 
 /// Maximum size of a batch in bytes. A command that exceeds it gets a batch of its own.
-pub const MAX_JOINED_BYTES: usize = 64 << 10;
+pub const MAX_BATCH_BYTES: usize = 64 << 10;
 /// Maximum number of commands in a batch.
-pub const MAX_JOINED_COMMANDS: usize = 1_024;
+pub const MAX_BATCH_COMMANDS: usize = 1_024;
 /// Size of the length prefix of each command.
 const LENGTH_BYTES: usize = size_of::<u32>();
 
 /// Commands of one log entry that is not appended yet.
 #[derive(Debug, Default)]
-pub(crate) struct JoinedEntry {
+pub(crate) struct CommandBatch {
     /// The encoded commands.
     pub(crate) bytes: Vec<u8>,
     /// The replies to the commands, in the same order.
     pub(crate) replies: Vec<Reply>,
 }
 
-impl JoinedEntry {
-    fn has_room(&self, command: &[u8]) -> bool {
+impl CommandBatch {
+    fn has_capacity_for(&self, command: &[u8]) -> bool {
         let length = self.bytes.len() + LENGTH_BYTES + command.len();
-        length <= MAX_JOINED_BYTES && self.replies.len() < MAX_JOINED_COMMANDS
+        length <= MAX_BATCH_BYTES && self.replies.len() < MAX_BATCH_COMMANDS
     }
 
     fn push(&mut self, command: &[u8], reply: Reply) {
@@ -44,35 +44,35 @@
 
 /// Queue of batches that wait to be appended.
 #[derive(Debug, Default)]
-pub(crate) struct Gathered {
-    entries: VecDeque<JoinedEntry>,
+pub(crate) struct BatchQueue {
+    batches: VecDeque<CommandBatch>,
     bytes: usize,
 }
 
-impl Gathered {
+impl BatchQueue {
     /// Adds a command to the last batch, or to a new one if that is full.
     pub(crate) fn push(&mut self, command: &[u8], reply: Reply) {
         self.bytes += command.len();
-        if !self.entries.back().is_some_and(|entry| entry.has_room(command)) {
-            self.entries.push_back(JoinedEntry::default());
+        if !self.batches.back().is_some_and(|batch| batch.has_capacity_for(command)) {
+            self.batches.push_back(CommandBatch::default());
         }
-        if let Some(entry) = self.entries.back_mut() {
-            entry.push(command, reply);
+        if let Some(batch) = self.batches.back_mut() {
+            batch.push(command, reply);
         }
     }
 
     /// Removes and returns the first batch.
-    pub(crate) fn pop(&mut self) -> Option<JoinedEntry> {
-        let entry = self.entries.pop_front();
-        if self.entries.is_empty() {
+    pub(crate) fn pop(&mut self) -> Option<CommandBatch> {
+        let batch = self.batches.pop_front();
+        if self.batches.is_empty() {
             self.bytes = 0;
         }
-        entry
+        batch
     }
 
     /// Whether the queue is empty.
     pub(crate) fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.batches.is_empty()
     }
 
     /// Total size of the queued commands.
@@ -85,8 +85,8 @@
 ///
 /// # Errors
 /// If the bytes end within a command, the last item is an error.
-pub fn split(entry: &Bytes) -> impl Iterator<Item = Result<&[u8], MachineError>> {
-    let mut rest = entry.as_ref();
+pub fn split_batch(batch: &Bytes) -> impl Iterator<Item = Result<&[u8], MachineError>> {
+    let mut rest = batch.as_ref();
     std::iter::from_fn(move || {
         if rest.is_empty() {
             return None;
--- a/crates/replication/src/dispatch.rs
+++ b/crates/replication/src/dispatch.rs
@@ -7,45 +7,45 @@
 use hooklug_wal::{GroupRecord, Record, WalError};
 use tracing::debug;
 
-use crate::Round;
+use crate::ReplicaWork;
 use crate::applier::ApplyTask;
 use crate::compaction::SnapshotJob;
 use crate::driver::Driver;
 use crate::input::Input;
 use crate::metrics;
-use crate::snapshot_sender::Transfer;
+use crate::snapshot_sender::SnapshotTransfer;
 
 impl Driver {
     /// Requests snapshots of the groups that prevent the removal of old log segments.
-    pub(crate) fn relieve_log(&mut self) {
+    pub(crate) fn snapshot_groups_pinning_log(&mut self) {
         for (group, replica) in &self.replicas {
-            metrics::log_memory(*group, replica.log_memory());
+            metrics::set_log_memory(*group, replica.log_memory());
         }
         for group in self.wal.groups_pinning_oldest(self.settings.max_segments) {
-            self.ask_for_snapshot(group, 1);
+            self.request_snapshot(group, 1);
         }
     }
 
-    fn ask_for_snapshot(&mut self, group: GroupId, entries: u64) {
+    fn request_snapshot(&mut self, group: GroupId, entries: u64) {
         let Some(replica) = self.replicas.get_mut(&group) else { return };
-        if replica.wants_snapshot(entries) {
-            replica.begin_snapshot();
-            self.workers.apply(group, ApplyTask::Snapshot);
+        if replica.needs_snapshot(entries) {
+            replica.mark_snapshot_started();
+            self.workers.apply(group, ApplyTask::TakeSnapshot);
         }
     }
 
     /// Dispatches the pending work of all replicas; their records share one append to the log.
-    pub(crate) fn turn_over(&mut self) {
+    pub(crate) fn dispatch_pending_work(&mut self) {
         let now = Instant::now();
         let (mut records, mut waiting) = (Vec::new(), Vec::new());
         for group in std::mem::take(&mut self.dirty) {
-            while let Some(round) = self.replicas.get_mut(&group).and_then(|r| r.round(now)) {
-                if round.sync {
+            while let Some(work) = self.replicas.get_mut(&group).and_then(|r| r.next_work(now)) {
+                if work.sync {
                     waiting.push(group);
                 }
-                self.do_round(group, round, &mut records);
+                self.dispatch_work(group, work, &mut records);
             }
-            self.ask_for_snapshot(group, self.settings.snapshot_commands);
+            self.request_snapshot(group, self.settings.snapshot_commands);
         }
         self.transport.flush();
         if !records.is_empty() && self.failure.borrow().is_none() {
@@ -54,22 +54,22 @@
         }
     }
 
-    fn do_round(&mut self, group: GroupId, round: Round, records: &mut Vec<GroupRecord>) {
-        self.transport.send(group, round.early);
-        self.transport.send(group, round.late);
-        if let Some(snapshot) = round.snapshot {
-            self.workers.apply(group, ApplyTask::Install(snapshot));
+    fn dispatch_work(&mut self, group: GroupId, work: ReplicaWork, records: &mut Vec<GroupRecord>) {
+        self.transport.send(group, work.messages_before_sync);
+        self.transport.send(group, work.messages);
+        if let Some(snapshot) = work.snapshot {
+            self.workers.apply(group, ApplyTask::InstallSnapshot(snapshot));
         }
-        if !round.committed.is_empty() {
-            self.workers.apply(group, ApplyTask::Apply(round.committed));
+        if !work.committed.is_empty() {
+            self.workers.apply(group, ApplyTask::Apply(work.committed));
         }
-        if let Some(leading_since) = round.leading_since
-            && !round.reads.is_empty()
+        if let Some(leading_since) = work.leading_since
+            && !work.reads.is_empty()
         {
-            self.workers.apply(group, ApplyTask::Answer { reads: round.reads, leading_since });
+            self.workers.apply(group, ApplyTask::ServeReads { reads: work.reads, leading_since });
         }
-        records.extend(round.records.into_iter().map(|record| GroupRecord { group, record }));
-        for to in round.snapshot_requests {
+        records.extend(work.records.into_iter().map(|record| GroupRecord { group, record }));
+        for to in work.snapshot_requests {
             self.send_snapshot(group, to);
         }
     }
@@ -85,7 +85,8 @@
     fn send_snapshot(&mut self, group: GroupId, to: NodeId) {
         let Some(replica) = self.replicas.get(&group) else { return };
         let Some(meta) = replica.snapshot().cloned() else { return };
-        let transfer = Transfer { group, from: self.settings.node, to, term: replica.term(), meta };
+        let transfer =
+            SnapshotTransfer { group, from: self.settings.node, to, term: replica.term(), meta };
         let (store, driver) = (self.snapshot_store.clone(), self.workers.driver.clone());
         let (client, addresses) = (self.context.client.clone(), self.context.addresses.clone());
         self.context.runtime.spawn(async move {
@@ -97,7 +98,7 @@
     pub(crate) fn snapshot_written(&mut self, group: GroupId, meta: SnapshotMeta, bytes: u64) {
         let trailing = self.settings.trailing_entries();
         let index = meta.index;
-        metrics::snapshot_taken(group, bytes);
+        metrics::set_snapshot_size(group, bytes);
         debug!(%group, index, bytes, "snapshot written");
         let Ok(replica) = self.replica(group) else { return };
         let Some(record) = replica.finish_snapshot(meta, bytes, trailing) else { return };
--- a/crates/replication/src/driver.rs
+++ b/crates/replication/src/driver.rs
@@ -25,7 +25,7 @@
 /// passed in the meantime is no evidence that a leader failed.
 const MAX_TICKS_AT_ONCE: u32 = 2;
 /// Ticks between checks of the number of log segments.
-const PRESSURE_TICKS: u32 = 20;
+const SEGMENT_CHECK_TICKS: u32 = 20;
 /// Channels to the threads that work for the driver, and to the driver itself.
 pub(crate) struct Workers {
     pub(crate) appliers: Vec<Sender<GroupTask>>,
@@ -87,17 +87,17 @@
             }
             let now = Instant::now();
             if now >= next_tick {
-                let late =
+                let overdue =
                     now.duration_since(next_tick).as_micros() / self.settings.tick.as_micros();
-                let due = u32::try_from(late).unwrap_or(u32::MAX).saturating_add(1);
+                let due = u32::try_from(overdue).unwrap_or(u32::MAX).saturating_add(1);
                 (0..due.min(MAX_TICKS_AT_ONCE)).for_each(|_| self.tick(now));
                 next_tick = now + self.settings.tick;
                 ticks += 1;
-                if ticks.is_multiple_of(PRESSURE_TICKS) {
-                    self.relieve_log();
+                if ticks.is_multiple_of(SEGMENT_CHECK_TICKS) {
+                    self.snapshot_groups_pinning_log();
                 }
             }
-            self.turn_over();
+            self.dispatch_pending_work();
         }
     }
 
--- a/crates/replication/src/handle.rs
+++ b/crates/replication/src/handle.rs
@@ -55,7 +55,7 @@
 }
 
 /// Error for a dropped reply channel: the driver has stopped or has discarded the request.
-fn gone<T>(_: T) -> ReplicationError {
+fn reply_dropped<T>(_: T) -> ReplicationError {
     ReplicationError::Uncertain
 }
 
@@ -72,13 +72,13 @@
     ) -> Result<Vec<u8>, ReplicationError> {
         let (reply, result) = oneshot::channel();
         self.propose(group, command.into(), reply.into());
-        result.await.map_err(gone)?
+        result.await.map_err(reply_dropped)?
     }
 
     /// Replicates and applies an encoded command; the state machine's result or an error is sent to
     /// `reply`.
     pub fn propose(&self, group: GroupId, command: Bytes, reply: Reply) {
-        self.tell(Input::Propose { group, command, reply });
+        self.send_input(Input::Propose { group, command, reply });
     }
 
     /// Serves an encoded query as a linearizable read.
@@ -91,8 +91,8 @@
         query: Vec<u8>,
     ) -> Result<ConfirmedRead, ReplicationError> {
         let (reply, result) = oneshot::channel();
-        self.tell(Input::Read { group, read: ReadWaiter { query, reply } });
-        result.await.map_err(gone)?
+        self.send_input(Input::Read { group, read: ReadWaiter { query, reply } });
+        result.await.map_err(reply_dropped)?
     }
 
     /// Serves an encoded query from the local replica, whose state may be stale.
@@ -105,7 +105,7 @@
         query: Vec<u8>,
     ) -> Result<Vec<u8>, ReplicationError> {
         let (reply, result) = oneshot::channel();
-        self.apply(group, ApplyTask::AnswerLocal { query, reply });
+        self.apply(group, ApplyTask::QueryLocal { query, reply });
         result.await.map_err(|_| ReplicationError::NoReplica(group))?
     }
 
@@ -119,8 +119,8 @@
         change: ConfChange,
     ) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
-        self.tell(Input::ChangeMembers { group, change, reply: reply.into() });
-        result.await.map_err(gone)?.map(drop)
+        self.send_input(Input::ChangeMembers { group, change, reply: reply.into() });
+        result.await.map_err(reply_dropped)?.map(drop)
     }
 
     /// Starts a leadership transfer.
@@ -129,13 +129,13 @@
     /// If this replica is not the leader or the target is not another voter.
     pub async fn transfer(&self, group: GroupId, to: NodeId) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
-        self.tell(Input::Transfer { group, to, reply });
-        result.await.map_err(gone)?
+        self.send_input(Input::Transfer { group, to, reply });
+        result.await.map_err(reply_dropped)?
     }
 
     /// Starts an election in a group without waiting for the election timeout.
     pub fn campaign(&self, group: GroupId) {
-        self.tell(Input::Campaign { group });
+        self.send_input(Input::Campaign { group });
     }
 
     /// Creates the initial replica of a new group with the given members; it is durable when this
@@ -145,8 +145,8 @@
     /// [`ReplicationError::Failed`].
     pub async fn bootstrap(&self, group: GroupId, conf: ConfState) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
-        self.tell(Input::Bootstrap { group, conf, reply });
-        result.await.map_err(gone)?
+        self.send_input(Input::Bootstrap { group, conf, reply });
+        result.await.map_err(reply_dropped)?
     }
 
     /// Removes a local replica that, according to the status `seen`, is no longer a member of its
@@ -158,14 +158,14 @@
     pub async fn remove(&self, seen: &ReplicaStatus) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
         let (group, leader_messages) = (seen.group, seen.leader_messages);
-        self.tell(Input::Remove { group, leader_messages, reply });
-        result.await.map_err(gone)?
+        self.send_input(Input::Remove { group, leader_messages, reply });
+        result.await.map_err(reply_dropped)?
     }
 
     /// Status of all local replicas.
     pub async fn status(&self) -> Vec<ReplicaStatus> {
         let (reply, result) = oneshot::channel();
-        self.tell(Input::Status { reply });
+        self.send_input(Input::Status { reply });
         result.await.unwrap_or_default()
     }
 
@@ -187,7 +187,7 @@
     pub fn deliver(&self, from: NodeId, mut messages: Vec<(GroupId, Message)>) {
         messages.retain(|(_, message)| message.from == from && message.to == self.node);
         if !messages.is_empty() {
-            self.tell(Input::Messages(messages));
+            self.send_input(Input::Messages(messages));
         }
     }
 
@@ -201,10 +201,10 @@
         chunk: SnapshotChunk,
     ) -> Result<SnapshotProgress, ReplicationError> {
         let (group, from, term) = (chunk.group, chunk.from, chunk.term);
-        let outcome = self.inbox.lock().unwrap_or_else(PoisonError::into_inner).take(&chunk);
+        let outcome = self.inbox.lock().unwrap_or_else(PoisonError::into_inner).receive(&chunk);
         let snapshot = match outcome {
-            ChunkOutcome::Expect(next_offset) => return Ok(SnapshotProgress { next_offset }),
-            ChunkOutcome::Whole(snapshot) => snapshot,
+            ChunkOutcome::ExpectOffset(next_offset) => return Ok(SnapshotProgress { next_offset }),
+            ChunkOutcome::Complete(snapshot) => snapshot,
         };
         let next_offset = snapshot.data.len() as u64;
         let store = self.snapshots.clone();
@@ -212,12 +212,12 @@
             store.write(group, snapshot.meta.index, &snapshot.data).map(|()| snapshot)
         });
         let failed = |reason: String| {
-            self.tell(Input::Failed { reason: reason.clone() });
+            self.send_input(Input::Failed { reason: reason.clone() });
             ReplicationError::Failed(reason)
         };
         let snapshot =
             written.await.map_err(|e| failed(e.to_string()))?.map_err(|e| failed(e.to_string()))?;
-        self.tell(Input::SnapshotReceived { group, from, term, snapshot });
+        self.send_input(Input::SnapshotReceived { group, from, term, snapshot });
         Ok(SnapshotProgress { next_offset })
     }
 
@@ -235,7 +235,7 @@
 
     /// Stops all replicas and waits until the log is closed.
     pub async fn stop(&self) {
-        self.tell(Input::Stop);
+        self.send_input(Input::Stop);
         self.ended().await;
     }
 
@@ -245,7 +245,7 @@
         while ended.changed().await.is_ok() {}
     }
 
-    fn tell(&self, input: Input) {
+    fn send_input(&self, input: Input) {
         // If the driver has stopped, the input's reply channel is dropped, which the caller
         // notices.
         let _ = self.driver.send(input);
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -29,11 +29,11 @@
 mod transport;
 
 pub use addresses::AddressBook;
-pub use command_batch::{MAX_JOINED_BYTES, MAX_JOINED_COMMANDS, split};
+pub use command_batch::{MAX_BATCH_BYTES, MAX_BATCH_COMMANDS, split_batch};
 pub use error::{OpenError, ReplicationError};
 pub use handle::{ConfirmedRead, ReplicaDigest, Replicator};
 pub use replica::Replica;
-pub use replica_work::{Proposal, ReadWaiter, Round};
+pub use replica_work::{CommittedEntry, ReadWaiter, ReplicaWork};
 pub use reply::{Outcome, Reply};
 pub use settings::ReplicationSettings;
 pub use start::{MachineFactory, StartContext};
--- a/crates/replication/src/lifecycle.rs
+++ b/crates/replication/src/lifecycle.rs
@@ -40,7 +40,7 @@
         };
         let node = RawNode::new(self.settings.raft_config(group), restored)
             .map_err(|error| OpenError::Raft { group, error })?;
-        self.workers.apply(group, ApplyTask::Adopt { machine, meta: meta.clone() });
+        self.workers.apply(group, ApplyTask::AddGroup { machine, meta: meta.clone() });
         self.replicas.insert(group, Replica::new(group, node, state.hard_state, Some(meta)));
         self.dirty.insert(group);
         Ok(())
@@ -56,12 +56,12 @@
             info!(%group, "creating a replica at the leader's request");
             let conf = ConfState::default();
             let empty = SnapshotMeta { index: 0, term: 0, conf };
-            self.adopt(group, empty, None)?;
+            self.create_replica(group, empty, None)?;
         }
         self.replica(group)
     }
 
-    fn adopt(
+    fn create_replica(
         &mut self,
         group: GroupId,
         meta: SnapshotMeta,
@@ -74,7 +74,7 @@
         let node = RawNode::new(self.settings.raft_config(group), restored)
             .map_err(|error| ReplicationError::Failed(error.to_string()))?;
         let machine = (self.machines)(group);
-        self.workers.apply(group, ApplyTask::Adopt { machine, meta });
+        self.workers.apply(group, ApplyTask::AddGroup { machine, meta });
         self.replicas.insert(group, Replica::new(group, node, hard_state, snapshot));
         self.publish_groups();
         Ok(())
@@ -102,7 +102,7 @@
         self.wal.append(records, true, Box::new(move |written| drop(done.send(written))));
         let disconnected = |_| ReplicationError::Failed("the log writer has exited".to_owned());
         outcome.recv().map_err(disconnected)?.map_err(failed)?;
-        self.adopt(group, meta.clone(), Some(meta))
+        self.create_replica(group, meta.clone(), Some(meta))
     }
 
     pub(crate) fn remove(
@@ -111,13 +111,13 @@
         leader_messages: u64,
     ) -> Result<(), ReplicationError> {
         let replica = self.replica(group)?;
-        replica.check_let_go(leader_messages)?;
+        replica.check_removable(leader_messages)?;
         replica.fail_waiting(&ReplicationError::NoReplica(group));
         info!(%group, "removing the replica");
         let hard_state = replica.hard_state();
         self.replicas.remove(&group);
         self.removed.insert(group, hard_state);
-        self.workers.apply(group, ApplyTask::Release);
+        self.workers.apply(group, ApplyTask::RemoveGroup);
         self.append_snapshot(group, u64::MAX, Record::Removed);
         self.publish_groups();
         Ok(())
--- a/crates/replication/src/proposals.rs
+++ b/crates/replication/src/proposals.rs
@@ -4,13 +4,13 @@
 
 use hooklug_raft::{Entry, LogPosition, ProposeError};
 
-use crate::command_batch::{Gathered, JoinedEntry};
+use crate::command_batch::{BatchQueue, CommandBatch};
 use crate::{ReplicationError, Reply};
 
 /// Maximum number of commands that wait for their results at a leader.
 const MAX_WAITING_COMMANDS: usize = 65_536;
 /// Maximum size of the commands that wait to be appended. A single command may exceed it.
-const MAX_GATHERED_BYTES: usize = 64 << 20;
+const MAX_QUEUED_BYTES: usize = 64 << 20;
 
 /// An appended entry that is not committed yet.
 #[derive(Debug)]
@@ -23,36 +23,36 @@
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
     /// Commands that are not appended to the log yet.
-    gathered: Gathered,
+    batches: BatchQueue,
     /// Uncommitted entries in the log, by index.
     pending: BTreeMap<u64, PendingEntry>,
-    /// Number of replies in `gathered` and `pending`.
+    /// Number of replies in `batches` and `pending`.
     waiting: usize,
 }
 
 impl Proposals {
     /// Queues a command for the next log entry, or rejects it if the queue is full.
-    pub(crate) fn gather(&mut self, command: &[u8], reply: Reply) {
+    pub(crate) fn enqueue(&mut self, command: &[u8], reply: Reply) {
         if self.is_full(command) {
             reply.send(Err(ReplicationError::Busy("too many commands are pending".to_owned())));
         } else {
             self.waiting += 1;
-            self.gathered.push(command, reply);
+            self.batches.push(command, reply);
         }
     }
 
     fn is_full(&self, command: &[u8]) -> bool {
-        let bytes = self.gathered.bytes() + command.len();
-        let has_no_bytes_left = !self.gathered.is_empty() && bytes > MAX_GATHERED_BYTES;
-        self.waiting >= MAX_WAITING_COMMANDS || has_no_bytes_left
+        let bytes = self.batches.bytes() + command.len();
+        let exceeds_byte_limit = !self.batches.is_empty() && bytes > MAX_QUEUED_BYTES;
+        self.waiting >= MAX_WAITING_COMMANDS || exceeds_byte_limit
     }
 
     /// Appends all queued commands to the log, in order.
-    pub(crate) fn append_gathered(
+    pub(crate) fn append_batches(
         &mut self,
         mut append: impl FnMut(Vec<u8>) -> Result<LogPosition, ProposeError>,
     ) {
-        while let Some(JoinedEntry { bytes, replies }) = self.gathered.pop() {
+        while let Some(CommandBatch { bytes, replies }) = self.batches.pop() {
             let position = append(bytes);
             self.wait_for(position, replies);
         }
@@ -94,15 +94,15 @@
     }
 
     /// Fails all commands that are not in the log with an error.
-    pub(crate) fn fail_gathered(&mut self, error: &ReplicationError) {
-        while let Some(entry) = self.gathered.pop() {
-            self.fail(entry.replies, error);
+    pub(crate) fn fail_unappended(&mut self, error: &ReplicationError) {
+        while let Some(batch) = self.batches.pop() {
+            self.fail(batch.replies, error);
         }
     }
 
     /// Fails all pending proposals with an error.
     pub(crate) fn fail_all(&mut self, error: &ReplicationError) {
-        self.fail_gathered(error);
+        self.fail_unappended(error);
         for (_, pending) in std::mem::take(&mut self.pending) {
             self.fail(pending.replies, error);
         }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -13,7 +13,7 @@
 use hooklug_wal::Record;
 
 use crate::proposals::Proposals;
-use crate::{Proposal, ReadWaiter, ReplicationError, Reply, Round, split};
+use crate::{CommittedEntry, ReadWaiter, ReplicaWork, ReplicationError, Reply, split_batch};
 
 /// Size of applied commands after which a group takes a snapshot, regardless of their number.
 const SNAPSHOT_LOG_BYTES: u64 = 32 << 20;
@@ -33,25 +33,25 @@
     /// Confirmed reads that wait until the given index is passed to the state machine.
     confirmed: Vec<(u64, Vec<ReadWaiter>)>,
     /// Reads that arrived in this driver cycle; they share one context.
-    arrived: Vec<ReadWaiter>,
+    new_reads: Vec<ReadWaiter>,
     next_context: u64,
     /// Highest index passed to the state machine.
-    handed_over: u64,
+    dispatched_index: u64,
     /// The newest durable snapshot.
     snapshot: Option<SnapshotMeta>,
-    snapshotting: bool,
+    snapshot_in_progress: bool,
     /// Size of the newest snapshot taken on this node.
     snapshot_bytes: u64,
     /// Size of the commands passed to the state machine since the snapshot.
-    log_bytes: u64,
+    bytes_since_snapshot: u64,
     /// Number of commands and entries without commands passed to the state machine since the
     /// snapshot.
-    log_commands: u64,
+    commands_since_snapshot: u64,
     leading_since: Option<Instant>,
     /// Number of messages received from leaders.
     leader_messages: u64,
     /// Messages to send after the sync in progress; `None` if there is none.
-    after_sync: Option<Vec<Message>>,
+    messages_after_sync: Option<Vec<Message>>,
 }
 
 impl Replica {
@@ -70,38 +70,38 @@
             proposals: Proposals::default(),
             unconfirmed: BTreeMap::new(),
             confirmed: Vec::new(),
-            arrived: Vec::new(),
+            new_reads: Vec::new(),
             next_context: 1,
-            handed_over: snapshot.as_ref().map_or(0, |meta| meta.index),
+            dispatched_index: snapshot.as_ref().map_or(0, |meta| meta.index),
             snapshot,
-            snapshotting: false,
+            snapshot_in_progress: false,
             snapshot_bytes: 0,
-            log_bytes: 0,
-            log_commands: 0,
+            bytes_since_snapshot: 0,
+            commands_since_snapshot: 0,
             leading_since: None,
             leader_messages: 0,
-            after_sync: None,
+            messages_after_sync: None,
         }
     }
 
     /// Advances the logical clock by one tick.
     pub fn tick(&mut self, now: Instant) {
         self.node.tick();
-        self.note_role(now);
+        self.update_leadership(now);
     }
 
     /// Processes a message of another replica.
     pub fn step(&mut self, message: Message, now: Instant) {
         self.leader_messages += u64::from(is_from_leader(&message));
         self.node.step(message);
-        self.note_role(now);
+        self.update_leadership(now);
     }
 
     /// Accepts a verified snapshot of the leader.
     pub fn receive_snapshot(&mut self, from: NodeId, term: u64, snapshot: Snapshot, now: Instant) {
         self.leader_messages += 1;
         self.node.receive_snapshot(from, term, snapshot);
-        self.note_role(now);
+        self.update_leadership(now);
     }
 
     /// Reports the result of a snapshot transfer.
@@ -113,7 +113,7 @@
     /// sync share the next log entries.
     pub fn propose(&mut self, command: &[u8], reply: impl Into<Reply>) {
         if self.node.role() == Role::Leader {
-            self.proposals.gather(command, reply.into());
+            self.proposals.enqueue(command, reply.into());
         } else {
             reply.into().send(Err(self.not_leader()));
         }
@@ -122,14 +122,14 @@
     /// Proposes a membership change; `reply` receives empty bytes after it is committed and
     /// applied.
     pub fn change_members(&mut self, change: ConfChange, reply: impl Into<Reply>) {
-        self.append_gathered();
+        self.append_batches();
         let position = self.node.propose_conf_change(change);
         self.proposals.wait_for_change(position, reply.into());
     }
 
-    fn append_gathered(&mut self) {
+    fn append_batches(&mut self) {
         let Self { proposals, node, .. } = self;
-        proposals.append_gathered(|bytes| node.propose(bytes));
+        proposals.append_batches(|bytes| node.propose(bytes));
     }
 
     fn not_leader(&self) -> ReplicationError {
@@ -139,7 +139,7 @@
     /// Requests a linearizable read. All reads of a driver cycle share a heartbeat round.
     pub fn read(&mut self, read: ReadWaiter) {
         if self.node.role() == Role::Leader {
-            self.arrived.push(read);
+            self.new_reads.push(read);
         } else {
             drop(read.reply.send(Err(self.not_leader())));
         }
@@ -159,25 +159,25 @@
     }
 
     /// Returns the next work, if there is any and no sync is in progress.
-    pub fn round(&mut self, now: Instant) -> Option<Round> {
+    pub fn next_work(&mut self, now: Instant) -> Option<ReplicaWork> {
         self.start_reads();
-        if self.after_sync.is_some() {
+        if self.messages_after_sync.is_some() {
             return None;
         }
-        self.append_gathered();
+        self.append_batches();
         if !self.node.has_ready() {
             return None;
         }
         let ready = self.node.ready();
-        self.note_role(now);
-        Some(self.turn_into_work(ready))
+        self.update_leadership(now);
+        Some(self.prepare_work(ready))
     }
 
     fn start_reads(&mut self) {
-        if self.arrived.is_empty() {
+        if self.new_reads.is_empty() {
             return;
         }
-        let reads = std::mem::take(&mut self.arrived);
+        let reads = std::mem::take(&mut self.new_reads);
         let context = self.next_context;
         self.next_context += 1;
         match self.node.read_index(context) {
@@ -186,13 +186,13 @@
         }
     }
 
-    fn turn_into_work(&mut self, mut ready: Ready) -> Round {
+    fn prepare_work(&mut self, mut ready: Ready) -> ReplicaWork {
         self.hard_state = ready.hard_state.unwrap_or(self.hard_state);
         let records = take_records(&mut ready);
         if let Some(snapshot) = &ready.snapshot {
-            self.handed_over = snapshot.meta.index;
+            self.dispatched_index = snapshot.meta.index;
             self.snapshot = Some(snapshot.meta.clone());
-            (self.log_bytes, self.log_commands) = (0, 0);
+            (self.bytes_since_snapshot, self.commands_since_snapshot) = (0, 0);
         }
         let committed = ready.committed.into_iter().map(|entry| self.commit(entry)).collect();
         for context in ready.aborted_reads {
@@ -203,56 +203,56 @@
             let waiters = self.unconfirmed.remove(&read.context).unwrap_or_default();
             self.confirmed.push((read.index, waiters));
         }
-        let mut round = Round {
-            early: ready.messages_before_sync,
+        let mut work = ReplicaWork {
+            messages_before_sync: ready.messages_before_sync,
             snapshot: ready.snapshot,
             committed,
-            reads: self.due_reads(),
+            reads: self.take_due_reads(),
             leading_since: self.leading_since,
             records,
             sync: ready.must_sync,
-            late: Vec::new(),
+            messages: Vec::new(),
             snapshot_requests: ready.snapshot_requests,
         };
-        if round.sync {
-            self.after_sync = Some(ready.messages);
+        if work.sync {
+            self.messages_after_sync = Some(ready.messages);
         } else {
-            round.late = ready.messages;
+            work.messages = ready.messages;
             self.node.advance();
         }
-        round
+        work
     }
 
     /// Records that the last work is synced; returns the messages that depended on it.
     pub fn persisted(&mut self, now: Instant) -> Vec<Message> {
-        let Some(messages) = self.after_sync.take() else { return Vec::new() };
+        let Some(messages) = self.messages_after_sync.take() else { return Vec::new() };
         self.node.advance();
-        self.note_role(now);
+        self.update_leadership(now);
         messages
     }
 
-    fn commit(&mut self, entry: Entry) -> Proposal {
-        self.handed_over = entry.index;
+    fn commit(&mut self, entry: Entry) -> CommittedEntry {
+        self.dispatched_index = entry.index;
         match &entry.kind {
-            EntryKind::Command(joined) => {
-                self.log_bytes += joined.len() as u64;
-                self.log_commands += split(joined).count() as u64;
+            EntryKind::Command(batch) => {
+                self.bytes_since_snapshot += batch.len() as u64;
+                self.commands_since_snapshot += split_batch(batch).count() as u64;
             }
             EntryKind::ConfChange(change) => {
                 self.node.apply_conf_change(*change);
-                self.log_commands += 1;
+                self.commands_since_snapshot += 1;
             }
-            EntryKind::Noop => self.log_commands += 1,
+            EntryKind::Noop => self.commands_since_snapshot += 1,
         }
         let replies = self.proposals.committed(&entry);
-        Proposal { entry, replies }
+        CommittedEntry { entry, replies }
     }
 
-    fn due_reads(&mut self) -> Vec<ReadWaiter> {
-        let handed_over = self.handed_over;
+    fn take_due_reads(&mut self) -> Vec<ReadWaiter> {
+        let dispatched_index = self.dispatched_index;
         let mut due = Vec::new();
         self.confirmed.retain_mut(|(index, reads)| {
-            let is_due = *index <= handed_over;
+            let is_due = *index <= dispatched_index;
             if is_due {
                 due.append(reads);
             }
@@ -263,7 +263,7 @@
 
     /// Tracks since when this replica is the leader. A replica that lost leadership fails all
     /// waiting requests immediately, so that callers turn to the new leader.
-    fn note_role(&mut self, now: Instant) {
+    fn update_leadership(&mut self, now: Instant) {
         let leads = self.node.role() == Role::Leader;
         if leads == self.leading_since.is_some() {
             return;
@@ -272,7 +272,7 @@
         if !leads {
             // Commands that are not in the log yet can safely be retried at the next leader.
             let error = self.not_leader();
-            self.proposals.fail_gathered(&error);
+            self.proposals.fail_unappended(&error);
             self.fail_waiting(&ReplicationError::Uncertain);
         }
     }
@@ -280,23 +280,23 @@
     /// Fails all commands, membership changes and unstarted reads with an error.
     pub fn fail_waiting(&mut self, error: &ReplicationError) {
         self.proposals.fail_all(error);
-        fail_reads(std::mem::take(&mut self.arrived), error);
+        fail_reads(std::mem::take(&mut self.new_reads), error);
     }
 
     /// Whether enough was applied since the last snapshot to take another one: `snapshot_commands`
     /// commands, or more bytes than both a fixed limit and the size of the last snapshot. The
     /// latter keeps a large state from being written too often.
     #[must_use]
-    pub fn wants_snapshot(&self, snapshot_commands: u64) -> bool {
-        let is_large = self.log_bytes >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
-        let is_long = self.log_commands >= snapshot_commands;
-        !self.snapshotting && self.log_commands > 0 && (is_long || is_large)
+    pub fn needs_snapshot(&self, snapshot_commands: u64) -> bool {
+        let is_large = self.bytes_since_snapshot >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
+        let is_long = self.commands_since_snapshot >= snapshot_commands;
+        !self.snapshot_in_progress && self.commands_since_snapshot > 0 && (is_long || is_large)
     }
 
     /// Records that a snapshot of the state was requested.
-    pub fn begin_snapshot(&mut self) {
-        self.snapshotting = true;
-        (self.log_bytes, self.log_commands) = (0, 0);
+    pub fn mark_snapshot_started(&mut self) {
+        self.snapshot_in_progress = true;
+        (self.bytes_since_snapshot, self.commands_since_snapshot) = (0, 0);
     }
 
     /// Records that a snapshot of the state is durable and compacts the log, except for `trailing`
@@ -307,7 +307,7 @@
         bytes: u64,
         trailing: u64,
     ) -> Option<Record> {
-        self.snapshotting = false;
+        self.snapshot_in_progress = false;
         self.snapshot_bytes = bytes;
         if self.snapshot.as_ref().is_some_and(|newest| newest.index >= meta.index) {
             return None;
@@ -345,7 +345,7 @@
     ///
     /// # Errors
     /// [`ReplicationError::Refused`] with the reason why it must not be removed.
-    pub fn check_let_go(&self, leader_messages: u64) -> Result<(), ReplicationError> {
+    pub fn check_removable(&self, leader_messages: u64) -> Result<(), ReplicationError> {
         if self.leads() {
             return Err(ReplicationError::Refused(
                 "the replica is the leader of the group".to_owned(),
--- a/crates/replication/src/replica_work.rs
+++ b/crates/replication/src/replica_work.rs
@@ -11,7 +11,7 @@
 
 /// A committed entry and the replies to its proposers.
 #[derive(Debug)]
-pub struct Proposal {
+pub struct CommittedEntry {
     /// The entry.
     pub entry: Entry,
     /// One reply per command of the entry, in order; empty if the entry was proposed elsewhere.
@@ -27,17 +27,18 @@
     pub reply: oneshot::Sender<Result<ConfirmedRead, ReplicationError>>,
 }
 
-/// The work of a raft `Ready` for the driver: send `early` and `late`; install `snapshot`, apply
-/// `committed` and serve `reads`, in this order; persist `records`. If `sync` is set, sync them and
-/// then send the messages that [`Replica::persisted`](crate::Replica::persisted) returns.
+/// The work of a raft `Ready` for the driver: send `messages_before_sync` and `messages`; install
+/// `snapshot`, apply `committed` and serve `reads`, in this order; persist `records`. If `sync` is
+/// set, sync them and then send the messages that [`Replica::persisted`](crate::Replica::persisted)
+/// returns.
 #[derive(Debug, Default)]
-pub struct Round {
+pub struct ReplicaWork {
     /// Messages that do not depend on `records`.
-    pub early: Vec<Message>,
+    pub messages_before_sync: Vec<Message>,
     /// A snapshot that replaces the state.
     pub snapshot: Option<Snapshot>,
     /// Committed entries to apply.
-    pub committed: Vec<Proposal>,
+    pub committed: Vec<CommittedEntry>,
     /// Reads to serve after applying `committed`.
     pub reads: Vec<ReadWaiter>,
     /// Time since which this replica is the leader, for the results of reads.
@@ -47,7 +48,7 @@
     /// Whether the replica waits for the records to be synced.
     pub sync: bool,
     /// Messages that would have to wait for the sync; empty if `sync` is set.
-    pub late: Vec<Message>,
+    pub messages: Vec<Message>,
     /// Replicas to which a snapshot must be sent.
     pub snapshot_requests: Vec<NodeId>,
 }
--- a/crates/replication/src/reply.rs
+++ b/crates/replication/src/reply.rs
@@ -12,30 +12,30 @@
 /// outcome is [`ReplicationError::Uncertain`].
 pub struct Reply {
     /// `None` after the outcome is sent.
-    answer: Option<Box<dyn FnOnce(Outcome) + Send>>,
+    callback: Option<Box<dyn FnOnce(Outcome) + Send>>,
 }
 
 impl Reply {
     /// Creates a reply that calls a function with the outcome.
-    pub fn new(answer: impl FnOnce(Outcome) + Send + 'static) -> Self {
-        Self { answer: Some(Box::new(answer)) }
+    pub fn new(callback: impl FnOnce(Outcome) + Send + 'static) -> Self {
+        Self { callback: Some(Box::new(callback)) }
     }
 
     /// Sends the outcome.
     pub fn send(mut self, outcome: Outcome) {
-        self.give(outcome);
+        self.complete(outcome);
     }
 
-    fn give(&mut self, outcome: Outcome) {
-        if let Some(answer) = self.answer.take() {
-            answer(outcome);
+    fn complete(&mut self, outcome: Outcome) {
+        if let Some(callback) = self.callback.take() {
+            callback(outcome);
         }
     }
 }
 
 impl Drop for Reply {
     fn drop(&mut self) {
-        self.give(Err(ReplicationError::Uncertain));
+        self.complete(Err(ReplicationError::Uncertain));
     }
 }
 
--- a/crates/replication/src/snapshot_inbox.rs
+++ b/crates/replication/src/snapshot_inbox.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ChunkOutcome {
     /// The snapshot is incomplete; the chunk at this offset is expected next.
-    Expect(u64),
+    ExpectOffset(u64),
     /// The snapshot is complete and its digest matches.
-    Whole(Snapshot),
+    Complete(Snapshot),
 }
 
 /// Partially received snapshots, at most one per group.
@@ -34,7 +34,7 @@
 
 impl SnapshotInbox {
     /// Adds a chunk. The first chunk of a snapshot discards a partial one of the same group.
-    pub(crate) fn take(&mut self, chunk: &SnapshotChunk) -> ChunkOutcome {
+    pub(crate) fn receive(&mut self, chunk: &SnapshotChunk) -> ChunkOutcome {
         let group = chunk.group;
         if chunk.offset == 0 {
             let partial = Partial {
@@ -45,18 +45,20 @@
             };
             self.partial.insert(group, partial);
         }
-        let Some(partial) = self.partial.get_mut(&group) else { return ChunkOutcome::Expect(0) };
+        let Some(partial) = self.partial.get_mut(&group) else {
+            return ChunkOutcome::ExpectOffset(0);
+        };
         let same =
             (partial.from, partial.term) == (chunk.from, chunk.term) && partial.meta == chunk.meta;
         if !same || partial.data.len() + chunk.data.len() > MAX_SNAPSHOT_BYTES {
-            return ChunkOutcome::Expect(0);
+            return ChunkOutcome::ExpectOffset(0);
         }
         if partial.data.len() as u64 != chunk.offset {
-            return ChunkOutcome::Expect(partial.data.len() as u64);
+            return ChunkOutcome::ExpectOffset(partial.data.len() as u64);
         }
         partial.data.extend_from_slice(&chunk.data);
         match chunk.whole {
-            None => ChunkOutcome::Expect(partial.data.len() as u64),
+            None => ChunkOutcome::ExpectOffset(partial.data.len() as u64),
             Some(digest) => self.finish(group, digest),
         }
     }
@@ -64,9 +66,9 @@
     fn finish(&mut self, group: GroupId, digest: Digest) -> ChunkOutcome {
         match self.partial.remove(&group) {
             Some(Partial { meta, data, .. }) if Digest::of(&data) == digest => {
-                ChunkOutcome::Whole(Snapshot { meta, data })
+                ChunkOutcome::Complete(Snapshot { meta, data })
             }
-            _ => ChunkOutcome::Expect(0),
+            _ => ChunkOutcome::ExpectOffset(0),
         }
     }
 }
--- a/crates/replication/src/snapshot_inbox/tests.rs
+++ b/crates/replication/src/snapshot_inbox/tests.rs
@@ -25,28 +25,28 @@
 #[test]
 fn pieces_in_order_make_the_whole() {
     let mut inbox = SnapshotInbox::default();
-    assert_eq!(inbox.take(&chunk(0, 4, 5)), ChunkOutcome::Expect(4));
-    assert_eq!(inbox.take(&chunk(4, 9, 5)), ChunkOutcome::Expect(9));
-    let outcome = inbox.take(&chunk(9, DATA.len(), 5));
-    assert!(matches!(outcome, ChunkOutcome::Whole(snapshot) if snapshot.data == DATA));
+    assert_eq!(inbox.receive(&chunk(0, 4, 5)), ChunkOutcome::ExpectOffset(4));
+    assert_eq!(inbox.receive(&chunk(4, 9, 5)), ChunkOutcome::ExpectOffset(9));
+    let outcome = inbox.receive(&chunk(9, DATA.len(), 5));
+    assert!(matches!(outcome, ChunkOutcome::Complete(snapshot) if snapshot.data == DATA));
 }
 
 #[test]
 fn a_piece_that_came_twice_or_early_tells_what_is_expected() {
     let mut inbox = SnapshotInbox::default();
-    inbox.take(&chunk(0, 4, 5));
-    inbox.take(&chunk(4, 9, 5));
-    assert_eq!(inbox.take(&chunk(4, 9, 5)), ChunkOutcome::Expect(9));
-    assert_eq!(inbox.take(&chunk(12, DATA.len(), 5)), ChunkOutcome::Expect(9));
+    inbox.receive(&chunk(0, 4, 5));
+    inbox.receive(&chunk(4, 9, 5));
+    assert_eq!(inbox.receive(&chunk(4, 9, 5)), ChunkOutcome::ExpectOffset(9));
+    assert_eq!(inbox.receive(&chunk(12, DATA.len(), 5)), ChunkOutcome::ExpectOffset(9));
 }
 
 #[test]
 fn pieces_of_different_leaders_are_never_joined() {
     let mut inbox = SnapshotInbox::default();
-    inbox.take(&chunk(0, 4, 5));
-    assert_eq!(inbox.take(&chunk(4, DATA.len(), 6)), ChunkOutcome::Expect(0));
-    assert_eq!(inbox.take(&chunk(0, 2, 6)), ChunkOutcome::Expect(2));
-    assert_eq!(inbox.take(&chunk(4, DATA.len(), 5)), ChunkOutcome::Expect(0));
+    inbox.receive(&chunk(0, 4, 5));
+    assert_eq!(inbox.receive(&chunk(4, DATA.len(), 6)), ChunkOutcome::ExpectOffset(0));
+    assert_eq!(inbox.receive(&chunk(0, 2, 6)), ChunkOutcome::ExpectOffset(2));
+    assert_eq!(inbox.receive(&chunk(4, DATA.len(), 5)), ChunkOutcome::ExpectOffset(0));
 }
 
 #[test]
@@ -54,6 +54,10 @@
     let mut inbox = SnapshotInbox::default();
     let mut damaged = chunk(0, DATA.len(), 5);
     damaged.data[3] ^= 1;
-    assert_eq!(inbox.take(&damaged), ChunkOutcome::Expect(0));
-    assert_eq!(inbox.take(&chunk(4, 9, 5)), ChunkOutcome::Expect(0), "nothing is kept");
+    assert_eq!(inbox.receive(&damaged), ChunkOutcome::ExpectOffset(0));
+    assert_eq!(
+        inbox.receive(&chunk(4, 9, 5)),
+        ChunkOutcome::ExpectOffset(0),
+        "nothing is retained"
+    );
 }
--- a/crates/replication/src/snapshot_sender.rs
+++ b/crates/replication/src/snapshot_sender.rs
@@ -15,13 +15,13 @@
 /// Size of a chunk in bytes.
 const CHUNK_BYTES: usize = 512 << 10;
 /// Timeout of the reply to a chunk. The reply to the last chunk includes the receiver's disk write.
-const CHUNK_TIME: Duration = Duration::from_secs(10);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of chunks that fail or are requested again in one transfer.
-const MAX_SETBACKS: u32 = 5;
+const MAX_CHUNK_RETRIES: u32 = 5;
 
 /// A snapshot transfer.
 #[derive(Debug, Clone)]
-pub(crate) struct Transfer {
+pub(crate) struct SnapshotTransfer {
     pub(crate) group: GroupId,
     pub(crate) from: NodeId,
     pub(crate) to: NodeId,
@@ -29,7 +29,7 @@
     pub(crate) meta: SnapshotMeta,
 }
 
-impl Transfer {
+impl SnapshotTransfer {
     /// Sends the snapshot; returns whether the receiver has the complete snapshot.
     pub(crate) async fn run(
         self,
@@ -55,12 +55,12 @@
 
     async fn send_chunks(&self, data: &[u8], client: &RpcClient, addresses: &AddressBook) -> bool {
         let digest = Digest::of(data);
-        let (mut offset, mut setbacks) = (0, 0);
-        while setbacks <= MAX_SETBACKS {
+        let (mut offset, mut retries) = (0, 0);
+        while retries <= MAX_CHUNK_RETRIES {
             let Some(address) = addresses.get(self.to) else { return false };
             let chunk = self.chunk(data, offset, digest);
             let (end, is_last) = (offset + chunk.data.len(), chunk.whole.is_some());
-            let answer = client.call(address, &chunk, Instant::now() + CHUNK_TIME).await;
+            let answer = client.call(address, &chunk, Instant::now() + CHUNK_TIMEOUT).await;
             let next = match answer {
                 Ok(Ok(progress)) => usize::try_from(progress.next_offset).unwrap_or(0),
                 Ok(Err(fault)) => {
@@ -69,7 +69,7 @@
                 }
                 Err(error) => {
                     debug!(group = %self.group, to = %self.to, %error, "can't send a snapshot chunk");
-                    setbacks += 1;
+                    retries += 1;
                     continue;
                 }
             };
@@ -77,7 +77,7 @@
                 return true;
             }
             if next != end {
-                setbacks += 1;
+                retries += 1;
             }
             offset = next.min(data.len());
         }
--- a/crates/replication/src/start.rs
+++ b/crates/replication/src/start.rs
@@ -78,7 +78,7 @@
             context.addresses.clone(),
             context.runtime.clone(),
         );
-        let mut started = Driver {
+        let mut driver_state = Driver {
             settings,
             replicas: BTreeMap::new(),
             removed: BTreeMap::new(),
@@ -94,10 +94,10 @@
             ended,
         };
         for (group, state) in recovered.groups {
-            started.restore(group, state)?;
+            driver_state.restore(group, state)?;
         }
-        started.publish_groups();
-        spawn("raft-driver", move || started.run(&inputs))?;
+        driver_state.publish_groups();
+        spawn("raft-driver", move || driver_state.run(&inputs))?;
         Ok(handle)
     }
 }
--- a/crates/replication/src/transport.rs
+++ b/crates/replication/src/transport.rs
@@ -30,23 +30,23 @@
 /// Maximum number of unacknowledged frames to a store.
 const MAX_INFLIGHT_FRAMES: usize = 16;
 /// Timeout after which a frame is considered lost.
-const FRAME_TIME: Duration = Duration::from_secs(1);
+const FRAME_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay after a frame was lost.
-const UNREACHABLE_PAUSE: Duration = Duration::from_millis(50);
+const UNREACHABLE_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
 struct PeerQueue {
-    waiting: Mutex<Waiting>,
-    filled: Notify,
+    queue: Mutex<MessageQueue>,
+    not_empty: Notify,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct MessageQueue {
     messages: Vec<(GroupId, Message)>,
     entry_bytes: usize,
 }
 
-impl Waiting {
+impl MessageQueue {
     fn push(&mut self, group: GroupId, message: Message) {
         let bytes = entry_bytes(&message);
         let is_full = self.messages.len() >= MAX_QUEUED_MESSAGES
@@ -93,19 +93,19 @@
     pub(crate) fn send(&mut self, group: GroupId, messages: Vec<Message>) {
         for message in messages {
             let peer = self.peer(message.to);
-            let mut waiting = peer.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-            waiting.push(group, message);
+            let mut queue = peer.queue.lock().unwrap_or_else(PoisonError::into_inner);
+            queue.push(group, message);
         }
     }
 
     /// Notifies the tasks whose queues are not empty.
     pub(crate) fn flush(&self) {
         for peer in self.peers.values() {
-            let waiting = peer.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-            let is_empty = waiting.messages.is_empty();
-            drop(waiting);
+            let queue = peer.queue.lock().unwrap_or_else(PoisonError::into_inner);
+            let is_empty = queue.messages.is_empty();
+            drop(queue);
             if !is_empty {
-                peer.filled.notify_one();
+                peer.not_empty.notify_one();
             }
         }
     }
@@ -122,7 +122,7 @@
 
 impl Drop for Transport {
     fn drop(&mut self) {
-        self.peers.values().for_each(|peer| peer.filled.notify_one());
+        self.peers.values().for_each(|peer| peer.not_empty.notify_one());
     }
 }
 
@@ -138,10 +138,10 @@
         while inflight.len() >= MAX_INFLIGHT_FRAMES {
             inflight.next().await;
         }
-        let messages = peer.waiting.lock().unwrap_or_else(PoisonError::into_inner).take_frame();
+        let messages = peer.queue.lock().unwrap_or_else(PoisonError::into_inner).take_frame();
         if messages.is_empty() {
             tokio::select! {
-                () = peer.filled.notified() => {}
+                () = peer.not_empty.notified() => {}
                 Some(()) = inflight.next() => {}
             }
             continue;
@@ -151,10 +151,10 @@
             let client = client.clone();
             inflight.push(async move {
                 let batch = RaftBatch { to: node, messages };
-                let called = client.call(address, &batch, Instant::now() + FRAME_TIME).await;
+                let called = client.call(address, &batch, Instant::now() + FRAME_TIMEOUT).await;
                 if let Err(error) = called {
                     debug!(%node, %error, "can't send a frame of raft messages");
-                    tokio::time::sleep(UNREACHABLE_PAUSE).await;
+                    tokio::time::sleep(UNREACHABLE_DELAY).await;
                 }
             });
         }
--- a/crates/replication/tests/joined.rs
+++ b/crates/replication/tests/joined.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use hooklug_raft::{ConfChange, EntryKind, Message, MessageBody};
 use hooklug_replication::{
-    MAX_JOINED_BYTES, MAX_JOINED_COMMANDS, Proposal, Replica, ReplicationError, Round, split,
+    CommittedEntry, MAX_BATCH_BYTES, MAX_BATCH_COMMANDS, Replica, ReplicaWork, ReplicationError,
+    split_batch,
 };
 use hooklug_types::NodeId;
 use proptest::prelude::*;
@@ -44,8 +45,8 @@
 }
 
 /// Committed commands, as passed to an applier.
-fn commands_committed(rounds: Vec<Round>) -> Vec<Proposal> {
-    let committed = rounds.into_iter().flat_map(|round| round.committed);
+fn commands_committed(work_items: Vec<ReplicaWork>) -> Vec<CommittedEntry> {
+    let committed = work_items.into_iter().flat_map(|work| work.committed);
     committed.filter(|proposal| matches!(proposal.entry.kind, EntryKind::Command(_))).collect()
 }
 
@@ -56,7 +57,7 @@
     let answers: Vec<Answer> = commands.iter().map(|c| propose(&mut replica, c)).collect();
     let committed = commands_committed(settle(&mut replica).0);
     assert_eq!(committed.len(), 1, "one entry");
-    for Proposal { entry, replies } in committed {
+    for CommittedEntry { entry, replies } in committed {
         let commands = commands_in(&entry);
         assert_eq!(commands.len(), replies.len());
         commands.into_iter().zip(replies).for_each(|(command, reply)| {
@@ -72,10 +73,10 @@
 fn commands_that_come_during_a_sync_share_the_next_entry() {
     let mut replica = leader_alone();
     let _first = propose(&mut replica, b"first");
-    let round = replica.round(Instant::now()).expect("an entry to persist");
-    assert!(round.sync);
+    let work = replica.next_work(Instant::now()).expect("an entry to persist");
+    assert!(work.sync);
     let _rest = [propose(&mut replica, b"second"), propose(&mut replica, b"third")];
-    assert!(replica.round(Instant::now()).is_none());
+    assert!(replica.next_work(Instant::now()).is_none());
     replica.persisted(Instant::now());
     let committed = commands_committed(settle(&mut replica).0);
     let entries: Vec<_> = committed.iter().map(|proposal| commands_in(&proposal.entry)).collect();
@@ -85,18 +86,18 @@
 #[test]
 fn an_entry_is_bounded_in_bytes_and_in_commands() {
     let mut replica = leader_alone();
-    let large = vec![1; MAX_JOINED_BYTES / 3];
-    let too_large = vec![2; MAX_JOINED_BYTES * 2];
+    let large = vec![1; MAX_BATCH_BYTES / 3];
+    let too_large = vec![2; MAX_BATCH_BYTES * 2];
     let mut sent: Vec<Vec<u8>> = vec![large; 7];
     sent.insert(3, too_large.clone());
-    sent.extend(vec![vec![3]; MAX_JOINED_COMMANDS * 2]);
+    sent.extend(vec![vec![3]; MAX_BATCH_COMMANDS * 2]);
     let _answers: Vec<Answer> = sent.iter().map(|command| propose(&mut replica, command)).collect();
     let committed = commands_committed(settle(&mut replica).0);
     for proposal in &committed {
-        let EntryKind::Command(joined) = &proposal.entry.kind else { unreachable!() };
+        let EntryKind::Command(batch) = &proposal.entry.kind else { unreachable!() };
         let commands = commands_in(&proposal.entry);
-        assert!(joined.len() <= MAX_JOINED_BYTES || commands == [too_large.clone()]);
-        assert!(commands.len() <= MAX_JOINED_COMMANDS);
+        assert!(batch.len() <= MAX_BATCH_BYTES || commands == [too_large.clone()]);
+        assert!(commands.len() <= MAX_BATCH_COMMANDS);
         assert_eq!(commands.len(), proposal.replies.len());
     }
     let applied: Vec<_> = committed.iter().flat_map(|p| commands_in(&p.entry)).collect();
@@ -121,10 +122,10 @@
 fn a_leader_that_loses_its_place_calls_a_joined_entry_uncertain_and_the_gathered_not_appended() {
     let mut replica = leader_of_three();
     let mut in_flight = [propose(&mut replica, b"one"), propose(&mut replica, b"two")];
-    let round = replica.round(Instant::now()).expect("an entry to persist");
-    assert!(round.sync);
-    let mut gathered = propose(&mut replica, b"three");
-    for answer in in_flight.iter_mut().chain([&mut gathered]) {
+    let work = replica.next_work(Instant::now()).expect("an entry to persist");
+    assert!(work.sync);
+    let mut unappended = propose(&mut replica, b"three");
+    for answer in in_flight.iter_mut().chain([&mut unappended]) {
         assert_eq!(answer.try_recv(), Err(TryRecvError::Empty), "not answered while it leads");
     }
     let term = replica.term() + 1;
@@ -133,9 +134,9 @@
         assert_eq!(answer.try_recv().unwrap(), Err(ReplicationError::Uncertain));
     }
     let moved = ReplicationError::NotLeader { leader: Some(OTHER) };
-    assert_eq!(gathered.try_recv().unwrap(), Err(moved));
+    assert_eq!(unappended.try_recv().unwrap(), Err(moved));
     replica.persisted(Instant::now());
-    let waiting = settle(&mut replica).0.into_iter().flat_map(|round| round.committed);
+    let waiting = settle(&mut replica).0.into_iter().flat_map(|work| work.committed);
     assert!(waiting.into_iter().all(|proposal| proposal.replies.is_empty()));
 }
 
@@ -163,7 +164,7 @@
     #[test]
     fn splitting_any_bytes_ends(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         let bytes = Bytes::from(bytes);
-        let parts: Vec<_> = split(&bytes).collect();
+        let parts: Vec<_> = split_batch(&bytes).collect();
         let errors = parts.iter().filter(|part| part.is_err()).count();
         prop_assert!(errors <= 1);
         prop_assert!(errors == 0 || parts.last().is_some_and(Result::is_err));
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -5,19 +5,19 @@
 use std::time::Instant;
 
 use hooklug_raft::{ConfChange, Entry, EntryKind, Message, MessageBody, SnapshotMeta};
-use hooklug_replication::{ReadWaiter, Replica, ReplicationError, Round};
+use hooklug_replication::{ReadWaiter, Replica, ReplicaWork, ReplicationError};
 use hooklug_types::NodeId;
 use hooklug_wal::Record;
 use support::{OWN, commands_in, leader_alone, replica, settle};
 use tokio::sync::oneshot;
 
-fn commands_of(rounds: &[Round]) -> Vec<Vec<u8>> {
-    let committed = rounds.iter().flat_map(|round| &round.committed);
+fn commands_of(work_items: &[ReplicaWork]) -> Vec<Vec<u8>> {
+    let committed = work_items.iter().flat_map(|work| &work.committed);
     committed.flat_map(|proposal| commands_in(&proposal.entry)).collect()
 }
 
 /// The bytes of an entry with one command, as encoded by another leader.
-fn joined(command: &[u8]) -> bytes::Bytes {
+fn encode_batch(command: &[u8]) -> bytes::Bytes {
     let length = u32::try_from(command.len()).unwrap();
     [&length.to_le_bytes(), command].concat().into()
 }
@@ -27,14 +27,14 @@
     let mut replica = leader_alone();
     let (reply, _result) = oneshot::channel();
     replica.propose(b"command", reply);
-    let round = replica.round(Instant::now()).expect("entries to persist");
-    assert!(round.sync && commands_of(std::slice::from_ref(&round)).is_empty());
-    assert!(round.records.iter().any(|record| matches!(record, Record::Append(_))));
-    assert!(replica.round(Instant::now()).is_none(), "one sync at a time");
+    let work = replica.next_work(Instant::now()).expect("entries to persist");
+    assert!(work.sync && commands_of(std::slice::from_ref(&work)).is_empty());
+    assert!(work.records.iter().any(|record| matches!(record, Record::Append(_))));
+    assert!(replica.next_work(Instant::now()).is_none(), "one sync at a time");
     replica.persisted(Instant::now());
-    let (rounds, _) = settle(&mut replica);
-    assert_eq!(commands_of(&rounds), vec![b"command".to_vec()]);
-    let proposals = rounds.into_iter().flat_map(|round| round.committed);
+    let (work_items, _) = settle(&mut replica);
+    assert_eq!(commands_of(&work_items), vec![b"command".to_vec()]);
+    let proposals = work_items.into_iter().flat_map(|work| work.committed);
     assert!(proposals.into_iter().any(|proposal| !proposal.replies.is_empty()));
 }
 
@@ -45,9 +45,9 @@
     replica.propose(b"command", reply);
     let (reply, _answer) = oneshot::channel();
     replica.read(ReadWaiter { query: b"query".to_vec(), reply });
-    let (rounds, _) = settle(&mut replica);
-    assert_eq!(rounds.iter().map(|round| round.reads.len()).sum::<usize>(), 1);
-    assert!(rounds.iter().all(|round| round.reads.is_empty() || round.leading_since.is_some()));
+    let (work_items, _) = settle(&mut replica);
+    assert_eq!(work_items.iter().map(|work| work.reads.len()).sum::<usize>(), 1);
+    assert!(work_items.iter().all(|work| work.reads.is_empty() || work.leading_since.is_some()));
 }
 
 #[test]
@@ -71,8 +71,8 @@
     let mut replica = replica(&[1, 2, 3]);
     replica.campaign();
     for _ in 0..2 {
-        let (rounds, mut sent) = settle(&mut replica);
-        sent.extend(rounds.into_iter().flat_map(|round| round.late));
+        let (work_items, mut sent) = settle(&mut replica);
+        sent.extend(work_items.into_iter().flat_map(|work| work.messages));
         for request in sent.into_iter().filter(|message| message.to == NodeId(2)) {
             let body = match request.body {
                 MessageBody::PreVote { .. } => MessageBody::PreVoteReply { granted: true },
@@ -95,13 +95,14 @@
     let (mut replica, mut result) = leader_with_a_lonely_command();
     assert!(result.try_recv().is_err(), "not answered while it leads");
     let term = replica.term() + 1;
-    let entry = |index, command| Entry { term, index, kind: EntryKind::Command(joined(command)) };
+    let entry =
+        |index, command| Entry { term, index, kind: EntryKind::Command(encode_batch(command)) };
     let entries = vec![entry(2, b"won".as_slice()), entry(3, b"won too")];
     let body = MessageBody::Append { prev_index: 1, prev_term: 1, entries, commit: 3 };
     replica.step(Message { from: NodeId(2), to: OWN, term, body }, Instant::now());
     assert_eq!(result.try_recv().unwrap(), Err(ReplicationError::Uncertain));
-    let (rounds, _) = settle(&mut replica);
-    assert_eq!(commands_of(&rounds), vec![b"won".to_vec(), b"won too".to_vec()]);
+    let (work_items, _) = settle(&mut replica);
+    assert_eq!(commands_of(&work_items), vec![b"won".to_vec(), b"won too".to_vec()]);
 }
 
 #[test]
@@ -110,26 +111,26 @@
     let (reply, mut result) = oneshot::channel();
     replica.change_members(ConfChange::AddLearner(NodeId(2)), reply);
     assert!(!replica.status().conf.contains(NodeId(2)));
-    let (rounds, _) = settle(&mut replica);
+    let (work_items, _) = settle(&mut replica);
     assert!(replica.status().conf.learners.contains(&NodeId(2)));
     assert!(result.try_recv().is_err(), "answered when applied");
-    let waiting = rounds.iter().flat_map(|round| &round.committed);
+    let waiting = work_items.iter().flat_map(|work| &work.committed);
     assert!(waiting.into_iter().any(|proposal| !proposal.replies.is_empty()));
 }
 
 #[test]
 fn snapshots_are_asked_for_by_entries_and_by_bytes() {
     let mut replica = leader_alone();
-    assert!(!replica.wants_snapshot(100));
+    assert!(!replica.needs_snapshot(100));
     let (reply, _result) = oneshot::channel();
     replica.propose(&vec![0; 33 << 20], reply);
     settle(&mut replica);
-    assert!(replica.wants_snapshot(100), "33 MiB in one entry");
-    replica.begin_snapshot();
-    assert!(!replica.wants_snapshot(1), "one at a time");
+    assert!(replica.needs_snapshot(100), "33 MiB in one entry");
+    replica.mark_snapshot_started();
+    assert!(!replica.needs_snapshot(1), "one at a time");
     let meta = SnapshotMeta { index: 3, ..replica.snapshot().unwrap().clone() };
     assert!(replica.finish_snapshot(meta.clone(), 9, 0).is_some());
-    assert!(!replica.wants_snapshot(1));
+    assert!(!replica.needs_snapshot(1));
     assert!(replica.finish_snapshot(meta, 9, 0).is_none(), "not newer");
 }
 
@@ -140,11 +141,13 @@
 fn a_replica_that_has_heard_a_leader_since_its_status_is_not_let_go() {
     let mut replica = replica(&[1, 2, 3]);
     let seen = replica.status().leader_messages;
-    replica.check_let_go(seen).expect("no leader was heard from since");
+    replica.check_removable(seen).expect("no leader was heard from since");
     let heartbeat = MessageBody::Heartbeat { commit: 1, read_round: 0 };
     let message = Message { from: NodeId(2), to: OWN, term: 2, body: heartbeat };
     replica.step(message, Instant::now());
-    let refused = replica.check_let_go(seen);
+    let refused = replica.check_removable(seen);
     assert!(matches!(refused, Err(ReplicationError::Refused(_))), "{refused:?}");
-    replica.check_let_go(replica.status().leader_messages).expect("no leader was heard from since");
+    replica
+        .check_removable(replica.status().leader_messages)
+        .expect("no leader was heard from since");
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use hooklug_raft::{
     ConfState, Config, Entry, EntryKind, HardState, Message, RawNode, Restored, SnapshotMeta,
 };
-use hooklug_replication::{Replica, Round, split};
+use hooklug_replication::{Replica, ReplicaWork, split_batch};
 use hooklug_types::{GroupId, NodeId};
 
 pub const OWN: NodeId = NodeId(1);
@@ -31,21 +31,21 @@
 
 /// Processes all pending work as if each sync succeeded; returns it and the messages sent after the
 /// syncs.
-pub fn settle(replica: &mut Replica) -> (Vec<Round>, Vec<Message>) {
-    let (mut rounds, mut sent) = (Vec::new(), Vec::new());
-    while let Some(round) = replica.round(Instant::now()) {
-        if round.sync {
+pub fn settle(replica: &mut Replica) -> (Vec<ReplicaWork>, Vec<Message>) {
+    let (mut work_items, mut sent) = (Vec::new(), Vec::new());
+    while let Some(work) = replica.next_work(Instant::now()) {
+        if work.sync {
             sent.extend(replica.persisted(Instant::now()));
         }
-        rounds.push(round);
+        work_items.push(work);
     }
-    (rounds, sent)
+    (work_items, sent)
 }
 
 /// The commands of an entry, in order.
 pub fn commands_in(entry: &Entry) -> Vec<Vec<u8>> {
-    let EntryKind::Command(joined) = &entry.kind else { return Vec::new() };
-    split(joined).map(|command| command.expect("a complete command").to_vec()).collect()
+    let EntryKind::Command(batch) = &entry.kind else { return Vec::new() };
+    split_batch(batch).map(|command| command.expect("a complete command").to_vec()).collect()
 }
 
 /// The leader of a group with a single voter.
