--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -31,7 +31,7 @@
 
 impl RawNode {
     /// Starts an election without waiting for the election timeout. Used to elect the first leader
-    /// of a group, and in tests. Does nothing on a leader or a non-voter.
+    /// of a group, and in tests. Starts no election on a leader or a non-voter.
     pub fn campaign(&mut self) {
         if self.role == Role::Leader {
             return;
@@ -138,8 +138,8 @@
     /// Handles a pre-vote reply. A grant carries the requested term, so that a grant from an
     /// earlier campaign is ignored.
     pub(crate) fn handle_pre_vote_reply(&mut self, from: NodeId, term: u64, granted: bool) {
-        let asked_term = self.term.saturating_add(1);
-        if self.role != Role::PreCandidate || (granted && term != asked_term) {
+        let requested_term = self.term.saturating_add(1);
+        if self.role != Role::PreCandidate || (granted && term != requested_term) {
             return;
         }
         self.votes.insert(from, granted);
--- a/crates/raft/src/error.rs
+++ b/crates/raft/src/error.rs
@@ -10,7 +10,7 @@
     InvalidConfig(&'static str),
     /// The indexes of the restored entries are not contiguous.
     #[error("restored log is not contiguous: expected index {expected}, found {found}")]
-    BrokenLog {
+    NonContiguousLog {
         /// Index that follows the previous entry.
         expected: u64,
         /// Index found in its position.
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -26,7 +26,7 @@
         if self.log.conf_change_pending() {
             return Err(ProposeError::ConfChangePending);
         }
-        self.check_change_fits(change)?;
+        self.check_change_applicable(change)?;
         let position = self.append_entry(EntryKind::ConfChange(change));
         self.sync_progress_with_conf();
         Ok(position)
@@ -74,7 +74,7 @@
         self.become_follower(self.term, None);
     }
 
-    fn check_change_fits(&self, change: ConfChange) -> Result<(), ProposeError> {
+    fn check_change_applicable(&self, change: ConfChange) -> Result<(), ProposeError> {
         let conf = self.log.conf();
         match change {
             ConfChange::AddLearner(node) if !conf.contains(node) => Ok(()),
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -37,7 +37,7 @@
     /// Whether the replica was heard from since the last quorum check.
     active: bool,
     /// Whether the replica was heard from between the last two quorum checks.
-    active_before: bool,
+    previously_active: bool,
     /// Newest read round that the replica has acknowledged.
     acked_read_round: u64,
 }
@@ -57,7 +57,7 @@
             append_check_due: false,
             sent_commit: 0,
             active: false,
-            active_before: false,
+            previously_active: false,
             acked_read_round: 0,
         }
     }
@@ -96,12 +96,12 @@
     /// checks. Unlike [`Progress::active`], this does not turn false right after a check.
     #[must_use]
     pub fn recently_active(&self) -> bool {
-        self.active || self.active_before
+        self.active || self.previously_active
     }
 
     /// Starts the next interval between quorum checks.
     pub fn start_interval(&mut self) {
-        self.active_before = std::mem::take(&mut self.active);
+        self.previously_active = std::mem::take(&mut self.active);
     }
 
     /// Records whether the replica was heard from.
--- a/crates/raft/src/raft_log.rs
+++ b/crates/raft/src/raft_log.rs
@@ -46,7 +46,7 @@
     /// applied.
     ///
     /// # Errors
-    /// [`RaftError::BrokenLog`] if the entries don't follow the snapshot without a gap.
+    /// [`RaftError::NonContiguousLog`] if the entries don't follow the snapshot without a gap.
     pub fn new(base: SnapshotMeta, entries: Vec<Entry>) -> Result<Self, RaftError> {
         let mut log = Self {
             confs: vec![ConfAt { index: base.index, conf: base.conf.clone() }],
@@ -60,7 +60,7 @@
         for entry in entries {
             let expected = log.last_index() + 1;
             if entry.index != expected {
-                return Err(RaftError::BrokenLog { expected, found: entry.index });
+                return Err(RaftError::NonContiguousLog { expected, found: entry.index });
             }
             log.push(entry);
         }
--- a/crates/raft/src/simulation/operator.rs
+++ b/crates/raft/src/simulation/operator.rs
@@ -98,8 +98,8 @@
         self.compact(node, retained);
     }
 
-    /// Syncs a snapshot at the applied index, then removes the entries that it covers,
-    /// except the last `retained` ones.
+    /// Syncs a snapshot at the applied index, then removes the entries that it covers, except the
+    /// last `retained` ones.
     fn compact(&mut self, node: NodeId, retained: u64) {
         let broken = self.scenario.broken_rule;
         let Some(replica) = self.replicas.get_mut(&node) else { return };
--- a/crates/replication/src/driver.rs
+++ b/crates/replication/src/driver.rs
@@ -26,6 +26,7 @@
 const MAX_TICKS_AT_ONCE: u32 = 2;
 /// Ticks between checks of the number of log segments.
 const SEGMENT_CHECK_TICKS: u32 = 20;
+
 /// Channels to the threads that work for the driver, and to the driver itself.
 pub(crate) struct Workers {
     pub(crate) appliers: Vec<Sender<GroupTask>>,
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -20,6 +20,7 @@
 
 /// Maximum size of the entries retained in memory after a snapshot covers them.
 const TRAILING_LOG_BYTES: usize = 8 << 20;
+
 /// A replica of a group.
 #[derive(Debug)]
 pub struct Replica {
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -66,8 +66,8 @@
 }
 
 /// A leader of three that has proposed a command which no other replica has received.
-fn leader_with_a_lonely_command() -> (Replica, oneshot::Receiver<Result<Vec<u8>, ReplicationError>>)
-{
+fn leader_with_an_unreplicated_command()
+-> (Replica, oneshot::Receiver<Result<Vec<u8>, ReplicationError>>) {
     let mut replica = replica(&[1, 2, 3]);
     replica.campaign();
     for _ in 0..2 {
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_deposed_leader_calls_its_commands_uncertain_and_applies_what_won() {
-    let (mut replica, mut result) = leader_with_a_lonely_command();
+    let (mut replica, mut result) = leader_with_an_unreplicated_command();
     assert!(result.try_recv().is_err(), "not answered while it leads");
     let term = replica.term() + 1;
     let entry =
--- a/crates/wal/tests/damage.rs
+++ b/crates/wal/tests/damage.rs
@@ -59,20 +59,20 @@
 fn a_flip_before_the_last_append_is_refused_with_its_place() {
     let (bytes, lengths) = written();
     let last_start = lengths[lengths.len() - 2];
-    for place in 0..last_start {
+    for position in 0..last_start {
         let mut damaged = bytes.clone();
-        damaged[place] ^= 0x10;
-        let block_start = if place < lengths[0] {
+        damaged[position] ^= 0x10;
+        let block_start = if position < lengths[0] {
             0
         } else {
-            lengths.iter().rev().find(|start| **start <= place).copied().unwrap()
+            lengths.iter().rev().find(|start| **start <= position).copied().unwrap()
         };
         match reopen(&damaged) {
             Err(WalError::Corrupt { path, offset, .. }) => {
-                assert_eq!(offset, block_start as u64, "flip at {place}");
+                assert_eq!(offset, block_start as u64, "flip at {position}");
                 assert!(path.ends_with("0000000000000001.segment"), "{}", path.display());
             }
-            other => panic!("flip at {place}: {other:?}"),
+            other => panic!("flip at {position}: {other:?}"),
         }
     }
 }
@@ -82,12 +82,12 @@
     let (bytes, lengths) = written();
     let all = appends();
     let before: Vec<_> = all[..all.len() - 1].iter().flatten().cloned().collect();
-    for place in lengths[lengths.len() - 2]..bytes.len() {
+    for position in lengths[lengths.len() - 2]..bytes.len() {
         let mut damaged = bytes.clone();
-        damaged[place] ^= 0x10;
+        damaged[position] ^= 0x10;
         // No later block records these bytes as synced, so they are treated as a torn tail.
-        let recovered = reopen(&damaged).unwrap_or_else(|e| panic!("flip at {place}: {e}"));
-        assert_eq!(recovered.groups, replayed(&before), "flip at {place}");
+        let recovered = reopen(&damaged).unwrap_or_else(|e| panic!("flip at {position}: {e}"));
+        assert_eq!(recovered.groups, replayed(&before), "flip at {position}");
     }
 }
 
