--- a/crates/raft/src/read_only.rs
+++ b/crates/raft/src/read_only.rs
@@ -1,6 +1,6 @@
-//! Linearizable reads (ReadIndex): a read is served at the leader's commit index after a quorum has
-//! acknowledged a heartbeat that was sent after the read arrived (Raft dissertation, section 6.4).
-//! Reads that arrive during a heartbeat round share the next one.
+//! Linearizable reads (`ReadIndex`): a read is served at the leader's commit index after a quorum
+//! has acknowledged a heartbeat that was sent after the read arrived (Raft dissertation, section
+//! 6.4). Reads that arrive during a heartbeat round share the next one.
 
 use std::collections::VecDeque;
 
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -30,9 +30,9 @@
     hard_state: HardState,
     proposals: Proposals,
     /// Reads that wait for their heartbeat round, by context.
-    unconfirmed: BTreeMap<u64, Vec<ReadWaiter>>,
+    unconfirmed_reads: BTreeMap<u64, Vec<ReadWaiter>>,
     /// Confirmed reads that wait until the given index is passed to the state machine.
-    confirmed: Vec<(u64, Vec<ReadWaiter>)>,
+    confirmed_reads: Vec<(u64, Vec<ReadWaiter>)>,
     /// Reads that arrived in this driver cycle; they share one context.
     new_reads: Vec<ReadWaiter>,
     next_context: u64,
@@ -69,8 +69,8 @@
             node,
             hard_state,
             proposals: Proposals::default(),
-            unconfirmed: BTreeMap::new(),
-            confirmed: Vec::new(),
+            unconfirmed_reads: BTreeMap::new(),
+            confirmed_reads: Vec::new(),
             new_reads: Vec::new(),
             next_context: 1,
             dispatched_index: snapshot.as_ref().map_or(0, |meta| meta.index),
@@ -182,7 +182,7 @@
         let context = self.next_context;
         self.next_context += 1;
         match self.node.read_index(context) {
-            Ok(()) => drop(self.unconfirmed.insert(context, reads)),
+            Ok(()) => drop(self.unconfirmed_reads.insert(context, reads)),
             Err(error) => fail_reads(reads, &error.into()),
         }
     }
@@ -197,12 +197,12 @@
         }
         let committed = ready.committed.into_iter().map(|entry| self.commit(entry)).collect();
         for context in ready.aborted_reads {
-            let reads = self.unconfirmed.remove(&context).unwrap_or_default();
+            let reads = self.unconfirmed_reads.remove(&context).unwrap_or_default();
             fail_reads(reads, &self.not_leader());
         }
         for read in ready.reads {
-            let waiters = self.unconfirmed.remove(&read.context).unwrap_or_default();
-            self.confirmed.push((read.index, waiters));
+            let waiters = self.unconfirmed_reads.remove(&read.context).unwrap_or_default();
+            self.confirmed_reads.push((read.index, waiters));
         }
         let mut work = ReplicaWork {
             messages_before_sync: ready.messages_before_sync,
@@ -252,7 +252,7 @@
     fn take_due_reads(&mut self) -> Vec<ReadWaiter> {
         let dispatched_index = self.dispatched_index;
         let mut due = Vec::new();
-        self.confirmed.retain_mut(|(index, reads)| {
+        self.confirmed_reads.retain_mut(|(index, reads)| {
             let is_due = *index <= dispatched_index;
             if is_due {
                 due.append(reads);
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Error of opener the log or of appending to it.
+/// Error of opening the log or of appending to it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WalError {
     /// A file operation failed.
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -1,4 +1,4 @@
-//! Handle of the write-ahead log, and opener it.
+//! Handle of the write-ahead log, and the code that opens the log.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Sender, channel};
@@ -28,7 +28,7 @@
 pub type AppendCallback = Box<dyn FnOnce(Result<(), WalError>) + Send>;
 
 /// A queued append.
-pub(crate) struct Append {
+pub(crate) struct QueuedAppend {
     pub(crate) records: Vec<GroupRecord>,
     pub(crate) sync: bool,
     pub(crate) done: AppendCallback,
@@ -37,7 +37,7 @@
 /// The write-ahead log of a process.
 #[derive(Debug)]
 pub struct Wal {
-    queue: Sender<Append>,
+    queue: Sender<QueuedAppend>,
     index: SharedIndex,
     writer: JoinHandle<()>,
 }
@@ -74,7 +74,7 @@
     /// Queues records. `done` is called after they are written and, if `sync` is set, synced.
     /// Appends are written in the order in which they are queued.
     pub fn append(&self, records: Vec<GroupRecord>, sync: bool, done: AppendCallback) {
-        if let Err(refused) = self.queue.send(Append { records, sync, done }) {
+        if let Err(refused) = self.queue.send(QueuedAppend { records, sync, done }) {
             let reason = "the writer thread has exited".to_owned();
             (refused.0.done)(Err(WalError::Failed { reason }));
         }
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -9,7 +9,7 @@
 use tracing::error;
 
 use crate::block::Block;
-use crate::log::{Append, WalOptions};
+use crate::log::{QueuedAppend, WalOptions};
 use crate::recovery::GroupMeta;
 use crate::{Files, GroupRecord, LogFile, Record, Recovered, WalError, segment};
 
@@ -57,7 +57,7 @@
 
 impl Writer {
     /// Runs until all handles are dropped. After the first failure every append is rejected.
-    pub(crate) fn run(mut self, queue: &Receiver<Append>) {
+    pub(crate) fn run(mut self, queue: &Receiver<QueuedAppend>) {
         let mut failure: Option<WalError> = None;
         while let Ok(first) = queue.recv() {
             let mut appends = vec![first];
@@ -74,7 +74,7 @@
         }
     }
 
-    fn write(&mut self, appends: &mut [Append]) -> Result<(), WalError> {
+    fn write(&mut self, appends: &mut [QueuedAppend]) -> Result<(), WalError> {
         let sync = appends.iter().any(|append| append.sync);
         let records = appends.iter_mut().flat_map(|a| std::mem::take(&mut a.records)).collect();
         self.append(records)?;
