--- a/crates/replication/src/applier.rs
+++ b/crates/replication/src/applier.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 use tracing::error;
 
-use crate::compaction::SnapshotJob;
 use crate::input::Input;
+use crate::snapshot_thread::SnapshotJob;
 use crate::{
     CommittedEntry, ConfirmedRead, ReadWaiter, ReplicaDigest, ReplicationError, split_batch,
 };
--- a/crates/replication/src/dispatch.rs
+++ b/crates/replication/src/dispatch.rs
@@ -9,11 +9,11 @@
 
 use crate::ReplicaWork;
 use crate::applier::ApplyTask;
-use crate::compaction::SnapshotJob;
 use crate::driver::Driver;
 use crate::input::Input;
 use crate::metrics;
 use crate::snapshot_sender::SnapshotTransfer;
+use crate::snapshot_thread::SnapshotJob;
 
 impl Driver {
     /// Requests snapshots of the groups that prevent the removal of old log segments.
--- a/crates/replication/src/driver.rs
+++ b/crates/replication/src/driver.rs
@@ -12,9 +12,9 @@
 use tracing::error;
 
 use crate::applier::{ApplyTask, GroupTask};
-use crate::compaction::SnapshotJob;
 use crate::input::Input;
 use crate::replica::is_from_leader;
+use crate::snapshot_thread::SnapshotJob;
 use crate::start::{MachineFactory, StartContext};
 use crate::transport::Transport;
 use crate::{Replica, ReplicationError, ReplicationSettings};
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -10,7 +10,6 @@
 mod addresses;
 mod applier;
 mod command_batch;
-mod compaction;
 mod dispatch;
 mod driver;
 mod error;
@@ -25,6 +24,7 @@
 mod settings;
 mod snapshot_inbox;
 mod snapshot_sender;
+mod snapshot_thread;
 mod start;
 mod transport;
 
--- a/crates/replication/src/start.rs
+++ b/crates/replication/src/start.rs
@@ -13,8 +13,8 @@
 use tokio::sync::watch;
 
 use crate::applier::{Applier, GroupTask};
-use crate::compaction;
 use crate::driver::{Driver, Workers};
+use crate::snapshot_thread;
 use crate::transport::Transport;
 use crate::{AddressBook, OpenError, ReplicationSettings, Replicator};
 
@@ -58,7 +58,7 @@
         let appliers = start_appliers(&snapshot_jobs, &driver)?;
         let (store, inputs_sender) = (snapshots.clone(), driver.clone());
         spawn_watched("snapshots", &driver, move || {
-            compaction::run(&store, &jobs, &inputs_sender)
+            snapshot_thread::run(&store, &jobs, &inputs_sender)
         })?;
         let (failure, failed) = watch::channel(None);
         let (ended, watch_end) = watch::channel(());
@@ -103,7 +103,7 @@
 }
 
 fn start_appliers(
-    snapshots: &Sender<compaction::SnapshotJob>,
+    snapshots: &Sender<snapshot_thread::SnapshotJob>,
     driver: &Sender<crate::input::Input>,
 ) -> Result<Vec<Sender<GroupTask>>, OpenError> {
     let start = |number: usize| {
