--- a/crates/raft/tests/suite/group.rs
+++ b/crates/raft/tests/suite/group.rs
@@ -68,7 +68,7 @@
     group.partitioned.insert(1);
     group.at(1).read_index(10).expect("accepted");
     group.settle();
-    assert_eq!(group.reads.len(), 1, "no quorum has answered");
+    assert_eq!(group.reads.len(), 1, "no quorum has acknowledged the round");
     group.tick(25);
     assert_eq!(group.aborted_reads, vec![10]);
     assert_eq!(group.at(1).status().role, Role::Follower, "check-quorum");
@@ -94,7 +94,7 @@
     group.partitioned.clear();
     group.tick(10);
     assert_eq!(group.leader(), Some(1));
-    assert_eq!(group.at(1).status().term, term, "pre-vote kept the term");
+    assert_eq!(group.at(1).status().term, term, "pre-vote preserved the term");
 }
 
 #[test]
