--- a/crates/replication/src/start.rs
+++ b/crates/replication/src/start.rs
@@ -56,10 +56,8 @@
         let (driver, inputs) = channel();
         let (snapshot_jobs, jobs) = channel();
         let appliers = start_appliers(&snapshot_jobs, &driver)?;
-        let (store, inputs_sender) = (snapshots.clone(), driver.clone());
-        spawn_watched("snapshots", &driver, move || {
-            snapshot_thread::run(&store, &jobs, &inputs_sender)
-        })?;
+        let (store, sender) = (snapshots.clone(), driver.clone());
+        spawn_watched("snapshots", &driver, move || snapshot_thread::run(&store, &jobs, &sender))?;
         let (failure, failed) = watch::channel(None);
         let (ended, watch_end) = watch::channel(());
         let groups = Arc::default();
