--- a/crates/raft/src/simulation/mod.rs
+++ b/crates/raft/src/simulation/mod.rs
@@ -1,30 +1,31 @@
-//! A seeded simulator of a whole group, with checks after every step.
+//! Deterministic simulator of a complete raft group that checks safety after every step.
 //!
-//! One seed decides everything: the faults' rates, every delay, crash, cut, membership change and
-//! client call. The same seed gives the same run, event by event. Compiled only for tests and with the
-//! `simulation` feature; nothing in a shipped build depends on it.
+//! The seed determines everything: fault rates, delays, crashes, network partitions, membership
+//! changes and client requests. The same seed reproduces the same run, event by event. The
+//! simulator is compiled only for tests and with the `simulation` feature, never into a release
+//! build.
 
 mod broken_rule;
 mod checker;
 mod clients;
 mod disk;
+mod driver;
 mod event;
+mod fault_profile;
 mod faults;
 mod fingerprint;
 mod machine;
 mod network;
 mod operator;
 mod replica;
-mod shell;
+mod runner;
 mod sweep;
 #[cfg(test)]
 mod tests;
 mod trace;
 mod violation;
-mod weather;
-mod world;
 
 pub use broken_rule::BrokenRule;
+pub use runner::{Outcome, Scenario, Totals, run};
 pub use sweep::{Failure, SweepReport, sweep};
 pub use violation::Violation;
-pub use world::{Outcome, Scenario, Totals, run};
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,5 @@
-//! One replica: consensus with the requests that wait on it. No I/O; time comes in as an argument.
+//! A replica: raft state machine plus the client requests that wait for it. Performs no I/O; the
+//! current time is passed as an argument.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -12,48 +13,50 @@
 use hooklug_wal::Record;
 
 use crate::proposals::Proposals;
-use crate::{Proposal, ReadWaiter, ReplicationError, Reply, Round, split};
+use crate::{CommittedEntry, ReadWaiter, ReplicaWork, ReplicationError, Reply, split_batch};
 
-/// Bytes of commands after which a group takes a snapshot, however few they are (ours).
+/// Size of applied commands after which a group takes a snapshot, regardless of their number.
 const SNAPSHOT_LOG_BYTES: u64 = 32 << 20;
 
-/// Bytes of entries that stay in memory behind a snapshot at most (ours).
+/// Maximum size of the entries retained in memory after a snapshot covers them.
 const TRAILING_LOG_BYTES: usize = 8 << 20;
-/// One replica of one group.
+
+/// A replica of a group.
 #[derive(Debug)]
 pub struct Replica {
     group: GroupId,
     node: RawNode,
-    /// The newest hard state that was handed out.
+    /// The latest hard state passed to the driver.
     hard_state: HardState,
     proposals: Proposals,
-    /// Reads that wait for their round, by context.
-    unconfirmed: BTreeMap<u64, Vec<ReadWaiter>>,
-    /// Reads that wait for entries up to an index.
-    confirmed: Vec<(u64, Vec<ReadWaiter>)>,
-    /// Reads of this driver cycle; they share one context.
-    arrived: Vec<ReadWaiter>,
+    /// Reads that wait for their heartbeat round, by context.
+    unconfirmed_reads: BTreeMap<u64, Vec<ReadWaiter>>,
+    /// Confirmed reads that wait until the given index is passed to the state machine.
+    confirmed_reads: Vec<(u64, Vec<ReadWaiter>)>,
+    /// Reads that arrived in this driver cycle; they share one context.
+    new_reads: Vec<ReadWaiter>,
     next_context: u64,
-    /// Highest index handed to the state machine.
-    handed_over: u64,
+    /// Highest index passed to the state machine.
+    dispatched_index: u64,
     /// The newest durable snapshot.
     snapshot: Option<SnapshotMeta>,
-    snapshotting: bool,
-    /// Bytes of that snapshot, as far as it was taken here.
+    snapshot_in_progress: bool,
+    /// Size of the newest snapshot taken on this node.
     snapshot_bytes: u64,
-    /// Bytes of commands handed to the state machine since the snapshot.
-    log_bytes: u64,
-    /// Commands, and entries without any, handed to the state machine since the snapshot.
-    log_commands: u64,
+    /// Size of the commands passed to the state machine since the snapshot.
+    bytes_since_snapshot: u64,
+    /// Number of commands and entries without commands passed to the state machine since the
+    /// snapshot.
+    commands_since_snapshot: u64,
     leading_since: Option<Instant>,
-    /// Messages of leaders that were taken.
+    /// Number of messages received from leaders.
     leader_messages: u64,
-    /// Messages that wait for the sync under way; `None` when none is.
-    after_sync: Option<Vec<Message>>,
+    /// Messages to send after the sync in progress; `None` if there is none.
+    messages_after_sync: Option<Vec<Message>>,
 }
 
 impl Replica {
-    /// A replica around a consensus core that has applied nothing after its snapshot.
+    /// Creates a replica from a raft node that has applied nothing after its snapshot.
     #[must_use]
     pub fn new(
         group: GroupId,
@@ -66,190 +69,191 @@
             node,
             hard_state,
             proposals: Proposals::default(),
-            unconfirmed: BTreeMap::new(),
-            confirmed: Vec::new(),
-            arrived: Vec::new(),
+            unconfirmed_reads: BTreeMap::new(),
+            confirmed_reads: Vec::new(),
+            new_reads: Vec::new(),
             next_context: 1,
-            handed_over: snapshot.as_ref().map_or(0, |meta| meta.index),
+            dispatched_index: snapshot.as_ref().map_or(0, |meta| meta.index),
             snapshot,
-            snapshotting: false,
+            snapshot_in_progress: false,
             snapshot_bytes: 0,
-            log_bytes: 0,
-            log_commands: 0,
+            bytes_since_snapshot: 0,
+            commands_since_snapshot: 0,
             leading_since: None,
             leader_messages: 0,
-            after_sync: None,
+            messages_after_sync: None,
         }
     }
 
-    /// One tick.
+    /// Advances the logical clock by one tick.
     pub fn tick(&mut self, now: Instant) {
         self.node.tick();
-        self.note_role(now);
+        self.update_leadership(now);
     }
 
-    /// A message of another replica.
+    /// Processes a message of another replica.
     pub fn step(&mut self, message: Message, now: Instant) {
         self.leader_messages += u64::from(is_from_leader(&message));
         self.node.step(message);
-        self.note_role(now);
+        self.update_leadership(now);
     }
 
-    /// A verified snapshot of the leader.
+    /// Accepts a verified snapshot of the leader.
     pub fn receive_snapshot(&mut self, from: NodeId, term: u64, snapshot: Snapshot, now: Instant) {
         self.leader_messages += 1;
         self.node.receive_snapshot(from, term, snapshot);
-        self.note_role(now);
+        self.update_leadership(now);
     }
 
-    /// How a snapshot transfer ended.
+    /// Reports the result of a snapshot transfer.
     pub fn report_snapshot(&mut self, to: NodeId, sent: bool) {
         self.node.report_snapshot(to, sent);
     }
 
-    /// A command; its result or an error goes to `reply`. Commands that come while a round is under way
-    /// share the entries of the next one.
+    /// Proposes a command; its result or an error is sent to `reply`. Commands that arrive during a
+    /// sync share the next log entries.
     pub fn propose(&mut self, command: &[u8], reply: impl Into<Reply>) {
         if self.node.role() == Role::Leader {
-            self.proposals.gather(command, reply.into());
+            self.proposals.enqueue(command, reply.into());
         } else {
             reply.into().send(Err(self.not_leader()));
         }
     }
 
-    /// A membership change; `reply` gets empty bytes once it is committed.
+    /// Proposes a membership change; `reply` receives empty bytes after it is committed and
+    /// applied.
     pub fn change_members(&mut self, change: ConfChange, reply: impl Into<Reply>) {
-        self.append_gathered();
+        self.append_batches();
         let position = self.node.propose_conf_change(change);
         self.proposals.wait_for_change(position, reply.into());
     }
 
-    fn append_gathered(&mut self) {
+    fn append_batches(&mut self) {
         let Self { proposals, node, .. } = self;
-        proposals.append_gathered(|bytes| node.propose(bytes));
+        proposals.append_batches(|bytes| node.propose(bytes));
     }
 
     fn not_leader(&self) -> ReplicationError {
         ReplicationError::NotLeader { leader: self.node.leader() }
     }
 
-    /// A linearizable read; all reads of one cycle share a round.
+    /// Requests a linearizable read. All reads of a driver cycle share a heartbeat round.
     pub fn read(&mut self, read: ReadWaiter) {
         if self.node.role() == Role::Leader {
-            self.arrived.push(read);
+            self.new_reads.push(read);
         } else {
             drop(read.reply.send(Err(self.not_leader())));
         }
     }
 
-    /// Hands leadership over.
+    /// Transfers leadership.
     ///
     /// # Errors
-    /// When this replica does not lead or the target has no vote.
+    /// If this replica is not the leader or the target is not another voter.
     pub fn transfer(&mut self, to: NodeId) -> Result<(), ReplicationError> {
         self.node.transfer_leadership(to).map_err(ReplicationError::from)
     }
 
-    /// Asks for leadership.
+    /// Starts an election.
     pub fn campaign(&mut self) {
         self.node.campaign();
     }
 
-    /// The next round of work, if there is any and none is under way.
-    pub fn round(&mut self, now: Instant) -> Option<Round> {
+    /// Returns the next work, if there is any and no sync is in progress.
+    pub fn next_work(&mut self, now: Instant) -> Option<ReplicaWork> {
         self.start_reads();
-        if self.after_sync.is_some() {
+        if self.messages_after_sync.is_some() {
             return None;
         }
-        self.append_gathered();
+        self.append_batches();
         if !self.node.has_ready() {
             return None;
         }
         let ready = self.node.ready();
-        self.note_role(now);
-        Some(self.turn_into_work(ready))
+        self.update_leadership(now);
+        Some(self.prepare_work(ready))
     }
 
     fn start_reads(&mut self) {
-        if self.arrived.is_empty() {
+        if self.new_reads.is_empty() {
             return;
         }
-        let reads = std::mem::take(&mut self.arrived);
+        let reads = std::mem::take(&mut self.new_reads);
         let context = self.next_context;
         self.next_context += 1;
         match self.node.read_index(context) {
-            Ok(()) => drop(self.unconfirmed.insert(context, reads)),
+            Ok(()) => drop(self.unconfirmed_reads.insert(context, reads)),
             Err(error) => fail_reads(reads, &error.into()),
         }
     }
 
-    fn turn_into_work(&mut self, mut ready: Ready) -> Round {
+    fn prepare_work(&mut self, mut ready: Ready) -> ReplicaWork {
         self.hard_state = ready.hard_state.unwrap_or(self.hard_state);
         let records = take_records(&mut ready);
         if let Some(snapshot) = &ready.snapshot {
-            self.handed_over = snapshot.meta.index;
+            self.dispatched_index = snapshot.meta.index;
             self.snapshot = Some(snapshot.meta.clone());
-            (self.log_bytes, self.log_commands) = (0, 0);
+            (self.bytes_since_snapshot, self.commands_since_snapshot) = (0, 0);
         }
         let committed = ready.committed.into_iter().map(|entry| self.commit(entry)).collect();
-        for context in ready.reads_lost {
-            let reads = self.unconfirmed.remove(&context).unwrap_or_default();
+        for context in ready.aborted_reads {
+            let reads = self.unconfirmed_reads.remove(&context).unwrap_or_default();
             fail_reads(reads, &self.not_leader());
         }
         for read in ready.reads {
-            let waiters = self.unconfirmed.remove(&read.context).unwrap_or_default();
-            self.confirmed.push((read.index, waiters));
+            let waiters = self.unconfirmed_reads.remove(&read.context).unwrap_or_default();
+            self.confirmed_reads.push((read.index, waiters));
         }
-        let mut round = Round {
-            early: ready.messages_before_sync,
+        let mut work = ReplicaWork {
+            messages_before_sync: ready.messages_before_sync,
             snapshot: ready.snapshot,
             committed,
-            reads: self.due_reads(),
+            reads: self.take_due_reads(),
             leading_since: self.leading_since,
             records,
             sync: ready.must_sync,
-            late: Vec::new(),
-            snapshots_wanted: ready.snapshots_wanted,
+            messages: Vec::new(),
+            snapshot_requests: ready.snapshot_requests,
         };
-        if round.sync {
-            self.after_sync = Some(ready.messages);
+        if work.sync {
+            self.messages_after_sync = Some(ready.messages);
         } else {
-            round.late = ready.messages;
+            work.messages = ready.messages;
             self.node.advance();
         }
-        round
+        work
     }
 
-    /// Notes that the last round is synced; gives the messages that waited for it.
+    /// Records that the last work is synced; returns the messages that depended on it.
     pub fn persisted(&mut self, now: Instant) -> Vec<Message> {
-        let Some(messages) = self.after_sync.take() else { return Vec::new() };
+        let Some(messages) = self.messages_after_sync.take() else { return Vec::new() };
         self.node.advance();
-        self.note_role(now);
+        self.update_leadership(now);
         messages
     }
 
-    fn commit(&mut self, entry: Entry) -> Proposal {
-        self.handed_over = entry.index;
+    fn commit(&mut self, entry: Entry) -> CommittedEntry {
+        self.dispatched_index = entry.index;
         match &entry.kind {
-            EntryKind::Command(joined) => {
-                self.log_bytes += joined.len() as u64;
-                self.log_commands += split(joined).count() as u64;
+            EntryKind::Command(batch) => {
+                self.bytes_since_snapshot += batch.len() as u64;
+                self.commands_since_snapshot += split_batch(batch).count() as u64;
             }
             EntryKind::ConfChange(change) => {
                 self.node.apply_conf_change(*change);
-                self.log_commands += 1;
+                self.commands_since_snapshot += 1;
             }
-            EntryKind::Noop => self.log_commands += 1,
+            EntryKind::Noop => self.commands_since_snapshot += 1,
         }
         let replies = self.proposals.committed(&entry);
-        Proposal { entry, replies }
+        CommittedEntry { entry, replies }
     }
 
-    fn due_reads(&mut self) -> Vec<ReadWaiter> {
-        let handed_over = self.handed_over;
+    fn take_due_reads(&mut self) -> Vec<ReadWaiter> {
+        let dispatched_index = self.dispatched_index;
         let mut due = Vec::new();
-        self.confirmed.retain_mut(|(index, reads)| {
-            let is_due = *index <= handed_over;
+        self.confirmed_reads.retain_mut(|(index, reads)| {
+            let is_due = *index <= dispatched_index;
             if is_due {
                 due.append(reads);
             }
@@ -258,58 +262,61 @@
         due
     }
 
-    /// Notes since when this replica leads. One that stopped leading answers what waits at once, so
-    /// that callers turn to the new leader.
-    fn note_role(&mut self, now: Instant) {
+    /// Tracks since when this replica is the leader. A replica that lost leadership fails all
+    /// waiting requests immediately, so that callers turn to the new leader.
+    fn update_leadership(&mut self, now: Instant) {
         let leads = self.node.role() == Role::Leader;
         if leads == self.leading_since.is_some() {
             return;
         }
         self.leading_since = leads.then_some(now);
         if !leads {
-            // What is not in the log can be sent to the next leader at once.
+            // Commands that are not in the log yet can safely be retried at the next leader.
             let error = self.not_leader();
-            self.proposals.fail_gathered(&error);
+            self.proposals.fail_unappended(&error);
             self.fail_waiting(&ReplicationError::Uncertain);
         }
     }
 
-    /// Answers all commands, membership changes and new reads with an error.
+    /// Fails all commands, membership changes and unstarted reads with an error.
     pub fn fail_waiting(&mut self, error: &ReplicationError) {
         self.proposals.fail_all(error);
-        fail_reads(std::mem::take(&mut self.arrived), error);
+        fail_reads(std::mem::take(&mut self.new_reads), error);
     }
 
-    /// Whether enough was applied since the last snapshot to take another: so many commands, or more bytes
-    /// than both a fixed amount and the last snapshot, so that a large state is not written too often.
+    /// Whether enough was applied since the last snapshot to take another one: `snapshot_commands`
+    /// commands, or more bytes than both a fixed limit and the size of the last snapshot. The
+    /// latter keeps a large state from being written too often.
     #[must_use]
-    pub fn wants_snapshot(&self, snapshot_commands: u64) -> bool {
-        let is_large = self.log_bytes >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
-        let is_long = self.log_commands >= snapshot_commands;
-        !self.snapshotting && self.log_commands > 0 && (is_long || is_large)
+    pub fn needs_snapshot(&self, snapshot_commands: u64) -> bool {
+        let is_large = self.bytes_since_snapshot >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
+        let is_long = self.commands_since_snapshot >= snapshot_commands;
+        !self.snapshot_in_progress && self.commands_since_snapshot > 0 && (is_long || is_large)
     }
 
-    /// Notes that a snapshot of the state was asked for.
-    pub fn begin_snapshot(&mut self) {
-        self.snapshotting = true;
-        (self.log_bytes, self.log_commands) = (0, 0);
+    /// Records that a snapshot of the state was requested.
+    pub fn mark_snapshot_started(&mut self) {
+        self.snapshot_in_progress = true;
+        (self.bytes_since_snapshot, self.commands_since_snapshot) = (0, 0);
     }
 
-    /// Notes that a snapshot of the state is durable and drops the entries that it covers, but for
-    /// some. Gives the record to persist; `None` when a newer snapshot stands already.
+    /// Records that a snapshot of the state is durable and compacts the log, except for `trailing`
+    /// entries. Returns the record to persist, or `None` if a newer snapshot exists.
     pub fn finish_snapshot(
         &mut self,
         meta: SnapshotMeta,
         bytes: u64,
         trailing: u64,
     ) -> Option<Record> {
-        self.snapshotting = false;
+        self.snapshot_in_progress = false;
         self.snapshot_bytes = bytes;
         if self.snapshot.as_ref().is_some_and(|newest| newest.index >= meta.index) {
             return None;
         }
-        // Applied when the round that held the entries is advanced; until then it stays whole.
-        let _ = self.node.compact_behind(meta.index, trailing, TRAILING_LOG_BYTES);
+        // Compaction fails if the entries are not yet marked as applied, which happens when the
+        // work that contained them is advanced. The log then stays uncompacted until the next
+        // snapshot.
+        let _ = self.node.compact_with_trailing(meta.index, trailing, TRAILING_LOG_BYTES);
         self.snapshot = Some(meta.clone());
         Some(Record::Snapshot(meta))
     }
@@ -320,41 +327,47 @@
         self.snapshot.as_ref()
     }
 
-    /// Whether it has members to vote with: one that joins gets them with its first snapshot.
+    /// Whether the replica knows the group's members. A joining replica receives them with its
+    /// first snapshot.
     #[must_use]
     pub fn has_members(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// Whether it leads.
+    /// Whether this replica is the leader.
     #[must_use]
     pub fn leads(&self) -> bool {
         self.leading_since.is_some()
     }
 
-    /// Whether the group may have let this replica go, as it was when it had taken so many messages of leaders. One that has
-    /// heard a leader since may be a member again, and its leader may count on what it holds.
+    /// Checks that the replica may be removed based on a status in which it had received
+    /// `leader_messages` messages from leaders. If it has heard from a leader since, it may have
+    /// been added to the group again, and the leader may rely on its log.
     ///
     /// # Errors
-    /// [`ReplicationError::Refused`] says why it must stay.
-    pub fn check_let_go(&self, leader_messages: u64) -> Result<(), ReplicationError> {
+    /// [`ReplicationError::Refused`] with the reason why it must not be removed.
+    pub fn check_removable(&self, leader_messages: u64) -> Result<(), ReplicationError> {
         if self.leads() {
-            return Err(ReplicationError::Refused("it leads the group".to_owned()));
+            return Err(ReplicationError::Refused(
+                "the replica is the leader of the group".to_owned(),
+            ));
         }
         if self.leader_messages != leader_messages {
-            return Err(ReplicationError::Refused("it has heard a leader since".to_owned()));
+            return Err(ReplicationError::Refused(
+                "the replica has heard from a leader since its status was read".to_owned(),
+            ));
         }
         Ok(())
     }
 
-    /// Term and vote that a later replica of the group on this node must not forget.
+    /// Term and vote that a later replica of the group on this node must not lose.
     #[must_use]
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// The replica for operators and for repair. Its members are those of the applied entries: a store
-    /// must not act on a removal that may yet be undone.
+    /// Status of the replica, for operators and for repair. `conf` holds the members as of the
+    /// applied entries, since a store must not act on a removal that may still be reverted.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let status = self.node.status();
@@ -379,20 +392,20 @@
         }
     }
 
-    /// Bytes of the log's entries that are held in memory.
+    /// Size of the log entries in memory.
     #[must_use]
     pub fn log_memory(&self) -> usize {
         self.node.log_bytes()
     }
 
-    /// The leader's term, for the messages of a snapshot transfer.
+    /// The current term, sent with the chunks of a snapshot.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.node.status().term
     }
 }
 
-/// Whether only a leader sends such a message.
+/// Whether a message is of a type that only leaders send.
 pub(crate) fn is_from_leader(message: &Message) -> bool {
     matches!(
         message.body,
--- a/crates/replication/src/reply.rs
+++ b/crates/replication/src/reply.rs
@@ -1,40 +1,41 @@
-//! Where the answer to a command goes.
+//! The reply to a command.
 
 use tokio::sync::oneshot;
 
 use crate::ReplicationError;
 
-/// What a command or a membership change came to: the state machine's encoded reply.
+/// Outcome of a command or a membership change: the state machine's encoded result, or an error.
 pub type Outcome = Result<Vec<u8>, ReplicationError>;
 
-/// Takes the outcome of one command or membership change, once, in whichever thread knows it. Must not block.
-/// Dropped without one, it says that the outcome is uncertain.
+/// One-shot callback for the outcome of a command or membership change. It is called on whichever
+/// thread determines the outcome and must not block. If it is dropped before being sent, the
+/// outcome is [`ReplicationError::Uncertain`].
 pub struct Reply {
-    /// `None` once it is used.
-    answer: Option<Box<dyn FnOnce(Outcome) + Send>>,
+    /// `None` after the outcome is sent.
+    callback: Option<Box<dyn FnOnce(Outcome) + Send>>,
 }
 
 impl Reply {
-    /// A reply that calls a function.
-    pub fn new(answer: impl FnOnce(Outcome) + Send + 'static) -> Self {
-        Self { answer: Some(Box::new(answer)) }
+    /// Creates a reply that calls a function with the outcome.
+    pub fn new(callback: impl FnOnce(Outcome) + Send + 'static) -> Self {
+        Self { callback: Some(Box::new(callback)) }
     }
 
-    /// Gives the outcome.
+    /// Sends the outcome.
     pub fn send(mut self, outcome: Outcome) {
-        self.give(outcome);
+        self.complete(outcome);
     }
 
-    fn give(&mut self, outcome: Outcome) {
-        if let Some(answer) = self.answer.take() {
-            answer(outcome);
+    fn complete(&mut self, outcome: Outcome) {
+        if let Some(callback) = self.callback.take() {
+            callback(outcome);
         }
     }
 }
 
 impl Drop for Reply {
     fn drop(&mut self) {
-        self.give(Err(ReplicationError::Uncertain));
+        self.complete(Err(ReplicationError::Uncertain));
     }
 }
 
--- a/crates/replication/src/snapshot_inbox.rs
+++ b/crates/replication/src/snapshot_inbox.rs
@@ -1,4 +1,4 @@
-//! Snapshots on their way in: pieces in order, verified as a whole. No I/O.
+//! Assembles incoming snapshots from chunks and verifies their digest. Performs no I/O.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use hooklug_raft::{Snapshot, SnapshotMeta};
 use hooklug_types::{Digest, GroupId, NodeId};
 
-/// Longest snapshot accepted, in bytes (ours).
+/// Maximum size of an accepted snapshot in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 4 << 30;
 
 #[derive(Debug)]
@@ -17,24 +17,24 @@
     data: Vec<u8>,
 }
 
-/// What a piece came to.
+/// Result of receiving a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ChunkOutcome {
-    /// The piece was taken, or not: this offset is expected next.
-    Expect(u64),
-    /// The snapshot is whole and its digest fits.
-    Whole(Snapshot),
+    /// The snapshot is incomplete; the chunk at this offset is expected next.
+    ExpectOffset(u64),
+    /// The snapshot is complete and its digest matches.
+    Complete(Snapshot),
 }
 
-/// Snapshots that are not whole yet, one a group.
+/// Partially received snapshots, at most one per group.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotInbox {
     partial: BTreeMap<GroupId, Partial>,
 }
 
 impl SnapshotInbox {
-    /// Takes a piece. The first piece of another snapshot replaces one that is not whole.
-    pub(crate) fn take(&mut self, chunk: &SnapshotChunk) -> ChunkOutcome {
+    /// Adds a chunk. The first chunk of a snapshot discards a partial one of the same group.
+    pub(crate) fn receive(&mut self, chunk: &SnapshotChunk) -> ChunkOutcome {
         let group = chunk.group;
         if chunk.offset == 0 {
             let partial = Partial {
@@ -45,18 +45,20 @@
             };
             self.partial.insert(group, partial);
         }
-        let Some(partial) = self.partial.get_mut(&group) else { return ChunkOutcome::Expect(0) };
+        let Some(partial) = self.partial.get_mut(&group) else {
+            return ChunkOutcome::ExpectOffset(0);
+        };
         let same =
             (partial.from, partial.term) == (chunk.from, chunk.term) && partial.meta == chunk.meta;
         if !same || partial.data.len() + chunk.data.len() > MAX_SNAPSHOT_BYTES {
-            return ChunkOutcome::Expect(0);
+            return ChunkOutcome::ExpectOffset(0);
         }
         if partial.data.len() as u64 != chunk.offset {
-            return ChunkOutcome::Expect(partial.data.len() as u64);
+            return ChunkOutcome::ExpectOffset(partial.data.len() as u64);
         }
         partial.data.extend_from_slice(&chunk.data);
         match chunk.whole {
-            None => ChunkOutcome::Expect(partial.data.len() as u64),
+            None => ChunkOutcome::ExpectOffset(partial.data.len() as u64),
             Some(digest) => self.finish(group, digest),
         }
     }
@@ -64,9 +66,9 @@
     fn finish(&mut self, group: GroupId, digest: Digest) -> ChunkOutcome {
         match self.partial.remove(&group) {
             Some(Partial { meta, data, .. }) if Digest::of(&data) == digest => {
-                ChunkOutcome::Whole(Snapshot { meta, data })
+                ChunkOutcome::Complete(Snapshot { meta, data })
             }
-            _ => ChunkOutcome::Expect(0),
+            _ => ChunkOutcome::ExpectOffset(0),
         }
     }
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -1,16 +1,16 @@
-//! One replica without I/O.
+//! Helpers for tests of a single replica without I/O.
 
 use std::time::Instant;
 
 use hooklug_raft::{
     ConfState, Config, Entry, EntryKind, HardState, Message, RawNode, Restored, SnapshotMeta,
 };
-use hooklug_replication::{Replica, Round, split};
+use hooklug_replication::{Replica, ReplicaWork, split_batch};
 use hooklug_types::{GroupId, NodeId};
 
 pub const OWN: NodeId = NodeId(1);
 
-/// A replica of a group that began with these voters.
+/// A replica of a new group with the given initial voters.
 pub fn replica(voters: &[u64]) -> Replica {
     let config = Config {
         id: OWN,
@@ -29,25 +29,26 @@
     Replica::new(GroupId(1), node, hard_state, Some(meta))
 }
 
-/// Does all rounds at once, as if each sync succeeded; gives them and what went out after the syncs.
-pub fn settle(replica: &mut Replica) -> (Vec<Round>, Vec<Message>) {
-    let (mut rounds, mut sent) = (Vec::new(), Vec::new());
-    while let Some(round) = replica.round(Instant::now()) {
-        if round.sync {
+/// Processes all pending work as if each sync succeeded; returns it and the messages sent after the
+/// syncs.
+pub fn settle(replica: &mut Replica) -> (Vec<ReplicaWork>, Vec<Message>) {
+    let (mut work_items, mut sent) = (Vec::new(), Vec::new());
+    while let Some(work) = replica.next_work(Instant::now()) {
+        if work.sync {
             sent.extend(replica.persisted(Instant::now()));
         }
-        rounds.push(round);
+        work_items.push(work);
     }
-    (rounds, sent)
+    (work_items, sent)
 }
 
 /// The commands of an entry, in order.
 pub fn commands_in(entry: &Entry) -> Vec<Vec<u8>> {
-    let EntryKind::Command(joined) = &entry.kind else { return Vec::new() };
-    split(joined).map(|command| command.expect("whole commands").to_vec()).collect()
+    let EntryKind::Command(batch) = &entry.kind else { return Vec::new() };
+    split_batch(batch).map(|command| command.expect("a complete command").to_vec()).collect()
 }
 
-/// A replica that leads a group of its own.
+/// The leader of a group with a single voter.
 pub fn leader_alone() -> Replica {
     let mut replica = replica(&[1]);
     replica.campaign();
