--- a/crates/store/examples/commit_bench.rs
+++ b/crates/store/examples/commit_bench.rs
@@ -1,12 +1,12 @@
-//! Measures commits of a three-store cluster on this machine against a plain append-and-sync loop on
-//! the same disk.
+//! Measures the commit throughput and latency of a three-store cluster on this machine, compared with a
+//! plain append-and-sync loop on the same disk.
 //!
 //! `cargo run --release -p hooklug-store --example commit_bench [-- commits]`
 //!
-//! Prints, from one run: the loop's rate; the time of an rpc round trip; commits a second and latencies
-//! of 1 and 16 groups with 1 to 256 clients, their ratio to the loop, and how one client compares with a
-//! sync and a round trip; the time from a leader's stop to the next commit; and the time to replay
-//! 100,000 commands. With `commits` the last two are left out.
+//! One run prints: the rate of the loop; the time of an rpc round trip; commits per second and latencies
+//! for 1 and 16 groups with 1 to 256 clients, their ratio to the loop, and the latency of one client
+//! relative to a sync and a round trip; the time from a leader's stop to the next commit; and the time to
+//! replay 100,000 commands. With the argument `commits`, the last two are skipped.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -25,13 +25,13 @@
 use support::{TestCluster, free_address, put, rpc_client, soon};
 use tokio_util::sync::CancellationToken;
 
-/// Time of one measurement.
+/// Duration of one measurement.
 const MEASURE_TIME: Duration = Duration::from_secs(2);
-/// Clients of the measurements.
+/// Numbers of concurrent clients to measure with.
 const CLIENTS: [usize; 5] = [1, 4, 16, 64, 256];
-/// Leaders stopped, one after another.
+/// Number of leaders that are stopped, one after another.
 const STOPS: usize = 10;
-/// Commands whose replay is timed.
+/// Number of commands whose replay is timed.
 const REPLAYED_COMMANDS: usize = 100_000;
 
 #[tokio::main]
@@ -53,8 +53,8 @@
     replay(&mut cluster).await;
 }
 
-/// Prints the rates of all numbers of clients, and the latency of one client in units of one sync and a
-/// round trip. The growth is that of the rate since one client.
+/// Measures and prints one row per number of clients, and the latency of one client as a multiple of a
+/// sync and a round trip. The column `growth` is the rate relative to that of one client.
 async fn measure_groups(cluster: &TestCluster, groups: usize, loop_rate: f64, reference: Duration) {
     let (mut single_rate, mut single_p50) = (0.0, 0);
     for clients in CLIENTS {
@@ -72,7 +72,7 @@
     println!("{groups:6} one client: p50 is {times:.2} times a sync and a round trip");
 }
 
-/// Median time of a small request to a server that answers it at once.
+/// Measures the median time of a small request to a server that replies immediately.
 async fn round_trip() -> Duration {
     let listener = RpcServer::bind(free_address().await).await.expect("an address");
     let to = listener.local_addr().expect("an address");
@@ -85,7 +85,7 @@
     let end = Instant::now() + MEASURE_TIME;
     while Instant::now() < end {
         let started = Instant::now();
-        client.call(to, &GroupStatus, soon()).await.expect("an answer");
+        client.call(to, &GroupStatus, soon()).await.expect("a reply");
         times.record(started.elapsed().as_micros() as u64).expect("in bounds");
     }
     stop.cancel();
@@ -93,7 +93,7 @@
     Duration::from_micros(times.value_at_quantile(0.5))
 }
 
-/// Appends of a command's size, each synced, one after another.
+/// Measures the rate of sequential appends of a command's size, each followed by a sync.
 fn append_and_sync_rate() -> f64 {
     let folder = tempfile::tempdir().expect("a folder");
     let mut file = std::fs::File::create(folder.path().join("loop")).expect("a file");
@@ -110,22 +110,22 @@
 struct Measured {
     rate: f64,
     latencies: Histogram<u64>,
-    /// Processor time of the whole process (three stores and the clients) for each commit.
+    /// Processor time of the process (three stores and the clients) per commit, in microseconds.
     core_micros: f64,
 }
 
-/// Processor time that this process has used, in microseconds.
+/// Returns the processor time that this process has used, in microseconds.
 fn core_micros() -> f64 {
-    /// Microseconds of one clock tick of the system's accounts.
+    /// Length of a kernel clock tick in microseconds.
     const TICK_MICROS: f64 = 10_000.0;
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("the process's accounts");
-    // The name in parentheses may hold spaces; user and system time are fields 14 and 15.
+    let stat = std::fs::read_to_string("/proc/self/stat").expect("process statistics");
+    // The process name in parentheses may contain spaces; user and system time are fields 14 and 15.
     let fields = stat.rsplit(')').next().expect("fields").split_whitespace();
     let ticks = fields.skip(11).take(2).map(|field| field.parse::<f64>().expect("ticks"));
     ticks.sum::<f64>() * TICK_MICROS
 }
 
-/// Clients that each send one command after another.
+/// Measures commits with concurrent clients that each send one command after another.
 async fn measure(cluster: &TestCluster, groups: usize, clients: usize) -> Measured {
     static RUN: AtomicU64 = AtomicU64::new(0);
     let run = RUN.fetch_add(1, Ordering::Relaxed);
@@ -145,7 +145,7 @@
     Measured { rate, latencies, core_micros }
 }
 
-/// A name of each group, so that commands spread evenly.
+/// Returns a name that maps to each group, so that commands are spread evenly.
 fn names(groups: usize) -> Vec<String> {
     let of_group = |group: usize| {
         let wanted = GroupId(u32::try_from(group + 1).expect("few groups"));
@@ -175,7 +175,7 @@
     latencies
 }
 
-/// Time from the stop of a group's leader, without a hand-over, to the next commit.
+/// Measures the time from the stop of a group's leader, without a handover, to the next commit.
 async fn leader_stops(cluster: &mut TestCluster) {
     let mut times = Histogram::<u64>::new(3).expect("three digits");
     let client = cluster.client();
@@ -194,7 +194,8 @@
     println!("leader stop to next commit: p50 {p50} ms, max {max} ms of {STOPS}");
 }
 
-/// Time for one store to open its folder and apply a log of that many commands, without a snapshot.
+/// Measures the time for one store to open its data folder and apply a log of [`REPLAYED_COMMANDS`] commands
+/// without a snapshot.
 async fn replay(cluster: &mut TestCluster) {
     cluster.options.snapshot_commands = u64::MAX;
     for number in 0..3 {
@@ -232,6 +233,6 @@
     }
     let (time, entries) = (started.elapsed().as_millis(), target - before);
     println!(
-        "replay of {REPLAYED_COMMANDS} commands in {entries} entries (and what went before): {time} ms"
+        "replay of {REPLAYED_COMMANDS} commands in {entries} entries (and of earlier entries): {time} ms"
     );
 }
--- a/crates/store/src/access.rs
+++ b/crates/store/src/access.rs
@@ -1,4 +1,4 @@
-//! What the rest of hooklug needs of shared state, whoever serves it.
+//! Interface through which the other parts of hooklug access the replicated state.
 
 use async_trait::async_trait;
 use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
@@ -7,24 +7,25 @@
 use hooklug_types::GroupId;
 use tokio::time::Instant;
 
-/// The group gave no answer by the deadline. Claims nothing: a command may have been applied, or may be yet.
+/// A group did not reply by the deadline. The outcome is unknown: a command may have been applied, or
+/// may still be applied later.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("group {group} cannot be reached: {reason}")]
+#[error("group {group} is unavailable: {reason}")]
 pub struct Unavailable {
     /// The group.
     pub group: GroupId,
-    /// What was tried last.
+    /// Why the last attempt failed.
     pub reason: String,
 }
 
-/// Linearizable access to the replicated state. Commands are idempotent, so an implementation sends
-/// them again until the deadline.
+/// Linearizable access to the replicated state. Commands are idempotent, so implementations retry them
+/// until the deadline.
 #[async_trait]
 pub trait StateAccess: Send + Sync + std::fmt::Debug {
-    /// Applies a command of a shard.
+    /// Applies a command to a shard.
     ///
     /// # Errors
-    /// [`Unavailable`] claims nothing.
+    /// [`Unavailable`] if there was no reply by the deadline; the command may still have been applied.
     async fn execute_shard(
         &self,
         group: GroupId,
@@ -35,7 +36,7 @@
     /// Reads from a shard.
     ///
     /// # Errors
-    /// [`Unavailable`] claims nothing.
+    /// [`Unavailable`] if there was no reply by the deadline.
     async fn query_shard(
         &self,
         group: GroupId,
@@ -43,10 +44,10 @@
         deadline: Instant,
     ) -> Result<ShardAnswer, Unavailable>;
 
-    /// Applies a command of the meta group.
+    /// Applies a command to the meta group.
     ///
     /// # Errors
-    /// [`Unavailable`] claims nothing.
+    /// [`Unavailable`] if there was no reply by the deadline; the command may still have been applied.
     async fn execute_meta(
         &self,
         command: &MetaCommand,
@@ -56,17 +57,17 @@
     /// Reads from the meta group.
     ///
     /// # Errors
-    /// [`Unavailable`] claims nothing.
+    /// [`Unavailable`] if there was no reply by the deadline.
     async fn query_meta(
         &self,
         query: &MetaQuery,
         deadline: Instant,
     ) -> Result<MetaAnswer, Unavailable>;
 
-    /// Asks for a lease to be ended.
+    /// Requests that a lease be expired, and returns whether it has expired or is still held.
     ///
     /// # Errors
-    /// [`Unavailable`] claims nothing.
+    /// [`Unavailable`] if there was no reply by the deadline; the lease may still have been expired.
     async fn expire_lease(
         &self,
         group: GroupId,
--- a/crates/store/src/balance.rs
+++ b/crates/store/src/balance.rs
@@ -1,4 +1,4 @@
-//! Spreads leaderships over the stores, and hands them over before a stop. The choice is pure.
+//! Spreads the leaderships of groups over the stores, and hands them over before a shutdown.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,14 +13,16 @@
 use crate::placement::follow::is_up_to_date;
 use crate::shared::Shared;
 
-/// Time between looks (ours); the half of it is random, so that stores do not move at once.
+/// Mean interval between balancing rounds. It varies randomly by up to half, so that stores do not hand
+/// over leaderships at the same time.
 const INTERVAL: Duration = Duration::from_secs(2);
-/// How long a stopping store waits for its leaderships to go; half the grace period at most.
+/// How long a stopping store waits until its leaderships are handed over; at most half of the grace
+/// period is used.
 const HAND_OVER_TIME: Duration = Duration::from_secs(2);
-/// Time between looks while it waits.
+/// Interval between checks during the handover.
 const HAND_OVER_PAUSE: Duration = Duration::from_millis(20);
 
-/// A leadership to hand over.
+/// A leadership to be transferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderMove {
     /// The group.
@@ -29,8 +31,8 @@
     pub to: NodeId,
 }
 
-/// One leadership to hand to a store that leads at least two fewer, by what the replicas on this store
-/// know. None while any of them knows no leader.
+/// Chooses one leadership to transfer to a store that leads at least two groups fewer, according to the
+/// replicas on this store. Returns `None` while any of these replicas knows no leader.
 #[must_use]
 pub fn choose_move(own: NodeId, replicas: &[ReplicaStatus]) -> Option<LeaderMove> {
     let mut leads: BTreeMap<NodeId, usize> = BTreeMap::new();
@@ -48,20 +50,21 @@
     (count(&best.to) + 2 <= count(&own)).then_some(best)
 }
 
-/// Runs for the life of the process.
+/// Balances leaderships until the task is aborted.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let share: f64 = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(INTERVAL.mul_f64(share)).await;
         let replicas = shared.replicator.status().await;
         if let Some(LeaderMove { group, to }) = choose_move(shared.node(), &replicas) {
-            debug!(%group, %to, "handing a leadership over to spread the load");
+            debug!(%group, %to, "transferring the leadership of a group to balance the load");
             let _ = shared.replicator.transfer(group, to).await;
         }
     }
 }
 
-/// Hands all leaderships over, as far as there is an up-to-date voter, and waits until they are gone.
+/// Hands over all leaderships for which there is another active voter, and waits until this is done or
+/// the time limit has passed.
 pub(crate) async fn hand_over_all(shared: &Shared) {
     let grace = Duration::from_millis(shared.settings.grace_ms);
     let deadline = tokio::time::Instant::now() + HAND_OVER_TIME.min(grace / 2);
--- a/crates/store/src/begin.rs
+++ b/crates/store/src/begin.rs
@@ -1,4 +1,5 @@
-//! What a member does once: begin the groups that a plan puts here, record the cluster, register.
+//! One-time steps of a new cluster member: bootstraps the groups that the formation plan places on this
+//! store, records the cluster in the meta group, and registers the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +14,12 @@
 use crate::data_folder::Membership;
 use crate::shared::Shared;
 
-/// Time for one command to the meta group before it is sent again.
+/// Timeout of one command to the meta group before it is retried.
 const COMMAND_TIME: Duration = Duration::from_secs(5);
-/// Pause between looks at whether the store has become a member, and between attempts.
+/// Pause between checks whether the store has become a member, and between attempts of a command.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Runs until the store is registered under its present address.
+/// Runs until the store is registered under its current address.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let plan = loop {
         if let Membership::Member { plan, .. } = shared.membership() {
@@ -32,7 +33,8 @@
     register(&shared).await;
 }
 
-/// Begins this store's groups, records the cluster in the meta group, and lets the plan go.
+/// Bootstraps this store's groups, records the cluster in the meta group, and then removes the plan
+/// from the stored membership.
 async fn carry_out(shared: &Shared, plan: &FormationPlan) {
     for store in &plan.stores {
         shared.addresses.note(store.node, store.incarnation, store.address);
@@ -42,10 +44,10 @@
             continue;
         }
         if let Err(error) = shared.replicator.bootstrap(*group, conf_of(placement)).await {
-            error!(%group, %error, "a group cannot begin");
+            error!(%group, %error, "failed to bootstrap a raft group");
             return;
         }
-        // One voter asks at once, so that a new cluster does not wait for the election timeouts.
+        // One voter campaigns immediately, so that a new cluster does not wait for election timeouts.
         if placement.voters.first() == Some(&shared.node()) {
             shared.replicator.campaign(*group);
         }
@@ -59,8 +61,8 @@
     let mut formation = shared.formation();
     let member = Membership::Member { cluster: plan.cluster, plan: None };
     if let Err(error) = shared.set_membership(&mut formation, member) {
-        // The plan is carried out again at the next start, which changes nothing.
-        warn!(%error, "the carried out plan stays on the disk");
+        // The next start carries out the plan again, which has no further effect.
+        warn!(%error, "failed to remove the completed formation plan from the disk");
     }
 }
 
@@ -75,7 +77,7 @@
     let began = Instant::now();
     if until_done(shared, &MetaCommand::RegisterStore(shared.record())).await {
         let took = began.elapsed();
-        info!(node = %shared.node(), ?took, "registered with the cluster");
+        info!(node = %shared.node(), ?took, "registered the store with the cluster");
         metrics::histogram!("hooklug_store_registration_seconds").record(took.as_secs_f64());
     }
     if let Some(name) = shared.settings.store.name.clone() {
@@ -83,13 +85,14 @@
     }
 }
 
-/// Sends a command until the meta group says that it is done, or refuses it for good.
+/// Retries a command until the meta group has applied it or refuses it permanently. Returns whether it
+/// was applied.
 async fn until_done(shared: &Shared, command: &MetaCommand) -> bool {
     loop {
         let deadline = Instant::now() + COMMAND_TIME;
         match shared.access.execute_meta(command, deadline).await {
             Ok(MetaReply::Refused(refusal)) if !may_pass(&refusal) => {
-                error!(%refusal, "the cluster refuses this store");
+                error!(%refusal, "the meta group refused a command of this store");
                 return false;
             }
             Ok(MetaReply::Refused(_)) | Err(_) => tokio::time::sleep(PAUSE).await,
--- a/crates/store/src/cleanup.rs
+++ b/crates/store/src/cleanup.rs
@@ -1,5 +1,5 @@
-//! Removes replicas that their groups have let go. A leader stops sending to a member once its removal is
-//! committed, so the replica does not hear of it and has to ask.
+//! Deletes local replicas that have been removed from their groups. A leader stops sending to a member
+//! once its removal is committed, so the member may not learn of it and has to query the other stores.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,20 @@
 
 use crate::shared::{PEER_CALL_TIME, Shared};
 
-/// Time between looks (ours).
+/// Interval between checks for removed replicas.
 const INTERVAL: Duration = Duration::from_secs(3);
 
-/// Whether a replica may have been let go: it knows no leader, or no place of its own.
+/// Returns whether a replica may have been removed from its group: it is not the leader, and either
+/// knows no leader or is not in its own list of members.
 #[must_use]
 pub fn is_in_doubt(own: NodeId, replica: &ReplicaStatus) -> bool {
     let leads = replica.role == Role::Leader;
     !leads && (replica.leader.is_none() || !replica.conf.contains(own))
 }
 
-/// Whether a leader's word means that a replica was let go: it leads a term that is not older, has
-/// committed all that the replica has, and its members, committed or not, do not name this store.
+/// Returns whether a leader's status proves that a replica was removed from the group: the leader's term
+/// is not older, it has committed at least as much as the replica, and neither its committed nor its
+/// newest membership contains this store.
 #[must_use]
 pub fn was_let_go(own: NodeId, replica: &ReplicaStatus, leader: &ReplicaStatus) -> bool {
     leader.group == replica.group
@@ -35,7 +37,7 @@
         && !leader.newest_conf.contains(own)
 }
 
-/// Runs for the life of the process.
+/// Checks for removed replicas and deletes them until the task is aborted.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(INTERVAL).await;
@@ -51,9 +53,9 @@
                 info!(group = %replica.group, term = replica.term, commit = replica.commit,
                     leader_term = leader.term, leader_commit = leader.commit,
                     members = ?leader.conf, newest_members = ?leader.newest_conf,
-                    "the group goes on without this store");
+                    "this store was removed from the group; deleting its replica");
                 if let Err(error) = shared.replicator.remove(&replica).await {
-                    info!(group = %replica.group, %error, "the replica stays");
+                    info!(group = %replica.group, %error, "did not delete the replica");
                 }
             }
         }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client by which every process reads and writes shared state.
+//! Client for reads and writes of the replicated state, used by all processes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,17 +22,18 @@
 
 use crate::{StateAccess, Unavailable};
 
-/// Time for one attempt, so that a leader that is frozen or cut off is left soon (ours).
+/// Timeout of one attempt. Short, so that the client soon moves on from a frozen or unreachable leader.
 const ATTEMPT_TIME: Duration = Duration::from_millis(700);
-/// How long a store that did not answer in time is not tried on another's word (ours).
+/// How long a store stays suspect after a failed call: other stores are preferred, and redirects to it
+/// are not followed.
 const SUSPECT_TIME: Duration = Duration::from_millis(1_000);
-/// First and longest pause between attempts (ours); half of each is random.
+/// First and longest pause between attempts; up to half of each pause is random.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
 const LONGEST_PAUSE: Duration = Duration::from_millis(160);
-/// Redirections that are followed without a pause.
+/// Number of consecutive redirects that are followed without a pause.
 const FREE_REDIRECTIONS: u32 = 2;
 
-/// Linearizable access to the groups of a cluster. Cheap to clone; clones share what they learnt.
+/// Linearizable access to the groups of a cluster. Cheap to clone; clones share the cached leaders.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     inner: Arc<Inner>,
@@ -45,7 +46,7 @@
     learnt: Mutex<Learnt>,
 }
 
-/// What earlier attempts taught.
+/// Known leaders and suspect stores, learned from earlier attempts.
 #[derive(Debug, Default)]
 struct Learnt {
     leaders: HashMap<GroupId, SocketAddr>,
@@ -63,20 +64,21 @@
     }
 }
 
-/// What to do after an attempt.
+/// What to do after an unsuccessful attempt. The text is the reason for the failure.
 enum Next {
-    /// Another store is named.
+    /// Retry at the store that the reply named.
     Redirect(SocketAddr),
-    /// Ask another store after a pause.
+    /// Retry at another store after a pause.
     Other(String),
-    /// Ask again after a pause.
+    /// Retry at the same store after a pause.
     Again(String),
-    /// It will not help to ask again.
+    /// Fail the call, since a retry cannot succeed.
     GiveUp(String),
 }
 
 impl StoreClient {
-    /// A client that finds its way from any store of the list; the list may change.
+    /// Creates a client that finds the group leaders through any of the listed stores. The list may
+    /// change at any time.
     #[must_use]
     pub fn new(client: RpcClient, stores: watch::Receiver<Vec<SocketAddr>>) -> Self {
         Self { inner: Arc::new(Inner { client, stores, learnt: Mutex::default() }) }
@@ -86,7 +88,7 @@
         self.inner.learnt.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls a group's leader until it answers or the deadline passes.
+    /// Calls a group's leader, with retries, until it replies or the deadline passes.
     async fn call<R, T>(
         &self,
         group: GroupId,
@@ -116,7 +118,7 @@
             match next {
                 Next::Redirect(leader) if attempts.follow(leader) => {}
                 Next::Redirect(leader) => {
-                    attempts.pause(deadline, format!("{store} names {leader}")).await?;
+                    attempts.pause(deadline, format!("{store} redirects to {leader}")).await?;
                 }
                 Next::Again(reason) => {
                     attempts.named = Some(store);
@@ -128,7 +130,8 @@
         }
     }
 
-    /// The store to ask: the one just named, the known leader, or the next of the list.
+    /// Chooses the store for the next attempt: the one that the last reply named, the known leader, or
+    /// the next of the list.
     fn choose(&self, attempts: &mut Attempts) -> Option<SocketAddr> {
         let now = Instant::now();
         let learnt = self.learnt();
@@ -203,7 +206,7 @@
     decode("reply", bytes).map_err(|e| Unavailable { group, reason: e.to_string() })
 }
 
-/// The attempts of one call.
+/// Retry state of one call.
 struct Attempts {
     group: GroupId,
     named: Option<SocketAddr>,
@@ -223,14 +226,16 @@
         self.turn
     }
 
-    /// Notes that a store was named; gives whether to ask it without a pause.
+    /// Selects the store that a redirect names for the next attempt. Returns whether to retry without a
+    /// pause.
     fn follow(&mut self, store: SocketAddr) -> bool {
         self.named = Some(store);
         self.redirections += 1;
         self.redirections <= FREE_REDIRECTIONS
     }
 
-    /// Waits a little longer each time, half of it at random.
+    /// Waits before the next attempt, with exponential backoff and jitter. Fails if the deadline would
+    /// pass during the pause.
     async fn pause(&mut self, deadline: Instant, reason: String) -> Result<(), Unavailable> {
         let share: f64 = rand::rng().random_range(0.5..1.0);
         let end = Instant::now() + self.pause.mul_f64(share);
--- a/crates/store/src/clock.rs
+++ b/crates/store/src/clock.rs
@@ -1,18 +1,19 @@
-//! Steps of the groups' clocks (design section 3, time in the state). Pure: times come in.
+//! Decides when and to which time a group's clock advances (design document, section 3, time in the
+//! state). Free of I/O: callers pass the current time.
 
 use std::time::{Duration, Instant};
 
 use hooklug_types::UnixMillis;
 
-/// Longest first step after a change of leader: a wall clock that is wrong ends the keep time early by
-/// this at most.
+/// Longest first step after a change of leader. It bounds how much too early a wrong wall clock can
+/// end a retention time.
 const MAX_FIRST_STEP: Duration = Duration::from_secs(60);
-/// Time between steps while commands flow.
+/// Interval between steps while the group applies commands.
 const BUSY_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between steps of an idle group, so that what it keeps still expires.
+/// Interval between steps of an idle group, so that its retained records still expire.
 const IDLE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// One group's clock under one leadership.
+/// Clock of one group during one leadership term.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockSteps {
     base: UnixMillis,
@@ -22,8 +23,9 @@
 }
 
 impl ClockSteps {
-    /// A leadership begins: the first step follows the wall clock, clamped. A clock that was never set
-    /// takes the wall clock as it is.
+    /// Starts the clock of a new leadership. The first step follows the wall clock, but goes at most
+    /// `MAX_FIRST_STEP` ahead and never back; a clock that was never set takes the wall-clock time as it
+    /// is.
     #[must_use]
     pub fn begin(group_clock: UnixMillis, wall: UnixMillis, commands: u64, now: Instant) -> Self {
         let base = if group_clock == UnixMillis::default() {
@@ -34,13 +36,13 @@
         Self { base, started: now, last_step: now, last_commands: commands }
     }
 
-    /// The clock's value now, by the leader's monotonic clock.
+    /// Returns the clock's current value, measured by the leader's monotonic clock.
     #[must_use]
     pub fn now(&self, now: Instant) -> UnixMillis {
         self.base.plus(now.saturating_duration_since(self.started))
     }
 
-    /// The next step, if one is due.
+    /// Returns the new clock value if a step is due.
     pub fn step(&mut self, commands: u64, now: Instant) -> Option<UnixMillis> {
         let waited = now.saturating_duration_since(self.last_step);
         let is_busy = commands != self.last_commands;
--- a/crates/store/src/clock_task.rs
+++ b/crates/store/src/clock_task.rs
@@ -1,4 +1,4 @@
-//! Proposes the steps of the clocks of the groups that this store leads.
+//! Advances the clocks of the groups that this store leads by proposing clock commands.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::clock::ClockSteps;
 use crate::shared::Shared;
 
-/// Time between looks.
+/// Interval at which the groups that this store leads are checked for a due clock step.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs for the life of the process.
+/// Proposes due clock steps until the task is aborted.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut led: BTreeMap<GroupId, (u64, ClockSteps)> = BTreeMap::new();
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Proposes a step; one that is lost is made up for by the next.
+/// Proposes a clock step in the background. A failure is ignored, since the next step makes up for it.
 fn propose(shared: &Arc<Shared>, group: GroupId, now: UnixMillis) {
     let command = if group == META_GROUP {
         encode(&MetaCommand::AdvanceClock { now })
--- a/crates/store/src/data_folder.rs
+++ b/crates/store/src/data_folder.rs
@@ -1,7 +1,7 @@
-//! A store's data folder: the node id, what the store is to the cluster, and a lock.
+//! A store's data folder: the node id, the cluster membership, the known stores, and a lock.
 //!
-//! The node id lives and dies with the folder: an empty disk is a new node and never answers for the
-//! old one.
+//! The node id is bound to the folder: a store that starts on an empty disk is a new node and never acts
+//! as the old one.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -23,36 +23,39 @@
 const GROUPS_FOLDER: &str = "groups";
 const CHECKSUM_BYTES: usize = 4;
 
-/// Layout of log entries and snapshots in a data folder; moves on whenever an older build would misread them.
-/// 2: entries hold joined commands, sessions' events lie in chunks. 3: shards hold chained programs, meta roll-outs.
+/// Version of the layout of log entries and snapshots in a data folder, incremented whenever an older
+/// build would misread them. Version 2: one entry may hold several commands, and events of sessions are
+/// stored in chunks. Version 3: shards store chained programs, and the meta group stores rollouts.
 pub const DATA_FORMAT: u32 = 4;
 
-/// Whose a folder is, and how it is to be read. The format comes first in every build to come.
+/// Node id and data format of a folder. The format must remain the first field, so that every build can
+/// read it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Identity {
     format: u32,
     node: NodeId,
 }
 
-/// What a store is to a cluster.
+/// Relation of a store to a cluster.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Membership {
-    /// Never a member of any.
+    /// The store has never been a member of a cluster.
     #[default]
     Empty,
-    /// Has promised to take part in a plan; takes part in no other until its coordinator drops it.
+    /// The store has promised to take part in a formation plan. It takes part in no other plan until the
+    /// coordinator drops this one.
     Promised(FormationPlan),
-    /// A member, for ever.
+    /// The store is a member of a cluster, permanently.
     Member {
-        /// The cluster.
+        /// Id of the cluster.
         cluster: u64,
-        /// The plan it began with, until all that it asks of this store is done.
+        /// Formation plan of the cluster, until this store has carried out its part of it.
         plan: Option<FormationPlan>,
     },
 }
 
 impl Membership {
-    /// The cluster's id; 0 while the store is a member of none.
+    /// Returns the id of the cluster, or 0 while the store is not a member of one.
     #[must_use]
     pub fn cluster(&self) -> u64 {
         match self {
@@ -62,11 +65,11 @@
     }
 }
 
-/// The node id of a data folder. Drawn at random and synced when the folder is empty.
+/// Returns the node id of a data folder. For an empty folder, generates a random id and syncs it to disk.
 ///
 /// # Errors
-/// When the folder cannot be used, holds a log without a node id, or is of another [`DATA_FORMAT`]. Nothing in
-/// it is changed then.
+/// Fails, without changing the folder, if it cannot be used, contains a log without a node id, or has
+/// another [`DATA_FORMAT`].
 pub fn load_node_id(data_folder: &Path) -> Result<NodeId, StoreError> {
     let files = OsFiles;
     make_folder(&files, data_folder)?;
@@ -78,8 +81,7 @@
         return Ok(node);
     }
     if data_folder.join(GROUPS_FOLDER).exists() {
-        let reason =
-            "it is missing, though the folder holds a log; builds before data format 2 wrote none";
+        let reason = "the file is missing, but the folder contains a log; builds before data format 2 wrote no such file";
         return Err(StoreError::Damaged { path, reason: reason.to_owned() });
     }
     let node = NodeId(rand::rng().random_range(1..=u64::MAX));
@@ -108,14 +110,14 @@
         Ok(Self { folder: folder.to_owned(), files, lock })
     }
 
-    /// Where the groups' log and snapshots live.
+    /// Returns the folder of the groups' log and snapshots.
     pub(crate) fn groups(&self) -> PathBuf {
         self.folder.join(GROUPS_FOLDER)
     }
 
-    /// Lets the folder go, for the next process.
+    /// Releases the lock, so that another process can open the folder.
     pub(crate) fn unlock(&self) {
-        // The lock ends with the process at the latest.
+        // On an error, the operating system releases the lock when the process exits.
         let _ = self.lock.unlock();
     }
 
@@ -123,25 +125,26 @@
         self.files.clone()
     }
 
-    /// The cluster's stores as last known here; none when that cannot be read, since they can be learnt again.
+    /// Reads the last saved list of the cluster's stores. Returns an empty list if it cannot be read,
+    /// since the stores can be discovered again.
     pub(crate) fn known_stores(&self) -> Vec<StoreRecord> {
         let path = self.folder.join(STORES_FILE);
         load(self.files.as_ref(), &path).ok().flatten().unwrap_or_default()
     }
 
-    /// Notes the cluster's stores, so that after a loss of all power they find each other before any group has a
-    /// leader to tell them.
+    /// Saves the list of the cluster's stores, so that after a loss of power of all machines they can find
+    /// each other before any group has a leader.
     pub(crate) fn note_stores(&self, stores: &[StoreRecord]) -> Result<(), StoreError> {
         save(self.files.as_ref(), &self.folder.join(STORES_FILE), &stores)
     }
 
-    /// What the store is to the cluster.
+    /// Reads the cluster membership.
     pub(crate) fn membership(&self) -> Result<Membership, StoreError> {
         let path = self.folder.join(MEMBERSHIP_FILE);
         Ok(load(self.files.as_ref(), &path)?.unwrap_or_default())
     }
 
-    /// Replaces it; durable when this returns.
+    /// Replaces the cluster membership; the new one is durable when this returns.
     pub(crate) fn set_membership(&self, membership: &Membership) -> Result<(), StoreError> {
         save(self.files.as_ref(), &self.folder.join(MEMBERSHIP_FILE), membership)
     }
@@ -174,9 +177,9 @@
     let damaged = |reason: String| StoreError::Damaged { path: path.to_owned(), reason };
     let (sum, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
-        .ok_or_else(|| damaged("the file is cut short".to_owned()))?;
+        .ok_or_else(|| damaged("the file is truncated".to_owned()))?;
     if crc32fast::hash(body).to_le_bytes() != sum {
-        return Err(damaged("the checksum differs".to_owned()));
+        return Err(damaged("checksum mismatch".to_owned()));
     }
     hooklug_state::decode("file", body).map(Some).map_err(|e| damaged(e.to_string()))
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a store cannot run.
+//! Errors of opening and running a store.
 
 use std::path::PathBuf;
 
@@ -6,10 +6,11 @@
 use hooklug_types::NodeId;
 use hooklug_wal::WalError;
 
-/// Why a store cannot run. All but [`StoreError::DriverEnded`] and [`StoreError::Failed`] come again when it is started again.
+/// Error that prevents a store from running. All variants except [`StoreError::DriverEnded`] and
+/// [`StoreError::Failed`] recur when the store is restarted.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A store needs a data folder.
+    /// No data folder is configured.
     #[error("data_folder is not set; a store needs one")]
     NoDataFolder,
     /// Another process uses the folder.
@@ -18,15 +19,15 @@
         /// The folder.
         folder: PathBuf,
     },
-    /// A file of the folder is not what was written.
+    /// A file or folder of the data folder cannot be used, for example because a checksum differs.
     #[error("{}: {reason}", path.display())]
     Damaged {
-        /// The file.
+        /// The file or folder.
         path: PathBuf,
-        /// What does not fit.
+        /// Why it cannot be used.
         reason: String,
     },
-    /// Another build wrote the folder, in a layout that this one would misread.
+    /// Another build wrote the folder, in a data format that this build cannot read.
     #[error(
         "{} has data format {format}; this build reads and writes format {}",
         folder.display(),
@@ -35,10 +36,10 @@
     OtherFormat {
         /// The folder.
         folder: PathBuf,
-        /// Its format.
+        /// Data format of the folder.
         format: u32,
     },
-    /// The identity names another node than the data folder does.
+    /// The node id of the process's identity differs from the one in the data folder.
     #[error("the data folder belongs to node {folder}, not to node {identity}")]
     OtherNode {
         /// Node id in the folder.
@@ -49,14 +50,13 @@
     /// The disk refused an operation.
     #[error(transparent)]
     Disk(#[from] WalError),
-    /// The thread that runs the groups ended without being told to: it panicked. What was acknowledged is
-    /// on the disk.
-    #[error("the thread that runs the groups has ended")]
+    /// The thread that runs the raft groups panicked. All acknowledged data is on the disk.
+    #[error("the thread that runs the raft groups has exited unexpectedly")]
     DriverEnded,
-    /// The disk failed, and the settings ask for the process to be started again then.
+    /// The disk failed, and the settings request that the process ends then, to be restarted.
     #[error("the disk has failed: {0}")]
     Failed(String),
-    /// The groups could not be opened.
+    /// The log or the snapshots of the raft groups could not be opened.
     #[error(transparent)]
     Groups(#[from] OpenError),
 }
--- a/crates/store/src/formation.rs
+++ b/crates/store/src/formation.rs
@@ -1,10 +1,11 @@
-//! First start: empty stores that see each other form one cluster. Pure: what was heard comes in.
+//! Cluster formation: empty stores that discover each other form one cluster by a two-phase commit.
+//! Free of I/O: callers pass in the replies of other stores.
 //!
-//! The empty store with the lowest node id coordinates. It syncs a plan, asks every store of the plan
-//! to sync it too, and only when all have promised is the plan decided, by the coordinator's own synced
-//! membership. A store that has promised takes part in no other plan until the coordinator says that
-//! the plan is dropped, and a coordinator that restarts undecided drops it. Two plans are never both
-//! decided among stores that promised to one of them (ours; a two-phase commit).
+//! The empty store with the lowest node id coordinates. It syncs a plan to disk and requests that every
+//! store of the plan syncs it too. Once all have promised, the coordinator decides the plan by syncing
+//! its own membership. A store that has promised accepts no other plan until the coordinator reports
+//! that the plan is dropped; a coordinator that restarts before its decision drops the plan. Among
+//! stores that promised to a plan, no second plan can therefore be decided.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,20 +17,20 @@
 use crate::data_folder::Membership;
 use crate::placement::{VOTERS, initial};
 
-/// How long an answer counts.
+/// How long the reply of an empty store remains valid.
 const SEEN_TIME: Duration = Duration::from_secs(1);
-/// How long the set of empty stores must have stood still before one proposes (ours), so that all that
-/// start together are in the plan and only one proposes.
+/// How long the set of empty stores must be unchanged before a plan is proposed, so that all stores
+/// that start together are in the plan and only one of them proposes.
 const SETTLE_TIME: Duration = Duration::from_millis(600);
 
-/// An empty store that answered.
+/// An empty store and the time of its last reply.
 #[derive(Debug, Clone)]
 struct Seen {
     record: StoreRecord,
     at: Instant,
 }
 
-/// What an empty store has heard of others.
+/// An empty store's knowledge of the other empty stores.
 #[derive(Debug, Clone)]
 pub struct FormationView {
     own: StoreRecord,
@@ -41,7 +42,7 @@
 }
 
 impl FormationView {
-    /// Nothing heard yet.
+    /// Creates a view that contains no other stores.
     #[must_use]
     pub fn new(own: StoreRecord, expect_stores: usize, now: Instant) -> Self {
         Self {
@@ -54,19 +55,19 @@
         }
     }
 
-    /// The same with this many voters in each group.
+    /// Sets the number of voters in each group.
     #[must_use]
     pub fn with_voters(self, voters: usize) -> Self {
         Self { voters, ..self }
     }
 
-    /// The same, forming no cluster if not allowed: such a store only joins one.
+    /// Sets whether the store may form a cluster; if not, it only joins an existing one.
     #[must_use]
     pub fn with_forming(self, may_form: bool) -> Self {
         Self { may_form, ..self }
     }
 
-    /// Notes an answer of another store that is a member of no cluster.
+    /// Records a reply of another store that is not a member of any cluster.
     pub fn note(&mut self, reply: &FormationReply, incarnation: Incarnation, now: Instant) {
         let record = StoreRecord {
             node: reply.node,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Forgets who has not answered lately.
+    /// Removes stores that have not replied recently.
     pub fn forget_silent(&mut self, now: Instant) {
         let before = self.empty.len();
         self.empty.retain(|_, seen| now.saturating_duration_since(seen.at) < SEEN_TIME);
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The plan to propose, if it is this store's turn: enough empty stores, none with a lower id, and
-    /// nothing has changed for a while.
+    /// Returns the plan to propose if this store should coordinate: there are enough empty stores, none
+    /// has a lower id, and the set of empty stores has been unchanged for a while.
     #[must_use]
     pub fn plan(&self, cluster: u64, now: Instant) -> Option<FormationPlan> {
         let enough = self.empty.len() + 1 >= self.expect_stores;
@@ -106,7 +107,7 @@
         Some(FormationPlan { cluster, coordinator: self.own.node, stores, placements })
     }
 
-    /// Whether a store that is in no cluster may promise to take part in a plan.
+    /// Returns whether this store, while it is not in a cluster, may promise to take part in a plan.
     #[must_use]
     pub fn may_promise(&self, plan: &FormationPlan) -> bool {
         let takes_part = plan.stores.iter().any(|store| store.node == self.own.node);
@@ -120,19 +121,19 @@
     }
 }
 
-/// What a store does about an offer, given what it is.
+/// How a store responds to a formation offer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OfferVerdict {
-    /// Answer so, nothing changes.
+    /// Reply without a change of membership.
     Answer {
-        /// Whether the plan is promised, or stands.
+        /// Whether the offered cluster is the one that this store has promised to or is a member of.
         accepted: bool,
     },
-    /// Sync the promise, then accept.
+    /// Sync the promise to disk, then accept.
     Promise(FormationPlan),
 }
 
-/// Judges an offer.
+/// Decides how to respond to a formation offer.
 #[must_use]
 pub fn judge_offer(
     offer: &FormationOffer,
@@ -154,20 +155,20 @@
     }
 }
 
-/// What a store that promised does about its coordinator's answer.
+/// State of a promised plan according to another store's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseFate {
-    /// Not decided yet.
+    /// No decision is known yet; the promise remains valid.
     Stands,
-    /// Decided: act on it.
+    /// The plan is decided and must be carried out.
     Decided,
-    /// Dropped: the store is free again.
+    /// The plan was dropped; the store may promise to another one.
     Dropped,
 }
 
-/// Judges a promise by an answer; `asked` is the promised cluster that the question named. Only the
-/// coordinator's own word about this very plan drops it: an answer to a question that was asked before
-/// the promise was made says nothing of it.
+/// Determines the state of a promise from another store's reply. `asked` is the promised cluster that
+/// the request named. Only a reply of the coordinator to a request that named this plan drops it; the
+/// reply to a request that was sent before the promise was made does not refer to the plan.
 #[must_use]
 pub fn judge_promise(
     plan: &FormationPlan,
--- a/crates/store/src/gossip.rs
+++ b/crates/store/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Finding other stores, forming a cluster with them or joining theirs, and learning who moved where.
+//! Discovers other stores, forms or joins a cluster with them, and keeps their addresses up to date.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,38 +16,38 @@
 use crate::formation::{OfferVerdict, PromiseFate, judge_offer, judge_promise};
 use crate::shared::{PEER_CALL_TIME, Shared};
 
-/// Time between rounds while the store is in no cluster.
+/// Interval between rounds while the store is not a member of a cluster.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between rounds of a member, which only learn addresses.
+/// Interval between rounds of a cluster member, which only update addresses.
 const MEMBER_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a coordinator asks for promises before it drops its plan.
+/// How long a coordinator requests promises before it drops its plan.
 const PROMISE_TIME: Duration = Duration::from_secs(3);
-/// Pause between asking for missing promises.
+/// Pause between requests for missing promises.
 const PROMISE_PAUSE: Duration = Duration::from_millis(100);
 
-/// An answer and who gave it.
+/// A reply to a formation offer and the incarnation of its sender.
 struct Heard {
     reply: FormationReply,
     incarnation: Incarnation,
 }
 
-/// Runs for the life of the process.
+/// Runs discovery and formation rounds until the task is aborted.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let offer = shared.offer();
         let heard = ask_all(&shared, &offer).await;
-        // Before it acts: a store that joins has to ask the others at once.
+        // Must precede `act`: as soon as it joins, a store sends requests to the other stores.
         shared.publish_stores();
         let outcome = act(&shared, offer.propose, &heard).await;
         if let Err(error) = outcome {
-            error!(%error, "the store cannot go on forming a cluster");
+            error!(%error, "failed to write the cluster membership; cluster formation is stalled");
         }
         let pause = if shared.is_member() { MEMBER_INTERVAL } else { SEARCH_INTERVAL };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Asks all known stores, and processes of other roles for stores that they know.
+/// Sends the offer to all known stores, and requests store addresses from processes of other roles.
 async fn ask_all(shared: &Arc<Shared>, offer: &FormationOffer) -> Vec<Heard> {
     let mut candidates = shared.formation().candidates.clone();
     for (_, address) in shared.addresses.all() {
@@ -78,7 +78,7 @@
     (reply.node == peer.node && !is_own).then_some(Heard { reply, incarnation: peer.incarnation })
 }
 
-/// Asks a process of another role for stores.
+/// Requests the addresses of stores from a process of another role.
 async fn discover(shared: &Shared, address: SocketAddr) {
     let deadline = tokio::time::Instant::now() + PEER_CALL_TIME;
     let request = Discover { from: shared.identity.address.clone() };
@@ -104,7 +104,7 @@
     }
 }
 
-/// Joins a cluster as a new node.
+/// Joins an existing cluster as a new node, unless the membership has changed meanwhile.
 fn join(shared: &Shared, cluster: u64) -> Result<(), crate::StoreError> {
     let mut formation = shared.formation();
     if formation.membership != Membership::Empty {
@@ -133,7 +133,7 @@
         return shared.set_membership(&mut formation, decided(plan));
     }
     if fates.contains(&PromiseFate::Dropped) {
-        info!(cluster = plan.cluster, "a plan to form a cluster was dropped");
+        info!(cluster = plan.cluster, "the coordinator dropped the plan to form a cluster");
         return shared.set_membership(&mut formation, Membership::Empty);
     }
     Ok(())
@@ -144,7 +144,7 @@
     Membership::Member { cluster: plan.cluster, plan: Some(plan.clone()) }
 }
 
-/// Proposes a plan if it is this store's turn, and decides it once all have promised.
+/// Proposes a plan if this store should coordinate, and decides it once all stores have promised.
 async fn propose(shared: &Arc<Shared>, heard: &[Heard]) -> Result<(), crate::StoreError> {
     let plan = {
         let mut formation = shared.formation();
@@ -166,7 +166,10 @@
     if all_promised {
         shared.set_membership(&mut formation, decided(&plan))
     } else {
-        warn!(cluster = plan.cluster, "not all stores promised; the plan is dropped");
+        warn!(
+            cluster = plan.cluster,
+            "not all stores promised in time; dropping the plan to form a cluster"
+        );
         shared.set_membership(&mut formation, Membership::Empty)
     }
 }
@@ -193,7 +196,7 @@
     false
 }
 
-/// Answers another store. Blocks on the disk when it promises.
+/// Handles a formation offer of another store. Blocks on a disk sync if it promises.
 pub(crate) fn answer(shared: &Shared, peer: &Peer, offer: &FormationOffer) -> FormationReply {
     if peer.node == offer.node && peer.role == NodeRole::Store {
         shared.addresses.note(offer.node, peer.incarnation, offer.address);
@@ -205,7 +208,7 @@
         OfferVerdict::Promise(plan) => {
             let promised = shared.set_membership(&mut formation, Membership::Promised(plan));
             if let Err(error) = &promised {
-                error!(%error, "a promise could not be synced");
+                error!(%error, "failed to sync the promise to form a cluster; rejecting the offer");
             }
             promised.is_ok()
         }
--- a/crates/store/src/lease_judge.rs
+++ b/crates/store/src/lease_judge.rs
@@ -1,4 +1,4 @@
-//! Ends leases at the request of others, as the group's leader.
+//! Handles requests to expire a lease, as the leader of the group that holds it.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -15,7 +15,7 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Answers how long a lease is still held, or ends it.
+    /// Expires a lease if its time is over, or reports how long it is still held.
     pub(crate) async fn expire_lease(
         &self,
         peer: &Peer,
@@ -53,7 +53,7 @@
         let (renewal, expired) = (lease.renewal, lease.expired);
         let view = LeaseView { renewal, expired, renewed, leading_since };
         let renewal = match judge(view, Instant::now()) {
-            // Asked again, as after a lost answer, it is the same answer.
+            // A lease that was never granted: a retry, as after a lost reply, gets the same result.
             Judgement::Expired if renewal == Renewal::default() => {
                 return Ok(LeaseVerdict::Unknown);
             }
@@ -99,8 +99,9 @@
         }
     }
 
-    /// A linearizable read, and since when this replica leads: a leader that was cut off or frozen is
-    /// found out by the read, so its old notes are never used.
+    /// Reads linearizably; also returns since when this replica leads. The read fails on a leader that
+    /// was partitioned or frozen and has lost its leadership, so its outdated renewal times are never
+    /// used.
     async fn confirmed<Q: Serialize, A: DeserializeOwned>(
         &self,
         group: GroupId,
@@ -121,7 +122,7 @@
     }
 }
 
-/// A core that asks for the lease of its own former run.
+/// A core process that requests the end of the lease of its own former run.
 #[derive(Debug, Clone, Copy)]
 struct NewRun<'a> {
     peer: &'a Peer,
@@ -129,7 +130,8 @@
 }
 
 impl NewRun<'_> {
-    /// Whether the asking process has taken the leader's place: a later run of a core at the very same address.
+    /// Returns whether the requesting process replaces the leader: it is a core with a newer incarnation
+    /// at the same address.
     fn replaces(&self, leader: &CoreLeader) -> bool {
         self.peer.role == NodeRole::Core
             && self.address == leader.address
--- a/crates/store/src/leases.rs
+++ b/crates/store/src/leases.rs
@@ -1,44 +1,45 @@
-//! When a lease may be ended (design section 3, lease mechanics). Pure: instants come in.
+//! Decides when a lease may be expired (design document, section 3, lease mechanics). Free of I/O:
+//! callers pass the current time.
 //!
-//! The group's leader judges by its own monotonic clock from the apply of the last renewal. The holder
-//! counts from before it sent that renewal, so it stops first; the margin covers clocks that run at
-//! different rates. A new leader counts in full from when it began to lead.
+//! The group's leader measures a lease by its own monotonic clock, starting when it applied the last
+//! renewal. The holder measures from before it sent that renewal, so it stops first; the margin covers
+//! clocks that run at different rates. A new leader counts the full time from the start of its leadership.
 
 use std::time::{Duration, Instant};
 
 use hooklug_types::Renewal;
 
-/// How long a lease lasts after a renewal; engines and cores count it on their own clocks (ours).
+/// How long a lease lasts after a renewal; engines and cores measure it by their own clocks.
 pub const LEASE_TIME: Duration = Duration::from_secs(3);
 
-/// What the judge adds to it (ours).
+/// Additional time that the group's leader waits before it expires a lease.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(500);
 
-/// A lease as the state and the leader's notes have it.
+/// A lease as the group's leader knows it, from the replicated state and its local observations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseView {
-    /// Renewals so far.
+    /// Number of the last renewal.
     pub renewal: Renewal,
-    /// Whether it has expired already.
+    /// Whether the lease has already expired.
     pub expired: bool,
-    /// When that renewal was applied at this replica, if it was.
+    /// When this replica applied the last renewal, if it did.
     pub renewed: Option<Instant>,
     /// Since when this replica leads the group.
     pub leading_since: Instant,
 }
 
-/// What is to be done about a lease.
+/// What the leader should do about a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Judgement {
-    /// It has expired, for ever.
+    /// Nothing: the lease has expired permanently.
     Expired,
-    /// It is held for so long yet.
+    /// Nothing yet: the lease is held for this much longer.
     Held(Duration),
-    /// Its time is over: propose its end, naming this renewal.
+    /// Propose to expire the lease, given that this is still its last renewal.
     Propose(Renewal),
 }
 
-/// Judges a lease at an instant.
+/// Decides whether a lease may be expired at the given time.
 #[must_use]
 pub fn judge(lease: LeaseView, now: Instant) -> Judgement {
     if lease.expired {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The store process and the client that every other process reads and writes shared state with.
+//! The store process, and the client through which all other processes access the replicated state.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,7 +1,7 @@
-//! All groups in this process and in memory: for tests and for running one process alone.
+//! In-memory implementation of [`StateAccess`], for tests and for running a single process.
 //!
-//! Commands are applied to the same state machines as in a store, one at a time, so that what they
-//! promise about each other holds here too. Nothing survives the process.
+//! Commands are applied to the same state machines as in a store, one at a time, so the guarantees of
+//! the state machines hold here too. Nothing is persisted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,12 +17,12 @@
 
 use crate::{StateAccess, Unavailable};
 
-/// How long a lease lasts from the apply of its last renewal, with the margin (ours: 3 s + 500 ms).
+/// How long a lease lasts after its last renewal is applied: the lease time of 3 s and a margin of 500 ms.
 const LEASE_TIME: Duration = Duration::from_millis(3_500);
-/// How long finished turns and calls are kept (ours).
+/// Retention time of finished turns and calls.
 const KEEP_TIME: Duration = Duration::from_secs(86_400);
 
-/// All groups, in memory. Cheap to clone; clones share the state.
+/// State of all groups, held in memory. Cheap to clone; clones share the state.
 #[derive(Debug, Clone)]
 pub struct MemoryState {
     inner: Arc<Inner>,
@@ -42,7 +42,7 @@
     shards: BTreeMap<GroupId, ShardMachine>,
     engine_renewals: BTreeMap<EngineIncarnation, Instant>,
     leader_renewal: Option<Instant>,
-    /// The groups' time when a test drives it; the wall clock otherwise.
+    /// Current time of the groups if a test has set it; otherwise they use the wall clock.
     manual_clock: Option<UnixMillis>,
     answers_to_lose: BTreeMap<GroupId, u32>,
 }
@@ -54,7 +54,8 @@
 }
 
 impl MemoryState {
-    /// Empty groups with a lease time, margin included, and a keep time.
+    /// Creates empty groups. `lease_time` includes the margin; `keep_time` is the retention time of
+    /// finished turns and calls.
     #[must_use]
     pub fn new(lease_time: Duration, keep_time: Duration) -> Self {
         let groups = Groups {
@@ -70,7 +71,8 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Makes a group unavailable, or available again. Requests to it wait until their deadline.
+    /// Makes a group unavailable or available again. Requests to an unavailable group wait until their
+    /// deadline.
     pub fn set_available(&self, group: GroupId, available: bool) {
         self.inner.unavailable.send_modify(|groups| {
             if available {
@@ -81,13 +83,14 @@
         });
     }
 
-    /// Makes the answers of a group's next commands get lost: they are applied, and answered
-    /// [`Unavailable`] at once.
+    /// Drops the replies of the next `count` commands of a group: the commands are applied, but their
+    /// callers immediately receive [`Unavailable`].
     pub fn lose_answers(&self, group: GroupId, count: u32) {
         self.groups().answers_to_lose.insert(group, count);
     }
 
-    /// Takes the groups' clock from the wall and sets it; it never goes back.
+    /// Sets the time of the groups, which no longer follow the wall clock. The groups' clocks never go
+    /// back.
     pub fn set_clock(&self, now: UnixMillis) {
         self.groups().manual_clock = Some(now);
     }
@@ -101,7 +104,7 @@
         let available = unavailable.wait_for(|groups| !groups.contains(&group));
         match timeout_at(deadline, available).await {
             Ok(Ok(_)) => Ok(()),
-            _ => Err(Unavailable { group, reason: "switched off".to_owned() }),
+            _ => Err(Unavailable { group, reason: "made unavailable by the test".to_owned() }),
         }
     }
 }
@@ -150,7 +153,7 @@
         match self.answers_to_lose.get_mut(&group) {
             Some(left) if *left > 0 => {
                 *left -= 1;
-                Err(Unavailable { group, reason: "the answer was lost".to_owned() })
+                Err(Unavailable { group, reason: "the reply was dropped".to_owned() })
             }
             _ => Ok(()),
         }
@@ -265,7 +268,7 @@
         let mut groups = self.groups();
         let verdict = match subject {
             LeaseSubject::Engine(holder) => groups.expire_engine(group, holder, &self.inner),
-            // It does not know who asks, so it waits for the end of the lease in either case.
+            // The requesting process is unknown here, so the lease must run out in both cases.
             LeaseSubject::CoreLeader(epoch) | LeaseSubject::FormerRun { epoch, .. } => {
                 groups.expire_leader(epoch, self.inner.lease_time)
             }
--- a/crates/store/src/meta_watch.rs
+++ b/crates/store/src/meta_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the newest meta state that this store knows, and the addresses in it.
+//! Keeps this store's copy of the meta state, and the addresses of the stores in it, up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::StateAccess;
 use crate::shared::Shared;
 
-/// Time between looks at a replica on this store.
+/// Interval between reads of a replica of the meta group on this store.
 const LOCAL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between questions to the meta group.
+/// Interval between remote queries of the meta group, while this store has no replica of it.
 const REMOTE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time for one question to the meta group.
+/// Timeout of one remote query of the meta group.
 const QUESTION_TIME: Duration = Duration::from_secs(3);
 
-/// Runs for the life of the process.
+/// Refreshes the meta state until the task is aborted.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let pause = match local(&shared).await {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The state of the replica here, if there is one that knows the cluster.
+/// Reads the meta state from the replica on this store, if there is one and it knows the cluster.
 async fn local(shared: &Shared) -> Option<MetaState> {
     let query = encode(&MetaQuery::State);
     let answer = shared.replicator.read_local(META_GROUP, query).await.ok()?;
@@ -72,7 +72,7 @@
     }
     let version = |state: &MetaState| state.bundle.as_ref().map(|bundle| bundle.version);
     if version(&meta) > version(&shared.meta.borrow()) {
-        info!(version = ?version(&meta), "a bundle is committed");
+        info!(version = ?version(&meta), "learned of a newly committed bundle");
     }
     shared.meta.send_if_modified(|known| {
         let differs = **known != meta;
@@ -83,11 +83,11 @@
     });
 }
 
-/// Writes the cluster's stores to the disk, which blocks.
+/// Saves the list of the cluster's stores to disk, on a thread that may block.
 async fn note_stores(shared: &Arc<Shared>, stores: Vec<StoreRecord>) {
     let shared = shared.clone();
     let writing = tokio::task::spawn_blocking(move || shared.folder.note_stores(&stores));
     if let Ok(Err(error)) = writing.await {
-        warn!(%error, "the cluster's stores are not noted on the disk");
+        warn!(%error, "failed to save the list of the cluster's stores to disk");
     }
 }
--- a/crates/store/src/observed.rs
+++ b/crates/store/src/observed.rs
@@ -1,5 +1,5 @@
-//! The state machines as a store runs them: what the leader needs to know beside the state is noted
-//! as commands are applied. None of it is part of the state, so replicas may differ in it.
+//! State machines that record, as they apply commands, what the group's leader needs in addition to the
+//! replicated state: clocks, command counts and renewal times. These records are local to a replica.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,16 +14,14 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-/// A renewal and when it was applied here.
+/// A lease renewal and the time when this replica applied it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AppliedRenewal {
-    /// Which.
     pub(crate) renewal: Renewal,
-    /// When.
     pub(crate) at: Instant,
 }
 
-/// What was noted of one group.
+/// Local observations of one group's state machine.
 #[derive(Debug, Default)]
 pub(crate) struct GroupNotes {
     clock: AtomicU64,
@@ -33,17 +31,18 @@
 }
 
 impl GroupNotes {
-    /// The group's clock.
+    /// Returns the group's clock.
     pub(crate) fn clock(&self) -> UnixMillis {
         UnixMillis(self.clock.load(Ordering::Acquire))
     }
 
-    /// Commands applied, but for steps of the clock.
+    /// Returns the number of applied commands, without clock steps.
     pub(crate) fn commands(&self) -> u64 {
         self.commands.load(Ordering::Acquire)
     }
 
-    /// When a renewal of an engine's lease was applied here; `None` when it was not, as after a snapshot.
+    /// Returns when this replica applied a renewal of an engine's lease. `None` if it did not apply it,
+    /// for example because it restored a snapshot.
     pub(crate) fn engine_renewed(
         &self,
         holder: &EngineIncarnation,
@@ -53,7 +52,7 @@
         engines.get(holder).filter(|applied| applied.renewal == renewal).map(|applied| applied.at)
     }
 
-    /// When a renewal of the core leader's lease was applied here.
+    /// Returns when this replica applied a renewal of the core leader's lease.
     pub(crate) fn core_leader_renewed(
         &self,
         epoch: FencingEpoch,
@@ -88,8 +87,8 @@
         }
     }
 
-    /// Only a renewal moves the instant: an acquisition asked again must not lengthen the lease, but
-    /// the first one begins it.
+    /// Records the time of a new epoch or renewal. The time of a known one is kept, since a repeated
+    /// acquisition must not extend the lease.
     fn note_core_leader(&self, reply: &MetaReply) {
         let MetaReply::Leader(leader) = reply else { return };
         let mut noted = self.core_leader.lock().unwrap_or_else(PoisonError::into_inner);
@@ -103,7 +102,7 @@
     }
 }
 
-/// Notes of all groups. Cheap to clone.
+/// Local observations of all groups. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(crate) struct Notes {
     groups: Arc<BTreeMap<GroupId, Arc<GroupNotes>>>,
@@ -114,12 +113,12 @@
         Self { groups: Arc::new(GroupId::all().map(|group| (group, Arc::default())).collect()) }
     }
 
-    /// Notes of a group; `None` for a group that no cluster has.
+    /// Returns the observations of a group, or `None` if the group id is unknown.
     pub(crate) fn of(&self, group: GroupId) -> Option<&Arc<GroupNotes>> {
         self.groups.get(&group)
     }
 
-    /// The empty state machine of a group.
+    /// Creates the empty state machine of a group. `keep` is the retention time of finished records.
     pub(crate) fn machine(&self, group: GroupId, keep: Duration) -> Box<dyn StateMachine> {
         let notes = self.of(group).cloned().unwrap_or_default();
         if group == META_GROUP {
@@ -130,11 +129,11 @@
     }
 }
 
-/// A state machine whose commands leave notes.
+/// A state machine whose clock, commands and replies can be observed.
 trait NotedMachine: StateMachine {
     type Command: DeserializeOwned;
     type Reply: Serialize;
-    /// What a command is called when it does not decode.
+    /// Name of the command type in decoding errors.
     const COMMAND: &str;
 
     fn apply_command(&mut self, command: Self::Command) -> Self::Reply;
@@ -187,7 +186,7 @@
     }
 }
 
-/// A state machine with the notes of its group.
+/// A state machine that updates the observations of its group.
 struct Observed<M> {
     machine: M,
     notes: Arc<GroupNotes>,
--- a/crates/store/src/placement/choice.rs
+++ b/crates/store/src/placement/choice.rs
@@ -1,11 +1,11 @@
-//! Choosing a store for a replica: zones apart first, then the least loaded.
+//! Chooses a store for a replica: by zone first, so that replicas are spread over zones, then by load.
 
 use std::collections::BTreeMap;
 
 use hooklug_state::meta::{GroupPlacement, StoreRecord};
 use hooklug_types::{NodeId, ZoneName};
 
-/// Replicas of each store.
+/// Numbers of voters and of replicas on each store.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Loads {
     voters: BTreeMap<NodeId, usize>,
@@ -40,8 +40,9 @@
     }
 }
 
-/// The best store for one more replica beside those in `zones`: a zone that has none of them, then few
-/// replicas of the kind asked for, then few of any kind, then the lowest node id.
+/// Returns the best store for one more replica of a group that has replicas in `zones`. Prefers the
+/// store whose zone has the fewest of them, then the fewest voters if a voter is placed, then the fewest
+/// replicas, then the lowest node id.
 pub(crate) fn best_store<'a>(
     candidates: impl Iterator<Item = &'a StoreRecord>,
     zones: &[&ZoneName],
@@ -55,7 +56,7 @@
     })
 }
 
-/// Zone of a store; `None` when it is not in the list.
+/// Returns the zone of a store, or `None` if the store is not in the list.
 pub(crate) fn zone_of(stores: &[StoreRecord], node: NodeId) -> Option<&ZoneName> {
     stores.iter().find(|store| store.node == node).map(|store| &store.zone)
 }
--- a/crates/store/src/placement/follow.rs
+++ b/crates/store/src/placement/follow.rs
@@ -1,4 +1,4 @@
-//! From a group's members to its wanted placement, one membership change at a time.
+//! Brings a group's members in line with its desired placement, one membership change at a time.
 
 use std::collections::BTreeSet;
 
@@ -7,13 +7,14 @@
 use hooklug_state::meta::GroupPlacement;
 use hooklug_types::NodeId;
 
-/// Entries that a learner may lack and still count as up to date (ours); the raft leader checks again.
+/// Number of committed entries that a member may lack and still count as up to date. The raft leader
+/// checks a learner again before it promotes it.
 const MAX_LAG_ENTRIES: u64 = 128;
 
-/// The next membership change of a group, as its leader sees the group.
+/// Returns the next membership change of a group, based on its leader's status.
 ///
-/// A wanted voter is promoted before an unwanted one leaves, so that every commit stays on as many
-/// living stores as before; learners come before anything that waits for them.
+/// A desired voter is promoted before an undesired one is removed, so that every commit remains on as
+/// many living stores as before.
 #[must_use]
 pub fn next_change(
     wanted: &GroupPlacement,
@@ -29,7 +30,7 @@
     {
         return Some(ConfChange::PromoteVoter(node));
     }
-    // With all wanted voters there, or a dead one beside them, the others may go.
+    // Other voters are removed only once all desired voters are members.
     if let Some(node) = unwanted_voter
         && missing_voter.is_none()
     {
@@ -45,7 +46,7 @@
     unwanted_learner.filter(|_| missing_voter.is_none()).map(ConfChange::Remove)
 }
 
-/// Whether a member answers and lacks next to nothing.
+/// Returns whether a member responds to its leader and has nearly all committed entries.
 #[must_use]
 pub fn is_up_to_date(leader: &ReplicaStatus, node: NodeId) -> bool {
     let progress = leader.progress.iter().find(|member| member.node == node);
--- a/crates/store/src/placement/initial.rs
+++ b/crates/store/src/placement/initial.rs
@@ -1,4 +1,4 @@
-//! Where the replicas of a new cluster begin.
+//! Initial placement of the replicas of a new cluster.
 
 use hooklug_state::meta::{GroupPlacement, StoreRecord};
 use hooklug_types::GroupId;
@@ -6,8 +6,8 @@
 use super::choice::{Loads, best_store};
 use super::learners;
 
-/// Placements of all groups over the stores that form a cluster: voters in different zones as far as
-/// there are so many, a learner on a further store, evenly spread.
+/// Returns the placements of all groups on the stores that form a cluster. Voters are in different zones
+/// as far as there are enough zones, learners are on further stores, and the load is spread evenly.
 #[must_use]
 pub fn placements(stores: &[StoreRecord], voters: usize) -> Vec<(GroupId, GroupPlacement)> {
     let mut loads = Loads::default();
--- a/crates/store/src/placement/mod.rs
+++ b/crates/store/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Which store holds which replica. Pure: the state of the cluster in, the next changes out.
+//! Plans which stores hold the replicas of each group. Free of I/O: from the state of the cluster it
+//! computes the next changes.
 //!
-//! Two steps, so that nothing has to be remembered between calls. The wanted placement of each group
-//! lives in the meta state and changes when a store is lost, retires or is added ([`wanted`]); the
-//! members of each group follow it, one membership change at a time ([`follow`]).
+//! Planning has two steps, so that no state is kept between calls. The desired placement of each group
+//! is stored in the meta state and changes when a store is lost, retires or is added ([`wanted`]). The
+//! members of each group are then brought in line with it, one membership change at a time ([`follow`]).
 
 mod choice;
 pub mod follow;
@@ -16,17 +17,19 @@
 use hooklug_state::meta::{GroupPlacement, MetaState};
 use hooklug_types::{GroupId, NodeId};
 
-/// Fewest voters of each group (design section 3). A group that began with more keeps as many.
+/// Minimum number of voters in each group (design document, section 3). A group that was created with
+/// more voters keeps that number.
 pub const VOTERS: usize = 3;
 
-/// Learners of a group with this many voters. One stands by to take a lost voter's place; a group that bears two losses
-/// has the time to fill a place from nothing, and is spared a copy of all that is written.
+/// Returns the number of standby learners of a group with this many voters. A group of three has one,
+/// ready to replace a lost voter. A larger group tolerates two losses, so there is time to bring a new
+/// replica up from nothing, and it has no learner to save the cost of another copy of all writes.
 #[must_use]
 pub const fn learners(voters: usize) -> usize {
     if voters > VOTERS { 0 } else { 1 }
 }
 
-/// The replicas of one store, as it answered to `GroupStatus`.
+/// The replicas of one store, as reported in its reply to `GroupStatus`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreReport {
     /// The store.
@@ -35,40 +38,41 @@
     pub replicas: Vec<ReplicaStatus>,
 }
 
-/// One change to make.
+/// A change that the caller should carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlannedChange {
-    /// Change the wanted placement, by `MetaCommand::SetPlacement`.
+    /// Change a group's desired placement, by `MetaCommand::SetPlacement`.
     SetPlacement {
         /// The group.
         group: GroupId,
-        /// What it is now.
+        /// Its current placement.
         expected: GroupPlacement,
-        /// What it should be.
+        /// Its new placement.
         placement: GroupPlacement,
     },
-    /// Change the group's members, by `ChangeReplicas` to the leader's store.
+    /// Change a group's members, by `ChangeReplicas` to the leader's store.
     ChangeReplicas {
         /// The group.
         group: GroupId,
         /// The store that leads it.
         leader: NodeId,
-        /// The change.
+        /// The membership change.
         change: ConfChange,
     },
-    /// Nothing is left on a store that retires or is lost for good: mark it removed, by `MetaCommand::SetStoreState`.
+    /// Mark a store as removed, by `MetaCommand::SetStoreState`. It retires or is permanently lost, and
+    /// holds no replicas any more.
     RemoveStore {
         /// The store.
         node: NodeId,
     },
 }
 
-/// The next changes, at most one a group. Calling it again after they are made goes on from there; when
-/// nothing is to be done it gives none.
+/// Returns the next changes, at most one per group. Call it again after they are carried out; it returns
+/// none when nothing remains to be done.
 ///
-/// * `reports`: the answers of all stores that answered.
-/// * `alive`: stores that count as living; one that is missing here loses its replicas, so the caller
-///   leaves a store out only after it has been silent for a while.
+/// * `reports`: replies of all stores that responded.
+/// * `alive`: stores that count as alive. A store that is missing here loses its replicas, so the caller
+///   omits one only after it has been unresponsive for a while.
 #[must_use]
 pub fn plan(
     meta: &MetaState,
@@ -78,7 +82,7 @@
     plan_with(wanted::changes(meta, reports, alive), meta, reports, alive)
 }
 
-/// [`plan`] without what only evens out the load of the stores.
+/// Like [`plan`], but without changes that only rebalance the load of the stores.
 #[must_use]
 pub fn plan_repairs(
     meta: &MetaState,
@@ -119,16 +123,16 @@
     changes
 }
 
-/// A group's leader and its view.
+/// A group's leader and the status that it reported.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderView<'a> {
     /// The store of the leader.
     pub node: NodeId,
-    /// What it said.
+    /// Status of the leader's replica.
     pub replica: &'a ReplicaStatus,
 }
 
-/// The leader of the newest term that reported.
+/// Returns the group's leader; if several replicas report leadership, the one with the newest term.
 #[must_use]
 pub fn leader_of(group: GroupId, reports: &[StoreReport]) -> Option<LeaderView<'_>> {
     let replicas = reports.iter().flat_map(|report| {
--- a/crates/store/src/placement/wanted.rs
+++ b/crates/store/src/placement/wanted.rs
@@ -1,4 +1,5 @@
-//! Changes of the wanted placements: lost and retiring stores are replaced, new ones get their share.
+//! Computes changes of the desired placements: replaces lost and retiring stores and moves replicas to
+//! new ones.
 
 use std::collections::BTreeSet;
 
@@ -9,18 +10,18 @@
 use super::follow::{is_up_to_date, next_change};
 use super::{StoreReport, VOTERS, leader_of, learners};
 
-/// A group's wanted placement, before and after.
+/// A change of one group's desired placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WantedChange {
     /// The group.
     pub group: GroupId,
-    /// What it is now.
+    /// Its current placement.
     pub expected: GroupPlacement,
-    /// What it should be.
+    /// Its new placement.
     pub placement: GroupPlacement,
 }
 
-/// What decisions about one group rest on.
+/// State of the cluster on which placement decisions are based.
 struct Scene<'a> {
     meta: &'a MetaState,
     reports: &'a [StoreReport],
@@ -28,7 +29,7 @@
 }
 
 impl<'a> Scene<'a> {
-    /// Stores that may hold replicas.
+    /// Returns the stores that may hold replicas: those that are alive and active.
     fn usable(&self) -> impl Iterator<Item = &'a StoreRecord> + use<'a, '_> {
         self.meta.stores.iter().filter(|store| self.is_usable(store.node))
     }
@@ -39,8 +40,8 @@
     }
 }
 
-/// Changes that the loss, retirement or arrival of stores asks for, at most one a group. A store is
-/// rebalanced onto only when nothing else is under way.
+/// Returns the changes due to lost, retiring or added stores, at most one per group. Replicas are
+/// rebalanced only while no other change is in progress.
 #[must_use]
 pub fn changes(
     meta: &MetaState,
@@ -55,7 +56,7 @@
     changes
 }
 
-/// Changes that the loss or retirement of stores asks for, at most one a group.
+/// Returns the changes due to lost or retiring stores, at most one per group.
 #[must_use]
 pub fn repairs(
     meta: &MetaState,
@@ -75,7 +76,7 @@
     changes
 }
 
-/// A group's placement without the stores that are lost or retire.
+/// Returns a group's placement with lost and retiring stores replaced as far as possible now.
 fn repaired(
     scene: &Scene<'_>,
     group: GroupId,
@@ -87,7 +88,7 @@
         if scene.is_usable(*voter) {
             continue;
         }
-        // The voter stays until a learner that has everything can take its place.
+        // The voter stays until an up-to-date learner can replace it.
         if let Some(learner) = successor(scene, group, &placement, *voter) {
             placement.learners.retain(|node| *node != learner);
             placement.voters.retain(|node| node != voter);
@@ -96,7 +97,7 @@
     }
     placement.learners.retain(|node| scene.is_usable(*node));
     let voters = VOTERS.max(current.voters.len());
-    // A place that is to be filled needs a learner first.
+    // A replacement for a lost voter has to catch up as a learner first.
     let lost = placement.voters.iter().filter(|voter| !scene.is_usable(**voter)).count();
     let wanted_learners = learners(voters).max(lost);
     placement.learners.truncate(wanted_learners);
@@ -105,7 +106,7 @@
         placement.learners.push(store);
         loads.add_learner(store);
     }
-    // A group that began with fewer stores grows to its full number of voters.
+    // A group that was created with fewer stores grows to its full number of voters.
     if placement.voters.len() < voters
         && let Some(learner) = successor(scene, group, &placement, NodeId::default())
     {
@@ -115,7 +116,8 @@
     placement
 }
 
-/// The learner to take a voter's place: up to date, and best in a zone that no other voter is in.
+/// Returns the learner that should replace a voter: an up-to-date one, preferably in a zone without
+/// another voter.
 fn successor(
     scene: &Scene<'_>,
     group: GroupId,
@@ -137,8 +139,8 @@
     })
 }
 
-/// A store without a replica of the group, for a learner that may become a voter: its zone should
-/// differ from those of the living voters.
+/// Returns a store for a new learner of the group. Since the learner may become a voter, a zone without
+/// living members of the group is preferred.
 fn free_store(scene: &Scene<'_>, placement: &GroupPlacement, loads: &Loads) -> Option<NodeId> {
     let members = || placement.voters.iter().chain(&placement.learners);
     let living = members().filter(|node| scene.is_usable(**node));
@@ -147,7 +149,7 @@
     best_store(free, &zones, loads, false).map(|store| store.node)
 }
 
-/// Whether every group's members are as wanted and all its members answer.
+/// Returns whether all groups have their desired members and all of these are up to date.
 fn is_settled(scene: &Scene<'_>) -> bool {
     scene.meta.placements.iter().all(|(group, placement)| {
         leader_of(*group, scene.reports).is_some_and(|leader| {
@@ -158,7 +160,8 @@
     })
 }
 
-/// One move of a replica from the most to the least loaded store, or into a zone of its own.
+/// Returns one change that evens out the load: it moves a replica to the least loaded store or, if the
+/// replicas are balanced, swaps a voter and a learner.
 fn rebalanced(scene: &Scene<'_>) -> Option<WantedChange> {
     let loads = Loads::of(scene.meta.placements.values());
     let by_replicas = |node: NodeId| loads.replicas(node);
@@ -167,7 +170,8 @@
         .or_else(|| first_move(scene, by_voters, swap_kinds))
 }
 
-/// The first possible move to the least loaded store from one that has at least two more.
+/// Returns the first possible move to the least loaded store from a store whose load exceeds it by at
+/// least two.
 fn first_move(
     scene: &Scene<'_>,
     load: impl Fn(NodeId) -> usize,
@@ -180,7 +184,7 @@
     loaded.into_iter().find_map(|store| make(scene, store.node, least))
 }
 
-/// Moves a replica, a learner rather than a voter, to a store that has none of its group.
+/// Moves a replica to a store that has none of its group; a learner is preferred over a voter.
 fn move_replica(scene: &Scene<'_>, from: NodeId, to: &StoreRecord) -> Option<WantedChange> {
     let holds = |placement: &GroupPlacement, node| {
         placement.voters.contains(&node) || placement.learners.contains(&node)
@@ -198,7 +202,7 @@
     Some(WantedChange { group: *group, expected: current.clone(), placement })
 }
 
-/// Makes a learner a voter and a voter a learner where both stores hold the group.
+/// Swaps the roles of two stores in one group: the voter becomes a learner and the learner a voter.
 fn swap_kinds(scene: &Scene<'_>, voter: NodeId, learner: &StoreRecord) -> Option<WantedChange> {
     let (group, current) = scene.meta.placements.iter().find(|(_, placement)| {
         placement.voters.contains(&voter)
@@ -213,7 +217,7 @@
     Some(WantedChange { group: *group, expected: current.clone(), placement })
 }
 
-/// Whether a voter's move would put two voters in one zone that are apart now.
+/// Returns whether moving a voter would make it share its zone with more voters than now.
 fn worsens(scene: &Scene<'_>, placement: &GroupPlacement, from: NodeId, to: &StoreRecord) -> bool {
     if !placement.voters.contains(&from) {
         return false;
@@ -225,8 +229,8 @@
     shares(&to.zone) > before
 }
 
-/// Stores that hold nothing, are wanted for nothing and will not come back: retiring ones, and lost ones
-/// whose address a newer node has taken.
+/// Returns the stores that can be marked as removed: they are in no group's placement or membership, and
+/// are either retiring or permanently lost, that is, a newer node uses their address.
 pub fn emptied_stores<'a>(
     meta: &'a MetaState,
     reports: &'a [StoreReport],
@@ -240,7 +244,8 @@
     leaving.map(|store| store.node).filter(move |node| !is_in_use(meta, reports, *node))
 }
 
-/// Whether a newer node has taken a store's address: its disk is lost, and it will not come back.
+/// Returns whether a newer node uses the store's address. The store's disk is then lost, and the store
+/// will not return.
 #[must_use]
 pub fn is_superseded(meta: &MetaState, store: &StoreRecord) -> bool {
     meta.stores.iter().any(|other| {
@@ -250,7 +255,8 @@
     })
 }
 
-/// Whether a store is wanted by a group or a member of one; groups without a known leader count.
+/// Returns whether a store is in the placement or the membership of any group. A group without a known
+/// leader counts as using the store.
 fn is_in_use(meta: &MetaState, reports: &[StoreReport], node: NodeId) -> bool {
     meta.placements.iter().any(|(group, wanted)| {
         wanted.voters.contains(&node)
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,4 +1,4 @@
-//! The requests that a store answers.
+//! Handlers of the rpc requests to a store.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::gossip;
 use crate::shared::Shared;
 
-/// Handlers of all requests to stores.
+/// Builds the router with the handlers of all requests to a store.
 pub(crate) fn router(shared: &Arc<Shared>) -> Router {
     Router::new()
         .route_deferred::<Execute, _>({
@@ -41,7 +41,7 @@
         ))
         .route(with(shared, |shared, peer, offer: FormationOffer| async move {
             let answer = move || gossip::answer(&shared, &peer, &offer);
-            // A promise is synced, which blocks; the reply is lost only with the process.
+            // Handling an offer may sync a promise to disk, which blocks.
             tokio::task::spawn_blocking(answer)
                 .await
                 .unwrap_or_else(|e| std::panic::resume_unwind(e.into_panic()))
@@ -60,14 +60,15 @@
     move |peer, request| handler(shared.clone(), peer, request)
 }
 
-/// Runs a request to its end even if its caller gives up.
+/// Runs a request to completion even if the caller abandons it.
 async fn completed<T: Send + 'static>(
     work: impl Future<Output = Result<T, StoreFault>> + Send + 'static,
 ) -> Result<T, StoreFault> {
     tokio::spawn(work).await.unwrap_or(Err(StoreFault::Uncertain))
 }
 
-/// Applies a command. That its caller gives up changes nothing: the replicas apply what was proposed.
+/// Proposes a command to its group and replies with the result. A command that was proposed is applied
+/// even if the caller abandons the request.
 fn execute(shared: &Arc<Shared>, request: Execute, replier: Replier<<Execute as Request>::Reply>) {
     let Execute { group, command } = request;
     if let Err(fault) = check_command(group, &command) {
@@ -76,7 +77,8 @@
     let (answering, runtime) = (shared.clone(), Handle::current());
     let reply = Reply::new(move |outcome| match outcome {
         Ok(result) => replier.send(&Ok(result.into())),
-        // What it says may wait for a lock that is held over a sync; the threads of the groups must not.
+        // Building the error may wait for a lock that is held during a disk sync; the threads of the
+        // groups must not wait for it.
         Err(error) => drop(runtime.spawn(async move {
             replier.send(&Err(answering.fault(group, error)));
         })),
@@ -90,7 +92,8 @@
         read.map(|read| read.answer).map_err(|error| self.fault(request.group, error))
     }
 
-    /// Takes raft messages; those for another node id are dropped, as are those of no store.
+    /// Delivers raft messages to the replicas. Drops messages for another node id, messages that do not
+    /// come from a store, and all messages while this store is not a cluster member.
     fn raft_batch(&self, peer: &Peer, batch: RaftBatch) {
         if batch.to == self.node() && peer.role == NodeRole::Store && self.is_member() {
             self.replicator.deliver(peer.node, batch.messages);
@@ -103,7 +106,7 @@
         chunk: SnapshotChunk,
     ) -> Result<hooklug_protocol::store::SnapshotProgress, StoreFault> {
         if chunk.to != self.node() || chunk.from != peer.node || !self.is_member() {
-            let reason = "the snapshot is meant for another node".to_owned();
+            let reason = "the snapshot chunk names another sender or receiver, or this store is not in a cluster".to_owned();
             return Err(StoreFault::Refused { reason });
         }
         let group = chunk.group;
@@ -124,8 +127,8 @@
     }
 }
 
-/// Whether a command decodes and is a client's to make. A log must never hold one that no replica can
-/// apply, and what the leader judges by its own clock is not for others to propose.
+/// Checks that a command decodes and that clients may propose it. The log must never contain a command
+/// that no replica can apply, and commands that depend on the leader's clock are reserved to the leader.
 fn check_command(group: GroupId, command: &[u8]) -> Result<(), StoreFault> {
     let refused = |reason: String| StoreFault::Refused { reason };
     let is_leaders_own = if group == META_GROUP {
@@ -136,7 +139,7 @@
         is_leaders_own(&command)
     };
     if is_leaders_own {
-        return Err(refused("only the group's leader proposes this".to_owned()));
+        return Err(refused("only the group's leader may propose this command".to_owned()));
     }
     Ok(())
 }
--- a/crates/store/src/shared.rs
+++ b/crates/store/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one store share.
+//! State that is shared by the tasks of one store process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 use crate::observed::Notes;
 use crate::{StoreClient, StoreError};
 
-/// Time that one store may take to answer another's question.
+/// Timeout of a request from one store to another.
 pub(crate) const PEER_CALL_TIME: Duration = Duration::from_millis(1_000);
 
-/// State of one store process. Its parts hold it in an `Arc`.
+/// State of one store process, shared by its tasks in an `Arc`.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Arc<Settings>,
@@ -32,21 +32,21 @@
     pub(crate) replicator: Replicator,
     pub(crate) notes: Notes,
     pub(crate) formation: Mutex<Formation>,
-    /// The newest meta state that this store knows; default before the cluster is formed.
+    /// Newest meta state that this store knows; the default one until the cluster is formed.
     pub(crate) meta: watch::Sender<Arc<MetaState>>,
-    /// Stores that may be asked, for the client.
+    /// Addresses of the stores that the client may call.
     pub(crate) stores: watch::Sender<Vec<SocketAddr>>,
     pub(crate) access: StoreClient,
 }
 
-/// What the store is to the cluster, and what it has heard.
+/// State of discovery and cluster formation.
 #[derive(Debug)]
 pub(crate) struct Formation {
     pub(crate) membership: Membership,
     pub(crate) view: FormationView,
-    /// Stores to ask: seeds and who was heard of.
+    /// Addresses to query during discovery: seeds and addresses learned from other processes.
     pub(crate) candidates: Vec<SocketAddr>,
-    /// Candidates at which processes of other roles answer.
+    /// Candidates at which a process that is not a store responds.
     pub(crate) other_roles: BTreeSet<SocketAddr>,
 }
 
@@ -55,7 +55,7 @@
         self.identity.address.node
     }
 
-    /// This store as others record it.
+    /// Returns this store's record as it appears in the meta state.
     pub(crate) fn record(&self) -> StoreRecord {
         own_record(&self.identity)
     }
@@ -64,7 +64,7 @@
         self.formation.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the store is to the cluster.
+    /// Returns the store's cluster membership.
     pub(crate) fn membership(&self) -> Membership {
         self.formation().membership.clone()
     }
@@ -73,8 +73,8 @@
         matches!(self.formation().membership, Membership::Member { .. })
     }
 
-    /// Changes what the store is to the cluster, on disk first. The lock is held over the sync: no offer
-    /// may be judged by what is not durable yet.
+    /// Changes the store's cluster membership, on disk first. The caller holds the lock during the disk
+    /// sync, so that no offer is handled based on a membership that is not durable yet.
     pub(crate) fn set_membership(
         &self,
         formation: &mut Formation,
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Notes where a store listens, so that it is asked and called.
+    /// Adds an address to the candidates for discovery and for the client.
     pub(crate) fn add_candidate(&self, address: SocketAddr) {
         let mut formation = self.formation();
         if address != self.identity.address.rpc && !formation.candidates.contains(&address) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Notes whether a store or a process of another role answers at an address.
+    /// Records whether a store or a process of another role responds at an address.
     pub(crate) fn note_role(&self, address: SocketAddr, role: NodeRole) {
         let mut formation = self.formation();
         match role {
@@ -105,7 +105,7 @@
         };
     }
 
-    /// Tells the client which stores may be asked: this one first.
+    /// Updates the list of stores that the client may call. This store is the first of the list.
     pub(crate) fn publish_stores(&self) {
         let mut stores: Vec<SocketAddr> = vec![self.identity.address.rpc];
         let known = self.addresses.all().into_iter().map(|(_, address)| address);
@@ -126,7 +126,7 @@
         });
     }
 
-    /// The offer that this store makes to others.
+    /// Returns the formation offer that this store sends to others, without a plan.
     pub(crate) fn offer(&self) -> FormationOffer {
         let propose = match &self.formation().membership {
             Membership::Promised(plan) => Some(plan.cluster),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// An error of the groups as the caller is told it.
+    /// Converts a replication error to the error that is returned to the caller.
     pub(crate) fn fault(&self, group: GroupId, error: ReplicationError) -> StoreFault {
         match error {
             ReplicationError::NotLeader { leader } => {
@@ -169,7 +169,7 @@
     }
 }
 
-/// A store as others record it.
+/// Returns the record of the store with this identity as it appears in the meta state.
 pub(crate) fn own_record(identity: &LocalIdentity) -> StoreRecord {
     let address = &identity.address;
     StoreRecord {
@@ -181,7 +181,7 @@
     }
 }
 
-/// Nothing heard yet.
+/// Creates the view of cluster formation at the start, with no other stores known.
 pub(crate) fn empty_view(settings: &Settings, identity: &LocalIdentity) -> FormationView {
     let expected = usize::try_from(settings.store.expect_stores).unwrap_or(usize::MAX);
     let voters = usize::try_from(settings.store.voters).unwrap_or(usize::MAX);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store process: opening its data folder, running its groups, stopping.
+//! The store process: opens its data folder, runs its groups and shuts them down.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -24,10 +24,10 @@
     StoreClient, StoreError, balance, begin, cleanup, clock_task, gossip, meta_watch, service,
 };
 
-/// Pause between looks at whether the store has failed (ours).
+/// Interval between checks whether the disk has failed.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Closed segments of the log when it has its full length (ours).
+/// Maximum number of closed log segments; a segment's size is the configured log size divided by it.
 const LOG_SEGMENTS: usize = 8;
 
 /// One store process.
@@ -36,18 +36,18 @@
     shared: Arc<Shared>,
 }
 
-/// A view into a running store, for the process around it and for tests. Cheap to clone.
+/// Handle to a running store, for the process that runs it and for tests. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct StoreHandle {
     shared: Arc<Shared>,
 }
 
 impl Store {
-    /// Opens the data folder and restores what it holds. The identity's node id must be the folder's
-    /// (see [`load_node_id`]). Needs a tokio runtime.
+    /// Opens the data folder and restores its contents. The node id of the identity must be that of the
+    /// folder (see [`load_node_id`]). Must be called within a tokio runtime.
     ///
     /// # Errors
-    /// [`StoreError`]; the store must not serve then.
+    /// [`StoreError`] if the store cannot serve.
     pub fn open(
         settings: Arc<Settings>,
         identity: LocalIdentity,
@@ -56,10 +56,10 @@
         Self::open_with(settings, identity, client, Arc::new(OsFiles))
     }
 
-    /// [`Store::open`] on other files, for tests of failing disks.
+    /// Like [`Store::open`], but on a given file system implementation, for tests with failing disks.
     ///
     /// # Errors
-    /// [`StoreError`].
+    /// [`StoreError`] if the store cannot serve.
     pub fn open_with(
         settings: Arc<Settings>,
         identity: LocalIdentity,
@@ -107,22 +107,24 @@
         Ok(Self { shared: Arc::new(shared) })
     }
 
-    /// Handlers of the requests to a store; they may be served before [`Store::run`].
+    /// Returns the handlers of requests to this store. They may be served before [`Store::run`] is
+    /// called.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
         service::router(&self.shared)
     }
 
-    /// A view into the store.
+    /// Returns a handle to the store.
     #[must_use]
     pub fn handle(&self) -> StoreHandle {
         StoreHandle { shared: self.shared.clone() }
     }
 
-    /// Serves until stopped; then hands its leaderships over and closes its files.
+    /// Serves until stopped, then hands over its leaderships and closes its files.
     ///
     /// # Errors
-    /// [`StoreError::DriverEnded`]: the process must end, since nothing would be answered any more.
+    /// [`StoreError::DriverEnded`] or [`StoreError::Failed`]. The process must then exit, since the store
+    /// can no longer serve requests.
     pub async fn run(self, stop: CancellationToken) -> Result<(), StoreError> {
         let shared = self.shared;
         let mut tasks = JoinSet::new();
@@ -148,48 +150,49 @@
 }
 
 impl StoreHandle {
-    /// This store's client, for the process around it.
+    /// Returns this store's client, for the process that runs the store.
     #[must_use]
     pub fn client(&self) -> StoreClient {
         self.shared.access.clone()
     }
 
-    /// The newest meta state that this store knows; a default one before the cluster is formed.
+    /// Watches the newest meta state that this store knows. It is the default one until the cluster is
+    /// formed.
     #[must_use]
     pub fn watch_meta(&self) -> watch::Receiver<Arc<MetaState>> {
         self.shared.meta.subscribe()
     }
 
-    /// Addresses of all stores that this one knows.
+    /// Watches the addresses of all stores that this one knows.
     #[must_use]
     pub fn watch_stores(&self) -> watch::Receiver<Vec<std::net::SocketAddr>> {
         self.shared.stores.subscribe()
     }
 
-    /// The cluster; 0 while the store is a member of none.
+    /// Returns the id of the cluster, or 0 while the store is not a member of one.
     #[must_use]
     pub fn cluster(&self) -> u64 {
         self.shared.membership().cluster()
     }
 
-    /// All replicas here.
+    /// Returns the status of all replicas on this store.
     pub async fn replicas(&self) -> Vec<ReplicaStatus> {
         self.shared.replicator.status().await
     }
 
-    /// Digest of a replica's state; `None` without a replica.
+    /// Returns the digest of a replica's state, or `None` if this store has no replica of the group.
     pub async fn digest(&self, group: GroupId) -> Option<ReplicaDigest> {
         self.shared.replicator.digest(group).await
     }
 
-    /// Why nothing is acknowledged any more; `None` while all is well.
+    /// Returns why the store no longer acknowledges writes, or `None` while it works.
     #[must_use]
     pub fn failure(&self) -> Option<String> {
         self.shared.replicator.failure()
     }
 
-    /// Whether the store is of use: a member that knows the cluster, whose disk works and whose groups
-    /// all know a leader.
+    /// Returns whether the store can serve: it is a member, knows the cluster's state, its disk works,
+    /// and all its replicas know a leader.
     pub async fn is_ready(&self) -> bool {
         let knows_cluster = self.shared.meta.borrow().cluster != 0;
         if self.failure().is_some() || !self.shared.is_member() || !knows_cluster {
@@ -198,15 +201,16 @@
         self.replicas().await.iter().all(|replica| replica.leader.is_some())
     }
 
-    /// Stops all replicas at once and closes their files, without handing anything over.
+    /// Stops all replicas immediately and closes their files, without handing over leaderships.
     pub async fn crash(&self) {
         self.shared.replicator.stop().await;
         self.shared.folder.unlock();
     }
 }
 
-/// Waits until the store has failed, if the process is to end then: a platform that starts it again may find the disk
-/// sound. The pause lets answers that say so go out first.
+/// Waits until the disk has failed, and returns the reason. Never returns unless the settings request that
+/// the process ends then; a platform that restarts it may provide a working disk. Due to the polling
+/// interval, pending replies that report the failure are usually sent before the process ends.
 async fn failed(shared: &Shared) -> String {
     if !shared.settings.store.end_when_failed {
         return std::future::pending().await;
@@ -219,8 +223,8 @@
     }
 }
 
-/// The membership on the disk. A coordinator that stopped before it decided drops its plan: it alone
-/// could have decided.
+/// Reads the membership from the disk. A coordinator that stopped before its decision drops its plan
+/// here, which is safe since only the coordinator could have decided it.
 fn opened_membership(folder: &DataFolder, node: NodeId) -> Result<Membership, StoreError> {
     let membership = folder.membership()?;
     let undecided = matches!(&membership, Membership::Promised(plan) if plan.coordinator == node);
--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster forms, serves, and survives kills and restarts.
+//! A cluster forms, serves requests, and survives kills and restarts of its stores.
 
 mod support;
 
@@ -68,7 +68,8 @@
     put_program(&client, "after").await;
 }
 
-/// The process that acknowledged a bundle may be gone in the next moment: the stores that hold it tell all that call them.
+/// The process that acknowledged a bundle may fail immediately afterwards, so the stores report the newest
+/// committed bundle to all of their callers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn whoever_calls_a_store_hears_of_a_committed_bundle() {
     let cluster = TestCluster::formed(3, fast_options()).await;
@@ -84,8 +85,8 @@
     for store in &cluster.stores {
         let client = rpc_client();
         let named = client.identity().bundles.watch_newest();
-        until("the store names it", async || {
-            client.call(store.address, &GroupStatus, soon()).await.expect("an answer");
+        until("the store reports the bundle's version", async || {
+            client.call(store.address, &GroupStatus, soon()).await.expect("a reply");
             *named.borrow() == bundle.version
         })
         .await;
--- a/crates/store/tests/decisions.rs
+++ b/crates/store/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The pure decisions of a store: formation, leases, clock steps, spreading leaderships, cleaning up.
+//! Unit tests of a store's decisions, without I/O: cluster formation, leases, clock steps, balancing of
+//! leaderships and removal of replicas.
 
 use std::time::{Duration, Instant};
 
@@ -41,7 +42,7 @@
     FormationOffer { node, address, zone, propose, plan }
 }
 
-/// The view of a store that has heard others for long.
+/// Returns the view of a store that has received replies of other stores at `now`.
 fn view(own: u64, others: &[u64], now: Instant) -> FormationView {
     let mut view = FormationView::new(record(own), 3, now);
     others.iter().for_each(|node| view.note(&reply(*node, 0, false), Incarnation(1), now));
@@ -61,7 +62,7 @@
     assert!(view(1, &[2, 3], now).plan(7, now).is_none(), "not settled");
     let mut stale = view(1, &[2, 3], now);
     stale.forget_silent(now + Duration::from_secs(2));
-    assert!(stale.plan(7, now + Duration::from_secs(9)).is_none(), "long silent");
+    assert!(stale.plan(7, now + Duration::from_secs(9)).is_none(), "replies expired");
 }
 
 #[test]
@@ -140,7 +141,7 @@
     let first = |wall| ClockSteps::begin(clock, UnixMillis(wall), 0, start).now(start);
     assert_eq!(first(1_030_000), UnixMillis(1_030_000));
     assert_eq!(first(9_000_000), UnixMillis(1_060_000), "at most a minute ahead");
-    assert_eq!(first(500_000), clock, "never back");
+    assert_eq!(first(500_000), clock, "never goes back");
     let unset = ClockSteps::begin(UnixMillis(0), UnixMillis(9_000_000), 0, start);
     assert_eq!(unset.now(start), UnixMillis(9_000_000));
     let mut steps = ClockSteps::begin(clock, clock, 5, start);
@@ -182,7 +183,7 @@
     assert_eq!(choose_move(NodeId(1), &even), None);
     let mut unknown = replicas;
     unknown[3].leader = None;
-    assert_eq!(choose_move(NodeId(1), &unknown), None, "an election is under way");
+    assert_eq!(choose_move(NodeId(1), &unknown), None, "a group has no known leader");
 }
 
 #[test]
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Disks that lose what was not synced, fail, or are damaged.
+//! Disks that lose unsynced data, fail, or are damaged.
 
 #[path = "support/disk.rs"]
 mod disk;
@@ -102,7 +102,7 @@
         put_program(&cluster.client(), &format!("program-{number}")).await;
     }
     let running = cluster.stores[0].running.as_mut().expect("the store runs");
-    let ended = tokio::time::timeout(PATIENCE, &mut running.store).await.expect("it ends");
+    let ended = tokio::time::timeout(PATIENCE, &mut running.store).await.expect("the store ends");
     assert!(matches!(ended.unwrap(), Err(StoreError::Failed(_))));
 }
 
@@ -116,7 +116,7 @@
         cluster.start(number).await;
     }
     let running = cluster.stores[0].running.take().expect("the store runs");
-    let ended = tokio::time::timeout(PATIENCE, running.store).await.expect("it ends by itself");
+    let ended = tokio::time::timeout(PATIENCE, running.store).await.expect("the store ends");
     assert!(matches!(ended.unwrap(), Err(StoreError::DriverEnded)));
 }
 
@@ -180,7 +180,7 @@
     assert!(matches!(lost, Err(StoreError::Damaged { .. })), "{lost:?}");
 }
 
-/// An identity file as a build with the next data format would write it.
+/// Returns the contents of an identity file as a build with the next data format would write it.
 fn of_next_format(identity: &[u8]) -> Vec<u8> {
     let mut body = identity[4..].to_vec();
     body[0] += 1;
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Cuts, frozen and failing stores, power loss, restarts: nothing acknowledged is lost or older.
+//! Network partitions, failing stores and restarts: no acknowledged write is lost, and no read is stale.
 
 mod support;
 
@@ -29,7 +29,7 @@
     cluster.isolate(old, true);
     let others: Vec<usize> = (0..3).filter(|number| *number != old).collect();
     put_program(&cluster.client_of(&others), "program").await;
-    // The old leader may still believe that it leads; it must not say that there is no such program.
+    // The old leader may still consider itself the leader; it must not report that the program is missing.
     let cut_off = cluster.client_of(&[old]);
     let query = ShardQuery::Program(program("program"));
     let deadline = Instant::now() + Duration::from_millis(1_500);
@@ -111,7 +111,7 @@
     assert!(matches!(verdict, LeaseVerdict::Held { .. }), "{verdict:?}");
     let leader = cluster.until_leader(group).await;
     cluster.kill(leader).await;
-    // The new leader has led for less than the lease's time, whatever went before.
+    // The new leader counts the full lease time from the start of its leadership.
     let verdict = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
     assert!(matches!(verdict, LeaseVerdict::Held { .. }), "{verdict:?}");
     until("the lease expires", async || {
@@ -130,7 +130,7 @@
     let holder = engine("engine-2");
     let group = shard_of("engine-2");
     let subject = LeaseSubject::Engine(holder.clone());
-    // Asked again, as a client does whose answer was lost, it says the same.
+    // A retry, as after a lost reply, gets the same result.
     for _ in 0..2 {
         let verdict = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
         assert_eq!(verdict, LeaseVerdict::Unknown);
@@ -195,14 +195,14 @@
     let size = |entry: std::fs::DirEntry| match entry.metadata() {
         Ok(metadata) if metadata.is_dir() => folder_bytes(&entry.path()),
         Ok(metadata) => metadata.len(),
-        // Removed meanwhile.
+        // The file was removed in the meantime.
         Err(_) => 0,
     };
     entries.map(size).sum()
 }
 
-/// After a loss of all power no replica has applied anything yet, and the processes that are the seeds may come back
-/// last.
+/// After a loss of power of all machines, no replica has applied anything yet, and the seed processes may be
+/// the last ones to return.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn stores_that_start_again_together_find_each_other_without_any_seed() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
@@ -218,7 +218,7 @@
     cluster.until_formed().await;
 }
 
-/// A core's client at an address of its own.
+/// Returns a client of the process with this address, role and incarnation.
 fn core_client(cluster: &TestCluster, rpc: SocketAddr, run: u64, role: NodeRole) -> StoreClient {
     let address = NodeAddress {
         node: NodeId(run),
@@ -232,8 +232,9 @@
     StoreClient::new(client, tokio::sync::watch::channel(stores).1)
 }
 
-/// Guards against seconds without a core leader, and so without repair, after all processes were killed: the leader's own
-/// machine was back, and everybody waited for the end of its former run's lease.
+/// Guards against a delay of seconds without a core leader, and so without repairs, after all processes
+/// were killed: the leader's machine had restarted, but all cores waited for the lease of its former run to
+/// expire.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_core_that_starts_again_at_its_address_ends_its_former_runs_lease_at_once() {
     let cluster = TestCluster::formed(3, fast_options()).await;
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -1,4 +1,5 @@
-//! The in-memory groups keep the contract of `StateAccess`: leases by time, lost answers, lost groups.
+//! The in-memory state fulfils the contract of `StateAccess`: lease times, dropped replies and unavailable
+//! groups.
 
 use std::time::Duration;
 
--- a/crates/store/tests/placement.rs
+++ b/crates/store/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The planner: each case, and a model cluster that follows its plans.
+//! Tests of the placement planner, with a model cluster that carries out its plans.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,13 @@
 use hooklug_types::{GroupId, Incarnation, NodeId, ZoneName};
 use proptest::prelude::*;
 
-/// A cluster without consensus: members change as soon as a plan says so.
+/// Model of a cluster without consensus: planned changes take effect immediately.
 #[derive(Debug, Clone)]
 struct Model {
     meta: MetaState,
     confs: BTreeMap<GroupId, ConfState>,
     alive: BTreeSet<NodeId>,
-    /// Learners that have not caught up.
+    /// Members that have not caught up.
     behind: BTreeSet<NodeId>,
 }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Follows plans until none is left; checks each step.
+    /// Carries out plans until no change remains, checks each step, and returns all changes.
     fn settle(&mut self) -> Vec<PlannedChange> {
         let mut made = Vec::new();
         for _ in 0..2_000 {
@@ -115,7 +115,11 @@
                 return made;
             }
             let groups: Vec<_> = changes.iter().filter_map(group_of).collect();
-            assert_eq!(groups.iter().collect::<BTreeSet<_>>().len(), groups.len(), "one a group");
+            assert_eq!(
+                groups.iter().collect::<BTreeSet<_>>().len(),
+                groups.len(),
+                "more than one change of a group"
+            );
             for change in changes {
                 let living = |m: &Self, g| m.living_voters(g);
                 let before = group_of(&change).map(|group| living(self, group));
@@ -127,7 +131,7 @@
                 made.push(change);
             }
         }
-        panic!("the plans never end: {:?}", self.plan());
+        panic!("planning does not end: {:?}", self.plan());
     }
 
     fn living_voters(&self, group: GroupId) -> usize {
@@ -294,8 +298,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever store is lost, comes back, retires or is added, one after another: plans end, and every
-    /// group then has three living voters in three zones.
+    /// After any sequence of lost, returning, retiring and added stores, planning ends and every group
+    /// has three living voters in three zones.
     #[test]
     fn plans_end_with_every_group_whole(events in prop::collection::vec((0..4_u8, any::<u8>()), 1..8)) {
         let mut model = Model::new(&[1, 2, 3, 4, 5]);
@@ -328,7 +332,8 @@
     }
 }
 
-/// A cluster that bears two losses: five voters a group and no learner, but while a place has to be filled.
+/// In a cluster that tolerates two losses, a group has five voters, and a learner only while a lost voter
+/// has to be replaced.
 #[test]
 fn a_group_of_five_gets_a_learner_only_when_a_voter_is_lost() {
     let zones = [1, 2, 3, 4, 5, 1, 2, 3];
--- a/crates/store/tests/repair.rs
+++ b/crates/store/tests/repair.rs
@@ -1,4 +1,5 @@
-//! Lost, replaced, added and retired stores, repaired as the core leader would.
+//! Stores that are lost, replaced, added or retired, with a test double for the core leader that repairs
+//! the cluster.
 
 #[path = "support/repair.rs"]
 mod repairer;
@@ -35,7 +36,7 @@
     }
 }
 
-/// Whether a store holds no replica.
+/// Returns whether a store holds no replicas.
 async fn is_empty(cluster: &TestCluster, number: usize) -> bool {
     cluster.handle(number).replicas().await.is_empty()
 }
@@ -62,7 +63,7 @@
         stores.iter().any(|s| s.node == lost && s.state == StoreState::Removed)
     })
     .await;
-    // The second loss, right after the repair.
+    // A second disk is lost immediately after the repair.
     cluster.kill(0).await;
     cluster.lose_disk(0);
     assert_programs(&cluster, 0..40).await;
@@ -129,7 +130,7 @@
     assert!(!conf.contains(NodeId(0)));
 }
 
-/// Replicas of a store by group, and the leader of each group, at one moment.
+/// Returns the replicas of a store, each with its group's leader.
 async fn replicas_of(cluster: &TestCluster, number: usize) -> Vec<(ReplicaStatus, ReplicaStatus)> {
     let mut leaders = Vec::new();
     for store in 0..cluster.stores.len() {
@@ -144,14 +145,17 @@
     own.into_iter().filter_map(with_leader).collect()
 }
 
-/// Pause between two steps of the test below; a group's member is away for so many of them: longer than an election, so that
-/// the store asks whether it was let go, and shorter than its wait for a silent store and the pause between two questions.
+/// Pause between two steps of the test below.
 const STEP: Duration = Duration::from_millis(100);
+/// Number of steps for which a member is removed from its group. Longer than an election, so that the
+/// store queries the others whether it was removed; shorter than both the timeout of such a query and
+/// the interval between two of them.
 const STEPS_AWAY: u32 = 9;
 const STEPS: u32 = 80;
 
-/// Guards against a store that forgets a group in which it is a member: it asked whether it had been let go, was added again
-/// while it waited for a silent store, and went by the answers. Its leader counted on it for what it had held.
+/// Guards against a store that deletes the replica of a group of which it is a member. The store queried
+/// the others whether it had been removed, was added again while it waited for an unresponsive store, and
+/// then acted on the outdated replies, although the leader counted on the entries that it had held.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_store_that_is_added_again_while_it_asks_keeps_what_it_holds() {
     let mut cluster = TestCluster::formed(4, fast_options()).await;
@@ -178,7 +182,7 @@
         tokio::time::sleep(STEP).await;
     }
     cluster.cut(own, 2, false);
-    until("the store holds what its leaders count on", async || {
+    until("the store holds all entries that its leaders count as replicated", async || {
         let replicas = replicas_of(&cluster, own).await;
         let holds = |(replica, leader): &(ReplicaStatus, ReplicaStatus)| {
             let member = leader.progress.iter().find(|member| member.node == node);
@@ -192,8 +196,8 @@
     }
 }
 
-/// The only process that it knows is of another role. The cluster's stores must be known to its client by the time it has
-/// joined: without them it would ask itself, and be registered seconds later.
+/// A joining store whose only seed is a process of another role. Its client must know the cluster's
+/// stores by the time it has joined; otherwise it would query itself and be registered seconds later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_store_that_joins_asks_the_stores_at_once_and_nobody_else() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
@@ -219,7 +223,7 @@
     let asked = handle.watch_stores().borrow().clone();
     assert!(stores.iter().all(|store| asked.contains(store)), "{asked:?}");
     assert!(!asked.contains(&core), "{asked:?}");
-    until("it is registered", async || {
+    until("the store is registered", async || {
         let meta = handle.watch_meta().borrow().clone();
         meta.stores.len() == 4
     })
--- a/crates/store/tests/support/disk.rs
+++ b/crates/store/tests/support/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that forgets what was not synced, and fails on demand.
+//! A file system that can discard unsynced data and inject failures.
 
 use std::collections::BTreeMap;
 use std::fs::OpenOptions;
@@ -11,20 +11,20 @@
 
 #[derive(Debug, Default)]
 struct Disk {
-    /// Bytes of each file that are synced.
+    /// Synced length of each file, in bytes.
     synced: Mutex<BTreeMap<PathBuf, u64>>,
     fails: AtomicBool,
     panics_in: Mutex<Option<&'static str>>,
 }
 
-/// Files of one machine. Clones share the disk.
+/// File system of one machine. Clones share the disk.
 #[derive(Debug, Clone, Default)]
 pub struct TestDisk {
     disk: Arc<Disk>,
 }
 
 impl TestDisk {
-    /// Cuts every file to what was synced, as a loss of power may.
+    /// Truncates every file to its synced length, as a loss of power may do.
     pub fn lose_power(&self) {
         for (path, length) in self.disk.synced.lock().unwrap().iter() {
             if let Ok(file) = OpenOptions::new().write(true).open(path) {
@@ -39,7 +39,7 @@
         self.disk.fails.store(true, Ordering::SeqCst);
     }
 
-    /// Makes a thread panic when it creates its next file.
+    /// Makes the thread with this name panic when it creates its next file.
     pub fn panic_in(&self, thread: &'static str) {
         *self.disk.panics_in.lock().unwrap() = Some(thread);
     }
@@ -67,7 +67,7 @@
 
     fn sync(&mut self) -> io::Result<()> {
         if self.disk.fails.load(Ordering::SeqCst) {
-            return Err(io::Error::other("the disk is gone"));
+            return Err(io::Error::other("injected sync failure"));
         }
         self.inner.sync()?;
         self.disk.synced.lock().unwrap().insert(self.path.clone(), self.length);
@@ -91,7 +91,7 @@
     fn create(&self, path: &Path) -> io::Result<Box<dyn LogFile>> {
         let panics_in = *self.disk.panics_in.lock().unwrap();
         let is_here = panics_in.is_some() && std::thread::current().name() == panics_in;
-        assert!(!is_here, "a fault of the test");
+        assert!(!is_here, "injected panic");
         Ok(self.open(OsFiles.create(path)?, path, 0))
     }
 
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Whole stores in one process, over real sockets and disks.
+//! Complete stores in one process, with real sockets and disks.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 
 pub const SECRET: &str = "a secret of the tests";
 
-/// How long a condition may take before a test gives up; far beyond what any should need.
+/// How long a test waits for a condition before it fails; far longer than any condition should need.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
 pub struct Running {
@@ -50,8 +50,8 @@
     pub options: StoreSettings,
 }
 
-/// An address that no other store of any test has: links are cut by address, and the port stays free
-/// while the store is down.
+/// Returns an address that no other store of any test uses, since links are blocked by IP address and the
+/// port must remain free while the store is down.
 pub async fn free_address() -> SocketAddr {
     static TAKEN: AtomicU32 = AtomicU32::new(0);
     let number = TAKEN.fetch_add(1, Ordering::Relaxed);
@@ -66,7 +66,7 @@
 }
 
 impl TestCluster {
-    /// Stores that are not started, each in a zone of its own.
+    /// Creates stores without starting them, each in a separate zone.
     pub async fn new(count: usize, options: StoreSettings) -> Self {
         let mut cluster = Self { stores: Vec::new(), seeds: Vec::new(), options };
         for _ in 0..count {
@@ -76,7 +76,7 @@
         cluster
     }
 
-    /// Adds a store that is not started; gives its number.
+    /// Adds a store without starting it; returns its number.
     pub async fn add(&mut self) -> usize {
         let number = self.stores.len();
         let zone = ZoneName::new(format!("zone-{number}")).unwrap();
@@ -86,7 +86,7 @@
         number
     }
 
-    /// Starts all and waits until every group has a leader.
+    /// Creates and starts stores, and waits until every group has a leader.
     pub async fn formed(count: usize, options: StoreSettings) -> Self {
         let mut cluster = Self::new(count, options).await;
         for number in 0..count {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Ends a store at once, as a killed process would.
+    /// Stops a store immediately, as if its process were killed.
     pub async fn kill(&mut self, number: usize) {
         let running = self.stores[number].running.take().expect("the store runs");
         running.store.abort();
@@ -160,7 +160,7 @@
         let _ = running.store.await;
     }
 
-    /// Stops a store in order.
+    /// Shuts a store down gracefully.
     pub async fn stop(&mut self, number: usize) {
         let running = self.stores[number].running.take().expect("the store runs");
         running.stop.cancel();
@@ -168,7 +168,7 @@
         running.server.await.unwrap();
     }
 
-    /// Puts an empty disk into a store that does not run.
+    /// Replaces the disk of a store that is not running by an empty one.
     pub fn lose_disk(&mut self, number: usize) {
         assert!(self.stores[number].running.is_none());
         self.stores[number].folder = tempfile::tempdir().unwrap();
@@ -182,7 +182,7 @@
         self.stores[number].running.as_ref().expect("the store runs").identity.address.node
     }
 
-    /// Cuts what one store sends to another, or heals it.
+    /// Blocks or restores the traffic from one store to another.
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
         let faults = &self.stores[from].running.as_ref().expect("the store runs").identity.faults;
         let mut links = faults.get();
@@ -190,7 +190,7 @@
         faults.set(links);
     }
 
-    /// Cuts a store off from all others, both ways, or heals it.
+    /// Partitions a store from all others in both directions, or ends the partition.
     pub fn isolate(&self, number: usize, cut: bool) {
         for other in (0..self.stores.len()).filter(|other| *other != number) {
             if self.stores[other].running.is_some() {
@@ -200,19 +200,19 @@
         }
     }
 
-    /// A client on a node of its own.
+    /// Returns a client that is on no store's node and knows all stores.
     pub fn client(&self) -> StoreClient {
         self.client_of(&(0..self.stores.len()).collect::<Vec<_>>())
     }
 
-    /// A client that knows only some stores.
+    /// Returns a client that knows only the given stores.
     pub fn client_of(&self, numbers: &[usize]) -> StoreClient {
         let stores = numbers.iter().map(|number| self.stores[*number].address).collect();
         let (_, watch) = watch::channel(stores);
         StoreClient::new(rpc_client(), watch)
     }
 
-    /// Number of the store that leads a group, when all that run agree on it.
+    /// Returns the number of the store that leads a group, if exactly one running store claims to.
     pub async fn leader(&self, group: GroupId) -> Option<usize> {
         let mut leader = None;
         for (number, store) in self.stores.iter().enumerate() {
@@ -233,7 +233,8 @@
         self.leader(group).await.expect("just seen")
     }
 
-    /// Waits until all replicas of a group have applied the same and checks that their digests agree.
+    /// Waits until all replicas of a group have applied the same entries, and checks that their digests are
+    /// equal.
     pub async fn assert_equal_digests(&self, group: GroupId) {
         until("all replicas have the same state", async || {
             let mut digests = Vec::new();
@@ -251,7 +252,7 @@
     }
 }
 
-/// Binds an address that a former run may just have let go.
+/// Binds an address, with retries, since a former run may only just be releasing it.
 async fn bind(address: SocketAddr) -> tokio::net::TcpListener {
     let deadline = Instant::now() + PATIENCE;
     loop {
@@ -291,7 +292,7 @@
 pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !holds().await {
-        assert!(Instant::now() < deadline, "not in time: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -321,7 +322,7 @@
     assert!(matches!(reply, ShardReply::Program(_)), "{reply:?}");
 }
 
-/// Whether a program is there, by a linearizable read.
+/// Returns whether a program exists, by a linearizable read.
 pub async fn has_program(client: &StoreClient, name: &str) -> bool {
     use hooklug_state::shard::{ShardAnswer, ShardQuery};
     let query = ShardQuery::Program(program(name));
--- a/crates/store/tests/support/repair.rs
+++ b/crates/store/tests/support/repair.rs
@@ -1,4 +1,4 @@
-//! What a core leader does for the stores, as far as tests need it.
+//! Test double for the core leader: repairs placements and group memberships.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 
 use crate::support::{TestCluster, rpc_client, soon, until};
 
-/// A core leader that plans and makes changes.
+/// A core leader that plans changes and carries them out.
 pub struct Repairer {
     access: StoreClient,
     rpc: RpcClient,
@@ -20,7 +20,7 @@
 }
 
 impl Repairer {
-    /// Takes the core leadership of a cluster that has no core yet.
+    /// Acquires the core leadership of a cluster that has no core yet.
     pub async fn new(cluster: &TestCluster) -> Self {
         let (access, rpc) = (cluster.client(), rpc_client());
         let acquire = MetaCommand::AcquireLeadership {
@@ -47,9 +47,9 @@
         assert_eq!(reply, MetaReply::Done);
     }
 
-    /// Asks a group's leader for a membership change, until it makes it.
+    /// Requests a membership change from a group's leader until it succeeds.
     pub async fn change(&self, cluster: &TestCluster, group: GroupId, change: ConfChange) {
-        until("the change is made", async || {
+        until("the membership change succeeds", async || {
             let Some(leader) = cluster.leader(group).await else { return false };
             let request = ChangeReplicas { group, change, epoch: self.epoch };
             let address = cluster.stores[leader].address;
@@ -58,13 +58,13 @@
         .await;
     }
 
-    /// Plans and makes changes until all members of all groups are level and nothing is left to do;
-    /// stores that do not run count as lost.
+    /// Plans and carries out changes until none remains and all members of all groups have caught up.
+    /// Stores that are not running count as lost.
     pub async fn settle(&self, cluster: &TestCluster) {
         until("the cluster is repaired", async || self.round(cluster).await).await;
     }
 
-    /// One round; gives whether there was nothing to do.
+    /// Runs one round; returns whether there was nothing to do.
     async fn round(&self, cluster: &TestCluster) -> bool {
         let meta = self.meta().await;
         let mut reports = Vec::new();
@@ -83,7 +83,7 @@
         changes.is_empty() && meta.placements.keys().all(|group| is_level(*group, &reports))
     }
 
-    /// Makes a change; one that is refused now is planned again.
+    /// Carries out a change. A membership change that fails is ignored, since the next round plans it again.
     async fn make(&self, meta: &MetaState, change: &PlannedChange) {
         let epoch = self.epoch;
         let command = match change.clone() {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Whether a group is led and all its members have what is committed.
+/// Returns whether a group has a leader and all its members have all committed entries.
 fn is_level(group: GroupId, reports: &[StoreReport]) -> bool {
     let replicas = reports.iter().flat_map(|report| &report.replicas);
     let mut leaders = replicas.filter(|r| r.group == group && r.role == Role::Leader);
