--- a/crates/store/examples/commit_bench.rs
+++ b/crates/store/examples/commit_bench.rs
@@ -1,12 +1,13 @@
-//! Measures the commit throughput and latency of a three-store cluster on this machine, compared with a
-//! plain append-and-sync loop on the same disk.
+//! Measures the commit throughput and latency of a three-store cluster on this machine, compared
+//! with a plain append-and-sync loop on the same disk.
 //!
 //! `cargo run --release -p hooklug-store --example commit_bench [-- commits]`
 //!
-//! One run prints: the rate of the loop; the time of an rpc round trip; commits per second and latencies
-//! for 1 and 16 groups with 1 to 256 clients, their ratio to the loop, and the latency of one client
-//! relative to a sync and a round trip; the time from a leader's stop to the next commit; and the time to
-//! replay 100,000 commands. With the argument `commits`, the last two are skipped.
+//! One run prints: the rate of the loop; the time of an rpc round trip; commits per second and
+//! latencies for 1 and 16 groups with 1 to 256 clients, their ratio to the loop, and the latency of
+//! one client relative to a sync and a round trip; the time from a leader's stop to the next
+//! commit; and the time to replay 100,000 commands. With the argument `commits`, the last two are
+//! skipped.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -53,8 +54,8 @@
     replay(&mut cluster).await;
 }
 
-/// Measures and prints one row per number of clients, and the latency of one client as a multiple of a
-/// sync and a round trip. The column `growth` is the rate relative to that of one client.
+/// Measures and prints one row per number of clients, and the latency of one client as a multiple
+/// of a sync and a round trip. The column `growth` is the rate relative to that of one client.
 async fn measure_groups(cluster: &TestCluster, groups: usize, loop_rate: f64, reference: Duration) {
     let (mut single_rate, mut single_p50) = (0.0, 0);
     for clients in CLIENTS {
@@ -119,7 +120,8 @@
     /// Length of a kernel clock tick in microseconds.
     const TICK_MICROS: f64 = 10_000.0;
     let stat = std::fs::read_to_string("/proc/self/stat").expect("process statistics");
-    // The process name in parentheses may contain spaces; user and system time are fields 14 and 15.
+    // The process name in parentheses may contain spaces; user and system time are fields 14 and
+    // 15.
     let fields = stat.rsplit(')').next().expect("fields").split_whitespace();
     let ticks = fields.skip(11).take(2).map(|field| field.parse::<f64>().expect("ticks"));
     ticks.sum::<f64>() * TICK_MICROS
@@ -148,9 +150,9 @@
 /// Returns a name that maps to each group, so that commands are spread evenly.
 fn names(groups: usize) -> Vec<String> {
     let of_group = |group: usize| {
-        let wanted = GroupId(u32::try_from(group + 1).expect("few groups"));
+        let target = GroupId(u32::try_from(group + 1).expect("few groups"));
         let mut names = (0..).map(|number| format!("bench-{number}"));
-        names.find(|name| shard_of(name) == wanted).expect("some name")
+        names.find(|name| shard_of(name) == target).expect("some name")
     };
     (0..groups).map(of_group).collect()
 }
@@ -194,8 +196,8 @@
     println!("leader stop to next commit: p50 {p50} ms, max {max} ms of {STOPS}");
 }
 
-/// Measures the time for one store to open its data folder and apply a log of [`REPLAYED_COMMANDS`] commands
-/// without a snapshot.
+/// Measures the time for one store to open its data folder and apply a log of [`REPLAYED_COMMANDS`]
+/// commands without a snapshot.
 async fn replay(cluster: &mut TestCluster) {
     cluster.options.snapshot_commands = u64::MAX;
     for number in 0..3 {
@@ -233,6 +235,6 @@
     }
     let (time, entries) = (started.elapsed().as_millis(), target - before);
     println!(
-        "replay of {REPLAYED_COMMANDS} commands in {entries} entries (and of earlier entries): {time} ms"
+        "replay of {REPLAYED_COMMANDS} commands in {entries} entries (and earlier ones): {time} ms"
     );
 }
--- a/crates/store/src/access.rs
+++ b/crates/store/src/access.rs
@@ -7,8 +7,8 @@
 use hooklug_types::GroupId;
 use tokio::time::Instant;
 
-/// A group did not reply by the deadline. The outcome is unknown: a command may have been applied, or
-/// may still be applied later.
+/// A group did not reply by the deadline. The outcome is unknown: a command may have been applied,
+/// or may still be applied later.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("group {group} is unavailable: {reason}")]
 pub struct Unavailable {
@@ -18,14 +18,15 @@
     pub reason: String,
 }
 
-/// Linearizable access to the replicated state. Commands are idempotent, so implementations retry them
-/// until the deadline.
+/// Linearizable access to the replicated state. Commands are idempotent, so implementations retry
+/// them until the deadline.
 #[async_trait]
 pub trait StateAccess: Send + Sync + std::fmt::Debug {
     /// Applies a command to a shard.
     ///
     /// # Errors
-    /// [`Unavailable`] if there was no reply by the deadline; the command may still have been applied.
+    /// [`Unavailable`] if there was no reply by the deadline; the command may still have been
+    /// applied.
     async fn execute_shard(
         &self,
         group: GroupId,
@@ -47,7 +48,8 @@
     /// Applies a command to the meta group.
     ///
     /// # Errors
-    /// [`Unavailable`] if there was no reply by the deadline; the command may still have been applied.
+    /// [`Unavailable`] if there was no reply by the deadline; the command may still have been
+    /// applied.
     async fn execute_meta(
         &self,
         command: &MetaCommand,
@@ -67,7 +69,8 @@
     /// Requests that a lease be expired, and returns whether it has expired or is still held.
     ///
     /// # Errors
-    /// [`Unavailable`] if there was no reply by the deadline; the lease may still have been expired.
+    /// [`Unavailable`] if there was no reply by the deadline; the lease may still have been
+    /// expired.
     async fn expire_lease(
         &self,
         group: GroupId,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -22,16 +22,17 @@
 
 use crate::{StateAccess, Unavailable};
 
-/// Timeout of one attempt. Short, so that the client soon moves on from a frozen or unreachable leader.
-const ATTEMPT_TIME: Duration = Duration::from_millis(700);
-/// How long a store stays suspect after a failed call: other stores are preferred, and redirects to it
-/// are not followed.
-const SUSPECT_TIME: Duration = Duration::from_millis(1_000);
+/// Timeout of one attempt. Short, so that the client soon moves on from a frozen or unreachable
+/// leader.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long a store stays suspect after a failed call: other stores are preferred, and redirects to
+/// it are not followed.
+const SUSPECT_DURATION: Duration = Duration::from_millis(1_000);
 /// First and longest pause between attempts; up to half of each pause is random.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_PAUSE: Duration = Duration::from_millis(160);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
 /// Number of consecutive redirects that are followed without a pause.
-const FREE_REDIRECTIONS: u32 = 2;
+const MAX_IMMEDIATE_REDIRECTS: u32 = 2;
 
 /// Linearizable access to the groups of a cluster. Cheap to clone; clones share the cached leaders.
 #[derive(Debug, Clone)]
@@ -43,35 +44,35 @@
 struct Inner {
     client: RpcClient,
     stores: watch::Receiver<Vec<SocketAddr>>,
-    learnt: Mutex<Learnt>,
+    routing: Mutex<RoutingCache>,
 }
 
 /// Known leaders and suspect stores, learned from earlier attempts.
 #[derive(Debug, Default)]
-struct Learnt {
+struct RoutingCache {
     leaders: HashMap<GroupId, SocketAddr>,
     suspects: HashMap<SocketAddr, Instant>,
 }
 
-impl Learnt {
+impl RoutingCache {
     fn is_suspect(&self, store: SocketAddr, now: Instant) -> bool {
         self.suspects.get(&store).is_some_and(|until| now < *until)
     }
 
-    fn suspect(&mut self, store: SocketAddr, now: Instant) {
-        self.suspects.insert(store, now + SUSPECT_TIME);
+    fn mark_suspect(&mut self, store: SocketAddr, now: Instant) {
+        self.suspects.insert(store, now + SUSPECT_DURATION);
         self.leaders.retain(|_, leader| *leader != store);
     }
 }
 
 /// What to do after an unsuccessful attempt. The text is the reason for the failure.
-enum Next {
+enum RetryAction {
     /// Retry at the store that the reply named.
     Redirect(SocketAddr),
     /// Retry at another store after a pause.
-    Other(String),
+    OtherStore(String),
     /// Retry at the same store after a pause.
-    Again(String),
+    SameStore(String),
     /// Fail the call, since a retry cannot succeed.
     GiveUp(String),
 }
@@ -81,11 +82,11 @@
     /// change at any time.
     #[must_use]
     pub fn new(client: RpcClient, stores: watch::Receiver<Vec<SocketAddr>>) -> Self {
-        Self { inner: Arc::new(Inner { client, stores, learnt: Mutex::default() }) }
+        Self { inner: Arc::new(Inner { client, stores, routing: Mutex::default() }) }
     }
 
-    fn learnt(&self) -> MutexGuard<'_, Learnt> {
-        self.inner.learnt.lock().unwrap_or_else(PoisonError::into_inner)
+    fn routing(&self) -> MutexGuard<'_, RoutingCache> {
+        self.inner.routing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Calls a group's leader, with retries, until it replies or the deadline passes.
@@ -102,81 +103,89 @@
         let mut attempts = Attempts::new(group);
         loop {
             let Some(store) = self.choose(&mut attempts) else {
-                attempts.pause(deadline, "no store is known".to_owned()).await?;
+                attempts.back_off(deadline, "no store is known".to_owned()).await?;
                 continue;
             };
-            let until = deadline.min(Instant::now() + ATTEMPT_TIME);
-            let answer = self.inner.client.call(store, request, until).await;
-            let next = match answer {
+            let attempt_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+            let reply = self.inner.client.call(store, request, attempt_deadline).await;
+            let action = match reply {
                 Ok(Ok(value)) => {
-                    self.learnt().leaders.insert(group, store);
+                    self.routing().leaders.insert(group, store);
                     return Ok(value);
                 }
-                Ok(Err(fault)) => self.after_fault(group, store, fault),
-                Err(error) => self.after_error(store, &error),
+                Ok(Err(fault)) => self.action_after_fault(group, store, fault),
+                Err(error) => self.action_after_error(store, &error),
             };
-            match next {
-                Next::Redirect(leader) if attempts.follow(leader) => {}
-                Next::Redirect(leader) => {
-                    attempts.pause(deadline, format!("{store} redirects to {leader}")).await?;
+            match action {
+                RetryAction::Redirect(leader) if attempts.follow_redirect(leader) => {}
+                RetryAction::Redirect(leader) => {
+                    attempts.back_off(deadline, format!("{store} redirects to {leader}")).await?;
                 }
-                Next::Again(reason) => {
-                    attempts.named = Some(store);
-                    attempts.pause(deadline, reason).await?;
+                RetryAction::SameStore(reason) => {
+                    attempts.preferred = Some(store);
+                    attempts.back_off(deadline, reason).await?;
                 }
-                Next::Other(reason) => attempts.pause(deadline, reason).await?,
-                Next::GiveUp(reason) => return Err(Unavailable { group, reason }),
+                RetryAction::OtherStore(reason) => attempts.back_off(deadline, reason).await?,
+                RetryAction::GiveUp(reason) => return Err(Unavailable { group, reason }),
             }
         }
     }
 
-    /// Chooses the store for the next attempt: the one that the last reply named, the known leader, or
-    /// the next of the list.
+    /// Chooses the store for the next attempt: the preferred one or the known leader, unless it is
+    /// suspect; otherwise the next store of the list that is not suspect, or the next one if all
+    /// are.
     fn choose(&self, attempts: &mut Attempts) -> Option<SocketAddr> {
         let now = Instant::now();
-        let learnt = self.learnt();
-        let known = attempts.named.take().or_else(|| learnt.leaders.get(&attempts.group).copied());
-        if let Some(store) = known.filter(|store| !learnt.is_suspect(*store, now)) {
+        let routing = self.routing();
+        let known =
+            attempts.preferred.take().or_else(|| routing.leaders.get(&attempts.group).copied());
+        if let Some(store) = known.filter(|store| !routing.is_suspect(*store, now)) {
             return Some(store);
         }
         let stores = self.inner.stores.borrow();
-        let start = attempts.take_turn();
-        let mut turns = (0..stores.len()).map(|turn| stores[(start + turn) % stores.len()]);
-        let sound = turns.clone().find(|store| !learnt.is_suspect(*store, now));
-        sound.or_else(|| turns.next())
+        let start = attempts.next_index();
+        let mut candidates =
+            (0..stores.len()).map(|offset| stores[(start + offset) % stores.len()]);
+        let healthy = candidates.clone().find(|store| !routing.is_suspect(*store, now));
+        healthy.or_else(|| candidates.next())
     }
 
-    fn after_fault(&self, group: GroupId, store: SocketAddr, fault: StoreFault) -> Next {
+    fn action_after_fault(
+        &self,
+        group: GroupId,
+        store: SocketAddr,
+        fault: StoreFault,
+    ) -> RetryAction {
         let reason = format!("{store}: {fault}");
-        let mut learnt = self.learnt();
-        learnt.leaders.remove(&group);
+        let mut routing = self.routing();
+        routing.leaders.remove(&group);
         match fault {
             StoreFault::NotLeader { leader: Some(leader) } if leader != store => {
-                if learnt.is_suspect(leader, Instant::now()) {
-                    return Next::Other(reason);
+                if routing.is_suspect(leader, Instant::now()) {
+                    return RetryAction::OtherStore(reason);
                 }
-                learnt.leaders.insert(group, leader);
-                Next::Redirect(leader)
+                routing.leaders.insert(group, leader);
+                RetryAction::Redirect(leader)
             }
             StoreFault::NoReplica { replicas } => {
                 let others: Vec<_> = replicas.into_iter().filter(|r| *r != store).collect();
                 if others.is_empty() {
-                    return Next::Other(reason);
+                    return RetryAction::OtherStore(reason);
                 }
-                Next::Redirect(others[rand::rng().random_range(0..others.len())])
+                RetryAction::Redirect(others[rand::rng().random_range(0..others.len())])
             }
-            StoreFault::Busy => Next::Again(reason),
-            StoreFault::Refused { .. } => Next::GiveUp(reason),
+            StoreFault::Busy => RetryAction::SameStore(reason),
+            StoreFault::Refused { .. } => RetryAction::GiveUp(reason),
             StoreFault::NotLeader { .. }
             | StoreFault::Uncertain
             | StoreFault::DiskFailed { .. }
-            | StoreFault::NotFormed => Next::Other(reason),
+            | StoreFault::NotFormed => RetryAction::OtherStore(reason),
         }
     }
 
-    fn after_error(&self, store: SocketAddr, error: &RpcError) -> Next {
-        self.learnt().suspect(store, Instant::now());
-        Next::Other(format!("{store}: {error}"))
+    fn action_after_error(&self, store: SocketAddr, error: &RpcError) -> RetryAction {
+        self.routing().mark_suspect(store, Instant::now());
+        RetryAction::OtherStore(format!("{store}: {error}"))
     }
 
     async fn execute<C: serde::Serialize, T: DeserializeOwned>(
@@ -209,42 +218,43 @@
 /// Retry state of one call.
 struct Attempts {
     group: GroupId,
-    named: Option<SocketAddr>,
-    turn: usize,
-    pause: Duration,
-    redirections: u32,
+    /// Store to call next, set after a redirect or a busy reply.
+    preferred: Option<SocketAddr>,
+    index: usize,
+    backoff: Duration,
+    redirects: u32,
 }
 
 impl Attempts {
     fn new(group: GroupId) -> Self {
-        let turn = usize::from(rand::rng().random::<u8>());
-        Self { group, named: None, turn, pause: FIRST_PAUSE, redirections: 0 }
+        let index = usize::from(rand::rng().random::<u8>());
+        Self { group, preferred: None, index, backoff: INITIAL_BACKOFF, redirects: 0 }
     }
 
-    fn take_turn(&mut self) -> usize {
-        self.turn += 1;
-        self.turn
+    fn next_index(&mut self) -> usize {
+        self.index += 1;
+        self.index
     }
 
-    /// Selects the store that a redirect names for the next attempt. Returns whether to retry without a
-    /// pause.
-    fn follow(&mut self, store: SocketAddr) -> bool {
-        self.named = Some(store);
-        self.redirections += 1;
-        self.redirections <= FREE_REDIRECTIONS
+    /// Selects the store that a redirect names for the next attempt. Returns whether to retry
+    /// without a pause.
+    fn follow_redirect(&mut self, store: SocketAddr) -> bool {
+        self.preferred = Some(store);
+        self.redirects += 1;
+        self.redirects <= MAX_IMMEDIATE_REDIRECTS
     }
 
-    /// Waits before the next attempt, with exponential backoff and jitter. Fails if the deadline would
-    /// pass during the pause.
-    async fn pause(&mut self, deadline: Instant, reason: String) -> Result<(), Unavailable> {
-        let share: f64 = rand::rng().random_range(0.5..1.0);
-        let end = Instant::now() + self.pause.mul_f64(share);
+    /// Waits before the next attempt, with exponential backoff and jitter. Fails if the deadline
+    /// would pass during the pause.
+    async fn back_off(&mut self, deadline: Instant, reason: String) -> Result<(), Unavailable> {
+        let factor: f64 = rand::rng().random_range(0.5..1.0);
+        let end = Instant::now() + self.backoff.mul_f64(factor);
         if end >= deadline {
             return Err(Unavailable { group: self.group, reason });
         }
         tokio::time::sleep_until(end).await;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-        self.redirections = 0;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        self.redirects = 0;
         Ok(())
     }
 }
--- a/crates/store/src/clock.rs
+++ b/crates/store/src/clock.rs
@@ -15,19 +15,19 @@
 
 /// Clock of one group during one leadership term.
 #[derive(Debug, Clone, Copy)]
-pub struct ClockSteps {
+pub struct GroupClock {
     base: UnixMillis,
     started: Instant,
     last_step: Instant,
     last_commands: u64,
 }
 
-impl ClockSteps {
-    /// Starts the clock of a new leadership. The first step follows the wall clock, but goes at most
-    /// `MAX_FIRST_STEP` ahead and never back; a clock that was never set takes the wall-clock time as it
-    /// is.
+impl GroupClock {
+    /// Starts the clock of a new leadership. The first step follows the wall clock, but goes at
+    /// most `MAX_FIRST_STEP` ahead and never back; a clock that was never set takes the wall-clock
+    /// time as it is.
     #[must_use]
-    pub fn begin(group_clock: UnixMillis, wall: UnixMillis, commands: u64, now: Instant) -> Self {
+    pub fn start(group_clock: UnixMillis, wall: UnixMillis, commands: u64, now: Instant) -> Self {
         let base = if group_clock == UnixMillis::default() {
             wall
         } else {
@@ -44,10 +44,10 @@
 
     /// Returns the new clock value if a step is due.
     pub fn step(&mut self, commands: u64, now: Instant) -> Option<UnixMillis> {
-        let waited = now.saturating_duration_since(self.last_step);
+        let elapsed = now.saturating_duration_since(self.last_step);
         let is_busy = commands != self.last_commands;
-        let due = if is_busy { BUSY_INTERVAL } else { IDLE_INTERVAL };
-        if waited < due {
+        let interval = if is_busy { BUSY_INTERVAL } else { IDLE_INTERVAL };
+        if elapsed < interval {
             return None;
         }
         (self.last_step, self.last_commands) = (now, commands);
--- a/crates/store/src/data_folder.rs
+++ b/crates/store/src/data_folder.rs
@@ -1,7 +1,7 @@
 //! A store's data folder: the node id, the cluster membership, the known stores, and a lock.
 //!
-//! The node id is bound to the folder: a store that starts on an empty disk is a new node and never acts
-//! as the old one.
+//! The node id is bound to the folder: a store that starts on an empty disk is a new node and never
+//! acts as the old one.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -23,13 +23,14 @@
 const GROUPS_FOLDER: &str = "groups";
 const CHECKSUM_BYTES: usize = 4;
 
-/// Version of the layout of log entries and snapshots in a data folder, incremented whenever an older
-/// build would misread them. Version 2: one entry may hold several commands, and events of sessions are
-/// stored in chunks. Version 3: shards store chained programs, and the meta group stores rollouts.
+/// Version of the layout of log entries and snapshots in a data folder, incremented whenever an
+/// older build would misread them. Version 2: one entry may hold several commands, and events of
+/// sessions are stored in chunks. Version 3: shards store chained programs, and the meta group
+/// stores rollouts.
 pub const DATA_FORMAT: u32 = 4;
 
-/// Node id and data format of a folder. The format must remain the first field, so that every build can
-/// read it.
+/// Node id and data format of a folder. The format must remain the first field, so that every build
+/// can read it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Identity {
     format: u32,
@@ -42,8 +43,8 @@
     /// The store has never been a member of a cluster.
     #[default]
     Empty,
-    /// The store has promised to take part in a formation plan. It takes part in no other plan until the
-    /// coordinator drops this one.
+    /// The store has promised to take part in a formation plan. It takes part in no other plan
+    /// until the coordinator drops this one.
     Promised(FormationPlan),
     /// The store is a member of a cluster, permanently.
     Member {
@@ -65,23 +66,25 @@
     }
 }
 
-/// Returns the node id of a data folder. For an empty folder, generates a random id and syncs it to disk.
+/// Returns the node id of a data folder. For an empty folder, generates a random id and syncs it to
+/// disk.
 ///
 /// # Errors
-/// Fails, without changing the folder, if it cannot be used, contains a log without a node id, or has
-/// another [`DATA_FORMAT`].
+/// Fails, without changing the folder, if it cannot be used, contains a log without a node id, or
+/// has another [`DATA_FORMAT`].
 pub fn load_node_id(data_folder: &Path) -> Result<NodeId, StoreError> {
     let files = OsFiles;
-    make_folder(&files, data_folder)?;
+    create_folder(&files, data_folder)?;
     let path = data_folder.join(IDENTITY_FILE);
     if let Some(Identity { format, node }) = load(&files, &path)? {
         if format != DATA_FORMAT {
-            return Err(StoreError::OtherFormat { folder: data_folder.to_owned(), format });
+            return Err(StoreError::FormatMismatch { folder: data_folder.to_owned(), format });
         }
         return Ok(node);
     }
     if data_folder.join(GROUPS_FOLDER).exists() {
-        let reason = "the file is missing, but the folder contains a log; builds before data format 2 wrote no such file";
+        let reason =
+            "missing, but the folder contains a log; builds before data format 2 did not write it";
         return Err(StoreError::Damaged { path, reason: reason.to_owned() });
     }
     let node = NodeId(rand::rng().random_range(1..=u64::MAX));
@@ -100,7 +103,7 @@
 impl DataFolder {
     /// Opens and locks a folder.
     pub(crate) fn open(folder: &Path, files: Arc<dyn Files>) -> Result<Self, StoreError> {
-        make_folder(files.as_ref(), folder)?;
+        create_folder(files.as_ref(), folder)?;
         let path = folder.join(LOCK_FILE);
         let lock =
             File::create(&path).map_err(|e| StoreError::Damaged { path, reason: e.to_string() })?;
@@ -125,16 +128,16 @@
         self.files.clone()
     }
 
-    /// Reads the last saved list of the cluster's stores. Returns an empty list if it cannot be read,
-    /// since the stores can be discovered again.
+    /// Reads the last saved list of the cluster's stores. Returns an empty list if it cannot be
+    /// read, since the stores can be discovered again.
     pub(crate) fn known_stores(&self) -> Vec<StoreRecord> {
         let path = self.folder.join(STORES_FILE);
         load(self.files.as_ref(), &path).ok().flatten().unwrap_or_default()
     }
 
-    /// Saves the list of the cluster's stores, so that after a loss of power of all machines they can find
-    /// each other before any group has a leader.
-    pub(crate) fn note_stores(&self, stores: &[StoreRecord]) -> Result<(), StoreError> {
+    /// Saves the list of the cluster's stores, so that after a loss of power of all machines they
+    /// can find each other before any group has a leader.
+    pub(crate) fn save_stores(&self, stores: &[StoreRecord]) -> Result<(), StoreError> {
         save(self.files.as_ref(), &self.folder.join(STORES_FILE), &stores)
     }
 
@@ -150,17 +153,17 @@
     }
 }
 
-fn make_folder(files: &dyn Files, folder: &Path) -> Result<(), StoreError> {
-    let refused =
+fn create_folder(files: &dyn Files, folder: &Path) -> Result<(), StoreError> {
+    let to_error =
         |e: std::io::Error| StoreError::Damaged { path: folder.to_owned(), reason: e.to_string() };
-    files.create_folder(folder).map_err(refused)
+    files.create_folder(folder).map_err(to_error)
 }
 
 fn save<T: Serialize>(files: &dyn Files, path: &Path, value: &T) -> Result<(), StoreError> {
     let mut bytes = vec![0_u8; CHECKSUM_BYTES];
     bytes.extend(hooklug_state::encode(value));
-    let sum = crc32fast::hash(&bytes[CHECKSUM_BYTES..]);
-    bytes[..CHECKSUM_BYTES].copy_from_slice(&sum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[CHECKSUM_BYTES..]);
+    bytes[..CHECKSUM_BYTES].copy_from_slice(&checksum.to_le_bytes());
     Ok(replace_file(files, path, &bytes)?)
 }
 
@@ -175,10 +178,10 @@
         }
     };
     let damaged = |reason: String| StoreError::Damaged { path: path.to_owned(), reason };
-    let (sum, body) = bytes
+    let (checksum, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
         .ok_or_else(|| damaged("the file is truncated".to_owned()))?;
-    if crc32fast::hash(body).to_le_bytes() != sum {
+    if crc32fast::hash(body).to_le_bytes() != checksum {
         return Err(damaged("checksum mismatch".to_owned()));
     }
     hooklug_state::decode("file", body).map(Some).map_err(|e| damaged(e.to_string()))
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -6,8 +6,8 @@
 use hooklug_types::NodeId;
 use hooklug_wal::WalError;
 
-/// Error that prevents a store from running. All variants except [`StoreError::DriverEnded`] and
-/// [`StoreError::Failed`] recur when the store is restarted.
+/// Error that prevents a store from running. All variants except [`StoreError::DriverExited`] and
+/// [`StoreError::DiskFailed`] recur when the store is restarted.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// No data folder is configured.
@@ -33,7 +33,7 @@
         folder.display(),
         crate::DATA_FORMAT
     )]
-    OtherFormat {
+    FormatMismatch {
         /// The folder.
         folder: PathBuf,
         /// Data format of the folder.
@@ -41,7 +41,7 @@
     },
     /// The node id of the process's identity differs from the one in the data folder.
     #[error("the data folder belongs to node {folder}, not to node {identity}")]
-    OtherNode {
+    NodeMismatch {
         /// Node id in the folder.
         folder: NodeId,
         /// Node id of the identity.
@@ -52,10 +52,10 @@
     Disk(#[from] WalError),
     /// The thread that runs the raft groups panicked. All acknowledged data is on the disk.
     #[error("the thread that runs the raft groups has exited unexpectedly")]
-    DriverEnded,
+    DriverExited,
     /// The disk failed, and the settings request that the process ends then, to be restarted.
     #[error("the disk has failed: {0}")]
-    Failed(String),
+    DiskFailed(String),
     /// The log or the snapshots of the raft groups could not be opened.
     #[error(transparent)]
     Groups(#[from] OpenError),
--- a/crates/store/src/lease_judge.rs
+++ b/crates/store/src/lease_judge.rs
@@ -11,7 +11,7 @@
 use hooklug_types::{EngineIncarnation, FencingEpoch, GroupId, META_GROUP, NodeRole, Renewal};
 use serde::{Serialize, de::DeserializeOwned};
 
-use crate::leases::{Judgement, LEASE_MARGIN, LEASE_TIME, LeaseView, judge};
+use crate::leases::{LEASE_MARGIN, LEASE_TIME, LeaseDecision, LeaseView, decide};
 use crate::shared::Shared;
 
 impl Shared {
@@ -25,7 +25,7 @@
             LeaseSubject::Engine(holder) => self.expire_engine(request.group, holder).await,
             LeaseSubject::CoreLeader(epoch) => self.expire_core_leader(epoch, None).await,
             LeaseSubject::FormerRun { epoch, address } => {
-                self.expire_core_leader(epoch, Some(NewRun { peer, address })).await
+                self.expire_core_leader(epoch, Some(RestartedCore { peer, address })).await
             }
         }
     }
@@ -40,98 +40,103 @@
             return Err(StoreFault::Refused { reason });
         }
         let query = ShardQuery::Lease(holder.clone());
-        let (answer, leading_since) = self.confirmed(group, &query).await?;
+        let (answer, leading_since) = self.linearizable_read(group, &query).await?;
         let ShardAnswer::Lease(Some(lease)) = answer else {
-            let end = ShardCommand::ExpireLease { holder, renewal: Renewal::default() };
-            return match self.proposed(group, &end).await? {
+            let expire = ShardCommand::ExpireLease { holder, renewal: Renewal::default() };
+            return match self.propose(group, &expire).await? {
                 ShardReply::Lease(lease) if lease.expired => Ok(LeaseVerdict::Unknown),
-                _ => Ok(held_in_full()),
+                _ => Ok(held_for_full_lease()),
             };
         };
-        let notes = self.notes.of(group);
-        let renewed = notes.and_then(|n| n.engine_renewed(&holder, lease.renewal));
+        let observations = self.observations.group(group);
+        let renewed_at = observations
+            .and_then(|observations| observations.engine_renewed_at(&holder, lease.renewal));
         let (renewal, expired) = (lease.renewal, lease.expired);
-        let view = LeaseView { renewal, expired, renewed, leading_since };
-        let renewal = match judge(view, Instant::now()) {
-            // A lease that was never granted: a retry, as after a lost reply, gets the same result.
-            Judgement::Expired if renewal == Renewal::default() => {
+        let view = LeaseView { renewal, expired, renewed_at, leading_since };
+        let renewal = match decide(view, Instant::now()) {
+            // The lease was never granted, and an earlier request has expired it. A retry, as after
+            // a lost reply, gets the same result.
+            LeaseDecision::Expired if renewal == Renewal::default() => {
                 return Ok(LeaseVerdict::Unknown);
             }
-            Judgement::Expired => return Ok(LeaseVerdict::Expired),
-            Judgement::Held(left) => return Ok(held(left)),
-            Judgement::Propose(renewal) => renewal,
+            LeaseDecision::Expired => return Ok(LeaseVerdict::Expired),
+            LeaseDecision::Held(left) => return Ok(held_for(left)),
+            LeaseDecision::ProposeExpiry(renewal) => renewal,
         };
-        match self.proposed(group, &ShardCommand::ExpireLease { holder, renewal }).await? {
+        match self.propose(group, &ShardCommand::ExpireLease { holder, renewal }).await? {
             ShardReply::Lease(lease) if lease.expired => Ok(LeaseVerdict::Expired),
-            ShardReply::Refused(ShardRefusal::LeaseRenewed) => Ok(held_in_full()),
-            other => Err(unexpected(&other)),
+            ShardReply::Refused(ShardRefusal::LeaseRenewed) => Ok(held_for_full_lease()),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
     async fn expire_core_leader(
         &self,
         epoch: FencingEpoch,
-        new_run: Option<NewRun<'_>>,
+        restarted_core: Option<RestartedCore<'_>>,
     ) -> Result<LeaseVerdict, StoreFault> {
-        let (answer, leading_since) = self.confirmed(META_GROUP, &MetaQuery::State).await?;
-        let MetaAnswer::State(state) = answer else { return Err(unexpected(&answer)) };
+        let (answer, leading_since) = self.linearizable_read(META_GROUP, &MetaQuery::State).await?;
+        let MetaAnswer::State(state) = answer else { return Err(unexpected_reply(&answer)) };
         let Some(leader) = state.leader.filter(|leader| leader.epoch >= epoch) else {
             return Ok(LeaseVerdict::Unknown);
         };
         if leader.epoch > epoch {
             return Ok(LeaseVerdict::Expired);
         }
-        let notes = self.notes.of(META_GROUP);
-        let renewed = notes.and_then(|n| n.core_leader_renewed(epoch, leader.renewal));
+        let observations = self.observations.group(META_GROUP);
+        let renewed_at = observations
+            .and_then(|observations| observations.core_leader_renewed_at(epoch, leader.renewal));
         let (renewal, expired) = (leader.renewal, leader.expired);
-        let view = LeaseView { renewal, expired, renewed, leading_since };
-        let renewal = match judge(view, Instant::now()) {
-            Judgement::Expired => return Ok(LeaseVerdict::Expired),
-            Judgement::Held(_) if new_run.is_some_and(|run| run.replaces(&leader)) => renewal,
-            Judgement::Held(left) => return Ok(held(left)),
-            Judgement::Propose(renewal) => renewal,
+        let view = LeaseView { renewal, expired, renewed_at, leading_since };
+        let renewal = match decide(view, Instant::now()) {
+            LeaseDecision::Expired => return Ok(LeaseVerdict::Expired),
+            LeaseDecision::Held(_) if restarted_core.is_some_and(|core| core.replaces(&leader)) => {
+                renewal
+            }
+            LeaseDecision::Held(left) => return Ok(held_for(left)),
+            LeaseDecision::ProposeExpiry(renewal) => renewal,
         };
-        let end = MetaCommand::ExpireLeadership { epoch, renewal };
-        match self.proposed(META_GROUP, &end).await? {
+        let expire = MetaCommand::ExpireLeadership { epoch, renewal };
+        match self.propose(META_GROUP, &expire).await? {
             MetaReply::Leader(leader) if leader.expired => Ok(LeaseVerdict::Expired),
-            MetaReply::Refused(_) => Ok(held_in_full()),
-            other => Err(unexpected(&other)),
+            MetaReply::Refused(_) => Ok(held_for_full_lease()),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    /// Reads linearizably; also returns since when this replica leads. The read fails on a leader that
-    /// was partitioned or frozen and has lost its leadership, so its outdated renewal times are never
-    /// used.
-    async fn confirmed<Q: Serialize, A: DeserializeOwned>(
+    /// Reads linearizably; also returns since when this replica leads. The read fails on a leader
+    /// that was partitioned or frozen and has lost its leadership, so its outdated renewal times
+    /// are never used.
+    async fn linearizable_read<Q: Serialize, A: DeserializeOwned>(
         &self,
         group: GroupId,
         query: &Q,
     ) -> Result<(A, Instant), StoreFault> {
         let read = self.replicator.read(group, encode(query)).await;
         let read = read.map_err(|error| self.fault(group, error))?;
-        Ok((decoded(&read.answer)?, read.leading_since))
+        Ok((decode_reply(&read.answer)?, read.leading_since))
     }
 
-    async fn proposed<C: Serialize, R: DeserializeOwned>(
+    async fn propose<C: Serialize, R: DeserializeOwned>(
         &self,
         group: GroupId,
         command: &C,
     ) -> Result<R, StoreFault> {
         let reply = self.replicator.execute(group, encode(command)).await;
-        decoded(&reply.map_err(|error| self.fault(group, error))?)
+        decode_reply(&reply.map_err(|error| self.fault(group, error))?)
     }
 }
 
 /// A core process that requests the end of the lease of its own former run.
 #[derive(Debug, Clone, Copy)]
-struct NewRun<'a> {
+struct RestartedCore<'a> {
     peer: &'a Peer,
     address: SocketAddr,
 }
 
-impl NewRun<'_> {
-    /// Returns whether the requesting process replaces the leader: it is a core with a newer incarnation
-    /// at the same address.
+impl RestartedCore<'_> {
+    /// Returns whether the requesting process replaces the leader: it is a core with a newer
+    /// incarnation at the same address.
     fn replaces(&self, leader: &CoreLeader) -> bool {
         self.peer.role == NodeRole::Core
             && self.address == leader.address
@@ -140,19 +145,19 @@
     }
 }
 
-fn decoded<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreFault> {
+fn decode_reply<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreFault> {
     decode("reply", bytes).map_err(|e| StoreFault::Refused { reason: e.to_string() })
 }
 
-fn unexpected(reply: &impl std::fmt::Debug) -> StoreFault {
+fn unexpected_reply(reply: &impl std::fmt::Debug) -> StoreFault {
     StoreFault::Refused { reason: format!("unexpected reply {reply:?}") }
 }
 
-fn held(left: std::time::Duration) -> LeaseVerdict {
+fn held_for(left: std::time::Duration) -> LeaseVerdict {
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     LeaseVerdict::Held { left_ms: left_ms.max(1) }
 }
 
-fn held_in_full() -> LeaseVerdict {
-    held(LEASE_TIME + LEASE_MARGIN)
+fn held_for_full_lease() -> LeaseVerdict {
+    held_for(LEASE_TIME + LEASE_MARGIN)
 }
--- a/crates/store/src/leases.rs
+++ b/crates/store/src/leases.rs
@@ -1,9 +1,10 @@
 //! Decides when a lease may be expired (design document, section 3, lease mechanics). Free of I/O:
 //! callers pass the current time.
 //!
-//! The group's leader measures a lease by its own monotonic clock, starting when it applied the last
-//! renewal. The holder measures from before it sent that renewal, so it stops first; the margin covers
-//! clocks that run at different rates. A new leader counts the full time from the start of its leadership.
+//! The group's leader measures a lease by its own monotonic clock, starting when it applied the
+//! last renewal. The holder measures from before it sent that renewal, so it stops first; the
+//! margin covers clocks that run at different rates. A new leader counts the full time from the
+//! start of its leadership.
 
 use std::time::{Duration, Instant};
 
@@ -23,30 +24,34 @@
     /// Whether the lease has already expired.
     pub expired: bool,
     /// When this replica applied the last renewal, if it did.
-    pub renewed: Option<Instant>,
+    pub renewed_at: Option<Instant>,
     /// Since when this replica leads the group.
     pub leading_since: Instant,
 }
 
 /// What the leader should do about a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judgement {
+pub enum LeaseDecision {
     /// Nothing: the lease has expired permanently.
     Expired,
     /// Nothing yet: the lease is held for this much longer.
     Held(Duration),
     /// Propose to expire the lease, given that this is still its last renewal.
-    Propose(Renewal),
+    ProposeExpiry(Renewal),
 }
 
 /// Decides whether a lease may be expired at the given time.
 #[must_use]
-pub fn judge(lease: LeaseView, now: Instant) -> Judgement {
+pub fn decide(lease: LeaseView, now: Instant) -> LeaseDecision {
     if lease.expired {
-        return Judgement::Expired;
+        return LeaseDecision::Expired;
     }
-    let since = lease.renewed.map_or(lease.leading_since, |at| at.max(lease.leading_since));
-    let end = since + LEASE_TIME + LEASE_MARGIN;
+    let start = lease.renewed_at.map_or(lease.leading_since, |at| at.max(lease.leading_since));
+    let end = start + LEASE_TIME + LEASE_MARGIN;
     let left = end.saturating_duration_since(now);
-    if left.is_zero() { Judgement::Propose(lease.renewal) } else { Judgement::Held(left) }
+    if left.is_zero() {
+        LeaseDecision::ProposeExpiry(lease.renewal)
+    } else {
+        LeaseDecision::Held(left)
+    }
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,7 +1,7 @@
 //! In-memory implementation of [`StateAccess`], for tests and for running a single process.
 //!
-//! Commands are applied to the same state machines as in a store, one at a time, so the guarantees of
-//! the state machines hold here too. Nothing is persisted.
+//! Commands are applied to the same state machines as in a store, one at a time, so the guarantees
+//! of the state machines hold here too. Nothing is persisted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,10 +17,11 @@
 
 use crate::{StateAccess, Unavailable};
 
-/// How long a lease lasts after its last renewal is applied: the lease time of 3 s and a margin of 500 ms.
+/// How long a lease lasts after its last renewal is applied: the lease time of 3 s and a margin of
+/// 500 ms.
 const LEASE_TIME: Duration = Duration::from_millis(3_500);
 /// Retention time of finished turns and calls.
-const KEEP_TIME: Duration = Duration::from_secs(86_400);
+const RETENTION_TIME: Duration = Duration::from_secs(86_400);
 
 /// State of all groups, held in memory. Cheap to clone; clones share the state.
 #[derive(Debug, Clone)]
@@ -31,7 +32,7 @@
 #[derive(Debug)]
 struct Inner {
     lease_time: Duration,
-    keep_time: Duration,
+    retention_time: Duration,
     groups: Mutex<Groups>,
     unavailable: watch::Sender<BTreeSet<GroupId>>,
 }
@@ -44,35 +45,35 @@
     leader_renewal: Option<Instant>,
     /// Current time of the groups if a test has set it; otherwise they use the wall clock.
     manual_clock: Option<UnixMillis>,
-    answers_to_lose: BTreeMap<GroupId, u32>,
+    replies_to_drop: BTreeMap<GroupId, u32>,
 }
 
 impl Default for MemoryState {
     fn default() -> Self {
-        Self::new(LEASE_TIME, KEEP_TIME)
+        Self::new(LEASE_TIME, RETENTION_TIME)
     }
 }
 
 impl MemoryState {
-    /// Creates empty groups. `lease_time` includes the margin; `keep_time` is the retention time of
-    /// finished turns and calls.
+    /// Creates empty groups. `lease_time` includes the margin; `retention_time` is the retention
+    /// time of finished turns and calls.
     #[must_use]
-    pub fn new(lease_time: Duration, keep_time: Duration) -> Self {
+    pub fn new(lease_time: Duration, retention_time: Duration) -> Self {
         let groups = Groups {
             meta: MetaMachine::new(),
             shards: BTreeMap::new(),
             engine_renewals: BTreeMap::new(),
             leader_renewal: None,
             manual_clock: None,
-            answers_to_lose: BTreeMap::new(),
+            replies_to_drop: BTreeMap::new(),
         };
         let unavailable = watch::Sender::new(BTreeSet::new());
-        let inner = Inner { lease_time, keep_time, groups: Mutex::new(groups), unavailable };
+        let inner = Inner { lease_time, retention_time, groups: Mutex::new(groups), unavailable };
         Self { inner: Arc::new(inner) }
     }
 
-    /// Makes a group unavailable or available again. Requests to an unavailable group wait until their
-    /// deadline.
+    /// Makes a group unavailable or available again. Requests to an unavailable group wait until
+    /// their deadline.
     pub fn set_available(&self, group: GroupId, available: bool) {
         self.inner.unavailable.send_modify(|groups| {
             if available {
@@ -83,14 +84,14 @@
         });
     }
 
-    /// Drops the replies of the next `count` commands of a group: the commands are applied, but their
-    /// callers immediately receive [`Unavailable`].
+    /// Drops the replies of the next `count` commands of a group: the commands are applied, but
+    /// their callers immediately receive [`Unavailable`].
     pub fn lose_answers(&self, group: GroupId, count: u32) {
-        self.groups().answers_to_lose.insert(group, count);
+        self.groups().replies_to_drop.insert(group, count);
     }
 
-    /// Sets the time of the groups, which no longer follow the wall clock. The groups' clocks never go
-    /// back.
+    /// Sets the time of the groups, which no longer follow the wall clock. The groups' clocks never
+    /// go back.
     pub fn set_clock(&self, now: UnixMillis) {
         self.groups().manual_clock = Some(now);
     }
@@ -99,12 +100,16 @@
         self.inner.groups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn reach(&self, group: GroupId, deadline: Instant) -> Result<(), Unavailable> {
+    async fn wait_until_available(
+        &self,
+        group: GroupId,
+        deadline: Instant,
+    ) -> Result<(), Unavailable> {
         let mut unavailable = self.inner.unavailable.subscribe();
         let available = unavailable.wait_for(|groups| !groups.contains(&group));
         match timeout_at(deadline, available).await {
             Ok(Ok(_)) => Ok(()),
-            _ => Err(Unavailable { group, reason: "made unavailable by the test".to_owned() }),
+            _ => Err(Unavailable { group, reason: "made unavailable by set_available".to_owned() }),
         }
     }
 }
@@ -114,9 +119,9 @@
         self.manual_clock.unwrap_or_else(UnixMillis::now)
     }
 
-    fn shard(&mut self, group: GroupId, keep_time: Duration) -> &mut ShardMachine {
+    fn shard(&mut self, group: GroupId, retention_time: Duration) -> &mut ShardMachine {
         let now = self.now();
-        let shard = self.shards.entry(group).or_insert_with(|| ShardMachine::new(keep_time));
+        let shard = self.shards.entry(group).or_insert_with(|| ShardMachine::new(retention_time));
         shard.apply_command(ShardCommand::AdvanceClock { now });
         shard
     }
@@ -125,32 +130,32 @@
         let now = self.now();
         self.meta.apply_command(MetaCommand::AdvanceClock { now });
         let reply = self.meta.apply_command(command.clone());
-        let begins = matches!(
+        let is_lease_command = matches!(
             command,
             MetaCommand::AcquireLeadership { .. } | MetaCommand::RenewLeadership { .. }
         );
-        if begins && matches!(reply, MetaReply::Leader(_)) {
+        if is_lease_command && matches!(reply, MetaReply::Leader(_)) {
             self.leader_renewal = Some(Instant::now());
         }
         reply
     }
 
-    fn note_renewals(&mut self, command: &ShardCommand, reply: &ShardReply) {
+    fn record_renewals(&mut self, command: &ShardCommand, reply: &ShardReply) {
         match (command, reply) {
             (ShardCommand::RenewLease { holder }, ShardReply::Lease(_)) => {
                 self.engine_renewals.insert(holder.clone(), Instant::now());
             }
             (ShardCommand::Batch(commands), ShardReply::Batch(replies)) => {
                 for (command, reply) in commands.iter().zip(replies) {
-                    self.note_renewals(command, reply);
+                    self.record_renewals(command, reply);
                 }
             }
             _ => {}
         }
     }
 
-    fn loses_answer(&mut self, group: GroupId) -> Result<(), Unavailable> {
-        match self.answers_to_lose.get_mut(&group) {
+    fn drop_reply_if_requested(&mut self, group: GroupId) -> Result<(), Unavailable> {
+        match self.replies_to_drop.get_mut(&group) {
             Some(left) if *left > 0 => {
                 *left -= 1;
                 Err(Unavailable { group, reason: "the reply was dropped".to_owned() })
@@ -165,17 +170,17 @@
         holder: EngineIncarnation,
         inner: &Inner,
     ) -> LeaseVerdict {
-        let renewed = self.engine_renewals.get(&holder).copied();
-        let shard = self.shard(group, inner.keep_time);
+        let renewed_at = self.engine_renewals.get(&holder).copied();
+        let shard = self.shard(group, inner.retention_time);
         let answer = shard.answer(&ShardQuery::Lease(holder.clone()));
         let ShardAnswer::Lease(Some(lease)) = answer else {
             let renewal = Renewal::default();
             shard.apply_command(ShardCommand::ExpireLease { holder, renewal });
             return LeaseVerdict::Unknown;
         };
-        let left = time_left(renewed, inner.lease_time);
+        let left = time_left(renewed_at, inner.lease_time);
         if !lease.expired && !left.is_zero() {
-            return held(left);
+            return held_for(left);
         }
         let renewal = lease.renewal;
         shard.apply_command(ShardCommand::ExpireLease { holder, renewal });
@@ -194,7 +199,7 @@
         }
         let left = time_left(self.leader_renewal, lease_time);
         if !left.is_zero() {
-            return held(left);
+            return held_for(left);
         }
         let renewal = leader.renewal;
         self.meta.apply_command(MetaCommand::ExpireLeadership { epoch, renewal });
@@ -202,11 +207,11 @@
     }
 }
 
-fn time_left(renewed: Option<Instant>, lease_time: Duration) -> Duration {
-    renewed.map_or(Duration::ZERO, |at| lease_time.saturating_sub(at.elapsed()))
+fn time_left(renewed_at: Option<Instant>, lease_time: Duration) -> Duration {
+    renewed_at.map_or(Duration::ZERO, |at| lease_time.saturating_sub(at.elapsed()))
 }
 
-fn held(left: Duration) -> LeaseVerdict {
+fn held_for(left: Duration) -> LeaseVerdict {
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     LeaseVerdict::Held { left_ms: left_ms.max(1) }
 }
@@ -219,11 +224,11 @@
         command: &ShardCommand,
         deadline: Instant,
     ) -> Result<ShardReply, Unavailable> {
-        self.reach(group, deadline).await?;
+        self.wait_until_available(group, deadline).await?;
         let mut groups = self.groups();
-        let reply = groups.shard(group, self.inner.keep_time).apply_command(command.clone());
-        groups.note_renewals(command, &reply);
-        groups.loses_answer(group)?;
+        let reply = groups.shard(group, self.inner.retention_time).apply_command(command.clone());
+        groups.record_renewals(command, &reply);
+        groups.drop_reply_if_requested(group)?;
         Ok(reply)
     }
 
@@ -233,8 +238,8 @@
         query: &ShardQuery,
         deadline: Instant,
     ) -> Result<ShardAnswer, Unavailable> {
-        self.reach(group, deadline).await?;
-        Ok(self.groups().shard(group, self.inner.keep_time).answer(query))
+        self.wait_until_available(group, deadline).await?;
+        Ok(self.groups().shard(group, self.inner.retention_time).answer(query))
     }
 
     async fn execute_meta(
@@ -242,10 +247,10 @@
         command: &MetaCommand,
         deadline: Instant,
     ) -> Result<MetaReply, Unavailable> {
-        self.reach(META_GROUP, deadline).await?;
+        self.wait_until_available(META_GROUP, deadline).await?;
         let mut groups = self.groups();
         let reply = groups.execute_meta(command);
-        groups.loses_answer(META_GROUP)?;
+        groups.drop_reply_if_requested(META_GROUP)?;
         Ok(reply)
     }
 
@@ -254,7 +259,7 @@
         query: &MetaQuery,
         deadline: Instant,
     ) -> Result<MetaAnswer, Unavailable> {
-        self.reach(META_GROUP, deadline).await?;
+        self.wait_until_available(META_GROUP, deadline).await?;
         Ok(self.groups().meta.answer(query))
     }
 
@@ -264,7 +269,7 @@
         subject: LeaseSubject,
         deadline: Instant,
     ) -> Result<LeaseVerdict, Unavailable> {
-        self.reach(group, deadline).await?;
+        self.wait_until_available(group, deadline).await?;
         let mut groups = self.groups();
         let verdict = match subject {
             LeaseSubject::Engine(holder) => groups.expire_engine(group, holder, &self.inner),
@@ -273,7 +278,7 @@
                 groups.expire_leader(epoch, self.inner.lease_time)
             }
         };
-        groups.loses_answer(group)?;
+        groups.drop_reply_if_requested(group)?;
         Ok(verdict)
     }
 }
--- a/crates/store/src/meta_watch.rs
+++ b/crates/store/src/meta_watch.rs
@@ -17,18 +17,18 @@
 /// Interval between remote queries of the meta group, while this store has no replica of it.
 const REMOTE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Timeout of one remote query of the meta group.
-const QUESTION_TIME: Duration = Duration::from_secs(3);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Refreshes the meta state until the task is aborted.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let pause = match local(&shared).await {
+        let pause = match read_local(&shared).await {
             Some(meta) => {
                 publish(&shared, meta).await;
                 LOCAL_INTERVAL
             }
             None => {
-                if let Some(meta) = remote(&shared).await {
+                if let Some(meta) = query_remote(&shared).await {
                     publish(&shared, meta).await;
                 }
                 REMOTE_INTERVAL
@@ -40,7 +40,7 @@
 }
 
 /// Reads the meta state from the replica on this store, if there is one and it knows the cluster.
-async fn local(shared: &Shared) -> Option<MetaState> {
+async fn read_local(shared: &Shared) -> Option<MetaState> {
     let query = encode(&MetaQuery::State);
     let answer = shared.replicator.read_local(META_GROUP, query).await.ok()?;
     match decode("meta answer", &answer).ok()? {
@@ -49,11 +49,11 @@
     }
 }
 
-async fn remote(shared: &Shared) -> Option<MetaState> {
+async fn query_remote(shared: &Shared) -> Option<MetaState> {
     if !shared.is_member() {
         return None;
     }
-    let deadline = Instant::now() + QUESTION_TIME;
+    let deadline = Instant::now() + QUERY_TIMEOUT;
     match shared.access.query_meta(&MetaQuery::State, deadline).await.ok()? {
         MetaAnswer::State(state) => Some(*state),
         _ => None,
@@ -68,7 +68,7 @@
         shared.identity.bundles.note_committed(bundle.version);
     }
     if shared.meta.borrow().stores != meta.stores {
-        note_stores(shared, meta.stores.clone()).await;
+        save_stores(shared, meta.stores.clone()).await;
     }
     let version = |state: &MetaState| state.bundle.as_ref().map(|bundle| bundle.version);
     if version(&meta) > version(&shared.meta.borrow()) {
@@ -84,9 +84,9 @@
 }
 
 /// Saves the list of the cluster's stores to disk, on a thread that may block.
-async fn note_stores(shared: &Arc<Shared>, stores: Vec<StoreRecord>) {
+async fn save_stores(shared: &Arc<Shared>, stores: Vec<StoreRecord>) {
     let shared = shared.clone();
-    let writing = tokio::task::spawn_blocking(move || shared.folder.note_stores(&stores));
+    let writing = tokio::task::spawn_blocking(move || shared.folder.save_stores(&stores));
     if let Ok(Err(error)) = writing.await {
         warn!(%error, "failed to save the list of the cluster's stores to disk");
     }
--- a/crates/store/src/observed.rs
+++ b/crates/store/src/observed.rs
@@ -1,5 +1,6 @@
-//! State machines that record, as they apply commands, what the group's leader needs in addition to the
-//! replicated state: clocks, command counts and renewal times. These records are local to a replica.
+//! State machines that record, as they apply commands, what the group's leader needs in addition to
+//! the replicated state: clocks, command counts and renewal times. These records are local to a
+//! replica.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,14 +24,14 @@
 
 /// Local observations of one group's state machine.
 #[derive(Debug, Default)]
-pub(crate) struct GroupNotes {
+pub(crate) struct GroupObservations {
     clock: AtomicU64,
     commands: AtomicU64,
     engines: Mutex<BTreeMap<EngineIncarnation, AppliedRenewal>>,
     core_leader: Mutex<Option<(FencingEpoch, AppliedRenewal)>>,
 }
 
-impl GroupNotes {
+impl GroupObservations {
     /// Returns the group's clock.
     pub(crate) fn clock(&self) -> UnixMillis {
         UnixMillis(self.clock.load(Ordering::Acquire))
@@ -41,9 +42,9 @@
         self.commands.load(Ordering::Acquire)
     }
 
-    /// Returns when this replica applied a renewal of an engine's lease. `None` if it did not apply it,
-    /// for example because it restored a snapshot.
-    pub(crate) fn engine_renewed(
+    /// Returns when this replica applied a renewal of an engine's lease. `None` if it did not apply
+    /// it, for example because it restored a snapshot.
+    pub(crate) fn engine_renewed_at(
         &self,
         holder: &EngineIncarnation,
         renewal: Renewal,
@@ -53,25 +54,25 @@
     }
 
     /// Returns when this replica applied a renewal of the core leader's lease.
-    pub(crate) fn core_leader_renewed(
+    pub(crate) fn core_leader_renewed_at(
         &self,
         epoch: FencingEpoch,
         renewal: Renewal,
     ) -> Option<Instant> {
         let leader = self.core_leader.lock().unwrap_or_else(PoisonError::into_inner);
         leader
-            .filter(|(of, applied)| *of == epoch && applied.renewal == renewal)
+            .filter(|(leader_epoch, applied)| *leader_epoch == epoch && applied.renewal == renewal)
             .map(|(_, applied)| applied.at)
     }
 
-    fn note_step(&self, clock: UnixMillis, is_clock_step: bool) {
+    fn record_step(&self, clock: UnixMillis, is_clock_step: bool) {
         self.clock.store(clock.0, Ordering::Release);
         if !is_clock_step {
             self.commands.fetch_add(1, Ordering::AcqRel);
         }
     }
 
-    fn note_engine(&self, reply: &ShardReply) {
+    fn record_engine_renewals(&self, reply: &ShardReply) {
         match reply {
             ShardReply::Lease(lease) => {
                 let mut engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
@@ -82,70 +83,72 @@
                     engines.insert(lease.holder.clone(), applied);
                 }
             }
-            ShardReply::Batch(replies) => replies.iter().for_each(|reply| self.note_engine(reply)),
+            ShardReply::Batch(replies) => {
+                replies.iter().for_each(|reply| self.record_engine_renewals(reply))
+            }
             _ => {}
         }
     }
 
-    /// Records the time of a new epoch or renewal. The time of a known one is kept, since a repeated
-    /// acquisition must not extend the lease.
-    fn note_core_leader(&self, reply: &MetaReply) {
+    /// Records the time of a new epoch or renewal. The time of a known one is kept, since a
+    /// repeated acquisition must not extend the lease.
+    fn record_core_leader(&self, reply: &MetaReply) {
         let MetaReply::Leader(leader) = reply else { return };
-        let mut noted = self.core_leader.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = noted.is_some_and(|(epoch, applied)| {
+        let mut recorded = self.core_leader.lock().unwrap_or_else(PoisonError::into_inner);
+        let known = recorded.is_some_and(|(epoch, applied)| {
             epoch == leader.epoch && applied.renewal == leader.renewal
         });
         if !known {
             let applied = AppliedRenewal { renewal: leader.renewal, at: Instant::now() };
-            *noted = Some((leader.epoch, applied));
+            *recorded = Some((leader.epoch, applied));
         }
     }
 }
 
 /// Local observations of all groups. Cheap to clone.
 #[derive(Debug, Clone)]
-pub(crate) struct Notes {
-    groups: Arc<BTreeMap<GroupId, Arc<GroupNotes>>>,
+pub(crate) struct Observations {
+    groups: Arc<BTreeMap<GroupId, Arc<GroupObservations>>>,
 }
 
-impl Notes {
+impl Observations {
     pub(crate) fn new() -> Self {
         Self { groups: Arc::new(GroupId::all().map(|group| (group, Arc::default())).collect()) }
     }
 
     /// Returns the observations of a group, or `None` if the group id is unknown.
-    pub(crate) fn of(&self, group: GroupId) -> Option<&Arc<GroupNotes>> {
+    pub(crate) fn group(&self, group: GroupId) -> Option<&Arc<GroupObservations>> {
         self.groups.get(&group)
     }
 
-    /// Creates the empty state machine of a group. `keep` is the retention time of finished records.
-    pub(crate) fn machine(&self, group: GroupId, keep: Duration) -> Box<dyn StateMachine> {
-        let notes = self.of(group).cloned().unwrap_or_default();
+    /// Creates the empty state machine of a group, which retains finished records for `retention`.
+    pub(crate) fn machine(&self, group: GroupId, retention: Duration) -> Box<dyn StateMachine> {
+        let observations = self.group(group).cloned().unwrap_or_default();
         if group == META_GROUP {
-            Box::new(Observed { machine: MetaMachine::new(), notes })
+            Box::new(ObservedMachine { machine: MetaMachine::new(), observations })
         } else {
-            Box::new(Observed { machine: ShardMachine::new(keep), notes })
+            Box::new(ObservedMachine { machine: ShardMachine::new(retention), observations })
         }
     }
 }
 
 /// A state machine whose clock, commands and replies can be observed.
-trait NotedMachine: StateMachine {
+trait ObservableMachine: StateMachine {
     type Command: DeserializeOwned;
     type Reply: Serialize;
     /// Name of the command type in decoding errors.
-    const COMMAND: &str;
+    const COMMAND_NAME: &str;
 
     fn apply_command(&mut self, command: Self::Command) -> Self::Reply;
     fn clock(&self) -> UnixMillis;
     fn is_clock_step(command: &Self::Command) -> bool;
-    fn note(notes: &GroupNotes, reply: &Self::Reply);
+    fn record(observations: &GroupObservations, reply: &Self::Reply);
 }
 
-impl NotedMachine for ShardMachine {
+impl ObservableMachine for ShardMachine {
     type Command = ShardCommand;
     type Reply = ShardReply;
-    const COMMAND: &str = "shard command";
+    const COMMAND_NAME: &str = "shard command";
 
     fn apply_command(&mut self, command: ShardCommand) -> ShardReply {
         self.apply_command(command)
@@ -159,15 +162,15 @@
         matches!(command, ShardCommand::AdvanceClock { .. })
     }
 
-    fn note(notes: &GroupNotes, reply: &ShardReply) {
-        notes.note_engine(reply);
+    fn record(observations: &GroupObservations, reply: &ShardReply) {
+        observations.record_engine_renewals(reply);
     }
 }
 
-impl NotedMachine for MetaMachine {
+impl ObservableMachine for MetaMachine {
     type Command = MetaCommand;
     type Reply = MetaReply;
-    const COMMAND: &str = "meta command";
+    const COMMAND_NAME: &str = "meta command";
 
     fn apply_command(&mut self, command: MetaCommand) -> MetaReply {
         self.apply_command(command)
@@ -181,24 +184,24 @@
         matches!(command, MetaCommand::AdvanceClock { .. })
     }
 
-    fn note(notes: &GroupNotes, reply: &MetaReply) {
-        notes.note_core_leader(reply);
+    fn record(observations: &GroupObservations, reply: &MetaReply) {
+        observations.record_core_leader(reply);
     }
 }
 
 /// A state machine that updates the observations of its group.
-struct Observed<M> {
+struct ObservedMachine<M> {
     machine: M,
-    notes: Arc<GroupNotes>,
+    observations: Arc<GroupObservations>,
 }
 
-impl<M: NotedMachine> StateMachine for Observed<M> {
+impl<M: ObservableMachine> StateMachine for ObservedMachine<M> {
     fn apply(&mut self, command: &[u8]) -> Result<Vec<u8>, MachineError> {
-        let command = decode(M::COMMAND, command)?;
+        let command = decode(M::COMMAND_NAME, command)?;
         let is_clock_step = M::is_clock_step(&command);
         let reply = self.machine.apply_command(command);
-        M::note(&self.notes, &reply);
-        self.notes.note_step(self.machine.clock(), is_clock_step);
+        M::record(&self.observations, &reply);
+        self.observations.record_step(self.machine.clock(), is_clock_step);
         Ok(encode(&reply))
     }
 
@@ -216,7 +219,7 @@
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), MachineError> {
         self.machine.restore(snapshot)?;
-        self.notes.note_step(self.machine.clock(), true);
+        self.observations.record_step(self.machine.clock(), true);
         Ok(())
     }
 
--- a/crates/store/src/placement/choice.rs
+++ b/crates/store/src/placement/choice.rs
@@ -1,4 +1,5 @@
-//! Chooses a store for a replica: by zone first, so that replicas are spread over zones, then by load.
+//! Chooses a store for a replica: by zone first, so that replicas are spread over zones, then by
+//! load.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,9 @@
 }
 
 impl Loads {
-    pub(crate) fn of<'a>(placements: impl Iterator<Item = &'a GroupPlacement>) -> Self {
+    pub(crate) fn from_placements<'a>(
+        placements: impl Iterator<Item = &'a GroupPlacement>,
+    ) -> Self {
         let mut loads = Self::default();
         for placement in placements {
             placement.voters.iter().for_each(|node| loads.add_voter(*node));
@@ -41,8 +44,8 @@
 }
 
 /// Returns the best store for one more replica of a group that has replicas in `zones`. Prefers the
-/// store whose zone has the fewest of them, then the fewest voters if a voter is placed, then the fewest
-/// replicas, then the lowest node id.
+/// store whose zone has the fewest of them, then the fewest voters if a voter is placed, then the
+/// fewest replicas, then the lowest node id.
 pub(crate) fn best_store<'a>(
     candidates: impl Iterator<Item = &'a StoreRecord>,
     zones: &[&ZoneName],
@@ -51,8 +54,8 @@
 ) -> Option<&'a StoreRecord> {
     candidates.min_by_key(|store| {
         let shared = zones.iter().filter(|zone| ***zone == store.zone).count();
-        let of_kind = if is_voter { loads.voters(store.node) } else { 0 };
-        (shared, of_kind, loads.replicas(store.node), store.node)
+        let voters = if is_voter { loads.voters(store.node) } else { 0 };
+        (shared, voters, loads.replicas(store.node), store.node)
     })
 }
 
--- a/crates/store/src/placement/follow.rs
+++ b/crates/store/src/placement/follow.rs
@@ -7,23 +7,23 @@
 use hooklug_state::meta::GroupPlacement;
 use hooklug_types::NodeId;
 
-/// Number of committed entries that a member may lack and still count as up to date. The raft leader
-/// checks a learner again before it promotes it.
+/// Number of committed entries that a member may lack and still count as up to date. The raft
+/// leader checks a learner again before it promotes it.
 const MAX_LAG_ENTRIES: u64 = 128;
 
 /// Returns the next membership change of a group, based on its leader's status.
 ///
-/// A desired voter is promoted before an undesired one is removed, so that every commit remains on as
-/// many living stores as before.
+/// A desired voter is promoted before an undesired one is removed, so that every commit remains on
+/// as many living stores as before.
 #[must_use]
 pub fn next_change(
-    wanted: &GroupPlacement,
+    desired: &GroupPlacement,
     leader: &ReplicaStatus,
     alive: &BTreeSet<NodeId>,
 ) -> Option<ConfChange> {
     let conf = &leader.conf;
-    let unwanted_voter = conf.voters.iter().copied().find(|node| !wanted.voters.contains(node));
-    let missing_voter = wanted.voters.iter().copied().find(|node| !conf.voters.contains(node));
+    let undesired_voter = conf.voters.iter().copied().find(|node| !desired.voters.contains(node));
+    let missing_voter = desired.voters.iter().copied().find(|node| !conf.voters.contains(node));
     if let Some(node) = missing_voter
         && conf.learners.contains(&node)
         && is_up_to_date(leader, node)
@@ -31,19 +31,20 @@
         return Some(ConfChange::PromoteVoter(node));
     }
     // Other voters are removed only once all desired voters are members.
-    if let Some(node) = unwanted_voter
+    if let Some(node) = undesired_voter
         && missing_voter.is_none()
     {
         return Some(ConfChange::Remove(node));
     }
-    let members = wanted.voters.iter().chain(&wanted.learners).copied();
+    let members = desired.voters.iter().chain(&desired.learners).copied();
     let missing = members.into_iter().find(|node| !conf.contains(*node) && alive.contains(node));
     if let Some(node) = missing {
         return Some(ConfChange::AddLearner(node));
     }
-    let is_wanted = |node: &NodeId| wanted.learners.contains(node) || wanted.voters.contains(node);
-    let unwanted_learner = conf.learners.iter().copied().find(|node| !is_wanted(node));
-    unwanted_learner.filter(|_| missing_voter.is_none()).map(ConfChange::Remove)
+    let is_desired =
+        |node: &NodeId| desired.learners.contains(node) || desired.voters.contains(node);
+    let undesired_learner = conf.learners.iter().copied().find(|node| !is_desired(node));
+    undesired_learner.filter(|_| missing_voter.is_none()).map(ConfChange::Remove)
 }
 
 /// Returns whether a member responds to its leader and has nearly all committed entries.
--- a/crates/store/src/placement/mod.rs
+++ b/crates/store/src/placement/mod.rs
@@ -1,9 +1,10 @@
-//! Plans which stores hold the replicas of each group. Free of I/O: from the state of the cluster it
-//! computes the next changes.
+//! Plans which stores hold the replicas of each group. Free of I/O: from the state of the cluster
+//! it computes the next changes.
 //!
-//! Planning has two steps, so that no state is kept between calls. The desired placement of each group
-//! is stored in the meta state and changes when a store is lost, retires or is added ([`wanted`]). The
-//! members of each group are then brought in line with it, one membership change at a time ([`follow`]).
+//! Planning has two steps, so that no state is kept between calls. The desired placement of each
+//! group is stored in the meta state and changes when a store is lost, retires or is added
+//! ([`wanted`]). The members of each group are then brought in line with it, one membership change
+//! at a time ([`follow`]).
 
 mod choice;
 pub mod follow;
@@ -17,13 +18,14 @@
 use hooklug_state::meta::{GroupPlacement, MetaState};
 use hooklug_types::{GroupId, NodeId};
 
-/// Minimum number of voters in each group (design document, section 3). A group that was created with
-/// more voters keeps that number.
+/// Minimum number of voters in each group (design document, section 3). A group that was created
+/// with more voters keeps that number.
 pub const VOTERS: usize = 3;
 
-/// Returns the number of standby learners of a group with this many voters. A group of three has one,
-/// ready to replace a lost voter. A larger group tolerates two losses, so there is time to bring a new
-/// replica up from nothing, and it has no learner to save the cost of another copy of all writes.
+/// Returns the number of standby learners of a group with this many voters. A group of three has
+/// one, ready to replace a lost voter. A larger group tolerates two losses, so there is time to
+/// bring a new replica up from nothing, and it has no learner to save the cost of another copy of
+/// all writes.
 #[must_use]
 pub const fn learners(voters: usize) -> usize {
     if voters > VOTERS { 0 } else { 1 }
@@ -59,20 +61,20 @@
         /// The membership change.
         change: ConfChange,
     },
-    /// Mark a store as removed, by `MetaCommand::SetStoreState`. It retires or is permanently lost, and
-    /// holds no replicas any more.
+    /// Mark a store as removed, by `MetaCommand::SetStoreState`. It retires or is permanently lost,
+    /// and holds no replicas any more.
     RemoveStore {
         /// The store.
         node: NodeId,
     },
 }
 
-/// Returns the next changes, at most one per group. Call it again after they are carried out; it returns
-/// none when nothing remains to be done.
+/// Returns the next changes, at most one per group. Call it again after they are carried out; it
+/// returns none when nothing remains to be done.
 ///
 /// * `reports`: replies of all stores that responded.
-/// * `alive`: stores that count as alive. A store that is missing here loses its replicas, so the caller
-///   omits one only after it has been unresponsive for a while.
+/// * `alive`: stores that count as alive. A store that is missing here loses its replicas, so the
+///   caller omits one only after it has been unresponsive for a while.
 #[must_use]
 pub fn plan(
     meta: &MetaState,
@@ -93,22 +95,22 @@
 }
 
 fn plan_with(
-    wanted: Vec<wanted::WantedChange>,
+    updates: Vec<wanted::PlacementUpdate>,
     meta: &MetaState,
     reports: &[StoreReport],
     alive: &BTreeSet<NodeId>,
 ) -> Vec<PlannedChange> {
-    let moving: BTreeSet<GroupId> = wanted.iter().map(|change| change.group).collect();
+    let updated_groups: BTreeSet<GroupId> = updates.iter().map(|change| change.group).collect();
     let mut changes: Vec<PlannedChange> =
-        wanted
+        updates
             .into_iter()
-            .map(|wanted::WantedChange { group, expected, placement }| {
+            .map(|wanted::PlacementUpdate { group, expected, placement }| {
                 PlannedChange::SetPlacement { group, expected, placement }
             })
             .collect();
     for (group, placement) in &meta.placements {
         let Some(leader) = leader_of(*group, reports) else { continue };
-        if moving.contains(group) {
+        if updated_groups.contains(group) {
             continue;
         }
         if let Some(change) = follow::next_change(placement, leader.replica, alive) {
@@ -117,7 +119,7 @@
         }
     }
     changes.extend(
-        wanted::emptied_stores(meta, reports, alive)
+        wanted::removable_stores(meta, reports, alive)
             .map(|node| PlannedChange::RemoveStore { node }),
     );
     changes
--- a/crates/store/src/placement/wanted.rs
+++ b/crates/store/src/placement/wanted.rs
@@ -1,5 +1,5 @@
-//! Computes changes of the desired placements: replaces lost and retiring stores and moves replicas to
-//! new ones.
+//! Computes changes of the desired placements: replaces lost and retiring stores and moves replicas
+//! to new ones.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 
 /// A change of one group's desired placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WantedChange {
+pub struct PlacementUpdate {
     /// The group.
     pub group: GroupId,
     /// Its current placement.
@@ -22,13 +22,13 @@
 }
 
 /// State of the cluster on which placement decisions are based.
-struct Scene<'a> {
+struct ClusterView<'a> {
     meta: &'a MetaState,
     reports: &'a [StoreReport],
     alive: &'a BTreeSet<NodeId>,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> ClusterView<'a> {
     /// Returns the stores that may hold replicas: those that are alive and active.
     fn usable(&self) -> impl Iterator<Item = &'a StoreRecord> + use<'a, '_> {
         self.meta.stores.iter().filter(|store| self.is_usable(store.node))
@@ -47,11 +47,11 @@
     meta: &MetaState,
     reports: &[StoreReport],
     alive: &BTreeSet<NodeId>,
-) -> Vec<WantedChange> {
+) -> Vec<PlacementUpdate> {
     let changes = repairs(meta, reports, alive);
-    let scene = Scene { meta, reports, alive };
-    if changes.is_empty() && is_settled(&scene) {
-        return rebalanced(&scene).into_iter().collect();
+    let cluster = ClusterView { meta, reports, alive };
+    if changes.is_empty() && is_settled(&cluster) {
+        return rebalancing_update(&cluster).into_iter().collect();
     }
     changes
 }
@@ -62,53 +62,53 @@
     meta: &MetaState,
     reports: &[StoreReport],
     alive: &BTreeSet<NodeId>,
-) -> Vec<WantedChange> {
-    let scene = Scene { meta, reports, alive };
-    let mut loads = Loads::of(meta.placements.values());
+) -> Vec<PlacementUpdate> {
+    let cluster = ClusterView { meta, reports, alive };
+    let mut loads = Loads::from_placements(meta.placements.values());
     let mut changes = Vec::new();
     for (group, current) in &meta.placements {
-        let placement = repaired(&scene, *group, current, &mut loads);
+        let placement = repaired_placement(&cluster, *group, current, &mut loads);
         if placement != *current {
             let (group, expected) = (*group, current.clone());
-            changes.push(WantedChange { group, expected, placement });
+            changes.push(PlacementUpdate { group, expected, placement });
         }
     }
     changes
 }
 
 /// Returns a group's placement with lost and retiring stores replaced as far as possible now.
-fn repaired(
-    scene: &Scene<'_>,
+fn repaired_placement(
+    cluster: &ClusterView<'_>,
     group: GroupId,
     current: &GroupPlacement,
     loads: &mut Loads,
 ) -> GroupPlacement {
     let mut placement = current.clone();
     for voter in &current.voters {
-        if scene.is_usable(*voter) {
+        if cluster.is_usable(*voter) {
             continue;
         }
         // The voter stays until an up-to-date learner can replace it.
-        if let Some(learner) = successor(scene, group, &placement, *voter) {
+        if let Some(learner) = replacement_learner(cluster, group, &placement, *voter) {
             placement.learners.retain(|node| *node != learner);
             placement.voters.retain(|node| node != voter);
             placement.voters.push(learner);
         }
     }
-    placement.learners.retain(|node| scene.is_usable(*node));
+    placement.learners.retain(|node| cluster.is_usable(*node));
     let voters = VOTERS.max(current.voters.len());
     // A replacement for a lost voter has to catch up as a learner first.
-    let lost = placement.voters.iter().filter(|voter| !scene.is_usable(**voter)).count();
-    let wanted_learners = learners(voters).max(lost);
-    placement.learners.truncate(wanted_learners);
-    while placement.voters.len() + placement.learners.len() < voters + wanted_learners {
-        let Some(store) = free_store(scene, &placement, loads) else { break };
+    let lost = placement.voters.iter().filter(|voter| !cluster.is_usable(**voter)).count();
+    let desired_learners = learners(voters).max(lost);
+    placement.learners.truncate(desired_learners);
+    while placement.voters.len() + placement.learners.len() < voters + desired_learners {
+        let Some(store) = free_store(cluster, &placement, loads) else { break };
         placement.learners.push(store);
         loads.add_learner(store);
     }
     // A group that was created with fewer stores grows to its full number of voters.
     if placement.voters.len() < voters
-        && let Some(learner) = successor(scene, group, &placement, NodeId::default())
+        && let Some(learner) = replacement_learner(cluster, group, &placement, NodeId::default())
     {
         placement.learners.retain(|node| *node != learner);
         placement.voters.push(learner);
@@ -118,79 +118,89 @@
 
 /// Returns the learner that should replace a voter: an up-to-date one, preferably in a zone without
 /// another voter.
-fn successor(
-    scene: &Scene<'_>,
+fn replacement_learner(
+    cluster: &ClusterView<'_>,
     group: GroupId,
     placement: &GroupPlacement,
     leaving: NodeId,
 ) -> Option<NodeId> {
-    let leader = leader_of(group, scene.reports)?;
-    let stores = &scene.meta.stores;
+    let leader = leader_of(group, cluster.reports)?;
+    let stores = &cluster.meta.stores;
     let others = placement.voters.iter().filter(|node| **node != leaving);
     let zones: Vec<_> = others.filter_map(|node| zone_of(stores, *node)).collect();
     let ready = placement
         .learners
         .iter()
         .copied()
-        .filter(|node| scene.is_usable(*node) && is_up_to_date(leader.replica, *node));
+        .filter(|node| cluster.is_usable(*node) && is_up_to_date(leader.replica, *node));
     ready.min_by_key(|node| {
         let zone = zone_of(stores, *node);
-        (zones.iter().filter(|taken| Some(**taken) == zone).count(), *node)
+        (zones.iter().filter(|other| Some(**other) == zone).count(), *node)
     })
 }
 
-/// Returns a store for a new learner of the group. Since the learner may become a voter, a zone without
-/// living members of the group is preferred.
-fn free_store(scene: &Scene<'_>, placement: &GroupPlacement, loads: &Loads) -> Option<NodeId> {
+/// Returns a store for a new learner of the group. Since the learner may become a voter, a zone
+/// without living members of the group is preferred.
+fn free_store(
+    cluster: &ClusterView<'_>,
+    placement: &GroupPlacement,
+    loads: &Loads,
+) -> Option<NodeId> {
     let members = || placement.voters.iter().chain(&placement.learners);
-    let living = members().filter(|node| scene.is_usable(**node));
-    let zones: Vec<_> = living.filter_map(|n| zone_of(&scene.meta.stores, *n)).collect();
-    let free = scene.usable().filter(|store| !members().any(|node| *node == store.node));
+    let living = members().filter(|node| cluster.is_usable(**node));
+    let zones: Vec<_> = living.filter_map(|n| zone_of(&cluster.meta.stores, *n)).collect();
+    let free = cluster.usable().filter(|store| !members().any(|node| *node == store.node));
     best_store(free, &zones, loads, false).map(|store| store.node)
 }
 
 /// Returns whether all groups have their desired members and all of these are up to date.
-fn is_settled(scene: &Scene<'_>) -> bool {
-    scene.meta.placements.iter().all(|(group, placement)| {
-        leader_of(*group, scene.reports).is_some_and(|leader| {
+fn is_settled(cluster: &ClusterView<'_>) -> bool {
+    cluster.meta.placements.iter().all(|(group, placement)| {
+        leader_of(*group, cluster.reports).is_some_and(|leader| {
             let others = leader.replica.progress.iter();
-            next_change(placement, leader.replica, scene.alive).is_none()
+            next_change(placement, leader.replica, cluster.alive).is_none()
                 && others.clone().all(|member| is_up_to_date(leader.replica, member.node))
         })
     })
 }
 
-/// Returns one change that evens out the load: it moves a replica to the least loaded store or, if the
-/// replicas are balanced, swaps a voter and a learner.
-fn rebalanced(scene: &Scene<'_>) -> Option<WantedChange> {
-    let loads = Loads::of(scene.meta.placements.values());
+/// Returns one change that evens out the load: it moves a replica to the least loaded store or, if
+/// the replicas are balanced, swaps a voter and a learner.
+fn rebalancing_update(cluster: &ClusterView<'_>) -> Option<PlacementUpdate> {
+    let loads = Loads::from_placements(cluster.meta.placements.values());
     let by_replicas = |node: NodeId| loads.replicas(node);
     let by_voters = |node: NodeId| loads.voters(node);
-    first_move(scene, by_replicas, move_replica)
-        .or_else(|| first_move(scene, by_voters, swap_kinds))
+    first_move(cluster, by_replicas, move_replica)
+        .or_else(|| first_move(cluster, by_voters, swap_voter_and_learner))
 }
 
-/// Returns the first possible move to the least loaded store from a store whose load exceeds it by at
-/// least two.
+/// Returns the first possible move to the least loaded store from a store whose load exceeds it by
+/// at least two.
 fn first_move(
-    scene: &Scene<'_>,
+    cluster: &ClusterView<'_>,
     load: impl Fn(NodeId) -> usize,
-    make: fn(&Scene<'_>, NodeId, &StoreRecord) -> Option<WantedChange>,
-) -> Option<WantedChange> {
-    let mut stores: Vec<&StoreRecord> = scene.usable().collect();
+    build_update: fn(&ClusterView<'_>, NodeId, &StoreRecord) -> Option<PlacementUpdate>,
+) -> Option<PlacementUpdate> {
+    let mut stores: Vec<&StoreRecord> = cluster.usable().collect();
     stores.sort_by_key(|store| (load(store.node), store.node));
     let least = stores.first().copied()?;
     let loaded = stores.iter().rev().take_while(|s| load(s.node) >= load(least.node) + 2);
-    loaded.into_iter().find_map(|store| make(scene, store.node, least))
+    loaded.into_iter().find_map(|store| build_update(cluster, store.node, least))
 }
 
 /// Moves a replica to a store that has none of its group; a learner is preferred over a voter.
-fn move_replica(scene: &Scene<'_>, from: NodeId, to: &StoreRecord) -> Option<WantedChange> {
+fn move_replica(
+    cluster: &ClusterView<'_>,
+    from: NodeId,
+    to: &StoreRecord,
+) -> Option<PlacementUpdate> {
     let holds = |placement: &GroupPlacement, node| {
         placement.voters.contains(&node) || placement.learners.contains(&node)
     };
-    let movable = scene.meta.placements.iter().filter(|(_, placement)| {
-        holds(placement, from) && !holds(placement, to.node) && !worsens(scene, placement, from, to)
+    let movable = cluster.meta.placements.iter().filter(|(_, placement)| {
+        holds(placement, from)
+            && !holds(placement, to.node)
+            && !reduces_zone_spread(cluster, placement, from, to)
     });
     let (group, current) = movable.min_by_key(|(group, p)| (p.voters.contains(&from), **group))?;
     let mut placement = current.clone();
@@ -199,39 +209,49 @@
             *member = to.node;
         }
     }
-    Some(WantedChange { group: *group, expected: current.clone(), placement })
+    Some(PlacementUpdate { group: *group, expected: current.clone(), placement })
 }
 
 /// Swaps the roles of two stores in one group: the voter becomes a learner and the learner a voter.
-fn swap_kinds(scene: &Scene<'_>, voter: NodeId, learner: &StoreRecord) -> Option<WantedChange> {
-    let (group, current) = scene.meta.placements.iter().find(|(_, placement)| {
+fn swap_voter_and_learner(
+    cluster: &ClusterView<'_>,
+    voter: NodeId,
+    learner: &StoreRecord,
+) -> Option<PlacementUpdate> {
+    let (group, current) = cluster.meta.placements.iter().find(|(_, placement)| {
         placement.voters.contains(&voter)
             && placement.learners.contains(&learner.node)
-            && !worsens(scene, placement, voter, learner)
+            && !reduces_zone_spread(cluster, placement, voter, learner)
     })?;
     let mut placement = current.clone();
     placement.voters.retain(|node| *node != voter);
     placement.voters.push(learner.node);
     placement.learners.retain(|node| *node != learner.node);
     placement.learners.push(voter);
-    Some(WantedChange { group: *group, expected: current.clone(), placement })
+    Some(PlacementUpdate { group: *group, expected: current.clone(), placement })
 }
 
 /// Returns whether moving a voter would make it share its zone with more voters than now.
-fn worsens(scene: &Scene<'_>, placement: &GroupPlacement, from: NodeId, to: &StoreRecord) -> bool {
+fn reduces_zone_spread(
+    cluster: &ClusterView<'_>,
+    placement: &GroupPlacement,
+    from: NodeId,
+    to: &StoreRecord,
+) -> bool {
     if !placement.voters.contains(&from) {
         return false;
     }
-    let stores = &scene.meta.stores;
+    let stores = &cluster.meta.stores;
     let others = || placement.voters.iter().filter(|node| **node != from);
     let shares = |zone| others().filter(|node| zone_of(stores, **node) == Some(zone)).count();
     let before = zone_of(stores, from).map_or(0, shares);
     shares(&to.zone) > before
 }
 
-/// Returns the stores that can be marked as removed: they are in no group's placement or membership, and
-/// are either retiring or permanently lost, that is, a newer node uses their address.
-pub fn emptied_stores<'a>(
+/// Returns the stores that can be marked as removed: they are in no group's placement or
+/// membership, and are either retiring or permanently lost, that is, a newer node uses their
+/// address.
+pub fn removable_stores<'a>(
     meta: &'a MetaState,
     reports: &'a [StoreReport],
     alive: &'a BTreeSet<NodeId>,
@@ -244,8 +264,8 @@
     leaving.map(|store| store.node).filter(move |node| !is_in_use(meta, reports, *node))
 }
 
-/// Returns whether a newer node uses the store's address. The store's disk is then lost, and the store
-/// will not return.
+/// Returns whether a newer node uses the store's address. The store's disk is then lost, and the
+/// store will not return.
 #[must_use]
 pub fn is_superseded(meta: &MetaState, store: &StoreRecord) -> bool {
     meta.stores.iter().any(|other| {
@@ -255,12 +275,12 @@
     })
 }
 
-/// Returns whether a store is in the placement or the membership of any group. A group without a known
-/// leader counts as using the store.
+/// Returns whether a store is in the placement or the membership of any group. A group without a
+/// known leader counts as using the store.
 fn is_in_use(meta: &MetaState, reports: &[StoreReport], node: NodeId) -> bool {
-    meta.placements.iter().any(|(group, wanted)| {
-        wanted.voters.contains(&node)
-            || wanted.learners.contains(&node)
+    meta.placements.iter().any(|(group, placement)| {
+        placement.voters.contains(&node)
+            || placement.learners.contains(&node)
             || leader_of(*group, reports).is_none_or(|l| l.replica.conf.contains(node))
     })
 }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -25,24 +25,25 @@
             let shared = shared.clone();
             move |_, request, replier| execute(&shared, request, replier)
         })
-        .route(with(shared, |shared, _, request: Query| async move { shared.query(request).await }))
-        .route(with(shared, |shared, peer, request: ExpireLease| async move {
-            completed(async move { shared.expire_lease(&peer, request).await }).await
+        .route(with_shared(shared, |shared, _, request: Query| async move {
+            shared.query(request).await
         }))
-        .route(with(shared, |shared, peer, chunk: SnapshotChunk| async move {
-            completed(async move { shared.snapshot_chunk(&peer, chunk).await }).await
+        .route(with_shared(shared, |shared, peer, request: ExpireLease| async move {
+            run_to_completion(async move { shared.expire_lease(&peer, request).await }).await
         }))
-        .route(with(shared, |shared, _, request: ChangeReplicas| async move {
-            completed(async move { shared.change_replicas(request).await }).await
+        .route(with_shared(shared, |shared, peer, chunk: SnapshotChunk| async move {
+            run_to_completion(async move { shared.snapshot_chunk(&peer, chunk).await }).await
         }))
-        .route(with(
-            shared,
-            |shared, _, _: GroupStatus| async move { shared.replicator.status().await },
-        ))
-        .route(with(shared, |shared, peer, offer: FormationOffer| async move {
-            let answer = move || gossip::answer(&shared, &peer, &offer);
+        .route(with_shared(shared, |shared, _, request: ChangeReplicas| async move {
+            run_to_completion(async move { shared.change_replicas(request).await }).await
+        }))
+        .route(with_shared(shared, |shared, _, _: GroupStatus| async move {
+            shared.replicator.status().await
+        }))
+        .route(with_shared(shared, |shared, peer, offer: FormationOffer| async move {
+            let handle = move || gossip::handle_offer(&shared, &peer, &offer);
             // Handling an offer may sync a promise to disk, which blocks.
-            tokio::task::spawn_blocking(answer)
+            tokio::task::spawn_blocking(handle)
                 .await
                 .unwrap_or_else(|e| std::panic::resume_unwind(e.into_panic()))
         }))
@@ -52,7 +53,7 @@
         })
 }
 
-fn with<R, Fut>(
+fn with_shared<R, Fut>(
     shared: &Arc<Shared>,
     handler: impl Fn(Arc<Shared>, Peer, R) -> Fut + Send + Sync + 'static,
 ) -> impl Fn(Peer, R) -> Fut + Send + Sync + 'static {
@@ -61,26 +62,26 @@
 }
 
 /// Runs a request to completion even if the caller abandons it.
-async fn completed<T: Send + 'static>(
+async fn run_to_completion<T: Send + 'static>(
     work: impl Future<Output = Result<T, StoreFault>> + Send + 'static,
 ) -> Result<T, StoreFault> {
     tokio::spawn(work).await.unwrap_or(Err(StoreFault::Uncertain))
 }
 
-/// Proposes a command to its group and replies with the result. A command that was proposed is applied
-/// even if the caller abandons the request.
+/// Proposes a command to its group and replies with the result. A command that was proposed is
+/// applied even if the caller abandons the request.
 fn execute(shared: &Arc<Shared>, request: Execute, replier: Replier<<Execute as Request>::Reply>) {
     let Execute { group, command } = request;
-    if let Err(fault) = check_command(group, &command) {
+    if let Err(fault) = validate_command(group, &command) {
         return replier.send(&Err(fault));
     }
-    let (answering, runtime) = (shared.clone(), Handle::current());
+    let (shared_for_error, runtime) = (shared.clone(), Handle::current());
     let reply = Reply::new(move |outcome| match outcome {
         Ok(result) => replier.send(&Ok(result.into())),
-        // Building the error may wait for a lock that is held during a disk sync; the threads of the
-        // groups must not wait for it.
+        // Building the error may wait for a lock that is held during a disk sync; the threads of
+        // the groups must not wait for it.
         Err(error) => drop(runtime.spawn(async move {
-            replier.send(&Err(answering.fault(group, error)));
+            replier.send(&Err(shared_for_error.fault(group, error)));
         })),
     });
     shared.replicator.propose(group, command, reply);
@@ -92,8 +93,8 @@
         read.map(|read| read.answer).map_err(|error| self.fault(request.group, error))
     }
 
-    /// Delivers raft messages to the replicas. Drops messages for another node id, messages that do not
-    /// come from a store, and all messages while this store is not a cluster member.
+    /// Delivers raft messages to the replicas. Drops messages for another node id, messages that do
+    /// not come from a store, and all messages while this store is not a cluster member.
     fn raft_batch(&self, peer: &Peer, batch: RaftBatch) {
         if batch.to == self.node() && peer.role == NodeRole::Store && self.is_member() {
             self.replicator.deliver(peer.node, batch.messages);
@@ -106,7 +107,9 @@
         chunk: SnapshotChunk,
     ) -> Result<hooklug_protocol::store::SnapshotProgress, StoreFault> {
         if chunk.to != self.node() || chunk.from != peer.node || !self.is_member() {
-            let reason = "the snapshot chunk names another sender or receiver, or this store is not in a cluster".to_owned();
+            let reason =
+                "the chunk names another sender or receiver, or this store is in no cluster"
+                    .to_owned();
             return Err(StoreFault::Refused { reason });
         }
         let group = chunk.group;
@@ -127,27 +130,28 @@
     }
 }
 
-/// Checks that a command decodes and that clients may propose it. The log must never contain a command
-/// that no replica can apply, and commands that depend on the leader's clock are reserved to the leader.
-fn check_command(group: GroupId, command: &[u8]) -> Result<(), StoreFault> {
+/// Checks that a command decodes and that clients may propose it. The log must never contain a
+/// command that no replica can apply, and commands that depend on the leader's clock are reserved
+/// to the leader.
+fn validate_command(group: GroupId, command: &[u8]) -> Result<(), StoreFault> {
     let refused = |reason: String| StoreFault::Refused { reason };
-    let is_leaders_own = if group == META_GROUP {
+    let is_leader_only = if group == META_GROUP {
         let command = decode("meta command", command).map_err(|e| refused(e.to_string()))?;
         matches!(command, MetaCommand::ExpireLeadership { .. } | MetaCommand::AdvanceClock { .. })
     } else {
         let command = decode("shard command", command).map_err(|e| refused(e.to_string()))?;
-        is_leaders_own(&command)
+        is_leader_only(&command)
     };
-    if is_leaders_own {
+    if is_leader_only {
         return Err(refused("only the group's leader may propose this command".to_owned()));
     }
     Ok(())
 }
 
-fn is_leaders_own(command: &ShardCommand) -> bool {
+fn is_leader_only(command: &ShardCommand) -> bool {
     match command {
         ShardCommand::ExpireLease { .. } | ShardCommand::AdvanceClock { .. } => true,
-        ShardCommand::Batch(commands) => commands.iter().any(is_leaders_own),
+        ShardCommand::Batch(commands) => commands.iter().any(is_leader_only),
         _ => false,
     }
 }
--- a/crates/store/src/shared.rs
+++ b/crates/store/src/shared.rs
@@ -15,11 +15,11 @@
 
 use crate::data_folder::{DataFolder, Membership};
 use crate::formation::FormationView;
-use crate::observed::Notes;
+use crate::observed::Observations;
 use crate::{StoreClient, StoreError};
 
 /// Timeout of a request from one store to another.
-pub(crate) const PEER_CALL_TIME: Duration = Duration::from_millis(1_000);
+pub(crate) const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// State of one store process, shared by its tasks in an `Arc`.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     pub(crate) folder: DataFolder,
     pub(crate) addresses: AddressBook,
     pub(crate) replicator: Replicator,
-    pub(crate) notes: Notes,
+    pub(crate) observations: Observations,
     pub(crate) formation: Mutex<Formation>,
     /// Newest meta state that this store knows; the default one until the cluster is formed.
     pub(crate) meta: watch::Sender<Arc<MetaState>>,
@@ -73,8 +73,8 @@
         matches!(self.formation().membership, Membership::Member { .. })
     }
 
-    /// Changes the store's cluster membership, on disk first. The caller holds the lock during the disk
-    /// sync, so that no offer is handled based on a membership that is not durable yet.
+    /// Changes the store's cluster membership, on disk first. The caller holds the lock during the
+    /// disk sync, so that no offer is handled based on a membership that is not durable yet.
     pub(crate) fn set_membership(
         &self,
         formation: &mut Formation,
@@ -97,7 +97,7 @@
     }
 
     /// Records whether a store or a process of another role responds at an address.
-    pub(crate) fn note_role(&self, address: SocketAddr, role: NodeRole) {
+    pub(crate) fn record_role(&self, address: SocketAddr, role: NodeRole) {
         let mut formation = self.formation();
         match role {
             NodeRole::Store => formation.other_roles.remove(&address),
@@ -110,8 +110,8 @@
         let mut stores: Vec<SocketAddr> = vec![self.identity.address.rpc];
         let known = self.addresses.all().into_iter().map(|(_, address)| address);
         let formation = self.formation();
-        let heard_of = formation.candidates.iter().copied();
-        for address in known.chain(heard_of) {
+        let candidates = formation.candidates.iter().copied();
+        for address in known.chain(candidates) {
             if !stores.contains(&address) && !formation.other_roles.contains(&address) {
                 stores.push(address);
             }
@@ -182,10 +182,10 @@
 }
 
 /// Creates the view of cluster formation at the start, with no other stores known.
-pub(crate) fn empty_view(settings: &Settings, identity: &LocalIdentity) -> FormationView {
+pub(crate) fn initial_view(settings: &Settings, identity: &LocalIdentity) -> FormationView {
     let expected = usize::try_from(settings.store.expect_stores).unwrap_or(usize::MAX);
     let voters = usize::try_from(settings.store.voters).unwrap_or(usize::MAX);
     FormationView::new(own_record(identity), expected, Instant::now())
         .with_voters(voters)
-        .with_forming(settings.store.may_form)
+        .with_may_form(settings.store.may_form)
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -18,16 +18,17 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::data_folder::{DataFolder, Membership, load_node_id};
-use crate::observed::Notes;
-use crate::shared::{Formation, Shared, empty_view};
+use crate::observed::Observations;
+use crate::shared::{Formation, Shared, initial_view};
 use crate::{
     StoreClient, StoreError, balance, begin, cleanup, clock_task, gossip, meta_watch, service,
 };
 
 /// Interval between checks whether the disk has failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+const FAILURE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Maximum number of closed log segments; a segment's size is the configured log size divided by it.
+/// Maximum number of closed log segments. The size of a segment is the configured log size divided
+/// by this number.
 const LOG_SEGMENTS: usize = 8;
 
 /// One store process.
@@ -43,8 +44,8 @@
 }
 
 impl Store {
-    /// Opens the data folder and restores its contents. The node id of the identity must be that of the
-    /// folder (see [`load_node_id`]). Must be called within a tokio runtime.
+    /// Opens the data folder and restores its contents. The node id of the identity must be that of
+    /// the folder (see [`load_node_id`]). Must be called within a tokio runtime.
     ///
     /// # Errors
     /// [`StoreError`] if the store cannot serve.
@@ -56,7 +57,8 @@
         Self::open_with(settings, identity, client, Arc::new(OsFiles))
     }
 
-    /// Like [`Store::open`], but on a given file system implementation, for tests with failing disks.
+    /// Like [`Store::open`], but on a given file system implementation, for tests with failing
+    /// disks.
     ///
     /// # Errors
     /// [`StoreError`] if the store cannot serve.
@@ -69,24 +71,25 @@
         let path = settings.data_folder.clone().ok_or(StoreError::NoDataFolder)?;
         let node = load_node_id(&path)?;
         if node != identity.address.node {
-            return Err(StoreError::OtherNode { folder: node, identity: identity.address.node });
+            return Err(StoreError::NodeMismatch { folder: node, identity: identity.address.node });
         }
         let folder = DataFolder::open(&path, files)?;
-        let membership = opened_membership(&folder, node)?;
+        let membership = load_membership(&folder, node)?;
         if membership.cluster() != 0 {
             identity.set_cluster(membership.cluster());
         }
-        let (addresses, notes) = (AddressBook::default(), Notes::new());
+        let (addresses, observations) = (AddressBook::default(), Observations::new());
         addresses.note(node, identity.address.incarnation, identity.address.rpc);
         for store in folder.known_stores() {
             addresses.note(store.node, store.incarnation, store.address);
         }
-        let replicator = start_groups(&settings, &folder, &client, &addresses, &notes, node)?;
+        let replicator =
+            start_groups(&settings, &folder, &client, &addresses, &observations, node)?;
         let (stores, watch_stores) = watch::channel(initial_stores(&settings, &identity));
         let access = StoreClient::new(client.clone(), watch_stores);
         let formation = Mutex::new(Formation {
             membership,
-            view: empty_view(&settings, &identity),
+            view: initial_view(&settings, &identity),
             candidates: settings.seeds.clone(),
             other_roles: BTreeSet::new(),
         });
@@ -98,7 +101,7 @@
             folder,
             addresses,
             replicator,
-            notes,
+            observations,
             formation,
             meta,
             stores,
@@ -123,8 +126,8 @@
     /// Serves until stopped, then hands over its leaderships and closes its files.
     ///
     /// # Errors
-    /// [`StoreError::DriverEnded`] or [`StoreError::Failed`]. The process must then exit, since the store
-    /// can no longer serve requests.
+    /// [`StoreError::DriverExited`] or [`StoreError::DiskFailed`]. The process must then exit,
+    /// since the store can no longer serve requests.
     pub async fn run(self, stop: CancellationToken) -> Result<(), StoreError> {
         let shared = self.shared;
         let mut tasks = JoinSet::new();
@@ -136,8 +139,8 @@
         tasks.spawn(cleanup::run(shared.clone()));
         let outcome = tokio::select! {
             () = stop.cancelled() => Ok(()),
-            () = shared.replicator.ended() => Err(StoreError::DriverEnded),
-            reason = failed(&shared) => Err(StoreError::Failed(reason)),
+            () = shared.replicator.ended() => Err(StoreError::DriverExited),
+            reason = wait_for_failure(&shared) => Err(StoreError::DiskFailed(reason)),
         };
         tasks.shutdown().await;
         if outcome.is_ok() && shared.replicator.failure().is_none() {
@@ -156,8 +159,8 @@
         self.shared.access.clone()
     }
 
-    /// Watches the newest meta state that this store knows. It is the default one until the cluster is
-    /// formed.
+    /// Watches the newest meta state that this store knows. It is the default one until the cluster
+    /// is formed.
     #[must_use]
     pub fn watch_meta(&self) -> watch::Receiver<Arc<MetaState>> {
         self.shared.meta.subscribe()
@@ -180,7 +183,8 @@
         self.shared.replicator.status().await
     }
 
-    /// Returns the digest of a replica's state, or `None` if this store has no replica of the group.
+    /// Returns the digest of a replica's state, or `None` if this store has no replica of the
+    /// group.
     pub async fn digest(&self, group: GroupId) -> Option<ReplicaDigest> {
         self.shared.replicator.digest(group).await
     }
@@ -191,8 +195,8 @@
         self.shared.replicator.failure()
     }
 
-    /// Returns whether the store can serve: it is a member, knows the cluster's state, its disk works,
-    /// and all its replicas know a leader.
+    /// Returns whether the store can serve: it is a member, knows the cluster's state, its disk
+    /// works, and all its replicas know a leader.
     pub async fn is_ready(&self) -> bool {
         let knows_cluster = self.shared.meta.borrow().cluster != 0;
         if self.failure().is_some() || !self.shared.is_member() || !knows_cluster {
@@ -208,24 +212,25 @@
     }
 }
 
-/// Waits until the disk has failed, and returns the reason. Never returns unless the settings request that
-/// the process ends then; a platform that restarts it may provide a working disk. Due to the polling
-/// interval, pending replies that report the failure are usually sent before the process ends.
-async fn failed(shared: &Shared) -> String {
+/// Waits until the disk has failed, and returns the reason. Never returns unless the settings
+/// request that the process ends then; a platform that restarts it may provide a working disk. Due
+/// to the polling interval, pending replies that report the failure are usually sent before the
+/// process ends.
+async fn wait_for_failure(shared: &Shared) -> String {
     if !shared.settings.store.end_when_failed {
         return std::future::pending().await;
     }
     loop {
-        tokio::time::sleep(FAILURE_PAUSE).await;
+        tokio::time::sleep(FAILURE_POLL_INTERVAL).await;
         if let Some(reason) = shared.replicator.failure() {
             return reason;
         }
     }
 }
 
-/// Reads the membership from the disk. A coordinator that stopped before its decision drops its plan
-/// here, which is safe since only the coordinator could have decided it.
-fn opened_membership(folder: &DataFolder, node: NodeId) -> Result<Membership, StoreError> {
+/// Reads the membership from the disk. A coordinator that stopped before its decision drops its
+/// plan here, which is safe since only the coordinator could have decided it.
+fn load_membership(folder: &DataFolder, node: NodeId) -> Result<Membership, StoreError> {
     let membership = folder.membership()?;
     let undecided = matches!(&membership, Membership::Promised(plan) if plan.coordinator == node);
     if undecided {
@@ -240,7 +245,7 @@
     folder: &DataFolder,
     client: &RpcClient,
     addresses: &AddressBook,
-    notes: &Notes,
+    observations: &Observations,
     node: NodeId,
 ) -> Result<Replicator, StoreError> {
     let segment_bytes = (settings.store.log_megabytes << 20) / LOG_SEGMENTS as u64;
@@ -252,9 +257,9 @@
         snapshot_commands: settings.store.snapshot_commands,
         ..ReplicationSettings::new(node, folder.groups())
     };
-    let keep = Duration::from_secs(settings.store.keep_seconds);
-    let notes = notes.clone();
-    let machines: MachineFactory = Arc::new(move |group| notes.machine(group, keep));
+    let retention = Duration::from_secs(settings.store.keep_seconds);
+    let observations = observations.clone();
+    let machines: MachineFactory = Arc::new(move |group| observations.machine(group, retention));
     let context = StartContext {
         client: client.clone(),
         addresses: addresses.clone(),
--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -68,8 +68,8 @@
     put_program(&client, "after").await;
 }
 
-/// The process that acknowledged a bundle may fail immediately afterwards, so the stores report the newest
-/// committed bundle to all of their callers.
+/// The process that acknowledged a bundle may fail immediately afterwards, so the stores report the
+/// newest committed bundle to all of their callers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn whoever_calls_a_store_hears_of_a_committed_bundle() {
     let cluster = TestCluster::formed(3, fast_options()).await;
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -14,7 +14,9 @@
 use hooklug_state::encode;
 use hooklug_store::{DATA_FORMAT, StateAccess, Store, StoreError, load_node_id};
 use hooklug_types::{NodeId, shard_of};
-use support::{PATIENCE, TestCluster, fast_options, has_program, put, put_program, soon, until};
+use support::{
+    TEST_TIMEOUT, TestCluster, fast_options, has_program, put, put_program, soon, until,
+};
 
 async fn cluster_on(disks: &[TestDisk]) -> TestCluster {
     let mut cluster = TestCluster::new(disks.len(), fast_options()).await;
@@ -30,17 +32,18 @@
 async fn what_was_acknowledged_survives_a_loss_of_power_of_all_machines() {
     let disks = [TestDisk::default(), TestDisk::default(), TestDisk::default()];
     let mut cluster = cluster_on(&disks).await;
-    let (acknowledged, over) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
+    let (acknowledged, stopped) =
+        (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
     let writers: Vec<_> = (0..16)
         .map(|writer| {
             let client = cluster.client();
-            let (acknowledged, over) = (acknowledged.clone(), over.clone());
+            let (acknowledged, stopped) = (acknowledged.clone(), stopped.clone());
             tokio::spawn(async move {
                 for number in 0.. {
                     let name = format!("program-{writer}-{number}");
                     let command = put(&name);
                     let writing = client.execute_shard(shard_of(&name), &command, soon());
-                    if writing.await.is_ok() && !over.load(Ordering::SeqCst) {
+                    if writing.await.is_ok() && !stopped.load(Ordering::SeqCst) {
                         acknowledged.lock().unwrap().push(name);
                     }
                 }
@@ -51,7 +54,7 @@
     for number in 0..3 {
         cluster.kill(number).await;
     }
-    over.store(true, Ordering::SeqCst);
+    stopped.store(true, Ordering::SeqCst);
     writers.iter().for_each(tokio::task::JoinHandle::abort);
     disks.iter().for_each(TestDisk::lose_power);
     for number in 0..3 {
@@ -102,8 +105,9 @@
         put_program(&cluster.client(), &format!("program-{number}")).await;
     }
     let running = cluster.stores[0].running.as_mut().expect("the store runs");
-    let ended = tokio::time::timeout(PATIENCE, &mut running.store).await.expect("the store ends");
-    assert!(matches!(ended.unwrap(), Err(StoreError::Failed(_))));
+    let ended =
+        tokio::time::timeout(TEST_TIMEOUT, &mut running.store).await.expect("the store ends");
+    assert!(matches!(ended.unwrap(), Err(StoreError::DiskFailed(_))));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -116,8 +120,8 @@
         cluster.start(number).await;
     }
     let running = cluster.stores[0].running.take().expect("the store runs");
-    let ended = tokio::time::timeout(PATIENCE, running.store).await.expect("the store ends");
-    assert!(matches!(ended.unwrap(), Err(StoreError::DriverEnded)));
+    let ended = tokio::time::timeout(TEST_TIMEOUT, running.store).await.expect("the store ends");
+    assert!(matches!(ended.unwrap(), Err(StoreError::DriverExited)));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -156,7 +160,7 @@
     assert!(matches!(in_use, Err(StoreError::FolderInUse { .. })), "{in_use:?}");
     cluster.kill(0).await;
     let other = open_folder(&cluster, 0, NodeId(1));
-    assert!(matches!(other, Err(StoreError::OtherNode { .. })), "{other:?}");
+    assert!(matches!(other, Err(StoreError::NodeMismatch { .. })), "{other:?}");
     let folder = cluster.stores[0].folder.path().to_owned();
     let membership = folder.join("membership");
     let bytes = std::fs::read(&membership).unwrap();
@@ -172,7 +176,7 @@
     let newer = open_folder(&cluster, 0, node);
     let format = DATA_FORMAT + 1;
     assert!(
-        matches!(newer, Err(StoreError::OtherFormat { format: f, .. }) if f == format),
+        matches!(newer, Err(StoreError::FormatMismatch { format: f, .. }) if f == format),
         "{newer:?}"
     );
     std::fs::remove_file(&identity).unwrap();
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Network partitions, failing stores and restarts: no acknowledged write is lost, and no read is stale.
+//! Network partitions, failing stores and restarts: no acknowledged write is lost, and no read is
+//! stale.
 
 mod support;
 
@@ -29,7 +30,8 @@
     cluster.isolate(old, true);
     let others: Vec<usize> = (0..3).filter(|number| *number != old).collect();
     put_program(&cluster.client_of(&others), "program").await;
-    // The old leader may still consider itself the leader; it must not report that the program is missing.
+    // The old leader may still consider itself the leader; it must not report that the program is
+    // missing.
     let cut_off = cluster.client_of(&[old]);
     let query = ShardQuery::Program(program("program"));
     let deadline = Instant::now() + Duration::from_millis(1_500);
@@ -46,9 +48,9 @@
 async fn one_way_cuts_leave_the_group_serving() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let client = cluster.client();
-    for (number, hears) in [(0, true), (1, false), (2, true)] {
+    for (number, is_outbound) in [(0, true), (1, false), (2, true)] {
         for other in (0..3).filter(|other| *other != number) {
-            let (from, to) = if hears { (number, other) } else { (other, number) };
+            let (from, to) = if is_outbound { (number, other) } else { (other, number) };
             cluster.cut(from, to, true);
         }
         for name in 0..6 {
@@ -147,8 +149,8 @@
     let group = GroupId(1);
     let leader = cluster.stores[cluster.until_leader(group).await].address;
     let clock = ShardCommand::AdvanceClock { now: UnixMillis(u64::MAX) };
-    let hidden = ShardCommand::Batch(vec![clock.clone()]);
-    for command in [vec![0xff; 9], encode(&clock), encode(&hidden)] {
+    let nested = ShardCommand::Batch(vec![clock.clone()]);
+    for command in [vec![0xff; 9], encode(&clock), encode(&nested)] {
         let answer =
             rpc.call(leader, &Execute { group, command: command.into() }, soon()).await.unwrap();
         assert!(matches!(answer, Err(StoreFault::Refused { .. })), "{answer:?}");
@@ -201,8 +203,8 @@
     entries.map(size).sum()
 }
 
-/// After a loss of power of all machines, no replica has applied anything yet, and the seed processes may be
-/// the last ones to return.
+/// After a loss of power of all machines, no replica has applied anything yet, and the seed
+/// processes may be the last ones to return.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn stores_that_start_again_together_find_each_other_without_any_seed() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
@@ -219,7 +221,7 @@
 }
 
 /// Returns a client of the process with this address, role and incarnation.
-fn core_client(cluster: &TestCluster, rpc: SocketAddr, run: u64, role: NodeRole) -> StoreClient {
+fn client_at(cluster: &TestCluster, rpc: SocketAddr, run: u64, role: NodeRole) -> StoreClient {
     let address = NodeAddress {
         node: NodeId(run),
         incarnation: Incarnation(run),
@@ -232,14 +234,14 @@
     StoreClient::new(client, tokio::sync::watch::channel(stores).1)
 }
 
-/// Guards against a delay of seconds without a core leader, and so without repairs, after all processes
-/// were killed: the leader's machine had restarted, but all cores waited for the lease of its former run to
-/// expire.
+/// Guards against a delay of seconds without a core leader, and so without repairs, after all
+/// processes were killed: the leader's machine had restarted, but all cores waited for the lease of
+/// its former run to expire.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_core_that_starts_again_at_its_address_ends_its_former_runs_lease_at_once() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let (rpc, elsewhere) = (free_address().await, free_address().await);
-    let former = core_client(&cluster, rpc, 5, NodeRole::Core);
+    let former = client_at(&cluster, rpc, 5, NodeRole::Core);
     let acquire = MetaCommand::AcquireLeadership {
         core: NodeId(5),
         incarnation: Incarnation(5),
@@ -249,21 +251,21 @@
     let reply = former.execute_meta(&acquire, soon()).await.unwrap();
     let MetaReply::Leader(leader) = reply else { panic!("{reply:?}") };
     let epoch = leader.epoch;
-    let ask = async |client: &StoreClient, address| {
+    let expire = async |client: &StoreClient, address| {
         let subject = LeaseSubject::FormerRun { epoch, address };
         client.expire_lease(META_GROUP, subject, soon()).await.unwrap()
     };
     let others = [
         (former.clone(), rpc),
-        (core_client(&cluster, rpc, 4, NodeRole::Core), rpc),
-        (core_client(&cluster, elsewhere, 6, NodeRole::Core), elsewhere),
-        (core_client(&cluster, elsewhere, 6, NodeRole::Core), rpc),
-        (core_client(&cluster, rpc, 6, NodeRole::Store), rpc),
+        (client_at(&cluster, rpc, 4, NodeRole::Core), rpc),
+        (client_at(&cluster, elsewhere, 6, NodeRole::Core), elsewhere),
+        (client_at(&cluster, elsewhere, 6, NodeRole::Core), rpc),
+        (client_at(&cluster, rpc, 6, NodeRole::Store), rpc),
     ];
     for (other, address) in others {
-        let verdict = ask(&other, address).await;
+        let verdict = expire(&other, address).await;
         assert!(matches!(verdict, LeaseVerdict::Held { .. }), "{verdict:?}");
     }
-    let next = core_client(&cluster, rpc, 6, NodeRole::Core);
-    assert_eq!(ask(&next, rpc).await, LeaseVerdict::Expired);
+    let next = client_at(&cluster, rpc, 6, NodeRole::Core);
+    assert_eq!(expire(&next, rpc).await, LeaseVerdict::Expired);
 }
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -1,5 +1,5 @@
-//! The in-memory state fulfils the contract of `StateAccess`: lease times, dropped replies and unavailable
-//! groups.
+//! The in-memory state fulfils the contract of `StateAccess`: lease times, dropped replies and
+//! unavailable groups.
 
 use std::time::Duration;
 
@@ -96,10 +96,10 @@
 async fn an_unavailable_group_is_waited_for_until_the_deadline() {
     let state = state();
     state.set_available(SHARD, false);
-    let asked = Instant::now();
+    let started = Instant::now();
     let command = ShardCommand::RenewLease { holder: holder(1) };
     assert!(state.execute_shard(SHARD, &command, soon()).await.is_err());
-    assert_eq!(asked.elapsed(), Duration::from_secs(1));
+    assert_eq!(started.elapsed(), Duration::from_secs(1));
     let waiting = tokio::spawn({
         let state = state.clone();
         async move { renew(&state).await }
--- a/crates/store/tests/placement.rs
+++ b/crates/store/tests/placement.rs
@@ -298,8 +298,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After any sequence of lost, returning, retiring and added stores, planning ends and every group
-    /// has three living voters in three zones.
+    /// After any sequence of lost, returning, retiring and added stores, planning ends and every
+    /// group has three living voters in three zones.
     #[test]
     fn plans_end_with_every_group_whole(events in prop::collection::vec((0..4_u8, any::<u8>()), 1..8)) {
         let mut model = Model::new(&[1, 2, 3, 4, 5]);
@@ -332,8 +332,8 @@
     }
 }
 
-/// In a cluster that tolerates two losses, a group has five voters, and a learner only while a lost voter
-/// has to be replaced.
+/// In a cluster that tolerates two losses, a group has five voters, and a learner only while a lost
+/// voter has to be replaced.
 #[test]
 fn a_group_of_five_gets_a_learner_only_when_a_voter_is_lost() {
     let zones = [1, 2, 3, 4, 5, 1, 2, 3];
--- a/crates/store/tests/repair.rs
+++ b/crates/store/tests/repair.rs
@@ -1,5 +1,5 @@
-//! Stores that are lost, replaced, added or retired, with a test double for the core leader that repairs
-//! the cluster.
+//! Stores that are lost, replaced, added or retired, with a test double for the core leader that
+//! repairs the cluster.
 
 #[path = "support/repair.rs"]
 mod repairer;
@@ -147,15 +147,16 @@
 
 /// Pause between two steps of the test below.
 const STEP: Duration = Duration::from_millis(100);
-/// Number of steps for which a member is removed from its group. Longer than an election, so that the
-/// store queries the others whether it was removed; shorter than both the timeout of such a query and
-/// the interval between two of them.
+/// Number of steps for which a member is removed from its group. Longer than an election, so that
+/// the store queries the others whether it was removed; shorter than both the timeout of such a
+/// query and the interval between two of them.
 const STEPS_AWAY: u32 = 9;
 const STEPS: u32 = 80;
 
-/// Guards against a store that deletes the replica of a group of which it is a member. The store queried
-/// the others whether it had been removed, was added again while it waited for an unresponsive store, and
-/// then acted on the outdated replies, although the leader counted on the entries that it had held.
+/// Guards against a store that deletes the replica of a group of which it is a member. The store
+/// queried the others whether it had been removed, was added again while it waited for an
+/// unresponsive store, and then acted on the outdated replies, although the leader counted on the
+/// entries that it had held.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_store_that_is_added_again_while_it_asks_keeps_what_it_holds() {
     let mut cluster = TestCluster::formed(4, fast_options()).await;
@@ -197,7 +198,8 @@
 }
 
 /// A joining store whose only seed is a process of another role. Its client must know the cluster's
-/// stores by the time it has joined; otherwise it would query itself and be registered seconds later.
+/// stores by the time it has joined; otherwise it would query itself and be registered seconds
+/// later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_store_that_joins_asks_the_stores_at_once_and_nobody_else() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
@@ -220,9 +222,9 @@
     while handle.cluster() == 0 {
         tokio::task::yield_now().await;
     }
-    let asked = handle.watch_stores().borrow().clone();
-    assert!(stores.iter().all(|store| asked.contains(store)), "{asked:?}");
-    assert!(!asked.contains(&core), "{asked:?}");
+    let known_stores = handle.watch_stores().borrow().clone();
+    assert!(stores.iter().all(|store| known_stores.contains(store)), "{known_stores:?}");
+    assert!(!known_stores.contains(&core), "{known_stores:?}");
     until("the store is registered", async || {
         let meta = handle.watch_meta().borrow().clone();
         meta.stores.len() == 4
--- a/crates/store/tests/support/disk.rs
+++ b/crates/store/tests/support/disk.rs
@@ -14,7 +14,7 @@
     /// Synced length of each file, in bytes.
     synced: Mutex<BTreeMap<PathBuf, u64>>,
     fails: AtomicBool,
-    panics_in: Mutex<Option<&'static str>>,
+    panicking_thread: Mutex<Option<&'static str>>,
 }
 
 /// File system of one machine. Clones share the disk.
@@ -41,7 +41,7 @@
 
     /// Makes the thread with this name panic when it creates its next file.
     pub fn panic_in(&self, thread: &'static str) {
-        *self.disk.panics_in.lock().unwrap() = Some(thread);
+        *self.disk.panicking_thread.lock().unwrap() = Some(thread);
     }
 
     fn open(&self, inner: Box<dyn LogFile>, path: &Path, length: u64) -> Box<dyn LogFile> {
@@ -89,9 +89,10 @@
     }
 
     fn create(&self, path: &Path) -> io::Result<Box<dyn LogFile>> {
-        let panics_in = *self.disk.panics_in.lock().unwrap();
-        let is_here = panics_in.is_some() && std::thread::current().name() == panics_in;
-        assert!(!is_here, "injected panic");
+        let panicking_thread = *self.disk.panicking_thread.lock().unwrap();
+        let must_panic =
+            panicking_thread.is_some() && std::thread::current().name() == panicking_thread;
+        assert!(!must_panic, "injected panic");
         Ok(self.open(OsFiles.create(path)?, path, 0))
     }
 
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -25,8 +25,9 @@
 
 pub const SECRET: &str = "a secret of the tests";
 
-/// How long a test waits for a condition before it fails; far longer than any condition should need.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// How long a test waits for a condition before it fails; far longer than any condition should
+/// need.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct Running {
     pub handle: StoreHandle,
@@ -50,8 +51,8 @@
     pub options: StoreSettings,
 }
 
-/// Returns an address that no other store of any test uses, since links are blocked by IP address and the
-/// port must remain free while the store is down.
+/// Returns an address that no other store of any test uses, since links are blocked by IP address
+/// and the port must remain free while the store is down.
 pub async fn free_address() -> SocketAddr {
     static TAKEN: AtomicU32 = AtomicU32::new(0);
     let number = TAKEN.fetch_add(1, Ordering::Relaxed);
@@ -233,8 +234,8 @@
         self.leader(group).await.expect("just seen")
     }
 
-    /// Waits until all replicas of a group have applied the same entries, and checks that their digests are
-    /// equal.
+    /// Waits until all replicas of a group have applied the same entries, and checks that their
+    /// digests are equal.
     pub async fn assert_equal_digests(&self, group: GroupId) {
         until("all replicas have the same state", async || {
             let mut digests = Vec::new();
@@ -242,11 +243,11 @@
                 digests.extend(running.handle.digest(group).await);
             }
             let newest = digests.iter().map(|d| d.applied).max();
-            let level = digests.iter().all(|d| Some(d.applied) == newest);
-            if level {
+            let all_applied = digests.iter().all(|d| Some(d.applied) == newest);
+            if all_applied {
                 assert!(digests.iter().all(|d| d.digest == digests[0].digest), "{digests:?}");
             }
-            level && digests.len() > 1
+            all_applied && digests.len() > 1
         })
         .await;
     }
@@ -254,7 +255,7 @@
 
 /// Binds an address, with retries, since a former run may only just be releasing it.
 async fn bind(address: SocketAddr) -> tokio::net::TcpListener {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         match RpcServer::bind(address).await {
             Ok(listener) => return listener,
@@ -290,15 +291,16 @@
 
 /// Waits until a condition holds.
 pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
+/// Returns a deadline for requests that should succeed.
 pub fn soon() -> Instant {
-    Instant::now() + PATIENCE
+    Instant::now() + TEST_TIMEOUT
 }
 
 pub fn program(name: &str) -> ProgramId {
--- a/crates/store/tests/support/repair.rs
+++ b/crates/store/tests/support/repair.rs
@@ -58,14 +58,14 @@
         .await;
     }
 
-    /// Plans and carries out changes until none remains and all members of all groups have caught up.
-    /// Stores that are not running count as lost.
+    /// Plans and carries out changes until none remains and all members of all groups have caught
+    /// up. Stores that are not running count as lost.
     pub async fn settle(&self, cluster: &TestCluster) {
-        until("the cluster is repaired", async || self.round(cluster).await).await;
+        until("the cluster is repaired", async || self.run_round(cluster).await).await;
     }
 
     /// Runs one round; returns whether there was nothing to do.
-    async fn round(&self, cluster: &TestCluster) -> bool {
+    async fn run_round(&self, cluster: &TestCluster) -> bool {
         let meta = self.meta().await;
         let mut reports = Vec::new();
         for store in cluster.stores.iter().filter(|store| store.running.is_some()) {
@@ -78,13 +78,14 @@
         let alive: BTreeSet<NodeId> = reports.iter().map(|report| report.node).collect();
         let changes = plan(&meta, &reports, &alive);
         for change in &changes {
-            self.make(&meta, change).await;
+            self.carry_out(&meta, change).await;
         }
-        changes.is_empty() && meta.placements.keys().all(|group| is_level(*group, &reports))
+        changes.is_empty() && meta.placements.keys().all(|group| has_caught_up(*group, &reports))
     }
 
-    /// Carries out a change. A membership change that fails is ignored, since the next round plans it again.
-    async fn make(&self, meta: &MetaState, change: &PlannedChange) {
+    /// Carries out a change. A membership change that fails is ignored, since the next round plans
+    /// it again.
+    async fn carry_out(&self, meta: &MetaState, change: &PlannedChange) {
         let epoch = self.epoch;
         let command = match change.clone() {
             PlannedChange::SetPlacement { group, expected, placement } => {
@@ -105,7 +106,7 @@
 }
 
 /// Returns whether a group has a leader and all its members have all committed entries.
-fn is_level(group: GroupId, reports: &[StoreReport]) -> bool {
+fn has_caught_up(group: GroupId, reports: &[StoreReport]) -> bool {
     let replicas = reports.iter().flat_map(|report| &report.replicas);
     let mut leaders = replicas.filter(|r| r.group == group && r.role == Role::Leader);
     leaders.next().is_some_and(|leader| {
