--- a/crates/store/src/shared.rs
+++ b/crates/store/src/shared.rs
@@ -15,7 +15,7 @@
 
 use crate::data_folder::{DataFolder, Membership};
 use crate::formation::FormationView;
-use crate::observed::Observations;
+use crate::observations::Observations;
 use crate::{StoreClient, StoreError};
 
 /// Timeout of a request from one store to another.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -18,7 +18,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::data_folder::{DataFolder, Membership, load_node_id};
-use crate::observed::Observations;
+use crate::observations::Observations;
 use crate::shared::{Formation, Shared, initial_view};
 use crate::{
     StoreClient, StoreError, balance, begin, cleanup, clock_task, gossip, meta_watch, service,
