--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -71,7 +71,7 @@
 /// The process that acknowledged a bundle may fail immediately afterwards, so the stores report the
 /// newest committed bundle to all of their callers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn whoever_calls_a_store_hears_of_a_committed_bundle() {
+async fn a_store_reports_a_committed_bundle_to_its_callers() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let bundle = Bundle { version: BundleVersion(7), ..Bundle::default() };
     let submit = MetaCommand::SubmitBundle(SubmitBundle {
--- a/crates/store/tests/decisions.rs
+++ b/crates/store/tests/decisions.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_replica_goes_only_at_the_word_of_a_leader_that_knows_more() {
+fn a_replica_is_removed_only_if_a_leader_that_knows_more_reports_it() {
     let own = NodeId(4);
     let mut left = replica(1, 1, 4);
     left.leader = None;
