--- a/crates/store/src/observations.rs
+++ b/crates/store/src/observations.rs
@@ -84,7 +84,7 @@
                 }
             }
             ShardReply::Batch(replies) => {
-                replies.iter().for_each(|reply| self.record_engine_renewals(reply))
+                replies.iter().for_each(|reply| self.record_engine_renewals(reply));
             }
             _ => {}
         }
