--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -108,7 +108,7 @@
     ) -> Result<hooklug_protocol::store::SnapshotProgress, StoreFault> {
         if chunk.to != self.node() || chunk.from != peer.node || !self.is_member() {
             let reason =
-                "the chunk names another sender or receiver, or this store is in no cluster"
+                "the snapshot chunk names another node, or this store is not a cluster member"
                     .to_owned();
             return Err(StoreFault::Refused { reason });
         }
