--- a/crates/store/src/data_folder.rs
+++ b/crates/store/src/data_folder.rs
@@ -1,7 +1,7 @@
-//! A store's data folder: the node id, what the store is to the cluster, and a lock.
+//! A store's data folder: the node id, the cluster membership, the known stores, and a lock.
 //!
-//! The node id lives and dies with the folder: an empty disk is a new node and never answers for the
-//! old one.
+//! The node id is bound to the folder: a store that starts on an empty disk is a new node and never
+//! acts as the old one.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -23,36 +23,40 @@
 const GROUPS_FOLDER: &str = "groups";
 const CHECKSUM_BYTES: usize = 4;
 
-/// Layout of log entries and snapshots in a data folder; moves on whenever an older build would misread them.
-/// 2: entries hold joined commands, sessions' events lie in chunks. 3: shards hold chained programs, meta roll-outs.
+/// Version of the layout of log entries and snapshots in a data folder, incremented whenever an
+/// older build would misread them. Version 2: one entry may hold several commands, and events of
+/// sessions are stored in chunks. Version 3: shards store chained programs, and the meta group
+/// stores rollouts.
 pub const DATA_FORMAT: u32 = 4;
 
-/// Whose a folder is, and how it is to be read. The format comes first in every build to come.
+/// Node id and data format of a folder. The format must remain the first field, so that every build
+/// can read it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Identity {
     format: u32,
     node: NodeId,
 }
 
-/// What a store is to a cluster.
+/// Relation of a store to a cluster.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Membership {
-    /// Never a member of any.
+    /// The store has never been a member of a cluster.
     #[default]
     Empty,
-    /// Has promised to take part in a plan; takes part in no other until its coordinator drops it.
+    /// The store has promised to take part in a formation plan. It takes part in no other plan
+    /// until the coordinator drops this one.
     Promised(FormationPlan),
-    /// A member, for ever.
+    /// The store is a member of a cluster, permanently.
     Member {
-        /// The cluster.
+        /// Id of the cluster.
         cluster: u64,
-        /// The plan it began with, until all that it asks of this store is done.
+        /// Formation plan of the cluster, until this store has carried out its part of it.
         plan: Option<FormationPlan>,
     },
 }
 
 impl Membership {
-    /// The cluster's id; 0 while the store is a member of none.
+    /// Returns the id of the cluster, or 0 while the store is not a member of one.
     #[must_use]
     pub fn cluster(&self) -> u64 {
         match self {
@@ -62,24 +66,25 @@
     }
 }
 
-/// The node id of a data folder. Drawn at random and synced when the folder is empty.
+/// Returns the node id of a data folder. For an empty folder, generates a random id and syncs it to
+/// disk.
 ///
 /// # Errors
-/// When the folder cannot be used, holds a log without a node id, or is of another [`DATA_FORMAT`]. Nothing in
-/// it is changed then.
+/// Fails, without changing the folder, if it cannot be used, contains a log without a node id, or
+/// has another [`DATA_FORMAT`].
 pub fn load_node_id(data_folder: &Path) -> Result<NodeId, StoreError> {
     let files = OsFiles;
-    make_folder(&files, data_folder)?;
+    create_folder(&files, data_folder)?;
     let path = data_folder.join(IDENTITY_FILE);
     if let Some(Identity { format, node }) = load(&files, &path)? {
         if format != DATA_FORMAT {
-            return Err(StoreError::OtherFormat { folder: data_folder.to_owned(), format });
+            return Err(StoreError::FormatMismatch { folder: data_folder.to_owned(), format });
         }
         return Ok(node);
     }
     if data_folder.join(GROUPS_FOLDER).exists() {
         let reason =
-            "it is missing, though the folder holds a log; builds before data format 2 wrote none";
+            "missing, but the folder contains a log; builds before data format 2 did not write it";
         return Err(StoreError::Damaged { path, reason: reason.to_owned() });
     }
     let node = NodeId(rand::rng().random_range(1..=u64::MAX));
@@ -98,7 +103,7 @@
 impl DataFolder {
     /// Opens and locks a folder.
     pub(crate) fn open(folder: &Path, files: Arc<dyn Files>) -> Result<Self, StoreError> {
-        make_folder(files.as_ref(), folder)?;
+        create_folder(files.as_ref(), folder)?;
         let path = folder.join(LOCK_FILE);
         let lock =
             File::create(&path).map_err(|e| StoreError::Damaged { path, reason: e.to_string() })?;
@@ -108,14 +113,14 @@
         Ok(Self { folder: folder.to_owned(), files, lock })
     }
 
-    /// Where the groups' log and snapshots live.
+    /// Returns the folder of the groups' log and snapshots.
     pub(crate) fn groups(&self) -> PathBuf {
         self.folder.join(GROUPS_FOLDER)
     }
 
-    /// Lets the folder go, for the next process.
+    /// Releases the lock, so that another process can open the folder.
     pub(crate) fn unlock(&self) {
-        // The lock ends with the process at the latest.
+        // On an error, the operating system releases the lock when the process exits.
         let _ = self.lock.unlock();
     }
 
@@ -123,41 +128,42 @@
         self.files.clone()
     }
 
-    /// The cluster's stores as last known here; none when that cannot be read, since they can be learnt again.
+    /// Reads the last saved list of the cluster's stores. Returns an empty list if it cannot be
+    /// read, since the stores can be discovered again.
     pub(crate) fn known_stores(&self) -> Vec<StoreRecord> {
         let path = self.folder.join(STORES_FILE);
         load(self.files.as_ref(), &path).ok().flatten().unwrap_or_default()
     }
 
-    /// Notes the cluster's stores, so that after a loss of all power they find each other before any group has a
-    /// leader to tell them.
-    pub(crate) fn note_stores(&self, stores: &[StoreRecord]) -> Result<(), StoreError> {
+    /// Saves the list of the cluster's stores, so that after a loss of power of all machines they
+    /// can find each other before any group has a leader.
+    pub(crate) fn save_stores(&self, stores: &[StoreRecord]) -> Result<(), StoreError> {
         save(self.files.as_ref(), &self.folder.join(STORES_FILE), &stores)
     }
 
-    /// What the store is to the cluster.
+    /// Reads the cluster membership.
     pub(crate) fn membership(&self) -> Result<Membership, StoreError> {
         let path = self.folder.join(MEMBERSHIP_FILE);
         Ok(load(self.files.as_ref(), &path)?.unwrap_or_default())
     }
 
-    /// Replaces it; durable when this returns.
+    /// Replaces the cluster membership; the new one is durable when this returns.
     pub(crate) fn set_membership(&self, membership: &Membership) -> Result<(), StoreError> {
         save(self.files.as_ref(), &self.folder.join(MEMBERSHIP_FILE), membership)
     }
 }
 
-fn make_folder(files: &dyn Files, folder: &Path) -> Result<(), StoreError> {
-    let refused =
+fn create_folder(files: &dyn Files, folder: &Path) -> Result<(), StoreError> {
+    let to_error =
         |e: std::io::Error| StoreError::Damaged { path: folder.to_owned(), reason: e.to_string() };
-    files.create_folder(folder).map_err(refused)
+    files.create_folder(folder).map_err(to_error)
 }
 
 fn save<T: Serialize>(files: &dyn Files, path: &Path, value: &T) -> Result<(), StoreError> {
     let mut bytes = vec![0_u8; CHECKSUM_BYTES];
     bytes.extend(hooklug_state::encode(value));
-    let sum = crc32fast::hash(&bytes[CHECKSUM_BYTES..]);
-    bytes[..CHECKSUM_BYTES].copy_from_slice(&sum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[CHECKSUM_BYTES..]);
+    bytes[..CHECKSUM_BYTES].copy_from_slice(&checksum.to_le_bytes());
     Ok(replace_file(files, path, &bytes)?)
 }
 
@@ -172,11 +178,11 @@
         }
     };
     let damaged = |reason: String| StoreError::Damaged { path: path.to_owned(), reason };
-    let (sum, body) = bytes
+    let (checksum, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
-        .ok_or_else(|| damaged("the file is cut short".to_owned()))?;
-    if crc32fast::hash(body).to_le_bytes() != sum {
-        return Err(damaged("the checksum differs".to_owned()));
+        .ok_or_else(|| damaged("the file is truncated".to_owned()))?;
+    if crc32fast::hash(body).to_le_bytes() != checksum {
+        return Err(damaged("checksum mismatch".to_owned()));
     }
     hooklug_state::decode("file", body).map(Some).map_err(|e| damaged(e.to_string()))
 }
--- a/crates/store/src/formation.rs
+++ b/crates/store/src/formation.rs
@@ -1,10 +1,12 @@
-//! First start: empty stores that see each other form one cluster. Pure: what was heard comes in.
+//! Cluster formation: empty stores that discover each other form one cluster by a two-phase commit.
+//! Free of I/O: callers pass in the replies of other stores.
 //!
-//! The empty store with the lowest node id coordinates. It syncs a plan, asks every store of the plan
-//! to sync it too, and only when all have promised is the plan decided, by the coordinator's own synced
-//! membership. A store that has promised takes part in no other plan until the coordinator says that
-//! the plan is dropped, and a coordinator that restarts undecided drops it. Two plans are never both
-//! decided among stores that promised to one of them (ours; a two-phase commit).
+//! The empty store with the lowest node id coordinates. It syncs a plan to disk and requests that
+//! every store of the plan syncs it too. Once all have promised, the coordinator decides the plan
+//! by syncing its own membership. A store that has promised accepts no other plan until the
+//! coordinator reports that the plan is dropped; a coordinator that restarts before its decision
+//! drops the plan. Two plans can therefore never both be decided among stores that promised to one
+//! of them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,32 +18,32 @@
 use crate::data_folder::Membership;
 use crate::placement::{VOTERS, initial};
 
-/// How long an answer counts.
-const SEEN_TIME: Duration = Duration::from_secs(1);
-/// How long the set of empty stores must have stood still before one proposes (ours), so that all that
-/// start together are in the plan and only one proposes.
-const SETTLE_TIME: Duration = Duration::from_millis(600);
+/// How long the reply of an empty store remains valid.
+const REPLY_VALIDITY: Duration = Duration::from_secs(1);
+/// How long the set of empty stores must be unchanged before a plan is proposed, so that all stores
+/// that start together are in the plan and only one of them proposes.
+const SETTLE_DURATION: Duration = Duration::from_millis(600);
 
-/// An empty store that answered.
+/// An empty store and the time of its last reply.
 #[derive(Debug, Clone)]
-struct Seen {
+struct EmptyStore {
     record: StoreRecord,
-    at: Instant,
+    replied_at: Instant,
 }
 
-/// What an empty store has heard of others.
+/// An empty store's knowledge of the other empty stores.
 #[derive(Debug, Clone)]
 pub struct FormationView {
     own: StoreRecord,
     expect_stores: usize,
     voters: usize,
     may_form: bool,
-    empty: BTreeMap<NodeId, Seen>,
-    changed: Instant,
+    empty_stores: BTreeMap<NodeId, EmptyStore>,
+    changed_at: Instant,
 }
 
 impl FormationView {
-    /// Nothing heard yet.
+    /// Creates a view that contains no other stores.
     #[must_use]
     pub fn new(own: StoreRecord, expect_stores: usize, now: Instant) -> Self {
         Self {
@@ -49,25 +51,25 @@
             expect_stores,
             voters: VOTERS,
             may_form: true,
-            empty: BTreeMap::new(),
-            changed: now,
+            empty_stores: BTreeMap::new(),
+            changed_at: now,
         }
     }
 
-    /// The same with this many voters in each group.
+    /// Sets the number of voters in each group.
     #[must_use]
     pub fn with_voters(self, voters: usize) -> Self {
         Self { voters, ..self }
     }
 
-    /// The same, forming no cluster if not allowed: such a store only joins one.
+    /// Sets whether the store may form a cluster; if not, it only joins an existing one.
     #[must_use]
-    pub fn with_forming(self, may_form: bool) -> Self {
+    pub fn with_may_form(self, may_form: bool) -> Self {
         Self { may_form, ..self }
     }
 
-    /// Notes an answer of another store that is a member of no cluster.
-    pub fn note(&mut self, reply: &FormationReply, incarnation: Incarnation, now: Instant) {
+    /// Records a reply of another store that is not a member of any cluster.
+    pub fn record_reply(&mut self, reply: &FormationReply, incarnation: Incarnation, now: Instant) {
         let record = StoreRecord {
             node: reply.node,
             incarnation,
@@ -75,38 +77,40 @@
             zone: reply.zone.clone(),
             state: StoreState::Active,
         };
-        let known = self.empty.insert(reply.node, Seen { record, at: now });
+        let known = self.empty_stores.insert(reply.node, EmptyStore { record, replied_at: now });
         if known.is_none() {
-            self.changed = now;
+            self.changed_at = now;
         }
     }
 
-    /// Forgets who has not answered lately.
-    pub fn forget_silent(&mut self, now: Instant) {
-        let before = self.empty.len();
-        self.empty.retain(|_, seen| now.saturating_duration_since(seen.at) < SEEN_TIME);
-        if self.empty.len() != before {
-            self.changed = now;
+    /// Removes stores that have not replied recently.
+    pub fn remove_unresponsive(&mut self, now: Instant) {
+        let before = self.empty_stores.len();
+        self.empty_stores
+            .retain(|_, store| now.saturating_duration_since(store.replied_at) < REPLY_VALIDITY);
+        if self.empty_stores.len() != before {
+            self.changed_at = now;
         }
     }
 
-    /// The plan to propose, if it is this store's turn: enough empty stores, none with a lower id, and
-    /// nothing has changed for a while.
+    /// Returns the plan to propose if this store should coordinate: there are enough empty stores,
+    /// none has a lower id, and the set of empty stores has been unchanged for a while.
     #[must_use]
     pub fn plan(&self, cluster: u64, now: Instant) -> Option<FormationPlan> {
-        let enough = self.empty.len() + 1 >= self.expect_stores;
-        let settled = now.saturating_duration_since(self.changed) >= SETTLE_TIME;
+        let enough = self.empty_stores.len() + 1 >= self.expect_stores;
+        let settled = now.saturating_duration_since(self.changed_at) >= SETTLE_DURATION;
         if !self.may_form || !enough || !settled || !self.is_lowest(self.own.node) {
             return None;
         }
-        let others = self.empty.values().map(|seen| seen.record.clone());
+        let others = self.empty_stores.values().map(|store| store.record.clone());
         let mut stores: Vec<StoreRecord> = others.chain([self.own.clone()]).collect();
         stores.sort_by_key(|store| store.node);
         let placements = initial::placements(&stores, self.voters);
         Some(FormationPlan { cluster, coordinator: self.own.node, stores, placements })
     }
 
-    /// Whether a store that is in no cluster may promise to take part in a plan.
+    /// Returns whether this store, while it is not in a cluster, may promise to take part in a
+    /// plan.
     #[must_use]
     pub fn may_promise(&self, plan: &FormationPlan) -> bool {
         let takes_part = plan.stores.iter().any(|store| store.node == self.own.node);
@@ -115,71 +119,74 @@
     }
 
     fn is_lowest(&self, node: NodeId) -> bool {
-        let lowest = self.empty.keys().next().copied();
+        let lowest = self.empty_stores.keys().next().copied();
         lowest.is_none_or(|lowest| lowest >= node) && self.own.node >= node
     }
 }
 
-/// What a store does about an offer, given what it is.
+/// How a store responds to a formation offer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OfferVerdict {
-    /// Answer so, nothing changes.
-    Answer {
-        /// Whether the plan is promised, or stands.
+pub enum OfferDecision {
+    /// Reply without a change of membership.
+    Reply {
+        /// Whether the offered cluster is the one that this store has promised to or is a member
+        /// of.
         accepted: bool,
     },
-    /// Sync the promise, then accept.
+    /// Sync the promise to disk, then accept.
     Promise(FormationPlan),
 }
 
-/// Judges an offer.
+/// Decides how to respond to a formation offer.
 #[must_use]
-pub fn judge_offer(
+pub fn decide_offer(
     offer: &FormationOffer,
     membership: &Membership,
     view: &FormationView,
-) -> OfferVerdict {
-    let asked = offer.plan.as_ref().map(|plan| plan.cluster).or(offer.propose);
+) -> OfferDecision {
+    let offered_cluster = offer.plan.as_ref().map(|plan| plan.cluster).or(offer.propose);
     match (membership, &offer.plan) {
         (Membership::Empty, Some(plan)) if view.may_promise(plan) => {
-            OfferVerdict::Promise(plan.clone())
+            OfferDecision::Promise(plan.clone())
         }
-        (Membership::Empty, _) => OfferVerdict::Answer { accepted: false },
+        (Membership::Empty, _) => OfferDecision::Reply { accepted: false },
         (Membership::Promised(plan), _) => {
-            OfferVerdict::Answer { accepted: asked == Some(plan.cluster) }
+            OfferDecision::Reply { accepted: offered_cluster == Some(plan.cluster) }
         }
         (Membership::Member { cluster, .. }, _) => {
-            OfferVerdict::Answer { accepted: asked == Some(*cluster) }
+            OfferDecision::Reply { accepted: offered_cluster == Some(*cluster) }
         }
     }
 }
 
-/// What a store that promised does about its coordinator's answer.
+/// State of a promised plan according to another store's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PromiseFate {
-    /// Not decided yet.
-    Stands,
-    /// Decided: act on it.
+pub enum PromiseState {
+    /// No decision is known yet; the promise remains valid.
+    Pending,
+    /// The plan is decided and must be carried out.
     Decided,
-    /// Dropped: the store is free again.
+    /// The plan was dropped; the store may promise to another one.
     Dropped,
 }
 
-/// Judges a promise by an answer; `asked` is the promised cluster that the question named. Only the
-/// coordinator's own word about this very plan drops it: an answer to a question that was asked before
-/// the promise was made says nothing of it.
+/// Determines the state of a promise from another store's reply. `requested_cluster` is the
+/// promised cluster that the request named. Only a reply of the coordinator to a request that named
+/// this plan drops it; the reply to a request that was sent before the promise does not refer to
+/// the plan.
 #[must_use]
-pub fn judge_promise(
+pub fn promise_state(
     plan: &FormationPlan,
-    asked: Option<u64>,
+    requested_cluster: Option<u64>,
     reply: &FormationReply,
-) -> PromiseFate {
+) -> PromiseState {
     if reply.cluster == plan.cluster {
-        return PromiseFate::Decided;
+        return PromiseState::Decided;
     }
-    let is_word = reply.node == plan.coordinator && asked == Some(plan.cluster);
-    if is_word && !reply.accepted {
-        return PromiseFate::Dropped;
+    let is_authoritative =
+        reply.node == plan.coordinator && requested_cluster == Some(plan.cluster);
+    if is_authoritative && !reply.accepted {
+        return PromiseState::Dropped;
     }
-    PromiseFate::Stands
+    PromiseState::Pending
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The store process and the client that every other process reads and writes shared state with.
+//! The store process, and the client through which all other processes access the replicated state.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -14,11 +14,11 @@
 mod error;
 pub mod formation;
 mod gossip;
-mod lease_judge;
+mod lease_expiry;
 pub mod leases;
 mod memory;
 mod meta_watch;
-mod observed;
+mod observations;
 pub mod placement;
 mod service;
 mod shared;
--- a/crates/store/src/placement/choice.rs
+++ b/crates/store/src/placement/choice.rs
@@ -1,11 +1,12 @@
-//! Choosing a store for a replica: zones apart first, then the least loaded.
+//! Chooses a store for a replica: by zone first, so that replicas are spread over zones, then by
+//! load.
 
 use std::collections::BTreeMap;
 
 use hooklug_state::meta::{GroupPlacement, StoreRecord};
 use hooklug_types::{NodeId, ZoneName};
 
-/// Replicas of each store.
+/// Numbers of voters and of replicas on each store.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Loads {
     voters: BTreeMap<NodeId, usize>,
@@ -13,7 +14,9 @@
 }
 
 impl Loads {
-    pub(crate) fn of<'a>(placements: impl Iterator<Item = &'a GroupPlacement>) -> Self {
+    pub(crate) fn from_placements<'a>(
+        placements: impl Iterator<Item = &'a GroupPlacement>,
+    ) -> Self {
         let mut loads = Self::default();
         for placement in placements {
             placement.voters.iter().for_each(|node| loads.add_voter(*node));
@@ -40,8 +43,9 @@
     }
 }
 
-/// The best store for one more replica beside those in `zones`: a zone that has none of them, then few
-/// replicas of the kind asked for, then few of any kind, then the lowest node id.
+/// Returns the best store for one more replica of a group that has replicas in `zones`. Prefers the
+/// store whose zone has the fewest of them, then the fewest voters if a voter is placed, then the
+/// fewest replicas, then the lowest node id.
 pub(crate) fn best_store<'a>(
     candidates: impl Iterator<Item = &'a StoreRecord>,
     zones: &[&ZoneName],
@@ -50,12 +54,12 @@
 ) -> Option<&'a StoreRecord> {
     candidates.min_by_key(|store| {
         let shared = zones.iter().filter(|zone| ***zone == store.zone).count();
-        let of_kind = if is_voter { loads.voters(store.node) } else { 0 };
-        (shared, of_kind, loads.replicas(store.node), store.node)
+        let voters = if is_voter { loads.voters(store.node) } else { 0 };
+        (shared, voters, loads.replicas(store.node), store.node)
     })
 }
 
-/// Zone of a store; `None` when it is not in the list.
+/// Returns the zone of a store, or `None` if the store is not in the list.
 pub(crate) fn zone_of(stores: &[StoreRecord], node: NodeId) -> Option<&ZoneName> {
     stores.iter().find(|store| store.node == node).map(|store| &store.zone)
 }
