--- a/crates/fleet/tests/suite/support/load.rs
+++ b/crates/fleet/tests/suite/support/load.rs
@@ -97,8 +97,8 @@
         ends
     }
 
-    /// Ends the load, then reads back through another gateway all that was acknowledged, and checks it
-    /// against the back ends' own ledgers.
+    /// Ends the load, then reads back through another gateway all that was acknowledged, and checks
+    /// it against the back ends' own ledgers.
     pub async fn stop_and_read_back(self, fleet: &Fleet) {
         self.stop.store(true, Ordering::SeqCst);
         for task in self.tasks {
--- a/crates/fleet/tests/suite/support/mod.rs
+++ b/crates/fleet/tests/suite/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: fleets, requests, evidence, and a load that remembers what was acknowledged.
+//! What the tests share: fleets, requests, evidence, and a load that remembers what was
+//! acknowledged.
 
 pub mod bundles;
 mod evidence;
--- a/crates/fleet/tests/suite/token_budget.rs
+++ b/crates/fleet/tests/suite/token_budget.rs
@@ -1,8 +1,8 @@
-//! A program streams no more tokens than its budget, over many engines, their ends, and a restart of
-//! everything. The brief allows one turn more; here the last token counts.
+//! A program streams no more tokens than its budget, over many engines, their ends, and a restart
+//! of everything. The brief allows one turn more; here the last token counts.
 //!
-//! Catches a budget that is counted in memory, a reservation that is lost or settled twice in a takeover,
-//! and tokens that were streamed and are not booked.
+//! Catches a budget that is counted in memory, a reservation that is lost or settled twice in a
+//! takeover, and tokens that were streamed and are not booked.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
--- a/crates/fleet/tests/suite/truthful_refusals.rs
+++ b/crates/fleet/tests/suite/truthful_refusals.rs
@@ -1,8 +1,9 @@
-//! "Not run" and "budget spent" are said only of what did not run and never will. The verdict is the
-//! ledgers of application engines and model servers, read at the end.
+//! "Not run" and "budget spent" are said only of what did not run and never will. The verdict is
+//! the ledgers of application engines and model servers, read at the end.
 //!
-//! Catches a "not run" that rests on anything but a committed seal (a dispatch can race it), a seal or
-//! refusal that is forgotten over a restart, and a turn refused at one engine and run at another.
+//! Catches a "not run" that rests on anything but a committed seal (a dispatch can race it), a seal
+//! or refusal that is forgotten over a restart, and a turn refused at one engine and run at
+//! another.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,7 +19,8 @@
 /// Calls that race with their seal.
 const RACES: u64 = 40;
 
-/// Sends a call and its seal at once through two gateways, one of them with a head start that grows.
+/// Sends a call and its seal at once through two gateways, one of them with a head start that
+/// grows.
 async fn race_seal(
     caller: &Caller,
     call: &str,
--- a/crates/fleet/tests/suite/turn_lookup.rs
+++ b/crates/fleet/tests/suite/turn_lookup.rs
@@ -1,8 +1,8 @@
-//! A turn whose predecessor finished within the keep time is never told "no such turn", while engines,
-//! gateways and stores are killed and restarted, in turn and all at once.
+//! A turn whose predecessor finished within the keep time is never told "no such turn", while
+//! engines, gateways and stores are killed and restarted, in turn and all at once.
 //!
-//! Catches a history that lives in an engine or gateway, an answer from a store that lags behind or has
-//! not caught up after its restart, and an absence claimed while the shard can't be reached.
+//! Catches a history that lives in an engine or gateway, an answer from a store that lags behind or
+//! has not caught up after its restart, and an absence claimed while the shard can't be reached.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -45,7 +45,8 @@
     }
 }
 
-/// Asks for finished turns all the time; counts answers, and fails on any that claims their absence.
+/// Asks for finished turns all the time; counts answers, and fails on any that claims their
+/// absence.
 async fn keep_asking(
     caller: Caller,
     wanted: Vec<(SessionRef, String)>,
--- a/crates/fleet/tests/suite/version_harm.rs
+++ b/crates/fleet/tests/suite/version_harm.rs
@@ -1,9 +1,9 @@
-//! A bad version gets no traffic about 5 s after clear harm, the system commits the roll-back with its
-//! reason, and versions that suffer alike are left in force.
+//! A bad version gets no traffic about 5 s after clear harm, the system commits the roll-back with
+//! its reason, and versions that suffer alike are left in force.
 //!
-//! Catches: a judge that looks at a service as a whole and so misses one route; one that forgets the time
-//! before; one that compares a version under load with an idle one; gateways that go on sending to a version
-//! rolled back; an outage of all versions taken for the newest one's fault.
+//! Catches: a judge that looks at a service as a whole and so misses one route; one that forgets
+//! the time before; one that compares a version under load with an idle one; gateways that go on
+//! sending to a version rolled back; an outage of all versions taken for the newest one's fault.
 
 mod release;
 
@@ -42,7 +42,8 @@
     release.set_faults(&newer, &faults(in_part)).await;
     release.harm_is_met("fails after a while", None).await;
 
-    // Slow only while more than two calls run at an engine: first there are too few callers for that.
+    // Slow only while more than two calls run at an engine: first there are too few callers for
+    // that.
     release.calls.busy.store(2, Ordering::SeqCst);
     release.release(6).await;
     let under_load = FaultRule { above_running: Some(2), millis: 400, ..rule(FaultKind::Slow) };
--- a/crates/fleet/tests/suite/version_harm/release.rs
+++ b/crates/fleet/tests/suite/version_harm/release.rs
@@ -20,7 +20,8 @@
 pub const HARM_BOUND: Duration = Duration::from_secs(5);
 /// Requests to a version after which harm is clear: the bundle's `least_samples`.
 pub const CLEAR_AFTER: usize = 20;
-/// Two tools of one service. Their calls may be repeated: nothing but the application is written for them.
+/// Two tools of one service. Their calls may be repeated: nothing but the application is written
+/// for them.
 pub const READ: &str = "read_sensor";
 pub const LIST: &str = "list_alerts";
 pub const CALLERS: usize = 24;
@@ -151,7 +152,8 @@
         self.fleet.wait_until(&what, PATIENCE, look).await.unwrap();
     }
 
-    /// Releases a version that nobody has seen before (`v2` is there from the start), and waits until both versions have traffic.
+    /// Releases a version that nobody has seen before (`v2` is there from the start), and waits
+    /// until both versions have traffic.
     pub async fn release(&mut self, number: u32) {
         self.newer = ServiceVersion::new(format!("v{number}")).unwrap();
         for engine in self.newer_engines() {
@@ -189,7 +191,8 @@
         if let Some(route) = route {
             assert_eq!(harm.route.as_deref(), Some(route));
         }
-        // Calls begun before are over once as many more have been made as there are callers, and again.
+        // Calls begun before are over once as many more have been made as there are callers, and
+        // again.
         let v1 = ServiceVersion::new("v1").unwrap();
         self.wait_ran(&v1, 10 * CALLERS).await;
         self.set_faults(&self.newer_engines(), &Faults::default()).await;
