--- a/crates/emulator/tests/application.rs
+++ b/crates/emulator/tests/application.rs
@@ -1,4 +1,4 @@
-//! The application engine: the contract, its faults, and a ledger that tells what really ran.
+//! The fake application engine: its interface, its faults, and its ledger.
 
 mod common;
 
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A client that shows an answer as it came, and stand-ins on port 0.
+//! Starts fake backends on port 0, and a client that exposes incomplete responses.
 #![allow(dead_code)] // each test file uses its own part
 
 use std::net::SocketAddr;
@@ -57,14 +57,14 @@
     Faults { rules: vec![FaultRule::always(kind)], ..Faults::default() }
 }
 
-/// How a request ended for its client.
+/// Result of a request, as seen by its client.
 #[derive(Debug)]
 pub enum Seen {
-    /// A whole answer.
+    /// A complete response.
     Whole(StatusCode, HeaderMap, Bytes),
-    /// Headers came, but the body broke off.
+    /// The headers arrived, but the body was truncated.
     Cut,
-    /// The connection closed without an answer.
+    /// The connection was closed without a response.
     Nothing,
 }
 
@@ -118,7 +118,7 @@
     send(to.address(), Method::POST, &path, &headers, &serde_json::json!({"house": 4})).await
 }
 
-/// How often the ledger says that a call ran.
+/// Number of runs of a call in the ledger.
 pub fn runs(stand_in: &StandIn, call: &str) -> usize {
     let ran =
         |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { call: c, .. } if c == call);
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model server: deterministic text, its cache, its load, and its faults.
+//! The fake model server: deterministic text, cache, queue and faults; and the engine list.
 
 mod common;
 
--- a/crates/fleet/tests/suite/at_most_once_calls.rs
+++ b/crates/fleet/tests/suite/at_most_once_calls.rs
@@ -1,8 +1,8 @@
-//! A call that may not be repeated runs at most once, whatever becomes of its answer, its gateway,
-//! its engine or its shard's leader. The verdict is the application engines' own ledgers.
+//! A non-repeatable call runs at most once, even if its response is lost or its gateway, its engine
+//! or the leader of its shard fails. The ledgers of the application engines decide.
 //!
-//! Catches a gateway that dispatches again after a lost or damaged answer, a second gateway that
-//! does not respect the first one's claim, and a claim that does not outlive its shard's leader.
+//! Detects a gateway that dispatches again after a lost or damaged response, a second gateway that
+//! ignores the claim of the first one, and a claim that is lost with the leader of its shard.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -47,17 +47,18 @@
     let (fleet, caller) = start_calls().await;
     use FaultKind::{Cross, CutShort, Garble, LoseAnswer, Stall};
     let kinds = [LoseAnswer, CutShort, Cross, Garble, Stall];
-    // With a look-up the back end's word may settle a call; without one it has to stay unknown.
+    // With a lookup the result of the backend may settle a call; without one its outcome stays
+    // unknown.
     let cases = kinds.into_iter().flat_map(|kind| [(kind, false), (kind, true)]);
     for (kind, no_lookup) in cases {
-        // A request before it, whose answer can be crossed with.
+        // A preceding request, whose response can be sent instead by the `Cross` fault.
         let before = format!("before-{kind:?}-{no_lookup}");
         caller.call(0, PROGRAM, &before, &alarm(1)).await.unwrap();
         set_faults(&fleet, vec![FaultRule::always(kind)], no_lookup).await;
         let call = format!("call-{kind:?}-{no_lookup}");
         let mut request = alarm(2);
         request.deadline_ms = 1_500;
-        // What it is told is another test's affair; here only what ran counts.
+        // The response is checked by other tests; here only the number of runs matters.
         let first = caller.call(0, PROGRAM, &call, &request).await;
         wait_for_run(&fleet, &call).await;
         set_faults(&fleet, Vec::new(), no_lookup).await;
@@ -75,7 +76,8 @@
     let (fleet, caller) = start_calls().await;
     fault(&fleet, ProcessKind::App, Some(slow(1_500))).await;
 
-    // The leader of its shard freezes while it runs, and wakes after others have asked.
+    // The leader of its shard is frozen while the call runs, and resumes after the call was sent
+    // again.
     let leader = shard_leader(&fleet, PROGRAM).await;
     let running = begin(&caller, "leader-frozen");
     wait_for_run(&fleet, "leader-frozen").await;
@@ -85,7 +87,7 @@
     running.await.unwrap();
     resend(&caller, "leader-frozen").await;
 
-    // The gateway that dispatched it is killed, the caller goes to the other one.
+    // The gateway that dispatched the call is killed, and the caller sends it to the other one.
     let running = begin(&caller, "gateway-killed");
     wait_for_run(&fleet, "gateway-killed").await;
     fleet.kill(name("gateway:0")).unwrap();
@@ -95,7 +97,7 @@
     fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
     resend(&caller, "gateway-killed").await;
 
-    // The engine that runs it is killed; another one is there.
+    // The engine that runs the call is killed; another engine is available.
     let running = begin(&caller, "engine-killed");
     wait_for_run(&fleet, "engine-killed").await;
     let key = format!("{PROGRAM}/engine-killed");
@@ -112,7 +114,7 @@
     }
 }
 
-/// Sends a call to the first gateway once, without waiting.
+/// Sends a call to the first gateway in the background.
 fn begin(caller: &Caller, call: &str) -> tokio::task::JoinHandle<()> {
     let (caller, call) = (caller.clone(), call.to_owned());
     tokio::spawn(async move {
@@ -121,7 +123,7 @@
     })
 }
 
-/// Sends a call to all gateways at once, as a caller does that lost its answer.
+/// Sends a call to both gateways concurrently, as a caller does that lost the response.
 async fn resend(caller: &Caller, call: &str) {
     let request = alarm(3);
     let (first, second) = tokio::join!(
@@ -131,9 +133,8 @@
     println!("{call} again: {first:?}, {second:?}");
 }
 
-/// What a caller is told in the end that sends its call again while the answer claims nothing: "no
-/// recorded answer in time" is such an answer, as long as the dead gateway's claim is not known to
-/// be given up.
+/// Sends a call until its outcome is known and returns the result. A missed deadline counts as
+/// unknown: the claim of the killed gateway has not been given up yet.
 async fn settled(fleet: &Fleet, caller: &Caller, call: &str) -> Result<CallAnswer, CallerError> {
     let told = Mutex::new(None);
     let look = || async {
@@ -152,8 +153,8 @@
     told.into_inner().unwrap().unwrap()
 }
 
-/// How long after its sending a call's gateway is killed: before the claim, while it runs (20 ms),
-/// between its record and its answer, and after.
+/// Times after which the gateway of a call is killed: before the claim, while the call runs (20
+/// ms), between the record and the response, and after the response.
 const KILLED_AFTER_MS: [u64; 7] = [0, 4, 8, 16, 24, 28, 40];
 
 #[tokio::test(flavor = "multi_thread")]
@@ -172,10 +173,13 @@
         match &again {
             Ok(answer) => {
                 let first: Option<Value> = first.ok().map(|first| first.json().unwrap());
-                assert!(first.is_none_or(|first| first == answer.body), "{call}: two answers");
+                assert!(
+                    first.is_none_or(|first| first == answer.body),
+                    "{call}: two different responses"
+                );
                 assert_ran_once(&fleet, &call);
             }
-            // Claimed by the dead gateway, and no engine knows it any more.
+            // The killed gateway claimed the call, and no engine knows it.
             Err(error) => {
                 assert!(first.is_err(), "{call}: answered, then {error}");
                 assert_eq!(error.code(), Some("call_unknown"), "{call}: {error}");
--- a/crates/fleet/tests/suite/bundle_races.rs
+++ b/crates/fleet/tests/suite/bundle_races.rs
@@ -1,8 +1,10 @@
-//! Of two racing bundles on one version one wins, and a bundle that was acknowledged, or whose
-//! answer was lost, is never refused when it comes again at any node.
+//! Of two bundles that are submitted concurrently for the same version exactly one is accepted. A
+//! bundle that was accepted, or whose response was lost, is accepted again when it is resubmitted
+//! at any node.
 //!
-//! Catches: two bundles accepted for one version; a resend refused because its version is taken or
-//! its base is no longer the newest; a decision that the answering node alone knew.
+//! Detects two bundles accepted for one version, a resubmission that is rejected because its
+//! version is taken or its base is not the newest, and a decision that only the responding node
+//! knew.
 
 use std::time::Duration;
 
@@ -27,7 +29,7 @@
     let fleet = start(control_topology(3)).await;
     let (left, right) = (name("gateway:0"), name("gateway:1"));
     let mut version = 1;
-    // The node dies at any moment of its work: the bundle may be committed or not.
+    // The node is killed at different points of the commit, so the bundle may be committed or not.
     for millis in [0, 1, 2, 4, 8, 16, 32, 64] {
         version += 1;
         let bundle = fleet.marked_bundle(version, 20).unwrap();
@@ -46,8 +48,8 @@
     a_committed_one_stays_even_after_newer_ones(&fleet, version + 1).await;
 }
 
-/// The answer is surely lost after the commit: it waits for a node that is frozen, and then its own
-/// node dies.
+/// Loses the response of a bundle that is certainly committed: the response waits for a frozen
+/// node, and then the responding node is killed.
 async fn a_committed_one_stays_even_after_newer_ones(fleet: &Fleet, version: u64) {
     let (left, right) = (name("gateway:0"), name("gateway:1"));
     fleet.wait_all_ready(PATIENCE).await.unwrap();
@@ -59,11 +61,11 @@
             let seen = current.record.version;
             if seen == BundleVersion(version) { Ok(()) } else { Err(seen.to_string()) }
         };
-        fleet.wait_until("it is committed", PATIENCE, look).await.unwrap();
+        fleet.wait_until("the bundle is committed", PATIENCE, look).await.unwrap();
         fleet.kill(left).unwrap();
     };
     let (answer, ()) = tokio::join!(fleet.submit_bundle_at(left, &bundle), committed);
-    println!("the first answer: {answer:?}");
+    println!("first response: {answer:?}");
     fleet.wake(name("engine:1")).unwrap();
     let other = fleet.marked_bundle(version, 30).unwrap();
     assert!(refused_as_taken(&submit(fleet, right, &other).await));
@@ -72,5 +74,9 @@
     let again = accepted(fleet, right, &bundle).await;
     assert_eq!(again.bundle.version, BundleVersion(version));
     let current = read_current(fleet, right).await;
-    assert_eq!(current.record.version, BundleVersion(version + 1), "a resend changes nothing");
+    assert_eq!(
+        current.record.version,
+        BundleVersion(version + 1),
+        "a resubmission must not change the newest version"
+    );
 }
--- a/crates/fleet/tests/suite/bundle_spread.rs
+++ b/crates/fleet/tests/suite/bundle_spread.rs
@@ -1,9 +1,9 @@
-//! An acknowledged bundle is in force everywhere within about 2 s, and no node goes back to an
+//! An acknowledged bundle is installed at all nodes within about 2 s, and no node returns to an
 //! older one.
 //!
-//! Catches: acknowledging before a quorum has the bundle; a notice of a new version that is lost
-//! with the core leader; a restarted node that serves with an older bundle; a node cut off that is
-//! not caught up.
+//! Detects an acknowledgement before a quorum has the bundle, a notification of a new version that
+//! is lost with the core leader, a restarted node that serves with an older bundle, and an isolated
+//! node that does not catch up.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,8 +17,9 @@
 use hooklug_fleet::{Fleet, ProcessKind, ProcessName};
 use hooklug_types::BundleVersion;
 
-/// Submits a version; returns how long after the first node the last of the nodes had it. The
-/// answer itself may come later, since it waits a while for nodes that are thought alive.
+/// Submits a version and returns the time between its installation at the first and at the last of
+/// the nodes. The response may arrive later, because it waits for nodes that are believed to be
+/// alive.
 async fn spread(fleet: &Fleet, version: u64, nodes: &[ProcessName]) -> Duration {
     let bundle = fleet.marked_bundle(version, 100).unwrap();
     let at = fleet.names(ProcessKind::Gateway)[0];
@@ -35,7 +36,7 @@
     let last = *installed.iter().max().unwrap();
     let (spread, after_answer) = (last - first, last.saturating_duration_since(answered));
     println!(
-        "version {version}: at all {spread:?} after the first, {after_answer:?} after its answer"
+        "version {version}: installed at all nodes {spread:?} after the first one, {after_answer:?} after the response"
     );
     spread
 }
@@ -60,7 +61,8 @@
         started.unwrap();
         assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?}");
         fleet.restart(leader).await.unwrap();
-        // A node that came back serves with no older bundle than the one acknowledged meanwhile.
+        // A restarted node that is ready must have at least the version that was acknowledged
+        // meanwhile.
         for back in [restarted, leader] {
             fleet.wait_ready(back, PATIENCE).await.unwrap();
             let installed = fleet.installed_bundle(back).await.unwrap();
@@ -78,13 +80,13 @@
         version += 1;
         let rest = others(fleet, &[cut]);
         let took = spread(fleet, version, &rest).await;
-        assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?} beside a node cut off");
+        assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?} while {cut} was isolated");
         let installed = fleet.installed_bundle(cut).await.unwrap();
-        assert!(installed < BundleVersion(version), "{cut} is not cut off");
+        assert!(installed < BundleVersion(version), "{cut} is not isolated");
         let healed = Instant::now();
         fleet.heal().await.unwrap();
         wait_installed(fleet, cut, version).await;
-        println!("{cut}: caught up {:?} after it was healed", healed.elapsed());
+        println!("{cut}: caught up {:?} after its links were unblocked", healed.elapsed());
         fleet.wait_ready(cut, PATIENCE).await.unwrap();
     }
 }
--- a/crates/fleet/tests/suite/combined_failures.rs
+++ b/crates/fleet/tests/suite/combined_failures.rs
@@ -1,9 +1,9 @@
-//! Failures that come together or twice: the second one strikes while the first is being met.
+//! Concurrent and successive failures: the second one occurs while the first is being handled.
 //!
-//! Catches: an acknowledgement without a quorum while one store is frozen and another one dead; a
-//! session left between two owners when its taker dies too; a race of bundles that is decided
-//! twice, or a resend that is refused, because the core leader was lost in its middle and the
-//! answering gateway with it.
+//! Detects an acknowledgement without a quorum while one store is frozen and another one is down, a
+//! session without an owner when the engine that takes it over fails, too, and bundles submitted
+//! concurrently that are both accepted, or a resubmission that is rejected, when the core leader
+//! and the responding gateway fail meanwhile.
 
 use std::time::Instant;
 
@@ -18,12 +18,12 @@
     generations, name, open, owner, put_program, read_current, restart_all, running_nodes, start,
 };
 
-/// Service is back in time after machines returned.
+/// Asserts that all sessions make progress within the bound after machines returned.
 async fn assert_back(fleet: &Fleet, load: &Load, what: &str) {
     let returned = Instant::now();
     load.wait_rounds(fleet, 1).await;
     let took = returned.elapsed();
-    println!("{what}: all sessions go on {took:?} after the machine returned");
+    println!("{what}: all sessions made progress {took:?} after the machine returned");
     assert!(took <= RETURN_BOUND, "{what}: service was back only after {took:?}");
 }
 
@@ -34,14 +34,14 @@
     let (first, second, third) = (name("store:0"), name("store:1"), name("store:2"));
     fleet.freeze(first).unwrap();
     fleet.kill(second).unwrap();
-    // One of three is no quorum: nothing is acknowledged.
+    // One store of three is not a quorum, so nothing may be acknowledged.
     let alone = fleet.marked_bundle(2, 10).unwrap();
     let answer = fleet.submit_bundle_at(name("gateway:0"), &alone).await;
     assert!(answer.is_err(), "acknowledged by one store of three: {answer:?}");
     fleet.wake(first).unwrap();
-    assert_back(&fleet, &load, "woken").await;
+    assert_back(&fleet, &load, "resumed").await;
     accept_version(&fleet, name("gateway:0"), 2).await;
-    // Again, the other way round: the one that was dead has to carry it with the one that was
+    // Again with other stores: the one that was down must form a quorum with the one that was
     // frozen.
     fleet.freeze(third).unwrap();
     fleet.restart(second).await.unwrap();
@@ -49,7 +49,7 @@
     accept_version(&fleet, name("gateway:1"), 3).await;
     fleet.kill(first).unwrap();
     fleet.wake(third).unwrap();
-    assert_back(&fleet, &load, "woken beside another dead one").await;
+    assert_back(&fleet, &load, "resumed while another store is down").await;
     accept_version(&fleet, name("gateway:1"), 4).await;
     fleet.restart(first).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
@@ -59,7 +59,7 @@
     load.stop_and_read_back(&fleet).await;
 }
 
-/// A turn that streams, with what its client has seen of it.
+/// Starts a long turn and returns it with the events that its client has received.
 async fn long_turn(caller: &Caller, session: &SessionRef) -> (TurnRequest, Transcript) {
     let turn = TurnRequest::new("t2", Some("t1"), "[tokens 800]", 800);
     let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
@@ -70,7 +70,7 @@
     (turn, seen)
 }
 
-/// Waits until an engine other than these owns a session.
+/// Waits until another engine owns a session and returns it.
 async fn next_owner(fleet: &Fleet, session: &SessionRef, before: ProcessName) -> ProcessName {
     let caller = caller(fleet);
     let look = || async {
@@ -113,12 +113,18 @@
         let next = finish(&caller, &session, &next).await;
         assert_eq!(next.events[0].id, seen.last_id().unwrap() + 1);
         let third = owner(&fleet, &caller, &session).await;
-        assert!(third != first && third != second, "{third} owns it, and is dead");
+        assert!(
+            third != first && third != second,
+            "the session is owned by {third}, which was killed"
+        );
         restart_all(&fleet, &[first, second]).await.unwrap();
         fleet.wait_all_ready(PATIENCE).await.unwrap();
         let again = caller.follow_turn(0, &session, &turn, Transcript::default()).await.unwrap();
-        assert_eq!(again.events, seen.events, "a turn read again differs");
-        println!("{first}, then {second} lost; {third} owns it, {} events", seen.events.len());
+        assert_eq!(again.events, seen.events, "the turn differs when it is read again");
+        println!(
+            "{first}, then {second} killed; {third} owns the session, {} events",
+            seen.events.len()
+        );
     }
 }
 
@@ -129,11 +135,12 @@
         let leader = fleet.core_leader().await.unwrap();
         let (race, cut) = tokio::join!(Race::run(&fleet, version), fleet.cut_off(leader));
         cut.unwrap();
-        // Whoever answered is gone, and another core leads when the operators come again.
+        // The gateway that responded is killed, and another core leads when the bundles are
+        // submitted again.
         fleet.kill(name("gateway:0")).unwrap();
         let look = || async {
             let now = fleet.core_leader().await.map_err(|e| e.to_string())?;
-            if now == leader { Err(format!("{now} leads")) } else { Ok(()) }
+            if now == leader { Err(format!("{now} still leads")) } else { Ok(()) }
         };
         fleet.wait_until("another core leads", PATIENCE, look).await.unwrap();
         race.check_at(&fleet, name("gateway:1")).await;
--- a/crates/fleet/tests/suite/core_failures.rs
+++ b/crates/fleet/tests/suite/core_failures.rs
@@ -1,8 +1,8 @@
-//! Cores may be lost, cut off and split: traffic goes on, one leader's word counts, and members are
-//! seen right afterwards.
+//! Cores fail, are isolated and are partitioned: traffic continues, only one leader's writes take
+//! effect, and all nodes show the right members afterwards.
 //!
-//! Catches: a data plane that waits for a core; a former leader whose writes are taken after it was
-//! cut off; nodes that stay dead or doubled in the view of the core that leads next.
+//! Detects a data plane that waits for a core, writes of a former leader that are accepted after
+//! its isolation, and nodes that stay dead or duplicated in the view of the next leader.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use http::Method;
 use serde::Deserialize;
 
-/// How long a leader is cut off (brief: twenty seconds or more).
+/// Time for which the leader is isolated (requirement: at least 20 s).
 const CUT_OFF: Duration = Duration::from_secs(21);
 
 #[derive(Debug, Deserialize)]
@@ -35,7 +35,8 @@
     answer.and_then(|answer| answer.json()).map_err(|e| e.to_string())
 }
 
-/// Each node shows each running node once and alive, and all show the same single leader.
+/// Checks that each node shows each running node exactly once as alive, and that all show the same
+/// leader.
 async fn seen_right(fleet: &Fleet) -> Result<(), String> {
     let nodes = running_nodes(fleet);
     let mut leaders = BTreeMap::new();
@@ -53,12 +54,12 @@
         }
     }
     let one = leaders.len() == 1 && leaders.values().all(|count| *count == nodes.len());
-    if one { Ok(()) } else { Err(format!("leaders by observers: {leaders:?}")) }
+    if one { Ok(()) } else { Err(format!("number of observers by leader: {leaders:?}")) }
 }
 
 async fn wait_seen_right(fleet: &Fleet) {
     let look = || seen_right(fleet);
-    fleet.wait_until("all members are seen right", PATIENCE, look).await.unwrap();
+    fleet.wait_until("all nodes show the right members and leader", PATIENCE, look).await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -67,7 +68,7 @@
     let load = Load::start(&fleet, 6).await;
     let cores = fleet.names(ProcessKind::Core);
     cores.iter().for_each(|core| fleet.kill(*core).unwrap());
-    // Without any core sessions, calls and bundles go on.
+    // Sessions, calls and bundles continue without any core.
     load.wait_rounds(&fleet, 5).await;
     accept_version(&fleet, name("gateway:0"), 2).await;
     for gateway in fleet.names(ProcessKind::Gateway) {
@@ -95,8 +96,8 @@
     wait_installed(&fleet, former, 3).await;
     wait_seen_right(&fleet).await;
     accept_version(&fleet, name("gateway:0"), 4).await;
-    // The former leader committed nothing: the newest bundle is the operators' own, not a
-    // roll-back.
+    // The former leader committed nothing: the newest bundle is that of the operators, not a
+    // rollback.
     let current = read_current(&fleet, name("gateway:0")).await;
     assert_eq!((current.record.version.0, current.record.rollback), (4, None));
     println!("turns ended {:?}", load.ends());
--- a/crates/fleet/tests/suite/demo.rs
+++ b/crates/fleet/tests/suite/demo.rs
@@ -1,4 +1,4 @@
-//! The demo through real processes: undisturbed, and with any one process killed in the middle.
+//! Runs the demo with real processes, without a fault and with one process killed in the middle.
 
 use crate::support::share_of_the_machine;
 use hooklug_fleet::demo::run;
--- a/crates/fleet/tests/suite/disk_soak.rs
+++ b/crates/fleet/tests/suite/disk_soak.rs
@@ -1,11 +1,11 @@
-//! Disks lost in series, one each time that the groups have had their time to catch up, while other
+//! Disks are lost one after another, each after the groups have had time to catch up, while other
 //! processes are killed, frozen or restarted.
 //!
-//! Catches: a place that is filled later than the next disk may be lost; a member of a group that
-//! forgets what its leader counts on; a group that commits nothing any more. The load's records
-//! show whatever is lost.
+//! Detects a replica that is replaced only after the next disk may be lost, a group member that
+//! forgets entries that its leader counts as replicated, and a group that no longer commits. The
+//! records of the load show every loss.
 //!
-//! The seed is printed; `SOAK_SEEDS=7,8,9` plays others.
+//! The seed is printed; `SOAK_SEEDS=7,8,9` runs other seeds.
 
 use std::time::{Duration, Instant};
 
@@ -20,22 +20,22 @@
 use crate::support::repair::{node_id, retire, wait_repaired};
 use crate::support::{control_topology, name, restart_all, running_nodes, start_alone};
 
-/// Disks that are lost in one day.
+/// Number of disks that are lost in a run.
 const LOSSES: usize = 6;
 
-/// Sessions of the load.
+/// Number of sessions of the load.
 const SESSIONS: usize = 4;
 
-/// How a disk is lost.
+/// Way in which a disk is lost.
 #[derive(Debug, Clone, Copy)]
 enum Loss {
-    /// The machine comes back empty, at its address.
+    /// The machine returns with an empty disk at the same address.
     Disk,
-    /// An empty machine takes its place, at another address.
+    /// It is replaced by an empty machine at another address.
     Machine,
 }
 
-/// What happens to another process meanwhile; nothing that loses a disk.
+/// Fault of another process at the same time; none of them loses a disk.
 #[derive(Debug, Clone, Copy)]
 enum Beside {
     Nothing,
@@ -85,13 +85,13 @@
 }
 
 async fn play(seed: u64) {
-    println!("soak of lost disks, seed {seed}");
+    println!("disk soak, seed {seed}");
     let mut rng = StdRng::seed_from_u64(seed);
     let mut topology = control_topology(5);
     topology.seeds = SeedChoice::Cores;
     let fleet = start_alone(topology).await;
     let load = Load::start(&fleet, SESSIONS).await;
-    let retired = node_id(&fleet, name("store:4")).await.expect("in the view");
+    let retired = node_id(&fleet, name("store:4")).await.expect("the store is in the view");
     let stores = ["store:0", "store:1", "store:2", "store:3"].map(name);
     let mut lost = Vec::new();
     for round in 0..LOSSES {
@@ -102,13 +102,13 @@
         let (loss, beside) = (LOSS_KINDS.choose(&mut rng), BESIDE_KINDS.choose(&mut rng));
         let (loss, beside) = (*loss.unwrap(), *beside.unwrap());
         let pause = Duration::from_millis(rng.random_range(100..1_500));
-        println!("{loss:?} of {store}, beside it {beside:?} for {pause:?}");
-        lost.push(node_id(&fleet, store).await.expect("in the view"));
+        println!("{loss:?} of {store}, concurrent fault {beside:?} for {pause:?}");
+        lost.push(node_id(&fleet, store).await.expect("the store is in the view"));
         tokio::join!(lose(&fleet, store, loss), disturb(&fleet, beside, pause));
         let returned = Instant::now();
         wait_repaired(&fleet, lost[round]).await;
-        println!("all groups whole {:?} after the return", returned.elapsed());
-        // The next disk may be lost no sooner than this.
+        println!("all groups fully replicated {:?} after the return", returned.elapsed());
+        // The next disk may be lost after this time at the earliest.
         tokio::time::sleep(CATCH_UP_TIME.saturating_sub(returned.elapsed())).await;
     }
     load.wait_rounds(&fleet, 2).await;
@@ -121,9 +121,9 @@
     }
 }
 
-/// Guards against what disks lost in series did before: nothing served and nothing read back after
-/// the next loss, and turns refused to the end because a member of their group had forgotten its
-/// log.
+/// Guards against data and service lost with successive disks. Formerly nothing was served or read
+/// back after the next loss, and turns were refused until the end, because a member of their group
+/// had forgotten its log.
 #[tokio::test(flavor = "multi_thread")]
 async fn disks_lost_in_series_lose_nothing() {
     for seed in seeds() {
--- a/crates/fleet/tests/suite/durable_bundles.rs
+++ b/crates/fleet/tests/suite/durable_bundles.rs
@@ -1,8 +1,8 @@
-//! The bundle read back is never older than the newest acknowledged.
+//! The bundle that is read back is never older than the newest acknowledged one.
 //!
-//! Catches: an acknowledgement before the sync of a quorum; a log or snapshot that is replayed in
-//! part; a repair that counts a replica as a voter before it has caught up; an emptied disk that
-//! votes as before.
+//! Detects an acknowledgement before a quorum has synced, a log or snapshot that is replayed only
+//! in part, a repair that counts a replica as voter before it has caught up, and a store with an
+//! emptied disk that votes as before.
 
 use crate::support::bundles::accepted;
 use crate::support::repair::{node_id, wait_repaired};
@@ -59,8 +59,9 @@
     for version in 2..=20 {
         accept(&fleet, at, version, 10).await;
     }
-    // A store is gone for good; the fourth takes its place; the next one dies at that moment.
-    let lost = node_id(&fleet, name("store:0")).await.expect("in the view");
+    // A store is lost for good, and the fourth one replaces it; the next store is killed right
+    // afterwards.
+    let lost = node_id(&fleet, name("store:0")).await.expect("the store is in the view");
     fleet.kill(name("store:0")).unwrap();
     wait_repaired(&fleet, lost).await;
     let newest = accept(&fleet, at, 21, 11).await;
@@ -69,9 +70,9 @@
     accept(&fleet, at, 22, 12).await;
     fleet.restart(name("store:1")).await.unwrap();
 
-    // The lost machine is replaced by an empty one at a new address; another one is lost right
-    // after it has taken over.
-    let lost = node_id(&fleet, name("store:2")).await.expect("in the view");
+    // The lost machine is replaced by an empty one at a new address; another one is killed right
+    // after the replacement has caught up.
+    let lost = node_id(&fleet, name("store:2")).await.expect("the store is in the view");
     fleet.replace(name("store:0")).await.unwrap();
     fleet.wait_ready(name("store:0"), PATIENCE).await.unwrap();
     fleet.kill(name("store:2")).unwrap();
@@ -88,11 +89,12 @@
     let mut version = 1;
     for store in fleet.names(ProcessKind::Store) {
         version += 1;
-        let lost = node_id(&fleet, store).await.expect("in the view");
+        let lost = node_id(&fleet, store).await.expect("the store is in the view");
         let newest = accept(&fleet, at, version, 10 + u32::try_from(version).unwrap()).await;
         fleet.lose_disk(store).await.unwrap();
         assert_newest(&fleet, &newest).await;
-        // Before the next loss the empty disk has to be whole again: two at once are too many.
+        // The store must be fully repaired before the next loss: two lost disks at once are too
+        // many.
         wait_repaired(&fleet, lost).await;
     }
     assert_eq!(read_current(&fleet, at).await.record.version, BundleVersion(version));
--- a/crates/fleet/tests/suite/engine_drain.rs
+++ b/crates/fleet/tests/suite/engine_drain.rs
@@ -1,9 +1,9 @@
-//! A draining engine gets no new work more than three seconds after its drain is known; sessions of
-//! a stopped engine move between turns, and its process ends by itself with success.
+//! A draining engine gets no new work later than three seconds after its drain is known. The
+//! sessions of a stopped engine move between turns, and its process exits by itself with status 0.
 //!
-//! The verdict is the times in the stand-ins' ledgers, all of one machine's clock. Catches a
-//! gateway that places sessions or sends calls by an old view, an engine that takes turns while it
-//! leaves, and one that waits for its sessions until it is killed.
+//! The times in the ledgers decide; all processes use the clock of the same machine. Detects a
+//! gateway that places sessions or sends calls according to an outdated view, an engine that
+//! accepts turns while it drains, and one that waits for its sessions until it is killed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,12 +18,13 @@
 use hooklug_types::{BundleVersion, UnixMillis};
 
 const PROGRAM: &str = "frost";
-/// The brief's bound.
+/// Time after which a draining engine may get no new work (requirement: 3 s).
 const BOUND: Duration = Duration::from_secs(3);
-/// How long new work is offered after a drain began, so that work past the bound would show.
+/// Time for which new work is offered after the start of a drain; longer than the bound, so that
+/// late work is detected.
 const OFFERED: Duration = Duration::from_secs(6);
 
-/// The latest moment at which an engine got work, refused work included.
+/// Time of the last request that reached an engine, including refused ones.
 fn last_work(fleet: &Fleet, stand_in: ProcessName) -> Option<UnixMillis> {
     let lines = fleet.ledger(stand_in).unwrap().into_iter();
     let work = lines.filter(|line| {
@@ -34,13 +35,13 @@
 }
 
 fn assert_within_bound(fleet: &Fleet, stand_in: ProcessName, known: UnixMillis) {
-    let last = last_work(fleet, stand_in).expect("it worked before its drain");
+    let last = last_work(fleet, stand_in).expect("the engine had work before its drain");
     let millis = last.0.saturating_sub(known.0);
     println!("{stand_in}: last new work {millis} ms after its drain was known");
     assert!(last <= known.plus(BOUND), "{stand_in} got work {millis} ms after its drain was known");
 }
 
-/// Opens sessions and runs a turn in each, over both gateways, until told to end.
+/// Opens sessions and runs a turn in each, alternating between the gateways, until `ended` is set.
 async fn new_sessions(caller: Caller, ended: Arc<AtomicBool>) -> Vec<SessionRef> {
     let mut opened = Vec::new();
     while !ended.load(Ordering::SeqCst) {
@@ -60,7 +61,8 @@
     let session = open(&caller, PROGRAM, "kept").await;
     finish(&caller, &session, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
     let leaving = owner(&fleet, &caller, &session).await;
-    // A turn that is running when the stop comes ends whole: sessions move between turns only.
+    // A turn that is running when the engine is stopped must finish: sessions move between turns
+    // only.
     let long = TurnRequest::new("t2", Some("t1"), "[tokens 150]", 150);
     let mut stream = caller.begin_turn(0, &session, &long).await.unwrap();
     let mut seen = hooklug_fleet::caller::Transcript::default();
@@ -87,7 +89,7 @@
     let (clean, seen) = tokio::join!(stop, follow);
     seen.check("t2").unwrap();
     assert_eq!((seen.end(), seen.tokens()), ("finished", 150));
-    assert!(clean, "{leaving} did not end by itself with success");
+    assert!(clean, "{leaving} did not exit by itself with status 0");
     let opened = opening.await.unwrap();
     println!("{} sessions opened meanwhile", opened.len());
     assert!(!opened.is_empty());
@@ -110,13 +112,13 @@
     next.models.push(group.clone());
     let new = fleet.add_engine(&group).await.unwrap();
     let mut bundle = next.bundle(BundleVersion(2), BundleVersion(1)).unwrap();
-    // One step of one second: the time in which the old engine stays for a roll-back.
+    // One step of one second: the time for which the old engine stays available for a rollback.
     for service in bundle.services.values_mut() {
         (service.steps, service.step_seconds) = (vec![100], 1);
     }
     fleet.submit_bundle(&bundle).await.unwrap();
     let known = UnixMillis::now();
-    // An engine is ready once a bundle lists its version.
+    // An engine becomes ready once a bundle lists its version.
     fleet.wait_ready(new, PATIENCE).await.unwrap();
     let ended = Arc::new(AtomicBool::new(false));
     let opening = tokio::spawn(new_sessions(caller.clone(), ended.clone()));
@@ -124,18 +126,18 @@
     ended.store(true, Ordering::SeqCst);
     let opened = opening.await.unwrap();
     let last = owner(&fleet, &caller, opened.last().unwrap()).await;
-    assert_eq!(last, new, "of {} sessions the last is not at the new version", opened.len());
+    assert_eq!(last, new, "the last of {} sessions does not run the new version", opened.len());
     assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, old.index), known);
-    // It keeps the session that it has.
+    // The old engine keeps its existing session.
     finish(&caller, &kept, &TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8)).await;
     assert_eq!(owner(&fleet, &caller, &kept).await, old);
-    // With its last session it ends.
+    // It exits once its last session is closed.
     for session in opened.iter().chain([&kept]) {
         caller.close_session(0, session).await.unwrap();
     }
     let begun = tokio::time::Instant::now();
     while fleet.is_running(old).unwrap() {
-        assert!(begun.elapsed() < PATIENCE, "{old} still runs, without sessions");
+        assert!(begun.elapsed() < PATIENCE, "{old} still runs without sessions");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let status = fleet.status().into_iter().find(|status| status.name == old);
@@ -156,7 +158,7 @@
     let mut answered = 0;
     while begun.elapsed() < OFFERED {
         let call = format!("call-{answered}");
-        // A refused call goes to the other engine; callers notice nothing.
+        // A refused call is sent to the other engine, so callers see no failure.
         caller.call(answered, PROGRAM, &call, &alarm(2)).await.unwrap();
         answered += 1;
     }
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -1,9 +1,10 @@
-//! A stream loses, repeats and splices nothing, whatever fails in the middle of its turn.
+//! A stream has no lost, repeated or foreign events, whatever fails in the middle of its turn.
 //!
-//! Two clients follow each turn: one that resumes where its stream was cut, one that joined the
-//! session. Both must see the same events, without gaps, and the text must be what a model server
-//! made. Catches events released before their commit (they vanish with their engine), a taker that
-//! goes on with another generation's text, and a gateway that resumes at the wrong place.
+//! Two clients follow each turn: one resumes its interrupted stream, the other has joined the
+//! session. Both must receive the same events without gaps, and the text must be that of a model
+//! server. Detects events that are released before their commit and so are lost with their engine,
+//! a new owner that continues with the text of another generation, and a gateway that resumes at
+//! the wrong position.
 
 use crate::support::{
     PATIENCE, caller, check_text, data_topology, finish, name, open, owner, put_program,
@@ -12,19 +13,20 @@
 use hooklug_fleet::caller::{SessionRef, StreamEvent, Transcript, TurnRequest};
 use hooklug_fleet::{Caller, Fleet, ProcessName};
 
-/// Events read before something fails.
+/// Number of events read before the failure.
 const READ_BEFORE: usize = 6;
-/// Most tokens of a turn; it takes a second and more.
+/// Maximum number of tokens of a turn; it takes more than a second.
 const TOKENS: u64 = 120;
 
-/// What fails in the middle of a turn.
+/// Failure of a process in the middle of a turn.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
     Kill(ProcessName),
     Freeze(ProcessName),
 }
 
-/// Runs a turn with two clients and lets a process fail in its middle; then the session goes on.
+/// Runs a turn with two clients while a process fails, then another turn. Returns the events of the
+/// first turn and whether it finished completely.
 async fn disturbed_turn(
     fleet: &Fleet,
     session: &SessionRef,
@@ -44,7 +46,7 @@
         Failure::Kill(name) => fleet.kill(name).map(|()| name).unwrap(),
         Failure::Freeze(name) => fleet.freeze(name).map(|()| name).unwrap(),
     };
-    // What was on its way when it failed counts as seen.
+    // Events that were in flight at the time of the failure count as received.
     while let Ok(Some(event)) = stream.next().await {
         let ended = event.ends_turn();
         seen.events.push(event);
@@ -59,9 +61,9 @@
     println!("{failure:?}: {} after {} events, {} cuts", seen.end(), seen.events.len(), seen.cuts);
     seen.check("t2").unwrap();
     check_text(fleet, session, "t2", &seen).await;
-    assert_eq!(joined.await.unwrap(), seen.events, "the joined client saw something else");
+    assert_eq!(joined.await.unwrap(), seen.events, "the joined client received other events");
     let again = caller.follow_turn(1, session, &turn, Transcript::default()).await.unwrap();
-    assert_eq!(again.events, seen.events, "a turn read again differs");
+    assert_eq!(again.events, seen.events, "the turn differs when it is read again");
     let next = finish(&caller, session, &TurnRequest::new("t3", Some("t2"), "[tokens 5]", 8)).await;
     assert_eq!(next.events[0].id, seen.last_id().unwrap() + 1);
     if matches!(failure, Failure::Freeze(_)) {
@@ -74,12 +76,16 @@
     (seen, whole)
 }
 
-/// Follows a joined session over cuts until the end of a turn; gives the events after `last`.
+/// Joins a session, again after interruptions, until the end of a turn; returns the events after
+/// `last`.
 async fn follow_joined(caller: Caller, session: SessionRef, last: Option<u64>) -> Vec<StreamEvent> {
     let mut events: Vec<StreamEvent> = Vec::new();
     let begun = tokio::time::Instant::now();
     for gateway in 1.. {
-        assert!(begun.elapsed() < PATIENCE, "the joined stream saw no end: {events:?}");
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "the joined stream did not reach the end of the turn: {events:?}"
+        );
         let after = events.last().map_or(last, |event| Some(event.id));
         let Ok(mut stream) = caller.join(gateway, &session, after).await else {
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
@@ -93,10 +99,10 @@
             }
         }
     }
-    unreachable!("it tries until it is out of time")
+    unreachable!("the loop ends with a result or a failed assertion")
 }
 
-/// A session in a program, and so perhaps a shard, of its own.
+/// Opens a session in a new program, and so usually in another shard.
 async fn session(fleet: &Fleet, program: &str) -> SessionRef {
     let caller = caller(fleet);
     put_program(&caller, program, 100_000).await;
@@ -112,7 +118,7 @@
         let failure = if frozen { Failure::Freeze(owner) } else { Failure::Kill(owner) };
         let (seen, whole) = disturbed_turn(&fleet, &session, failure).await;
         assert!(whole || seen.end() == "interrupted", "{}", seen.end());
-        // A turn is sealed where its committed events end; it is not begun again elsewhere.
+        // The turn is sealed after its committed events and not generated again elsewhere.
         let generations = crate::support::generations(&fleet, &session, "t2");
         assert_eq!(generations, 1, "the turn was generated {generations} times");
     }
@@ -123,7 +129,7 @@
     let fleet = start(data_topology(2, 1)).await;
     let of_gateway = session(&fleet, "gateway").await;
     let (seen, whole) = disturbed_turn(&fleet, &of_gateway, Failure::Kill(name("gateway:0"))).await;
-    assert!(whole, "a gateway's end cost its turn: {}", seen.end());
+    assert!(whole, "the failure of a gateway interrupted the turn: {}", seen.end());
     for frozen in [false, true] {
         let session = session(&fleet, &format!("store-{frozen}")).await;
         let leader = shard_leader(&fleet, &session.program).await;
--- a/crates/fleet/tests/suite/genuine_answers.rs
+++ b/crates/fleet/tests/suite/genuine_answers.rs
@@ -1,7 +1,7 @@
-//! What is shown as an answer is the engine's own, whole, and the answer to this request.
+//! Callers only get complete responses of the engine that they called, to their own request.
 //!
-//! Catches a gateway or engine that trusts an answer cut short, one that belongs to another
-//! request, one that does not decode, or one of another service at a reused address.
+//! Detects a gateway or engine that accepts a truncated response, the response to another request,
+//! one that can't be decoded, or one of another service at a reused address.
 
 use crate::support::{PATIENCE, caller, check_text, fault, open, put_program, start};
 use hooklug_emulator::{FaultKind, FaultRule, Faults, LedgerEntry, Restart};
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 const PROGRAM: &str = "frost";
-/// Service that takes over a back end's address.
+/// Service that takes over the address of a backend.
 const STRANGER: &str = "stranger";
 
 fn topology() -> Topology {
@@ -19,7 +19,8 @@
     topology
 }
 
-/// The stand-ins tell in each answer what they were asked.
+/// Asserts that a response belongs to the request: the fake engines return the request in each
+/// response.
 fn assert_genuine(answer: &CallAnswer, call: &str, house: u64) {
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.body["call"], format!("{PROGRAM}/{call}"));
@@ -48,14 +49,14 @@
                     genuine += usize::from(ask(&caller, tool, house).await);
                 }
             }
-            println!("{kind:?} hits {share}: {genuine} of 12 answered");
-            assert!(share < 1.0 || genuine == 0, "a damaged answer was shown");
+            println!("{kind:?} with share {share}: {genuine} of 12 answered");
+            assert!(share < 1.0 || genuine == 0, "a damaged response was returned to the caller");
         }
         fault(&fleet, ProcessKind::App, None).await;
     }
 }
 
-/// Makes a call; tells whether it was answered, and checks the answer.
+/// Makes a call and checks the response. Returns whether it was answered.
 async fn ask(caller: &Caller, tool: &str, house: u64) -> bool {
     let call = format!("{tool}-{house}");
     let mut request = CallRequest::new(tool, json!({"house": house}));
@@ -83,7 +84,7 @@
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 1_000).await;
     for house in 0..10 {
-        // Connections to all engines are open when their addresses change hands.
+        // Opens connections to all engines before their addresses are reused.
         assert!(
             ask(&caller, "read_sensor", house).await && ask(&caller, "send_alarm", house).await
         );
@@ -94,7 +95,7 @@
         version: None,
         down_ms: 0,
     };
-    // One engine of each service, and one of two model servers.
+    // One engine of each service and one of the two model servers are replaced.
     for stand_in in ["app:0", "app:2", "model:0"] {
         fleet.restart_stand_in(stand_in.parse().unwrap(), &restart).await.unwrap();
     }
@@ -103,7 +104,7 @@
         answered += usize::from(ask(&caller, "read_sensor", house).await);
         answered += usize::from(ask(&caller, "send_alarm", house).await);
     }
-    println!("{answered} of 60 calls answered by the engines that are left");
+    println!("{answered} of 60 calls answered by the remaining engines");
     assert!(answered > 0);
     for number in 0..4 {
         let session = open(&caller, PROGRAM, &format!("s{number}")).await;
@@ -117,8 +118,8 @@
     for kind in [ProcessKind::App, ProcessKind::Model] {
         for line in fleet.ledgers(kind).unwrap() {
             let strange = line.identity.starts_with(STRANGER);
-            // Requests on connections from before may reach it; it refuses what is not meant for
-            // it.
+            // Requests on existing connections may reach it; it must refuse requests for another
+            // identity.
             let idle = matches!(line.entry, LedgerEntry::Started | LedgerEntry::Refused { .. });
             assert!(!strange || idle, "{line:?}");
         }
--- a/crates/fleet/tests/suite/machines.rs
+++ b/crates/fleet/tests/suite/machines.rs
@@ -1,4 +1,4 @@
-//! What can be done to the machines of a fleet, and that nothing is left behind.
+//! Operations on the processes of a fleet, and their cleanup.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use nix::sys::signal::kill;
 use nix::unistd::Pid;
 
-/// A fleet with one of everything that the test needs not many of.
+/// A small topology: two gateways, two cores, one model group and one application group.
 fn topology() -> Topology {
     let mut topology = Topology::small();
     topology.gateways = 2;
--- a/crates/fleet/tests/suite/main.rs
+++ b/crates/fleet/tests/suite/main.rs
@@ -1,7 +1,9 @@
-//! Tests of whole fleets: real processes, killed, frozen, cut off, replaced and restarted.
+//! Tests of complete fleets: real processes that are killed, frozen, isolated, replaced and
+//! restarted.
 //!
-//! One program, so that it is linked once and all its fleets share the machine; one file a promise
-//! or failure. `docs/TESTING.md` says which file shows which line of the users' list.
+//! All of them are one program, so that it is linked once and its fleets share the machine. Each
+//! file covers one guarantee or kind of failure; `docs/TESTING.md` maps the files to the users'
+//! requirements.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/fleet/tests/suite/parsing.rs
+++ b/crates/fleet/tests/suite/parsing.rs
@@ -1,4 +1,4 @@
-//! Topology files, process names, event streams and what a turn's stream must look like.
+//! Parsing of topology files, process names and event streams, and the checks of a turn's events.
 
 use std::path::Path;
 
@@ -101,7 +101,7 @@
     for (place, damage) in damages.into_iter().enumerate() {
         let mut transcript = whole_turn();
         damage(&mut transcript.events);
-        assert!(transcript.check("t").is_err(), "damage {place} was not found");
+        assert!(transcript.check("t").is_err(), "damage {place} was not detected");
     }
     assert!(whole_turn().check("other").is_err());
     assert!(Transcript::default().check("t").is_err());
--- a/crates/fleet/tests/suite/rolling_restart.rs
+++ b/crates/fleet/tests/suite/rolling_restart.rs
@@ -1,8 +1,8 @@
-//! All machines are restarted in turn while sessions and calls go on.
+//! All nodes are restarted one after another while sessions and calls continue.
 //!
-//! Catches: a machine that is ready before it can serve; a handover between turns that loses the
-//! session; a node that comes back with an older bundle; an answer or event lost with the process
-//! that held it; "no such turn" after a move; a call run anew.
+//! Detects a node that is ready before it can serve, a handover between turns that loses the
+//! session, a node that returns with an older bundle, a response or event that is lost with the
+//! process that held it, "no such turn" after a session has moved, and a call that runs again.
 
 use std::time::Instant;
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Calls that engines of a version ran.
+/// Number of calls run by engines of a version.
 fn ran(fleet: &Fleet, version: &ServiceVersion) -> usize {
     let lines = fleet.ledgers(ProcessKind::App).unwrap();
     let ran = |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { .. });
@@ -65,7 +65,7 @@
     released.applications.push(newer.clone());
     fleet.add_application(&newer).await.unwrap();
     let mut bundle = released.bundle(BundleVersion(2), BundleVersion(1)).unwrap();
-    // So short that all steps fall into the restarts.
+    // Short steps, so that the complete rollout takes place during the restarts.
     for service in bundle.services.values_mut() {
         (service.steps, service.step_seconds) = (vec![10, 50, 100], 2);
     }
@@ -81,7 +81,7 @@
         );
         load.wait_rounds(&fleet, 2).await;
     }
-    // It goes all the way: after its last step nothing runs at the old version any more.
+    // The rollout must complete: after its last step no call runs at the old version.
     let look = || async {
         let before = (ran(&fleet, &old), ran(&fleet, &newer.version));
         load.wait_rounds(&fleet, 4).await;
@@ -94,7 +94,7 @@
     assert_eq!(
         (current.version, current.rollback),
         (BundleVersion(2), None),
-        "rolled back without harm"
+        "rolled back without a regression"
     );
     load.stop_and_read_back(&fleet).await;
 }
--- a/crates/fleet/tests/suite/single_owner.rs
+++ b/crates/fleet/tests/suite/single_owner.rs
@@ -1,9 +1,9 @@
-//! Two engines never own one session, also when one that owned it comes back after twenty seconds
-//! of silence, and when a core does.
+//! A session never has two owners, even if its owner returns after being unresponsive for twenty
+//! seconds, or a core does.
 //!
-//! Catches an owner that goes on by its own clock or cache after another has taken its session, a
-//! lease that is renewed after its expiry, and a core that acts on a view or leadership that is
-//! long gone.
+//! Detects an owner that continues by its own clock or cache after another engine has taken its
+//! session over, a lease that is renewed after its expiry, and a core that acts on an outdated view
+//! or leadership.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 use hooklug_fleet::{Caller, Fleet, ProcessName};
 
 const PROGRAM: &str = "frost";
-/// The brief's silence.
+/// Time for which a process is unresponsive (requirement: 20 s).
 const SILENCE: Duration = Duration::from_secs(20);
 
-/// How an engine falls silent.
+/// Way in which an engine becomes unresponsive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Silence {
     Frozen,
     CutOff,
 }
 
-/// A long turn whose owner has fallen silent in its middle.
+/// A long turn whose owner became unresponsive in the middle.
 struct Silenced {
     session: SessionRef,
     turn: TurnRequest,
@@ -55,7 +55,7 @@
     Silenced { session, turn, seen, stream, owner, epoch: view.epoch }
 }
 
-/// What the session's stream shows, with every event's place.
+/// Reads all events of a session with their positions.
 async fn history(caller: &Caller, session: &SessionRef) -> serde_json::Value {
     let mut joined = caller.join(1, session, None).await.unwrap();
     let sync = joined.next().await.unwrap().unwrap();
@@ -79,31 +79,34 @@
     put_program(&caller, PROGRAM, 100_000).await;
     let silenced = silence(&fleet, &caller, "s", how).await;
     let began = tokio::time::Instant::now();
-    // Another engine takes the session and seals the turn where its committed events end.
+    // Another engine takes the session over and seals the turn after its committed events.
     let Silenced { session, turn, mut seen, mut stream, owner: silent, epoch } = silenced;
     let session = &session;
     let taken = caller.follow_turn(1, session, &turn, Transcript::default()).await.unwrap();
     taken.check("t1").unwrap();
     assert_eq!(taken.end(), "interrupted");
-    println!("{how:?}: taken after {:?}", began.elapsed());
+    println!("{how:?}: session taken over after {:?}", began.elapsed());
     let next = TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8);
     finish(&caller, session, &next).await;
     let view: SessionView = caller.session(0, session).await.unwrap();
     assert_ne!(view.owner, Some(silent.word()));
     assert!(view.epoch > epoch);
     let before = history(&caller, session).await;
-    // The silence itself is what is tested; the clock runs from its beginning.
+    // The owner must be unresponsive for the full time, measured from the start of the fault.
     tokio::time::sleep_until(began + SILENCE).await;
     match how {
         Silence::Frozen => fleet.wake(silent).unwrap(),
         Silence::CutOff => fleet.heal().await.unwrap(),
     }
-    // All that the old owner ever sent to its client lies within what is committed.
+    // Everything that the old owner sent to its client must be committed.
     while let Ok(Some(event)) = stream.next().await {
         seen.events.push(event);
     }
     for event in &seen.events {
-        assert!(taken.events.contains(event), "{how:?}: released though not committed: {event:?}");
+        assert!(
+            taken.events.contains(event),
+            "{how:?}: released without being committed: {event:?}"
+        );
     }
     fleet.wait_ready(silent, PATIENCE).await.unwrap();
     let after: SessionView = caller.session(0, session).await.unwrap();
@@ -124,7 +127,7 @@
     put_program(&caller, PROGRAM, 100_000).await;
     let session = open(&caller, PROGRAM, "s").await;
     let view = caller.session(0, &session).await.unwrap();
-    // The leader freezes; its successor is cut off when it wakes.
+    // The leader is frozen; its successor is isolated when the former leader resumes.
     let first = fleet.core_leader().await.unwrap();
     fleet.freeze(first).unwrap();
     let began = tokio::time::Instant::now();
--- a/crates/fleet/tests/suite/soak.rs
+++ b/crates/fleet/tests/suite/soak.rs
@@ -1,12 +1,13 @@
-//! A long day in short: some hundred changes of the bundle, races and invalid ones among them,
-//! while processes are killed, stopped, frozen and told of new settings, in series that overlap,
-//! and load goes on over kept connections.
+//! Soak test: more than a hundred changes of the bundle, including concurrent and invalid ones,
+//! under load over persistent connections, while processes are killed, stopped, frozen and sent
+//! `SIGHUP` in series of overlapping faults.
 //!
-//! Catches: a node that goes back; a change in force late, lost, or read back older; an invalid or
-//! losing bundle taken; a resend refused; and with the load whatever its records show: an answer
-//! lost, doubled or belonging to another request.
+//! Detects a node that returns to an older bundle, a change that is installed late, lost, or read
+//! back in an older state, an invalid or losing bundle that is accepted, and a resubmission that is
+//! rejected. The records of the load show responses that are lost, duplicated or belong to another
+//! request.
 //!
-//! The seed is printed; `SOAK_SEEDS=7,8,9` plays others.
+//! The seed is printed; `SOAK_SEEDS=7,8,9` runs other seeds.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -28,22 +29,22 @@
     restart_all, running_nodes, start, wait_installed,
 };
 
-/// Seeds played in CI.
+/// Seeds run in CI.
 const SEEDS: [u64; 1] = [19];
 
-/// Variable that names other seeds, joined by commas.
+/// Environment variable with other seeds, separated by commas.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
 
-/// Series of faults of one day.
+/// Number of fault series in a run.
 const SERIES: usize = 8;
 
-/// Changes during one series.
+/// Number of changes during a series.
 const CHANGES: usize = 14;
 
-/// Sessions of the load.
+/// Number of sessions of the load.
 const SESSIONS: usize = 4;
 
-/// What happens to a process.
+/// Fault of a process.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Kill,
@@ -59,12 +60,12 @@
     given.split(',').map(|seed| seed.trim().parse().expect("a seed is a number")).collect()
 }
 
-/// One day.
+/// State of a run.
 struct Day {
     fleet: Arc<TestFleet>,
     rng: StdRng,
     newest: Bundle,
-    /// Processes that a fault has hold of.
+    /// Processes with a fault in progress.
     disturbed: Arc<Mutex<BTreeSet<ProcessName>>>,
     faults: JoinSet<()>,
 }
@@ -85,11 +86,12 @@
         self.disturbed.lock().unwrap().contains(&node)
     }
 
-    /// Begins a fault at a process of a kind, unless one has hold of such a process already; it
-    /// ends by itself.
+    /// Starts a random fault at a process of a kind, unless one is in progress at a process of that
+    /// kind. The fault ends by itself.
     fn disturb(&mut self, kind: ProcessKind) {
         let names = self.fleet.names(kind);
-        // The first gateway and a majority of stores stay, so that changes can be acknowledged.
+        // The first gateway is spared, and only one store is disturbed at a time, so that changes
+        // can be acknowledged.
         let names: Vec<_> = names.into_iter().filter(|n| *n != name("gateway:0")).collect();
         let (Some(&victim), Some(&fault)) =
             (names.choose(&mut self.rng), FAULTS.choose(&mut self.rng))
@@ -113,8 +115,8 @@
         self.newest.version.0 + 1
     }
 
-    /// One change: mostly a valid one, sometimes two at once, an invalid one, or the last one
-    /// again.
+    /// Makes one change: usually a valid one, sometimes two concurrent ones, an invalid one, or the
+    /// last one again.
     async fn change(&mut self) {
         let version = self.next_version();
         match self.rng.random_range(0..10) {
@@ -138,11 +140,14 @@
         let mut bundle = self.fleet.marked_bundle(version, 10).unwrap();
         bundle.base = BundleVersion(version);
         let verdict = submit(&self.fleet, name("gateway:0"), &bundle).await;
-        assert!(matches!(verdict, Verdict::Refused { .. }), "taken: {verdict:?}");
+        assert!(
+            matches!(verdict, Verdict::Refused { .. }),
+            "an invalid bundle was accepted: {verdict:?}"
+        );
     }
 
-    /// Lets all faults end; then a change is in force everywhere within its bound, and read back as
-    /// sent.
+    /// Waits until all faults have ended; then a change must be installed at all nodes within the
+    /// bound and read back as it was sent.
     async fn check_in_calm(&mut self) {
         while self.faults.join_next().await.is_some() {}
         self.fleet.wait_all_ready(PATIENCE).await.unwrap();
@@ -153,7 +158,7 @@
         let nodes = running_nodes(&self.fleet);
         join_all(nodes.iter().map(|node| wait_installed(&self.fleet, *node, version))).await;
         let took = answered.elapsed();
-        println!("version {version}: in force everywhere {took:?} after its answer");
+        println!("version {version}: installed at all nodes {took:?} after the response");
         assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?}");
         self.newest = bundle;
         self.read_back().await;
@@ -213,7 +218,7 @@
     day.read_back().await;
 }
 
-/// Guards against changes that are late, lost or undone when faults come in series and overlap.
+/// Guards against changes that are late, lost or undone during series of overlapping faults.
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_hold_through_overlapping_faults() {
     for seed in seeds() {
--- a/crates/fleet/tests/suite/store_failures.rs
+++ b/crates/fleet/tests/suite/store_failures.rs
@@ -1,10 +1,10 @@
-//! Whatever happens to stores, nothing acknowledged is lost, and service is back about 12 s after
-//! the machines return.
+//! Acknowledged data survives failures of stores, and service is back about 12 s after the machines
+//! return.
 //!
-//! Catches: an acknowledgement before a quorum's sync; a replay that loses or repeats records; a
-//! store that wakes up and answers from a past state; a replacement that votes without the log;
-//! elections that never settle after one-way cuts; a call that may not be repeated run anew after a
-//! recovery.
+//! Detects an acknowledgement before a quorum has synced, a replay that loses or repeats records, a
+//! store that resumes and responds from an outdated state, a replacement that votes without the
+//! log, elections that never settle after links were blocked one way, and a non-repeatable call
+//! that runs again after a recovery.
 
 use std::time::{Duration, Instant};
 
@@ -18,11 +18,11 @@
 
 const SESSIONS: usize = 6;
 
-/// Time after the return of a store with an empty disk in which all groups are whole again: the
-/// shortest that the users' platforms give before the next disk may be lost.
+/// Maximum time until all groups are fully replicated after a store returned with an empty disk. It
+/// is the shortest time that the users' platforms allow before the next disk may be lost.
 pub(crate) const CATCH_UP_TIME: Duration = Duration::from_millis(4_200);
 
-/// Starts stores again and checks the bound on the way back.
+/// Restarts stores and asserts that service is back within the bound.
 async fn machines_return(fleet: &Fleet, load: &Load, stores: &[ProcessName], word: &str) {
     let returned = Instant::now();
     let (started, answered) =
@@ -32,7 +32,7 @@
     let state = returned.elapsed();
     load.wait_rounds(fleet, 1).await;
     let service = returned.elapsed();
-    println!("{word}: all shards after {state:?}, all sessions after {service:?}");
+    println!("{word}: all shards available after {state:?}, all sessions after {service:?}");
     assert!(service <= RETURN_BOUND, "{word}: service was back only after {service:?}");
 }
 
@@ -42,7 +42,7 @@
     let load = Load::start(&fleet, SESSIONS).await;
     let stores = fleet.names(ProcessKind::Store);
     fleet.kill(stores[0]).unwrap();
-    // One store less: the rest goes on without it.
+    // The other stores continue without it.
     load.wait_rounds(&fleet, 3).await;
     machines_return(&fleet, &load, &stores[..1], "one").await;
     for (word, lost) in [("majority", 2), ("all", 3)] {
@@ -55,7 +55,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_freezes_and_wakes_and_links_fail_one_way() {
-    /// How long the store is frozen (brief: twenty seconds).
+    /// Time for which the store is frozen (requirement: 20 s).
     const FROZEN: std::time::Duration = std::time::Duration::from_secs(20);
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, SESSIONS).await;
@@ -70,7 +70,8 @@
     load.wait_rounds(&fleet, 3).await;
     fleet.wait_ready(frozen, PATIENCE).await.unwrap();
 
-    // What the store sends is lost; then what it is sent; then both, so that it campaigns alone.
+    // First the traffic from a store is blocked, then the traffic to it, then both, so that it
+    // campaigns alone.
     let (one, two) = (name("store:1"), name("store:2"));
     for (cuts, both) in [
         ([(one, two), (one, frozen)], false),
@@ -93,22 +94,22 @@
     let fleet = start(control_topology(4)).await;
     let load = Load::start(&fleet, SESSIONS).await;
     let before = fleet.http_address(name("store:1")).unwrap();
-    let lost = node_id(&fleet, name("store:1")).await.expect("in the view");
+    let lost = node_id(&fleet, name("store:1")).await.expect("the store is in the view");
     fleet.replace(name("store:1")).await.unwrap();
     assert_ne!(before, fleet.http_address(name("store:1")).unwrap());
     fleet.wait_ready(name("store:1"), PATIENCE).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
-    // Before the next loss the groups have to be whole again: two of three disks at once are too
-    // many.
+    // The groups must be fully replicated before the next loss: two of three lost disks at once are
+    // too many.
     wait_repaired(&fleet, lost).await;
-    let lost = node_id(&fleet, name("store:2")).await.expect("in the view");
+    let lost = node_id(&fleet, name("store:2")).await.expect("the store is in the view");
     fleet.lose_disk(name("store:2")).await.unwrap();
     fleet.wait_ready(name("store:2"), PATIENCE).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
     wait_repaired(&fleet, lost).await;
     load.wait_rounds(&fleet, 2).await;
     println!("turns ended {:?}", load.ends());
-    // No engine, model server or quorum was touched: no turn had a reason to end before its end.
+    // No engine, model server or quorum failed, so every turn must have finished.
     assert_eq!(load.ends().keys().collect::<Vec<_>>(), ["finished"], "turns ended early");
     load.stop_and_read_back(&fleet).await;
 }
@@ -118,12 +119,12 @@
     let fleet = start(control_topology(4)).await;
     let load = Load::start(&fleet, SESSIONS).await;
     let (leaving, killed) = (name("store:3"), name("store:0"));
-    let retired = node_id(&fleet, leaving).await.expect("in the view");
+    let retired = node_id(&fleet, leaving).await.expect("the store is in the view");
     retire(&fleet, retired).await;
     wait_repaired(&fleet, retired).await;
     fleet.kill(leaving).unwrap();
     load.wait_rounds(&fleet, 2).await;
-    // Its replicas are whole: one of the three that stay may be lost at once.
+    // All groups are fully replicated, so one of the remaining three stores may be lost at once.
     fleet.kill(killed).unwrap();
     load.wait_rounds(&fleet, 3).await;
     machines_return(&fleet, &load, &[killed], "retired").await;
@@ -131,54 +132,57 @@
     load.stop_and_read_back(&fleet).await;
 }
 
-/// Guards against groups that stay a voter short beyond the time after which the next disk may be
-/// lost: the store that came back empty asked itself and cores for the state, was registered
-/// seconds late, and the next disk took the majority.
+/// Guards against groups that still lack a voter when the next disk may be lost. Formerly a store
+/// that returned with an empty disk requested the state from itself and from cores and was
+/// registered seconds late, so the next lost disk took the majority.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disk_lost_in_the_middle_of_a_retirement_is_made_up_for_before_the_next() {
     let mut topology = control_topology(4);
     topology.seeds = SeedChoice::Cores;
     let fleet = start_alone(topology).await;
     let load = Load::start(&fleet, SESSIONS).await;
-    let retired = node_id(&fleet, name("store:3")).await.expect("in the view");
-    let lost = node_id(&fleet, name("store:2")).await.expect("in the view");
+    let retired = node_id(&fleet, name("store:3")).await.expect("the store is in the view");
+    let lost = node_id(&fleet, name("store:2")).await.expect("the store is in the view");
     retire(&fleet, retired).await;
     let returned = Instant::now();
     fleet.lose_disk(name("store:2")).await.unwrap();
     wait_repaired(&fleet, lost).await;
     wait_repaired(&fleet, retired).await;
     let took = returned.elapsed();
-    println!("all groups whole {took:?} after the return");
-    assert!(took <= CATCH_UP_TIME, "whole only {took:?} after the return");
+    println!("all groups fully replicated {took:?} after the return");
+    assert!(took <= CATCH_UP_TIME, "fully replicated only {took:?} after the return");
     fleet.kill(name("store:3")).unwrap();
-    let lost = node_id(&fleet, name("store:1")).await.expect("in the view");
+    let lost = node_id(&fleet, name("store:1")).await.expect("the store is in the view");
     fleet.lose_disk(name("store:1")).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
     wait_repaired(&fleet, lost).await;
     load.stop_and_read_back(&fleet).await;
 }
 
-/// Pause until a lost machine's successor starts.
+/// Delay until the replacement of a lost machine is started.
 const SUCCESSOR_PAUSE: Duration = Duration::from_secs(1);
 
-/// Guards against the places of a machine that is gone for good staying empty until nine seconds
-/// after it went: its successor at another address was there, and the next disk may be lost once
-/// that has had its time to catch up.
+/// Guards against a lost machine being replaced in its groups only nine seconds after its loss
+/// although its replacement at another address was available: the next disk may be lost once the
+/// replacement has had its time to catch up.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_replaced_at_another_address_is_made_up_for_before_the_next_disk_is_lost() {
     let mut topology = control_topology(4);
     topology.seeds = SeedChoice::Cores;
     let fleet = start_alone(topology).await;
     let load = Load::start(&fleet, SESSIONS).await;
-    let lost = node_id(&fleet, name("store:2")).await.expect("in the view");
+    let lost = node_id(&fleet, name("store:2")).await.expect("the store is in the view");
     fleet.kill(name("store:2")).unwrap();
     tokio::time::sleep(SUCCESSOR_PAUSE).await;
     let returned = Instant::now();
     fleet.replace(name("store:2")).await.unwrap();
     wait_repaired(&fleet, lost).await;
     let took = returned.elapsed();
-    println!("all groups whole {took:?} after the successor's start");
-    assert!(took <= CATCH_UP_TIME, "whole only {took:?} after the successor's start");
+    println!("all groups fully replicated {took:?} after the start of the replacement");
+    assert!(
+        took <= CATCH_UP_TIME,
+        "fully replicated only {took:?} after the start of the replacement"
+    );
     load.wait_rounds(&fleet, 1).await;
     load.stop_and_read_back(&fleet).await;
 }
--- a/crates/fleet/tests/suite/support/bundles.rs
+++ b/crates/fleet/tests/suite/support/bundles.rs
@@ -1,16 +1,16 @@
-//! Bundles as operators submit them.
+//! Submits bundles as operators do.
 
 use hooklug_bundle::Bundle;
 use hooklug_fleet::{Fleet, ProcessName, Submitted, Verdict};
 
 use super::{PATIENCE, name};
 
-/// Submits until there is an answer that claims something.
+/// Submits a bundle and retries until the outcome is known.
 pub async fn submit(fleet: &Fleet, at: ProcessName, bundle: &Bundle) -> Verdict {
     fleet.submit_until_decided(at, bundle, PATIENCE).await.unwrap()
 }
 
-/// Submits a bundle that must be accepted.
+/// Submits a bundle and asserts that it is accepted.
 pub async fn accepted(fleet: &Fleet, at: ProcessName, bundle: &Bundle) -> Submitted {
     match submit(fleet, at, bundle).await {
         Verdict::Accepted(submitted) => submitted,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Submits a version that changes little and must be accepted.
+/// Submits a bundle that differs little from the one before and asserts that it is accepted.
 pub async fn accept_version(fleet: &Fleet, at: ProcessName, version: u64) -> Bundle {
     let bundle = fleet.marked_bundle(version, 10).unwrap();
     accepted(fleet, at, &bundle).await;
@@ -29,7 +29,7 @@
     matches!(verdict, Verdict::Refused { status: 409, body } if body.contains("version_taken"))
 }
 
-/// What came of two bundles of one version.
+/// Result of submitting two different bundles of the same version concurrently.
 pub struct Race {
     pub winner: Bundle,
     pub answer: Submitted,
@@ -37,7 +37,8 @@
 }
 
 impl Race {
-    /// Submits two bundles of one version at once through two gateways; one of them must win.
+    /// Submits two bundles of the same version concurrently through two gateways and asserts that
+    /// exactly one is accepted.
     pub async fn run(fleet: &Fleet, version: u64) -> Self {
         let ours = fleet.marked_bundle(version, 20).unwrap();
         let theirs = fleet.marked_bundle(version, 30).unwrap();
@@ -55,7 +56,8 @@
         }
     }
 
-    /// A node gives the winner the same answer again, and refuses the loser.
+    /// Submits both bundles again at a node: the winner must get the same response, and the loser
+    /// must be rejected.
     pub async fn check_at(&self, fleet: &Fleet, node: ProcessName) {
         let again = accepted(fleet, node, &self.winner).await;
         assert_eq!(again.bundle, self.answer.bundle, "at {node}");
--- a/crates/fleet/tests/suite/support/fleet.rs
+++ b/crates/fleet/tests/suite/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets, as many at once as the machine carries.
+//! Starts fleets for tests, and limits how many run concurrently on the machine.
 
 use std::ops::Deref;
 use std::sync::LazyLock;
@@ -8,23 +8,23 @@
 use hooklug_fleet::{Fleet, FleetError, ProcessName, Topology};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Processors for a fleet of some fifteen processes. Measured: 0.65 of one on average; starts and
-/// elections take more.
+/// Processors reserved for a fleet of about fifteen processes. Measured average: 0.65 of a
+/// processor; starts and elections need more.
 const PROCESSORS_PER_FLEET: usize = 2;
 
-/// How many fleets run at once.
+/// Maximum number of fleets that run concurrently.
 static SHARES: LazyLock<usize> = LazyLock::new(|| {
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     (processors / PROCESSORS_PER_FLEET).max(1)
 });
 static MACHINE: LazyLock<Semaphore> = LazyLock::new(|| Semaphore::new(*SHARES));
 
-/// A running fleet that holds its share of the machine.
+/// A running fleet with its permit for a share of the machine.
 #[derive(Debug)]
 pub struct TestFleet {
     fleet: Fleet,
     began: Instant,
-    // Last, so that the share is free once the processes have ended.
+    // Declared last, so that the permit is released after the processes have exited.
     _share: SemaphorePermit<'static>,
 }
 
@@ -37,24 +37,24 @@
 }
 
 impl Drop for TestFleet {
-    /// Prints what the test took, without its wait for the machine.
+    /// Prints the duration of the test, without the wait for its permit.
     fn drop(&mut self) {
         let thread = std::thread::current();
         println!("{} took {:.1?}", thread.name().unwrap_or("a test"), self.began.elapsed());
     }
 }
 
-/// Waits until one more fleet may run.
+/// Waits until another fleet may run.
 pub async fn share_of_the_machine() -> SemaphorePermit<'static> {
     MACHINE.acquire().await.unwrap()
 }
 
-/// Starts a fleet once there is room for it.
+/// Starts a fleet once another one may run.
 pub async fn start(topology: Topology) -> TestFleet {
     launch(topology, share_of_the_machine().await).await
 }
 
-/// Starts a fleet beside which no other runs, for load that fills the machine.
+/// Starts a fleet while no other one runs, for load that uses the complete machine.
 pub async fn start_alone(topology: Topology) -> TestFleet {
     let all = u32::try_from(*SHARES).unwrap();
     launch(topology, MACHINE.acquire_many(all).await.unwrap()).await
@@ -65,8 +65,8 @@
     TestFleet { fleet: Fleet::start(topology).await.unwrap(), began, _share: share }
 }
 
-/// For faults of stores and cores: three cores, two gateways, two engines, one application service
-/// of two.
+/// Topology for faults of stores and cores: three cores, two gateways, two engines, and one
+/// application service with two engines.
 pub fn control_topology(stores: usize) -> Topology {
     let mut topology = Topology::small();
     topology.stores = stores;
@@ -77,8 +77,8 @@
     topology
 }
 
-/// For faults of back ends, engines and gateways: three stores, one core, two gateways, and one
-/// application service, whose calls may not be repeated.
+/// Topology for faults of backends, engines and gateways: three stores, one core, two gateways, and
+/// one application service with non-repeatable calls.
 pub fn data_topology(engines: usize, applications: usize) -> Topology {
     let mut topology = Topology::small();
     topology.stores = 3;
@@ -91,7 +91,7 @@
     topology
 }
 
-/// All nodes that run.
+/// Names of all running nodes.
 pub fn running_nodes(fleet: &Fleet) -> Vec<ProcessName> {
     let nodes = fleet.all_names().into_iter().filter(|name| name.kind.is_node());
     nodes.filter(|name| fleet.is_running(*name).unwrap()).collect()
@@ -101,7 +101,7 @@
     fleet.status().into_iter().find(|status| status.name == name)?.pid
 }
 
-/// Starts processes again, all at the same moment.
+/// Restarts processes concurrently.
 pub async fn restart_all(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
     try_join_all(names.iter().map(|name| fleet.restart(*name))).await.map(drop)
 }
--- a/crates/fleet/tests/suite/support/load.rs
+++ b/crates/fleet/tests/suite/support/load.rs
@@ -1,4 +1,5 @@
-//! Sessions and calls that go on all the time, and a record of everything that was acknowledged.
+//! Load generator: sessions and calls that run continuously, with a record of everything that was
+//! acknowledged.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,25 +16,26 @@
 use super::{MODEL, PATIENCE, TENANT};
 
 const BUDGET: u64 = 1_000_000;
-/// A tool whose calls may not be repeated.
+/// A tool with non-repeatable calls.
 const TOOL: &str = "export_report";
-/// Pause of a line between two rounds, in which other work of the machine runs.
+/// Pause between two rounds, in which other work of the machine can run.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// What a line was told.
+/// Acknowledged results of a worker.
 #[derive(Debug, Default)]
 pub struct Acknowledged {
-    /// Ended turns, oldest first.
+    /// Turns that ended, oldest first.
     pub turns: Vec<(String, Transcript)>,
-    /// Answered calls.
+    /// Calls that were answered.
     pub calls: BTreeMap<String, CallAnswer>,
-    /// Calls that the gateway could say nothing of.
+    /// Number of calls whose outcome the gateway reported as unknown.
     pub unknown: u64,
-    /// Answers that no caller may ever get.
+    /// Responses that violate the contract.
     pub faults: Vec<String>,
 }
 
-/// One program with one session: turns and calls in turn, each begun once the one before has ended.
+/// One program with one session. Turns and calls alternate, each started after the one before has
+/// ended.
 #[derive(Debug)]
 struct Line {
     session: SessionRef,
@@ -41,7 +43,7 @@
     rounds: AtomicU64,
 }
 
-/// Load on a fleet, until stopped.
+/// Load on a fleet that runs until it is stopped.
 #[derive(Debug)]
 pub struct Load {
     caller: Caller,
@@ -51,7 +53,7 @@
 }
 
 impl Load {
-    /// Opens sessions, one a program, and keeps them busy.
+    /// Opens a session in each of `count` programs and starts to send turns and calls.
     pub async fn start(fleet: &Fleet, count: usize) -> Self {
         let caller = Caller::new(fleet.gateways(), TENANT);
         let stop = Arc::new(AtomicBool::new(false));
@@ -71,7 +73,8 @@
         load
     }
 
-    /// Waits until each line has ended so many more rounds, begun or not before.
+    /// Waits until each worker has completed this number of further rounds; a round in progress
+    /// counts.
     pub async fn wait_rounds(&self, fleet: &Fleet, more: u64) {
         let goals: Vec<u64> =
             self.lines.iter().map(|line| line.rounds.load(Ordering::SeqCst) + more).collect();
@@ -80,13 +83,16 @@
             let mut late = late.filter(|(line, goal)| line.rounds.load(Ordering::SeqCst) < **goal);
             late.next().map_or(Ok(()), |(line, _)| {
                 let told = line.told.lock().unwrap();
-                Err(format!("{} waits; faults: {:?}", line.session.program, told.faults))
+                Err(format!(
+                    "{} made no progress; violations: {:?}",
+                    line.session.program, told.faults
+                ))
             })
         };
-        fleet.wait_until("all lines go on", PATIENCE, look).await.unwrap();
+        fleet.wait_until("all workers make progress", PATIENCE, look).await.unwrap();
     }
 
-    /// How many turns ended in each way so far.
+    /// Number of turns by the type of their terminal event.
     pub fn ends(&self) -> BTreeMap<String, usize> {
         let mut ends = BTreeMap::new();
         for line in &self.lines {
@@ -97,8 +103,8 @@
         ends
     }
 
-    /// Ends the load, then reads back through another gateway all that was acknowledged, and checks
-    /// it against the back ends' own ledgers.
+    /// Stops the load, then reads back everything that was acknowledged through another gateway and
+    /// compares it with the ledgers of the backends.
     pub async fn stop_and_read_back(self, fleet: &Fleet) {
         self.stop.store(true, Ordering::SeqCst);
         for task in self.tasks {
@@ -115,7 +121,7 @@
         }
         check_runs(fleet);
         println!(
-            "read back: {turns} turns, {calls} answered calls; {unknown} calls of unknown end"
+            "read back: {turns} turns, {calls} answered calls; {unknown} calls with unknown outcome"
         );
     }
 }
@@ -129,7 +135,8 @@
     let mut tokens = 0;
     for (turn, transcript) in &told.turns {
         let request = TurnRequest::new(turn, None, "", 1);
-        // From just before its first event on, so that an empty beginning is no new turn.
+        // Starts after the first event, so that the turn is resumed. With an empty transcript it
+        // would be sent again.
         let first = transcript.events[..1].to_vec();
         let begun = Transcript { events: first, cuts: 0 };
         let again = caller.follow_turn(gateway, session, &request, begun).await.unwrap();
@@ -145,7 +152,7 @@
     assert_eq!((program.token_budget, program.spent), (BUDGET, tokens), "{}", session.program);
 }
 
-/// No call ran twice, by the application engines' ledgers.
+/// Asserts that no call ran more than once, according to the ledgers of the application engines.
 fn check_runs(fleet: &Fleet) {
     let mut runs = BTreeMap::<String, usize>::new();
     for line in fleet.ledgers(ProcessKind::App).unwrap() {
@@ -156,7 +163,7 @@
         }
     }
     runs.retain(|_, times| *times > 1);
-    assert!(runs.is_empty(), "calls that may not be repeated ran more than once: {runs:?}");
+    assert!(runs.is_empty(), "non-repeatable calls ran more than once: {runs:?}");
 }
 
 async fn keep_busy(caller: Caller, line: Arc<Line>, gateway: usize, stop: Arc<AtomicBool>) {
@@ -205,9 +212,9 @@
                 told.calls.insert(name, answer);
                 return;
             }
-            // Neither claims anything; the same call again is told what became of it.
+            // The outcome is unknown in both cases; the same call is sent again.
             Err(error) if error.is_passing() || error.code() == Some("deadline_exceeded") => {}
-            // Its gateway lost the answer: the record says so, and nothing is claimed.
+            // The response was lost, and the record of the call says so.
             Err(error) if error.code() == Some("call_unknown") => {
                 told.unknown += 1;
                 return;
--- a/crates/fleet/tests/suite/support/mod.rs
+++ b/crates/fleet/tests/suite/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: fleets, requests, evidence, and a load that remembers what was
-//! acknowledged.
+//! Helpers shared by the tests: fleets, requests, evidence from ledgers, and a load generator that
+//! records everything that was acknowledged.
 
 pub mod bundles;
 mod evidence;
@@ -24,15 +24,15 @@
 
 pub use state::{read_current, shard_leader, wait_installed, whole_state_answers};
 
-/// Longest wait for a condition; generous, since it bounds no promise.
+/// Timeout of a wait for a condition. It is generous, because no guarantee depends on it.
 pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Bound on the way back after machines return (brief: about 12 s).
+/// Maximum time until service is back after machines return (requirement: about 12 s).
 pub const RETURN_BOUND: Duration = Duration::from_secs(12);
-/// Bound on an acknowledged bundle's way into force (brief: about 2 s).
+/// Maximum time until an acknowledged bundle is installed at all nodes (requirement: about 2 s).
 pub const IN_FORCE_BOUND: Duration = Duration::from_secs(2);
-/// The tenant of all requests.
+/// Tenant of all requests.
 pub const TENANT: &str = "serra-verde";
-/// The model that sessions ask for.
+/// Model of all sessions.
 pub const MODEL: &str = "advisor-7b";
 
 pub fn name(text: &str) -> ProcessName {
--- a/crates/fleet/tests/suite/support/repair.rs
+++ b/crates/fleet/tests/suite/support/repair.rs
@@ -1,4 +1,4 @@
-//! When a lost store has been replaced in all groups.
+//! Waits until the replicas of a lost store have been replaced in all groups.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use super::{PATIENCE, name};
 
-/// Groups: `meta` and the shards.
+/// Number of groups: `meta` and 16 shards.
 const GROUPS: usize = 17;
 
 async fn shards(fleet: &Fleet) -> BTreeMap<String, Value> {
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// Node id of a store, as the first gateway's view shows it.
+/// Node id of a store in the view of the first gateway.
 pub async fn node_id(fleet: &Fleet, store: ProcessName) -> Option<u64> {
     let gateway = fleet.http_address(name("gateway:0")).unwrap();
     let ask = Ask::new(Method::GET, "/admin/v1/members");
@@ -35,7 +35,8 @@
     members.iter().filter(|m| m["http"] == http.as_str()).find_map(|m| m["node"].as_u64())
 }
 
-/// Whether each group has three voters, all caught up, and the lost node is no member any more.
+/// Whether each group has a leader and three voters without lag, and the lost node is neither a
+/// member nor in the placement.
 fn is_repaired(shards: &BTreeMap<String, Value>, lost: u64) -> bool {
     let whole = |shard: &Value| {
         let replicas = shard["replicas"].as_array().cloned().unwrap_or_default();
@@ -50,7 +51,7 @@
     shards.len() == GROUPS && shards.values().all(whole)
 }
 
-/// Waits until all groups are whole again without a node.
+/// Waits until all groups are fully replicated without the lost node.
 pub async fn wait_repaired(fleet: &Fleet, lost: u64) {
     let look = || async {
         let seen = shards(fleet).await;
@@ -59,7 +60,7 @@
     fleet.wait_until("the lost store is replaced", 2 * PATIENCE, look).await.unwrap();
 }
 
-/// Asks for a store to be retired, until a core leader takes it.
+/// Requests the retirement of a store until a core leader accepts it.
 pub async fn retire(fleet: &Fleet, node: u64) {
     let gateway = fleet.http_address(name("gateway:0")).unwrap();
     let ask = Ask::new(Method::POST, format!("/admin/v1/stores/{node}/retire"));
@@ -67,5 +68,5 @@
         let answer = HttpClient::default().ask(gateway, &ask).await.map_err(|e| e.to_string())?;
         if answer.status.is_success() { Ok(()) } else { Err(answer.status.to_string()) }
     };
-    fleet.wait_until("the store may be retired", PATIENCE, look).await.unwrap();
+    fleet.wait_until("the retirement is accepted", PATIENCE, look).await.unwrap();
 }
--- a/crates/fleet/tests/suite/support/requests.rs
+++ b/crates/fleet/tests/suite/support/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, as tests make them.
+//! Helpers that send callers' requests.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Caller::new(fleet.gateways(), TENANT)
 }
 
-/// Declares a program that has an hour.
+/// Declares a program that ends in an hour.
 pub async fn put_program(caller: &Caller, program: &str, budget: u64) {
     let end = UnixMillis::now().plus(Duration::from_secs(3_600));
     caller.put_program(0, program, budget, end.0).await.unwrap();
@@ -25,7 +25,7 @@
     session
 }
 
-/// The engine that owns a session.
+/// Returns the engine that owns a session.
 pub async fn owner(fleet: &Fleet, caller: &Caller, session: &SessionRef) -> ProcessName {
     let view: SessionView = caller.session(0, session).await.unwrap();
     let owner = view.owner.unwrap();
@@ -33,12 +33,12 @@
     engines.into_iter().find(|engine| engine.word() == owner).unwrap()
 }
 
-/// A call that may not be repeated.
+/// Creates a non-repeatable call.
 pub fn alarm(house: u64) -> CallRequest {
     CallRequest::new("send_alarm", json!({"house": house}))
 }
 
-/// Runs a turn to its end, which must be `finished`.
+/// Runs a turn and asserts that it ends `finished`.
 pub async fn finish(caller: &Caller, session: &SessionRef, turn: &TurnRequest) -> Transcript {
     let transcript = caller.run_turn(0, session, turn).await.unwrap();
     transcript.check(&turn.turn).unwrap();
--- a/crates/fleet/tests/suite/support/state.rs
+++ b/crates/fleet/tests/suite/support/state.rs
@@ -1,4 +1,4 @@
-//! What the fleet's nodes show of its state.
+//! Reads the state of a fleet through its nodes.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 
 use super::{PATIENCE, TENANT};
 
-/// Waits until a node has at least this version in force.
+/// Waits until a node has installed at least this version.
 pub async fn wait_installed(fleet: &Fleet, name: ProcessName, version: u64) {
-    let what = format!("{name} has version {version} in force");
+    let what = format!("{name} has installed version {version}");
     let look = || async move {
         match fleet.installed_bundle(name).await {
             Ok(installed) if installed >= BundleVersion(version) => Ok(()),
@@ -23,7 +23,7 @@
     fleet.wait_until(&what, PATIENCE, look).await.unwrap();
 }
 
-/// The newest bundle, once a quorum answers.
+/// Reads the newest bundle, waiting until a quorum is reachable.
 pub async fn read_current(fleet: &Fleet, at: ProcessName) -> hooklug_fleet::ReadBundle {
     let look =
         || async move { fleet.current_bundle(at).await.map(drop).map_err(|e| e.to_string()) };
@@ -37,7 +37,7 @@
     answer.and_then(|answer| answer.json()).map_err(|error| error.to_string())
 }
 
-/// The store that leads the shard of a program.
+/// Returns the store that leads the shard of a program.
 pub async fn shard_leader(fleet: &Fleet, program: &str) -> ProcessName {
     let group = shard_of(program).to_string();
     let found = std::sync::Mutex::new(None);
@@ -52,7 +52,7 @@
         let store =
             stores.find(|s| Some(fleet.http_address(*s).unwrap().to_string().as_str()) == http);
         *found.lock().unwrap() = store;
-        store.map(drop).ok_or_else(|| format!("group {group} in {shards}, {members}"))
+        store.map(drop).ok_or_else(|| format!("no leader of group {group} in {shards}, {members}"))
     };
     fleet.wait_until("a shard has a leader", PATIENCE, look).await.unwrap();
     found.into_inner().unwrap().unwrap()
@@ -62,7 +62,7 @@
     value.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// One new program in each shard; unique by `word`.
+/// Returns program names that cover all shards, with a common prefix.
 fn programs_of_all_shards(word: &str) -> Vec<String> {
     let mut found = std::collections::BTreeMap::new();
     for number in 0.. {
@@ -75,7 +75,7 @@
     found.into_values().collect()
 }
 
-/// Writes to every shard and reads the newest bundle: returns once all have answered.
+/// Writes to every shard and reads the newest bundle; returns once all requests have succeeded.
 pub async fn whole_state_answers(fleet: &Fleet, word: &str) -> Result<(), CallerError> {
     let caller = Caller::new(fleet.gateways(), TENANT);
     let end = UnixMillis::now().plus(Duration::from_secs(600));
--- a/crates/fleet/tests/suite/support/versions.rs
+++ b/crates/fleet/tests/suite/support/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions nodes show, over time.
+//! Watches the bundle versions that nodes report.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 
 use super::{TestFleet, pid, running_nodes};
 
-/// Versions that nodes were seen at, each run of a process by itself.
+/// Checks in the background that the version that a process reports never decreases.
 pub struct VersionWatch {
     stop: Arc<AtomicBool>,
     watching: JoinHandle<Vec<String>>,
 }
 
 impl VersionWatch {
-    /// Looks at all nodes until it is ended.
+    /// Polls all nodes until it is stopped.
     pub fn start(fleet: Arc<TestFleet>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let watching = tokio::spawn(watch(fleet, stop.clone()));
         Self { stop, watching }
     }
 
-    /// Fails when a node went back.
+    /// Stops polling and asserts that no node reported an older version than before.
     pub async fn end(self) {
         self.stop.store(true, Ordering::SeqCst);
         let steps_back = self.watching.await.unwrap();
-        assert!(steps_back.is_empty(), "nodes went back: {steps_back:?}");
+        assert!(steps_back.is_empty(), "nodes reported older versions than before: {steps_back:?}");
     }
 }
 
@@ -41,7 +41,7 @@
             let Some(before) = pid(&fleet, node) else { continue };
             let Ok(seen) = fleet.installed_bundle(node).await else { continue };
             if pid(&fleet, node) != Some(before) {
-                continue; // Restarted meanwhile: whose answer it was is not known.
+                continue; // Restarted meanwhile, so it is unknown which process responded.
             }
             let known = newest.entry((node, before)).or_default();
             if seen < *known {
--- a/crates/fleet/tests/suite/token_budget.rs
+++ b/crates/fleet/tests/suite/token_budget.rs
@@ -1,8 +1,8 @@
-//! A program streams no more tokens than its budget, over many engines, their ends, and a restart
-//! of everything. The brief allows one turn more; here the last token counts.
+//! A program never streams more tokens than its budget, over several engines, their failures, and a
+//! restart of all nodes. The requirement allows one turn more; this test requires the exact number.
 //!
-//! Catches a budget that is counted in memory, a reservation that is lost or settled twice in a
-//! takeover, and tokens that were streamed and are not booked.
+//! Detects a budget that is counted in memory, a reservation that is lost or settled twice in a
+//! takeover, and tokens that were streamed but not accounted for.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -14,16 +14,16 @@
 use hooklug_fleet::{Caller, Fleet};
 
 const PROGRAM: &str = "frost";
-/// No multiple of a turn, so that the last turn gets what is left.
+/// Not a multiple of a turn, so that the last turn gets the remainder.
 const BUDGET: u64 = 3_005;
-/// Tokens that a turn asks for.
+/// Tokens requested by a turn.
 const TURN_TOKENS: u64 = 40;
 const SESSIONS: usize = 4;
 
-/// What was streamed, by session and turn.
+/// Transcripts by session and turn.
 type Streamed = Arc<Mutex<BTreeMap<(String, String), Transcript>>>;
 
-/// Sends turns until the budget is spent.
+/// Sends turns in a session until the budget is spent.
 async fn spend(caller: Caller, session: SessionRef, gateway: usize, streamed: Streamed) {
     let mut head: Option<String> = None;
     for number in 0.. {
@@ -34,7 +34,7 @@
             match caller.run_turn(gateway, &session, &request).await {
                 Ok(transcript) => break transcript,
                 Err(error) if error.code() == Some("budget_spent") => return,
-                // Everything may be down for longer than one patience.
+                // All nodes may be down for longer than the caller retries.
                 Err(error) if error.is_passing() => println!("{} {name}: {error}", session.session),
                 Err(error) => panic!("{} {name}: {error}", session.session),
             }
@@ -82,8 +82,8 @@
         fleet.kill(*node).unwrap();
     }
     let before = total(&streamed);
-    println!("{before} tokens were streamed when everything was killed");
-    assert!(before < BUDGET, "the budget was spent before everything was killed");
+    println!("{before} tokens had been streamed when all nodes were killed");
+    assert!(before < BUDGET, "the budget was spent before all nodes were killed");
     for node in &nodes {
         fleet.restart(*node).await.unwrap();
     }
--- a/crates/fleet/tests/suite/truthful_refusals.rs
+++ b/crates/fleet/tests/suite/truthful_refusals.rs
@@ -1,9 +1,9 @@
-//! "Not run" and "budget spent" are said only of what did not run and never will. The verdict is
-//! the ledgers of application engines and model servers, read at the end.
+//! "Not run" and "budget spent" are reported only for work that did not run and never will. The
+//! ledgers of application engines and model servers, read at the end, decide.
 //!
-//! Catches a "not run" that rests on anything but a committed seal (a dispatch can race it), a seal
-//! or refusal that is forgotten over a restart, and a turn refused at one engine and run at
-//! another.
+//! Detects a "not run" that is based on anything but a committed seal (a dispatch can race with
+//! it), a seal or refusal that is lost in a restart, and a turn that is refused at one engine and
+//! run at another.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use hooklug_fleet::{Caller, Fleet, ProcessKind};
 
 const PROGRAM: &str = "frost";
-/// Calls that race with their seal.
+/// Number of calls that race with their seal.
 const RACES: u64 = 40;
 
-/// Sends a call and its seal at once through two gateways, one of them with a head start that
-/// grows.
+/// Sends a call and its seal concurrently through two gateways, one of them with a head start that
+/// grows with each race.
 async fn race_seal(
     caller: &Caller,
     call: &str,
@@ -53,7 +53,7 @@
     for race in 0..RACES {
         let (call, request) = (format!("call-{race}"), alarm(race));
         let (ran, seal) = match race {
-            // Both ends of the race, so that each outcome is seen.
+            // The first two races are sequential, so that each outcome occurs.
             0 => {
                 let seal = caller.seal_call(1, PROGRAM, &call, &request).await;
                 (caller.call(0, PROGRAM, &call, &request).await, seal)
@@ -71,8 +71,8 @@
             sealed.insert(call);
         }
     }
-    println!("{} of {RACES} calls were sealed before they began", sealed.len());
-    // Neither a new leader nor a new gateway forgets a seal.
+    println!("{} of {RACES} calls were sealed before they started", sealed.len());
+    // A seal must survive a restart of the leader and of a gateway.
     let leader = shard_leader(&fleet, PROGRAM).await;
     fleet.restart(leader).await.unwrap();
     fleet.restart("gateway:0".parse().unwrap()).await.unwrap();
@@ -93,7 +93,7 @@
     }
 }
 
-/// Turns of a session that a model server began to run.
+/// Turns of a session for which a model server started a generation.
 fn began(fleet: &Fleet, session: &str) -> BTreeSet<String> {
     let lines = fleet.ledgers(ProcessKind::Model).unwrap().into_iter();
     let turns = lines.filter_map(|line| match line.entry {
@@ -108,7 +108,7 @@
     let fleet = start(data_topology(2, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 60).await;
-    // Sessions on both engines race for the budget's last tokens.
+    // Sessions on both engines compete for the last tokens of the budget.
     let mut refused = Vec::new();
     let mut racing = tokio::task::JoinSet::new();
     for number in 0..4 {
@@ -128,13 +128,13 @@
                 }
                 head = Some(name);
             }
-            unreachable!("a budget ends")
+            unreachable!("the loop ends when the budget is spent")
         });
     }
     while let Some(ended) = racing.join_next().await {
         refused.push(ended.unwrap());
     }
-    // One owner is killed, so that its sessions' next owner has to know the refusal.
+    // One owner is killed, so that the next owner of its sessions must know the refusal.
     let killed = owner(&fleet, &caller, &refused[0].0).await;
     fleet.kill(killed).unwrap();
     for (session, request) in &refused {
--- a/crates/fleet/tests/suite/turn_lookup.rs
+++ b/crates/fleet/tests/suite/turn_lookup.rs
@@ -1,8 +1,9 @@
-//! A turn whose predecessor finished within the keep time is never told "no such turn", while
-//! engines, gateways and stores are killed and restarted, in turn and all at once.
+//! A turn whose predecessor finished within the retention time never gets "no such turn" while
+//! engines, gateways and stores are killed and restarted, one after another and all at once.
 //!
-//! Catches a history that lives in an engine or gateway, an answer from a store that lags behind or
-//! has not caught up after its restart, and an absence claimed while the shard can't be reached.
+//! Detects a history that is kept in an engine or gateway only, a response of a store that lags
+//! behind or has not caught up after its restart, and an absence that is reported while the shard
+//! is unreachable.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,17 +12,17 @@
 use hooklug_fleet::caller::{SessionRef, Transcript, TurnRequest};
 use hooklug_fleet::{Caller, Fleet, ProcessKind, ProcessName};
 
-/// Programs, so that several shards take part.
+/// Several programs, so that several shards take part.
 const PROGRAMS: [&str; 3] = ["frost", "sowing", "storm"];
 
-/// A session with the turns that it has finished.
+/// A session with its finished turns.
 struct Known {
     session: SessionRef,
     turns: Vec<(String, Transcript)>,
 }
 
 impl Known {
-    /// Finishes one more turn, which names the one before.
+    /// Runs one more turn after the last one.
     async fn go_on(&mut self, caller: &Caller) {
         let after = self.turns.last().map(|(name, _)| name.clone());
         let name = format!("t{}", self.turns.len() + 1);
@@ -30,7 +31,7 @@
         self.turns.push((name, transcript));
     }
 
-    /// Every finished turn is found, with all its events, at every gateway.
+    /// Asserts that every gateway finds every finished turn with all its events.
     async fn check(&self, caller: &Caller) {
         for (name, seen) in &self.turns {
             for gateway in 0..2 {
@@ -45,8 +46,8 @@
     }
 }
 
-/// Asks for finished turns all the time; counts answers, and fails on any that claims their
-/// absence.
+/// Reads finished turns continuously and counts the responses; fails if one reports a turn as
+/// absent.
 async fn keep_asking(
     caller: Caller,
     wanted: Vec<(SessionRef, String)>,
@@ -109,9 +110,6 @@
     ended.store(true, Ordering::SeqCst);
     asking.await.unwrap();
     let found = found.load(Ordering::SeqCst);
-    println!(
-        "{} rounds of kills; asked meanwhile, finished turns were found {found} times",
-        rounds.len()
-    );
+    println!("{} rounds of kills; finished turns were found {found} times meanwhile", rounds.len());
     assert!(found > 0);
 }
--- a/crates/fleet/tests/suite/version_harm.rs
+++ b/crates/fleet/tests/suite/version_harm.rs
@@ -1,9 +1,10 @@
-//! A bad version gets no traffic about 5 s after clear harm, the system commits the roll-back with
-//! its reason, and versions that suffer alike are left in force.
+//! A bad version gets no traffic about 5 s after a clear regression, the system commits the
+//! rollback with its reason, and versions that are affected equally stay active.
 //!
-//! Catches: a judge that looks at a service as a whole and so misses one route; one that forgets
-//! the time before; one that compares a version under load with an idle one; gateways that go on
-//! sending to a version rolled back; an outage of all versions taken for the newest one's fault.
+//! Detects a judge that evaluates a service only in total and misses a single route, one that is
+//! misled by an earlier healthy period, one that compares a version under load with an idle one,
+//! gateways that continue to use a version that was rolled back, and an outage of all versions that
+//! is blamed on the newest one.
 
 mod release;
 
@@ -35,15 +36,15 @@
     release.set_faults(&newer, &faults(one_route)).await;
     release.harm_is_met("fails on one route", Some(LIST)).await;
 
-    // Healthy for a long time, by the number of its calls, before a part of them fails.
+    // The version is healthy for a large number of calls before a part of them fails.
     release.release(5).await;
     release.wait_ran(&release.newer, 1_000).await;
     let in_part = FaultRule { share: 0.5, ..rule(FaultKind::Garble) };
     release.set_faults(&newer, &faults(in_part)).await;
     release.harm_is_met("fails after a while", None).await;
 
-    // Slow only while more than two calls run at an engine: first there are too few callers for
-    // that.
+    // The version is slow only while more than two calls run at an engine; at first there are too
+    // few callers for that.
     release.calls.busy.store(2, Ordering::SeqCst);
     release.release(6).await;
     let under_load = FaultRule { above_running: Some(2), millis: 400, ..rule(FaultKind::Slow) };
@@ -58,9 +59,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn versions_that_suffer_alike_stay_in_force() {
-    /// Longer than the system takes for a real fault (brief: about 5 s).
+    /// Longer than the system needs to react to a real regression (requirement: about 5 s).
     const WATCHED: Duration = Duration::from_secs(10);
-    /// Calls at each version while it suffers.
+    /// Calls at each version while both fail.
     const CALLS: usize = 600;
     let mut release = Release::start().await;
     release.release(2).await;
@@ -78,7 +79,7 @@
     release.stop().await;
 }
 
-/// New sessions, one after another: how each one's first turn ended, and at which version.
+/// Opens sessions one after another and records for each the version and how its first turn ended.
 async fn keep_opening(
     caller: Caller,
     number: usize,
@@ -98,7 +99,7 @@
         let ended = caller.run_turn(number, &session, &turn).await;
         let ended = ended.map_or_else(|e| e.to_string(), |t| t.end().to_owned());
         seen.lock().unwrap().push((Instant::now(), view.version, ended));
-        // A closed session frees its place; one that can't be closed is of no further interest.
+        // A closed session frees its slot; a failure to close it does not affect the test.
         let _ = caller.close_session(number, &session).await;
     }
 }
@@ -114,7 +115,7 @@
         ..fleet.topology().models[0].clone()
     };
     let engine = fleet.add_engine(&group).await.unwrap();
-    // Once rolled back it drains and ends by itself.
+    // The engine drains and exits by itself after the rollback.
     fleet.allow_end(engine).unwrap();
     let model = *fleet.names(ProcessKind::Model).last().unwrap();
     let mut released = fleet.topology().clone();
@@ -155,11 +156,11 @@
         let seen = seen.lock().unwrap();
         seen.iter().filter(|(_, _, end)| end != "finished").map(|(at, ..)| *at).max()
     };
-    let last_bad = last_bad.expect("it did harm").saturating_duration_since(began);
+    let last_bad = last_bad.expect("some turns failed").saturating_duration_since(began);
     println!(
-        "model service: rolled back in force after {rolled_back:?}, last bad turn {last_bad:?}; {}",
+        "model service: rollback installed after {rolled_back:?}, last failed turn after {last_bad:?}; {}",
         harm.reason
     );
-    assert!(last_bad <= HARM_BOUND, "a turn ended badly {last_bad:?} after harm began");
+    assert!(last_bad <= HARM_BOUND, "a turn failed {last_bad:?} after the start of the fault");
     load.stop_and_read_back(&fleet).await;
 }
--- a/crates/fleet/tests/suite/version_harm/release.rs
+++ b/crates/fleet/tests/suite/version_harm/release.rs
@@ -1,4 +1,4 @@
-//! A release under load: two versions side by side, and what each of them ran.
+//! A release under load: two versions run concurrently, and the ledgers show the calls of each.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,12 +16,13 @@
 use serde_json::json;
 use tokio::task::JoinHandle;
 
-/// Bound on a bad version's traffic after clear harm (brief: about 5 s).
+/// Maximum time for which a bad version gets traffic after a clear regression (requirement: about 5
+/// s).
 pub const HARM_BOUND: Duration = Duration::from_secs(5);
-/// Requests to a version after which harm is clear: the bundle's `least_samples`.
+/// Number of requests to a version after which a regression is clear: the bundle's `least_samples`.
 pub const CLEAR_AFTER: usize = 20;
-/// Two tools of one service. Their calls may be repeated: nothing but the application is written
-/// for them.
+/// Two tools of one service. Their calls are repeatable, so that they are recorded only by the
+/// application engine.
 pub const READ: &str = "read_sensor";
 pub const LIST: &str = "list_alerts";
 pub const CALLERS: usize = 24;
@@ -34,7 +35,7 @@
     Faults { rules: vec![rule], ..Faults::default() }
 }
 
-/// Half of all calls go to the newest version, for as long as a test takes.
+/// Sets the rollout to a first step of 50 % that lasts longer than the test.
 pub fn at_half(mut bundle: Bundle) -> Bundle {
     for service in bundle.services.values_mut() {
         (service.steps, service.step_seconds) = (vec![50, 100], 600);
@@ -49,7 +50,8 @@
     }
 }
 
-/// The roll-back that the system committed on top of a version.
+/// Waits until the system has committed a rollback of a version and all gateways have installed it;
+/// returns the reason.
 pub async fn wait_rolled_back(fleet: &Fleet, from: u64) -> Harm {
     let at = name("gateway:0");
     let look = || async move {
@@ -57,16 +59,16 @@
         let version = current.record.version;
         if version > BundleVersion(from) { Ok(()) } else { Err(format!("{version} is newest")) }
     };
-    fleet.wait_until("the system rolls back", PATIENCE, look).await.unwrap();
+    fleet.wait_until("the system has committed a rollback", PATIENCE, look).await.unwrap();
     let record = read_current(fleet, at).await.record;
     assert_eq!(record.version, BundleVersion(from + 1));
     for gateway in fleet.names(ProcessKind::Gateway) {
         wait_installed(fleet, gateway, from + 1).await;
     }
-    record.rollback.expect("a bundle of the system")
+    record.rollback.expect("the newest bundle is a rollback")
 }
 
-/// Callers of both tools; how many of them call at a time is set.
+/// Shared control of the callers of both tools: `busy` is the number of active callers.
 pub struct Calls {
     pub busy: AtomicUsize,
     pub stop: AtomicBool,
@@ -86,13 +88,13 @@
         }
         let tool = if call % 2 == 0 { READ } else { LIST };
         let request = CallRequest::new(tool, json!({}));
-        // What reached which version is read from the ledgers; the answer tells nothing more.
+        // The ledgers show which version ran a call; the response is not needed.
         let _ = caller.call(number, &program, &format!("c{call}"), &request).await;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A fleet whose application service runs `v1` on two engines and a newer version on two.
+/// A fleet whose application service runs `v1` on two engines and a newer version on two others.
 pub struct Release {
     pub fleet: TestFleet,
     pub calls: Arc<Calls>,
@@ -127,7 +129,7 @@
         [name("app:2"), name("app:3")]
     }
 
-    /// The moments at which calls ran at a version.
+    /// Times at which calls ran at a version, sorted.
     pub fn runs(&self, version: &ServiceVersion) -> Vec<UnixMillis> {
         let ledger = self.fleet.ledgers(ProcessKind::App).unwrap();
         let calls = ledger.iter().filter(|line| {
@@ -152,8 +154,8 @@
         self.fleet.wait_until(&what, PATIENCE, look).await.unwrap();
     }
 
-    /// Releases a version that nobody has seen before (`v2` is there from the start), and waits
-    /// until both versions have traffic.
+    /// Releases a version that is new to the fleet (`v2` is listed from the start), and waits until
+    /// both versions have traffic.
     pub async fn release(&mut self, number: u32) {
         self.newer = ServiceVersion::new(format!("v{number}")).unwrap();
         for engine in self.newer_engines() {
@@ -171,7 +173,11 @@
         self.wait_ran(&self.newer, 100).await;
         self.wait_ran(&v1, 100).await;
         let current = read_current(&self.fleet, name("gateway:0")).await.record;
-        assert_eq!(current.version, BundleVersion(self.version), "rolled back without harm");
+        assert_eq!(
+            current.version,
+            BundleVersion(self.version),
+            "rolled back without a regression"
+        );
     }
 
     pub async fn set_faults(&self, engines: &[ProcessName], faults: &Faults) {
@@ -180,7 +186,8 @@
         }
     }
 
-    /// From now on the newer version does harm: checks that it loses its traffic in time, for good.
+    /// Asserts that the newer version, which has a fault from now on, is rolled back and loses its
+    /// traffic in time and permanently.
     pub async fn harm_is_met(&mut self, what: &str, route: Option<&str>) {
         let (began, began_at) = (Instant::now(), UnixMillis::now());
         let harm = wait_rolled_back(&self.fleet, self.version).await;
@@ -191,25 +198,27 @@
         if let Some(route) = route {
             assert_eq!(harm.route.as_deref(), Some(route));
         }
-        // Calls begun before are over once as many more have been made as there are callers, and
-        // again.
+        // Calls in flight have completed once each caller has made several more calls.
         let v1 = ServiceVersion::new("v1").unwrap();
         self.wait_ran(&v1, 10 * CALLERS).await;
         self.set_faults(&self.newer_engines(), &Faults::default()).await;
         let settled = self.ran(&self.newer);
         self.wait_ran(&v1, 10 * CALLERS).await;
-        assert_eq!(self.ran(&self.newer), settled, "{what}: traffic after the roll-back");
+        assert_eq!(self.ran(&self.newer), settled, "{what}: traffic after the rollback");
         let mut runs = self.runs(&self.newer);
         runs.retain(|at| *at >= began_at);
         let clear = runs.get(CLEAR_AFTER - 1).copied().unwrap_or(began_at);
         let last = runs.last().copied().unwrap_or(began_at);
         let traffic = Duration::from_millis(last.0.saturating_sub(clear.0));
         println!(
-            "{what}: rolled back in force after {rolled_back:?}, last of {} runs {traffic:?} after clear harm; {}",
+            "{what}: rollback installed after {rolled_back:?}, last of {} runs {traffic:?} after a clear regression; {}",
             runs.len(),
             harm.reason
         );
-        assert!(traffic <= HARM_BOUND, "{what}: traffic until {traffic:?} after clear harm");
+        assert!(
+            traffic <= HARM_BOUND,
+            "{what}: traffic until {traffic:?} after a clear regression"
+        );
     }
 
     pub async fn stop(self) {
