--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -18,13 +18,13 @@
 use serde_json::Value;
 use tokio::sync::Semaphore;
 
-use crate::core::{Core, RequestId, header_text};
+use crate::fake_backend::{Backend, StandIn};
 use crate::faults::Hit;
 use crate::headers;
 use crate::http::{Answer, Body, Unanswered, cut, json, read_json, text, whole};
 use crate::identity::{BackendKind, Identity};
 use crate::ledger::{Ledger, LedgerEntry};
-use crate::stand_in::{Backend, StandIn};
+use crate::state::{Core, RequestId, header_text};
 
 const JSON: &str = "application/json";
 
--- a/crates/emulator/src/stand_in.rs
+++ b/crates/emulator/src/fake_backend.rs
@@ -15,11 +15,11 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::core::Core;
 use crate::faults::Faults;
 use crate::http::{Answer, Body, json, read_json, serve, text, whole};
 use crate::identity::{Identity, Restart};
 use crate::ledger::LedgerLine;
+use crate::state::Core;
 
 /// Behaviour that differs between kinds of backends.
 pub(crate) trait Backend: Send + Sync + 'static {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -9,7 +9,7 @@
 #![forbid(unsafe_code)]
 
 pub mod application;
-mod core;
+mod fake_backend;
 pub mod faults;
 mod headers;
 mod http;
@@ -17,12 +17,12 @@
 pub mod ledger;
 pub mod model;
 pub mod platform;
-mod stand_in;
+mod state;
 
 pub use application::{ApplicationEngine, ApplicationOptions};
+pub use fake_backend::StandIn;
 pub use faults::{FaultKind, FaultRule, Faults};
 pub use identity::{Identity, Restart};
 pub use ledger::{Ledger, LedgerEntry, LedgerLine};
 pub use model::{ModelOptions, ModelServer};
 pub use platform::{EngineList, ListedEngine, PlatformList, PlatformOptions};
-pub use stand_in::StandIn;
--- a/crates/emulator/src/model/generation.rs
+++ b/crates/emulator/src/model/generation.rs
@@ -11,10 +11,10 @@
 
 use super::text::{count_tokens, plan_answer};
 use super::{Generate, ModelServer};
-use crate::core::{RequestId, Running};
 use crate::faults::Hit;
 use crate::http::{CUT_PAUSE, broken};
 use crate::ledger::LedgerEntry;
+use crate::state::{RequestId, Running};
 
 type Pieces = Sender<Result<Bytes, io::Error>>;
 
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -18,12 +18,12 @@
 use serde::Deserialize;
 use tokio::sync::{Semaphore, mpsc};
 
-use crate::core::{Core, RequestId};
+use crate::fake_backend::{Backend, StandIn};
 use crate::faults::Hit;
 use crate::http::{Answer, Unanswered, read_json, stream, text as words};
 use crate::identity::{BackendKind, Identity};
 use crate::ledger::Ledger;
-use crate::stand_in::{Backend, StandIn};
+use crate::state::{Core, RequestId};
 use cache::KvCache;
 use generation::{Generation, Lines};
 use text::ContextItem;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,24 +13,24 @@
 pub mod caller;
 pub mod control;
 
+mod bundle_admin;
 pub mod demo;
 mod error;
+mod fakes;
 mod fleet;
 pub mod http;
 mod links;
+mod maintenance;
 mod names;
 mod plan;
 mod process;
 mod readiness;
-mod released;
-mod repair;
-mod stand_ins;
 mod topology;
 
+pub use bundle_admin::{BundleRecord, Harm, ReadBundle, Verdict};
 pub use caller::{Caller, CallerError};
 pub use error::FleetError;
 pub use fleet::{Fleet, FleetOptions, ProcessStatus};
 pub use names::{ProcessKind, ProcessName};
 pub use readiness::{CommittedBundle, Submitted};
-pub use released::{BundleRecord, Harm, ReadBundle, Verdict};
 pub use topology::{ApplicationGroup, ModelGroup, ModelPace, SeedChoice, Tool, Topology};
