--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -19,12 +19,15 @@
 use tokio::sync::Semaphore;
 
 use crate::fake_backend::{Backend, StandIn};
-use crate::faults::Hit;
+use crate::faults::RequestFaults;
 use crate::headers;
-use crate::http::{Answer, Body, Unanswered, cut, json, read_json, text, whole};
+use crate::http::{
+    Body, HandlerResult, NoResponse, full_response, json_response, read_json, text_response,
+    truncated_response,
+};
 use crate::identity::{BackendKind, Identity};
 use crate::ledger::{Ledger, LedgerEntry};
-use crate::state::{Core, RequestId, header_text};
+use crate::state::{BackendState, RequestId, header_text};
 
 const JSON: &str = "application/json";
 
@@ -50,28 +53,28 @@
 /// Fake application engine, started with [`ApplicationEngine::start`].
 #[derive(Debug)]
 pub struct ApplicationEngine {
-    core: Arc<Core>,
+    state: Arc<BackendState>,
     run_time: Duration,
     slots: Semaphore,
-    memory: Mutex<Memory>,
+    memory: Mutex<ProcessMemory>,
 }
 
 /// State that is lost on a restart.
 #[derive(Debug, Default)]
-struct Memory {
-    calls: BTreeMap<String, CallMemory>,
-    last_answer: Option<Finished>,
+struct ProcessMemory {
+    calls: BTreeMap<String, CallRecord>,
+    last_response: Option<PreparedResponse>,
 }
 
 #[derive(Debug, Clone, Default)]
-struct CallMemory {
+struct CallRecord {
     times: u32,
-    answer: Option<Value>,
+    response: Option<Value>,
 }
 
 /// A response that is ready to be sent.
 #[derive(Debug, Clone)]
-struct Finished {
+struct PreparedResponse {
     id: RequestId,
     body: Bytes,
 }
@@ -79,7 +82,7 @@
 /// Response body of a call lookup.
 #[derive(Debug, Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
-enum LookUp {
+enum CallLookup {
     Done { status: u16, body: Value },
     Running,
     Never,
@@ -99,19 +102,19 @@
             kind: BackendKind::Application,
         };
         let ledger = Ledger::open(options.ledger.as_deref())?;
-        let core = Arc::new(Core::new(identity, ledger, options.slots));
+        let state = Arc::new(BackendState::new(identity, ledger, options.slots));
         let engine = Arc::new(Self {
-            core: core.clone(),
+            state: state.clone(),
             run_time: options.run_time,
             slots: Semaphore::new(options.slots as usize),
             memory: Mutex::default(),
         });
-        StandIn::start(options.listen, core, engine).await
+        StandIn::start(options.listen, state, engine).await
     }
 
-    async fn call(self: Arc<Self>, tool: String, request: Request<Incoming>) -> Answer {
+    async fn call(self: Arc<Self>, tool: String, request: Request<Incoming>) -> HandlerResult {
         let headers = request.headers().clone();
-        let (id, hit) = match self.core.admit(&headers, &tool) {
+        let (id, faults) = match self.state.admit(&headers, &tool) {
             Ok(admitted) => admitted,
             Err(refusal) => {
                 self.record_refusal(&headers, &refusal);
@@ -120,18 +123,18 @@
         };
         let arguments: Value = match read_json(request).await {
             Ok(arguments) => arguments,
-            Err(refusal) => return Ok(self.core.signed(&id, *refusal)),
+            Err(refusal) => return Ok(self.state.with_identity(&id, *refusal)),
         };
         // Runs in a separate task, so that the call completes even if the client disconnects.
-        let running = tokio::spawn(self.clone().run(tool, id, headers, arguments, hit));
-        let finished = running.await.map_err(|_| Unanswered)?;
-        self.send(finished, hit).await
+        let running = tokio::spawn(self.clone().run(tool, id, headers, arguments, faults));
+        let prepared = running.await.map_err(|_| NoResponse)?;
+        self.send(prepared, faults).await
     }
 
-    fn record_refusal(&self, request: &HeaderMap, answer: &Response<Body>) {
-        if let Some(reason) = header_text(answer.headers(), headers::REFUSED) {
+    fn record_refusal(&self, request: &HeaderMap, response: &Response<Body>) {
+        if let Some(reason) = header_text(response.headers(), headers::REFUSED) {
             let call = header_text(request, headers::CALL).unwrap_or_default().to_owned();
-            self.core.record(LedgerEntry::Refused { call, reason: reason.to_owned() });
+            self.state.record(LedgerEntry::Refused { call, reason: reason.to_owned() });
         }
     }
 
@@ -141,114 +144,115 @@
         id: RequestId,
         headers: HeaderMap,
         arguments: Value,
-        hit: Hit,
-    ) -> Finished {
-        let _running = self.core.enter();
+        faults: RequestFaults,
+    ) -> PreparedResponse {
+        let _running = self.state.count_running();
         let _slot = self.slots.acquire().await;
-        let named = |name| header_text(&headers, name).unwrap_or_default().to_owned();
-        let call = named(headers::CALL);
-        let times = self.begin(&call);
-        self.core.record(LedgerEntry::CallRan {
+        let header = |name| header_text(&headers, name).unwrap_or_default().to_owned();
+        let call = header(headers::CALL);
+        let times = self.record_start(&call);
+        self.state.record(LedgerEntry::CallRan {
             call: call.clone(),
-            attempt: named(headers::ATTEMPT),
+            attempt: header(headers::ATTEMPT),
             tool: tool.clone(),
             request: id.0.clone(),
             times,
         });
-        tokio::time::sleep(self.run_time + hit.delay).await;
-        let answer = serde_json::json!({
+        tokio::time::sleep(self.run_time + faults.delay).await;
+        let response = serde_json::json!({
             "tool": tool, "call": call, "times": times, "arguments": arguments,
-            "engine": self.core.identity().engine,
+            "engine": self.state.identity().engine,
         });
-        self.end(&call, &answer);
-        Finished { id, body: serde_json::to_vec(&answer).unwrap_or_default().into() }
+        self.record_response(&call, &response);
+        PreparedResponse { id, body: serde_json::to_vec(&response).unwrap_or_default().into() }
     }
 
-    fn begin(&self, call: &str) -> u32 {
+    fn record_start(&self, call: &str) -> u32 {
         let mut memory = self.memory();
-        let known = memory.calls.entry(call.to_owned()).or_default();
-        known.times += 1;
-        known.times
+        let record = memory.calls.entry(call.to_owned()).or_default();
+        record.times += 1;
+        record.times
     }
 
-    fn end(&self, call: &str, answer: &Value) {
-        if let Some(known) = self.memory().calls.get_mut(call) {
-            known.answer = Some(answer.clone());
+    fn record_response(&self, call: &str, response: &Value) {
+        if let Some(record) = self.memory().calls.get_mut(call) {
+            record.response = Some(response.clone());
         }
     }
 
-    async fn send(&self, own: Finished, hit: Hit) -> Answer {
-        if hit.stall {
+    async fn send(&self, own: PreparedResponse, faults: RequestFaults) -> HandlerResult {
+        if faults.stall {
             std::future::pending::<()>().await;
         }
-        if hit.lose_answer {
-            return Err(Unanswered);
+        if faults.lose_answer {
+            return Err(NoResponse);
         }
-        let before = self.memory().last_answer.replace(own.clone());
-        let Finished { id, body } = if hit.cross { before.unwrap_or(own) } else { own };
-        let answer = if hit.cut_short {
-            cut(JSON, &body)
-        } else if hit.garble {
-            whole(StatusCode::OK, JSON, garbled(&body))
+        let previous = self.memory().last_response.replace(own.clone());
+        let PreparedResponse { id, body } =
+            if faults.cross { previous.unwrap_or(own) } else { own };
+        let response = if faults.cut_short {
+            truncated_response(JSON, &body)
+        } else if faults.garble {
+            full_response(StatusCode::OK, JSON, garbled_body(&body))
         } else {
-            whole(StatusCode::OK, JSON, body)
+            full_response(StatusCode::OK, JSON, body)
         };
-        Ok(self.core.signed(&id, answer))
+        Ok(self.state.with_identity(&id, response))
     }
 
     /// Looks up a call. Gateways rely on the result to settle calls, so the response carries the
     /// request id and the identity like any other.
-    fn signed_look_up(&self, request: &Request<Incoming>) -> Response<Body> {
-        let answer = self.look_up(request.uri().query().unwrap_or_default());
-        match RequestId::of(request.headers()) {
-            Some(id) => self.core.signed(&id, answer),
-            None => answer,
+    fn handle_lookup(&self, request: &Request<Incoming>) -> Response<Body> {
+        let response = self.lookup(request.uri().query().unwrap_or_default());
+        match RequestId::from_headers(request.headers()) {
+            Some(id) => self.state.with_identity(&id, response),
+            None => response,
         }
     }
 
-    fn look_up(&self, query: &str) -> Response<Body> {
-        if self.core.faults.get().no_lookup {
-            return text(StatusCode::NOT_FOUND, "call lookup is disabled");
+    fn lookup(&self, query: &str) -> Response<Body> {
+        if self.state.faults.get().no_lookup {
+            return text_response(StatusCode::NOT_FOUND, "call lookup is disabled");
         }
         let Some(call) = query.split('&').find_map(|pair| pair.strip_prefix("call=")) else {
-            return text(StatusCode::BAD_REQUEST, "query parameter call is missing");
+            return text_response(StatusCode::BAD_REQUEST, "query parameter call is missing");
         };
         let call = call.replace("%2F", "/").replace("%2f", "/").replace("%3A", ":");
         let state = match self.memory().calls.get(&call).cloned() {
-            None => LookUp::Never,
-            Some(CallMemory { answer: None, .. }) => LookUp::Running,
-            Some(CallMemory { answer: Some(body), .. }) => LookUp::Done { status: 200, body },
+            None => CallLookup::Never,
+            Some(CallRecord { response: None, .. }) => CallLookup::Running,
+            Some(CallRecord { response: Some(body), .. }) => CallLookup::Done { status: 200, body },
         };
-        json(StatusCode::OK, &state)
+        json_response(StatusCode::OK, &state)
     }
 
-    fn memory(&self) -> MutexGuard<'_, Memory> {
+    fn memory(&self) -> MutexGuard<'_, ProcessMemory> {
         self.memory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Corrupts a body so that it is not JSON, without changing its length.
-fn garbled(body: &Bytes) -> Bytes {
+fn garbled_body(body: &Bytes) -> Bytes {
     body.iter().map(|byte| byte ^ 0x15).collect::<Vec<u8>>().into()
 }
 
 impl Backend for ApplicationEngine {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = HandlerResult> + Send>> {
         let path = request.uri().path().to_owned();
         let tool = path.strip_prefix("/calls/").filter(|tool| !tool.is_empty());
         match (request.method().clone(), tool) {
             (Method::POST, Some(tool)) => Box::pin(self.call(tool.to_owned(), request)),
             (Method::GET, None) if path == "/calls" => {
-                Box::pin(async move { Ok(self.signed_look_up(&request)) })
+                Box::pin(async move { Ok(self.handle_lookup(&request)) })
             }
-            _ => Box::pin(async { Ok(text(StatusCode::NOT_FOUND, "no such path")) }),
+            _ => Box::pin(async { Ok(text_response(StatusCode::NOT_FOUND, "no such path")) }),
         }
     }
 
-    fn forget(&self) {
-        *self.memory() = Memory::default();
+    fn reset(&self) {
+        *self.memory() = ProcessMemory::default();
     }
 }
--- a/crates/emulator/src/fake_backend.rs
+++ b/crates/emulator/src/fake_backend.rs
@@ -16,28 +16,30 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::faults::Faults;
-use crate::http::{Answer, Body, json, read_json, serve, text, whole};
+use crate::http::{
+    Body, HandlerResult, full_response, json_response, read_json, serve, text_response,
+};
 use crate::identity::{Identity, Restart};
 use crate::ledger::LedgerLine;
-use crate::state::Core;
+use crate::state::BackendState;
 
 /// Behaviour that differs between kinds of backends.
 pub(crate) trait Backend: Send + Sync + 'static {
     /// Handles a request other than those that all backends share.
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>>;
+    ) -> Pin<Box<dyn Future<Output = HandlerResult> + Send>>;
 
     /// Clears the state that a process loses on a restart.
-    fn forget(&self);
+    fn reset(&self);
 }
 
 /// A running fake backend. Dropping it stops it.
 #[derive(Debug)]
 pub struct StandIn {
     address: SocketAddr,
-    core: Arc<Core>,
+    state: Arc<BackendState>,
     restarts: watch::Sender<Restart>,
     stop: CancellationToken,
 }
@@ -54,22 +56,22 @@
 impl StandIn {
     pub(crate) async fn start(
         listen: SocketAddr,
-        core: Arc<Core>,
+        state: Arc<BackendState>,
         backend: Arc<dyn Backend>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let stop = CancellationToken::new();
         let restarts = watch::Sender::new(Restart::default());
-        let runs = Runs {
+        let serve_loop = ServeLoop {
             address,
-            core: core.clone(),
+            state: state.clone(),
             backend,
             restarts: restarts.clone(),
             stop: stop.clone(),
         };
-        tokio::spawn(runs.serve_all(listener));
-        Ok(Self { address, core, restarts, stop })
+        tokio::spawn(serve_loop.run(listener));
+        Ok(Self { address, state, restarts, stop })
     }
 
     /// The address on which it listens.
@@ -81,12 +83,12 @@
     /// The current identity.
     #[must_use]
     pub fn identity(&self) -> Identity {
-        self.core.identity()
+        self.state.identity()
     }
 
     /// Replaces its faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.core.faults.set(faults);
+        self.state.faults.set(faults);
     }
 
     /// Restarts the backend in place; the port is closed for `down_ms`.
@@ -97,13 +99,13 @@
     /// The ledger, over all restarts.
     #[must_use]
     pub fn ledger(&self) -> Vec<LedgerLine> {
-        self.core.ledger.lines()
+        self.state.ledger.lines()
     }
 
     /// The number of requests that are running.
     #[must_use]
     pub fn running(&self) -> u32 {
-        self.core.running()
+        self.state.running()
     }
 
     /// Closes the port and all connections.
@@ -124,20 +126,20 @@
 }
 
 /// Serves the successive incarnations of a fake backend on the same port.
-struct Runs {
+struct ServeLoop {
     address: SocketAddr,
-    core: Arc<Core>,
+    state: Arc<BackendState>,
     backend: Arc<dyn Backend>,
     restarts: watch::Sender<Restart>,
     stop: CancellationToken,
 }
 
-impl Runs {
-    async fn serve_all(self, mut listener: TcpListener) {
+impl ServeLoop {
+    async fn run(self, mut listener: TcpListener) {
         let mut restarts = self.restarts.subscribe();
         loop {
-            let run = self.stop.child_token();
-            let serving = tokio::spawn(self.serve_run(listener, run.clone()));
+            let shutdown = self.stop.child_token();
+            let serving = tokio::spawn(self.serve_incarnation(listener, shutdown.clone()));
             let restart = tokio::select! {
                 () = self.stop.cancelled() => return,
                 changed = restarts.changed() => match changed {
@@ -145,33 +147,33 @@
                     Err(_) => return,
                 },
             };
-            run.cancel();
+            shutdown.cancel();
             // A panic of the task has been reported already; the next incarnation starts anyway.
             let _ = serving.await;
-            self.backend.forget();
-            self.core.faults.end_drain();
+            self.backend.reset();
+            self.state.faults.end_drain();
             tokio::time::sleep(Duration::from_millis(restart.down_ms)).await;
-            self.core.set_identity(self.core.identity().restarted(&restart));
-            match self.listen_again().await {
+            self.state.set_identity(self.state.identity().restarted(&restart));
+            match self.rebind().await {
                 Some(bound) => listener = bound,
                 None => return,
             }
         }
     }
 
-    fn serve_run(
+    fn serve_incarnation(
         &self,
         listener: TcpListener,
-        run: CancellationToken,
+        shutdown: CancellationToken,
     ) -> impl Future<Output = ()> + use<> {
-        let (core, backend, restarts) =
-            (self.core.clone(), self.backend.clone(), self.restarts.clone());
-        serve(listener, run, move |request| {
-            route(core.clone(), backend.clone(), restarts.clone(), request)
+        let (state, backend, restarts) =
+            (self.state.clone(), self.backend.clone(), self.restarts.clone());
+        serve(listener, shutdown, move |request| {
+            handle_request(state.clone(), backend.clone(), restarts.clone(), request)
         })
     }
 
-    async fn listen_again(&self) -> Option<TcpListener> {
+    async fn rebind(&self) -> Option<TcpListener> {
         while !self.stop.is_cancelled() {
             match TcpListener::bind(self.address).await {
                 Ok(listener) => return Some(listener),
@@ -185,24 +187,24 @@
     }
 }
 
-async fn route(
-    core: Arc<Core>,
+async fn handle_request(
+    state: Arc<BackendState>,
     backend: Arc<dyn Backend>,
     restarts: watch::Sender<Restart>,
     request: Request<Incoming>,
-) -> Answer {
+) -> HandlerResult {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     match (method, path.as_str()) {
-        (Method::GET, "/identity") => Ok(json(StatusCode::OK, &core.identity())),
-        (Method::GET, "/status") => Ok(status(&core)),
-        (Method::GET, "/emulator/ledger") => Ok(ledger(&core)),
-        (Method::GET, "/emulator/faults") => Ok(json(StatusCode::OK, &core.faults.get())),
+        (Method::GET, "/identity") => Ok(json_response(StatusCode::OK, &state.identity())),
+        (Method::GET, "/status") => Ok(status_response(&state)),
+        (Method::GET, "/emulator/ledger") => Ok(ledger_response(&state)),
+        (Method::GET, "/emulator/faults") => Ok(json_response(StatusCode::OK, &state.faults.get())),
         (Method::PUT, "/emulator/faults") => {
-            Ok(switched(read_json(request).await, |faults| core.faults.set(faults)))
+            Ok(apply_update(read_json(request).await, |faults| state.faults.set(faults)))
         }
         (Method::PUT, "/emulator/restart") => {
-            Ok(switched(read_json(request).await, |restart| {
+            Ok(apply_update(read_json(request).await, |restart| {
                 // The response is sent first, because the restart closes this connection, too.
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -210,36 +212,36 @@
                 });
             }))
         }
-        _ => backend.answer(request).await,
+        _ => backend.handle(request).await,
     }
 }
 
-fn switched<T>(read: Result<T, Box<Response<Body>>>, switch: impl FnOnce(T)) -> Response<Body> {
+fn apply_update<T>(read: Result<T, Box<Response<Body>>>, apply: impl FnOnce(T)) -> Response<Body> {
     match read {
         Ok(value) => {
-            switch(value);
-            text(StatusCode::OK, "switched")
+            apply(value);
+            text_response(StatusCode::OK, "switched")
         }
         Err(refusal) => *refusal,
     }
 }
 
-fn status(core: &Core) -> Response<Body> {
+fn status_response(state: &BackendState) -> Response<Body> {
     let status = Status {
         ready: true,
-        draining: core.faults.get().draining,
-        slots: core.slots,
-        running: core.running(),
+        draining: state.faults.get().draining,
+        slots: state.slots,
+        running: state.running(),
     };
-    json(StatusCode::OK, &status)
+    json_response(StatusCode::OK, &status)
 }
 
-fn ledger(core: &Core) -> Response<Body> {
-    let lines = core.ledger.lines();
+fn ledger_response(state: &BackendState) -> Response<Body> {
+    let lines = state.ledger.lines();
     let text: String = lines
         .iter()
         .filter_map(|line| serde_json::to_string(line).ok())
         .map(|line| line + "\n")
         .collect();
-    whole(StatusCode::OK, "application/x-ndjson", text.into())
+    full_response(StatusCode::OK, "application/x-ndjson", text.into())
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -35,7 +35,7 @@
     /// Kind of the fault.
     pub kind: FaultKind,
     /// Share of the matching requests to which the fault applies, spread evenly (default 1).
-    #[serde(default = "all")]
+    #[serde(default = "full_share")]
     pub share: f64,
     /// Applies only to this tool, or at model servers to this prefix (default: any).
     #[serde(default)]
@@ -54,7 +54,7 @@
     pub gap_millis: u64,
 }
 
-fn all() -> f64 {
+fn full_share() -> f64 {
     1.0
 }
 
@@ -64,7 +64,7 @@
     pub fn always(kind: FaultKind) -> Self {
         Self {
             kind,
-            share: all(),
+            share: full_share(),
             route: None,
             above_running: None,
             times: None,
@@ -93,7 +93,7 @@
 
 /// Faults that apply to one request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Hit {
+pub(crate) struct RequestFaults {
     pub lose_answer: bool,
     pub cut_short: bool,
     pub cross: bool,
@@ -105,7 +105,7 @@
     pub gap: Duration,
 }
 
-impl Hit {
+impl RequestFaults {
     fn add(&mut self, rule: &FaultRule) {
         match rule.kind {
             FaultKind::LoseAnswer => self.lose_answer = true,
@@ -125,39 +125,39 @@
 
 /// Active faults, with the number of matches and applications of each rule.
 #[derive(Debug, Default)]
-pub(crate) struct FaultSwitches {
-    inner: Mutex<Counted>,
+pub(crate) struct FaultInjector {
+    inner: Mutex<ActiveFaults>,
 }
 
 #[derive(Debug, Default)]
-struct Counted {
+struct ActiveFaults {
     faults: Faults,
-    counts: Vec<Counts>,
+    counts: Vec<RuleCounts>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Counts {
+struct RuleCounts {
     matched: u64,
-    hit: u32,
+    applied: u32,
 }
 
-impl Counts {
+impl RuleCounts {
     /// Counts a match and returns whether the fault applies to it. The share is spread evenly: the
     /// fault applies when `matches * share` reaches the next integer.
-    fn next(&mut self, rule: &FaultRule) -> bool {
+    fn count_match(&mut self, rule: &FaultRule) -> bool {
         let before = (self.matched as f64 * rule.share).floor();
         self.matched += 1;
         let after = (self.matched as f64 * rule.share).floor();
-        let hits = after > before && rule.times.is_none_or(|times| self.hit < times);
-        self.hit += u32::from(hits);
-        hits
+        let applies = after > before && rule.times.is_none_or(|times| self.applied < times);
+        self.applied += u32::from(applies);
+        applies
     }
 }
 
-impl FaultSwitches {
+impl FaultInjector {
     pub(crate) fn set(&self, faults: Faults) {
-        let counts = vec![Counts::default(); faults.rules.len()];
-        *self.lock() = Counted { faults, counts };
+        let counts = vec![RuleCounts::default(); faults.rules.len()];
+        *self.lock() = ActiveFaults { faults, counts };
     }
 
     /// Ends draining after a restart; the other faults stay until they are replaced.
@@ -170,19 +170,19 @@
     }
 
     /// Selects the faults that apply to a new request.
-    pub(crate) fn draw(&self, route: &str, running: u32) -> Hit {
+    pub(crate) fn select(&self, route: &str, running: u32) -> RequestFaults {
         let mut inner = self.lock();
-        let Counted { faults, counts } = &mut *inner;
-        let mut hit = Hit::default();
+        let ActiveFaults { faults, counts } = &mut *inner;
+        let mut applied = RequestFaults::default();
         for (rule, counts) in faults.rules.iter().zip(counts) {
-            if rule.matches(route, running) && counts.next(rule) {
-                hit.add(rule);
+            if rule.matches(route, running) && counts.count_match(rule) {
+                applied.add(rule);
             }
         }
-        hit
+        applied
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Counted> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, ActiveFaults> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -121,17 +121,19 @@
     let filter = tracing_subscriber::EnvFilter::from_default_env();
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
     match Cli::parse().role {
-        Role::ModelServer(args) => run(ModelServer::start(model_options(args)).await?).await,
+        Role::ModelServer(args) => {
+            run_backend(ModelServer::start(model_options(args)).await?).await
+        }
         Role::ApplicationEngine(args) => {
-            run(ApplicationEngine::start(application_options(args)).await?).await
+            run_backend(ApplicationEngine::start(application_options(args)).await?).await
         }
         Role::Platform(args) => run_platform(args).await,
     }
 }
 
-async fn run(stand_in: StandIn) -> anyhow::Result<()> {
-    println!("{} at {}", stand_in.identity(), stand_in.address());
-    until_told_to_stop().await
+async fn run_backend(backend: StandIn) -> anyhow::Result<()> {
+    println!("{} at {}", backend.identity(), backend.address());
+    wait_for_signal().await
 }
 
 async fn run_platform(args: PlatformArgs) -> anyhow::Result<()> {
@@ -142,10 +144,10 @@
     };
     let list = PlatformList::start(options).await.context("cannot start the engine list")?;
     println!("engine list at http://{}/engines", list.address());
-    until_told_to_stop().await
+    wait_for_signal().await
 }
 
-async fn until_told_to_stop() -> anyhow::Result<()> {
+async fn wait_for_signal() -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
         _ = terminate.recv() => {}
--- a/crates/emulator/src/model/cache.rs
+++ b/crates/emulator/src/model/cache.rs
@@ -5,7 +5,7 @@
 
 /// Result of a cache lookup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Found {
+pub(super) struct CacheLookup {
     pub prefix_hit: bool,
     /// Number of tokens to compute before the first token is sent.
     pub uncached_tokens: u64,
@@ -25,16 +25,16 @@
     }
 
     /// Sets the number of cached tokens of a key and returns the previous one.
-    fn replace(&mut self, key: &str, tokens: u64) -> Option<u64> {
+    fn insert(&mut self, key: &str, tokens: u64) -> Option<u64> {
         self.clock += 1;
-        let before = self.entries.insert(key.to_owned(), (self.clock, tokens));
+        let previous = self.entries.insert(key.to_owned(), (self.clock, tokens));
         if self.entries.len() > self.capacity {
             let oldest = self.entries.iter().min_by_key(|(_, (used, _))| *used);
             if let Some(key) = oldest.map(|(key, _)| key.clone()) {
                 self.entries.remove(&key);
             }
         }
-        before.map(|(_, held)| held)
+        previous.map(|(_, tokens)| tokens)
     }
 }
 
@@ -52,18 +52,18 @@
     }
 
     /// Looks up the prefix and history of a request, and caches them for the following requests.
-    pub(super) fn use_for(
+    pub(super) fn lookup_and_insert(
         &mut self,
         prefix: Option<&str>,
         session: &str,
         context_tokens: u64,
-    ) -> Found {
+    ) -> CacheLookup {
         let prefix_hit =
-            prefix.is_none_or(|p| self.prefixes.replace(p, self.prefix_tokens).is_some());
-        let held = self.histories.replace(session, context_tokens);
-        let history = context_tokens.saturating_sub(held.unwrap_or(0));
+            prefix.is_none_or(|p| self.prefixes.insert(p, self.prefix_tokens).is_some());
+        let previous = self.histories.insert(session, context_tokens);
+        let history = context_tokens.saturating_sub(previous.unwrap_or(0));
         // A cached history includes its prefix.
-        let missed_prefix = if prefix_hit || held.is_some() { 0 } else { self.prefix_tokens };
-        Found { prefix_hit, uncached_tokens: history + missed_prefix }
+        let missed_prefix = if prefix_hit || previous.is_some() { 0 } else { self.prefix_tokens };
+        CacheLookup { prefix_hit, uncached_tokens: history + missed_prefix }
     }
 }
--- a/crates/emulator/src/model/generation.rs
+++ b/crates/emulator/src/model/generation.rs
@@ -9,14 +9,14 @@
 use serde_json::Value;
 use tokio::sync::mpsc::Sender;
 
-use super::text::{count_tokens, plan_answer};
+use super::text::{count_tokens, plan_response};
 use super::{Generate, ModelServer};
-use crate::faults::Hit;
-use crate::http::{CUT_PAUSE, broken};
+use crate::faults::RequestFaults;
+use crate::http::{ABORT_DELAY, abort_error};
 use crate::ledger::LedgerEntry;
-use crate::state::{RequestId, Running};
+use crate::state::{RequestId, RunningGuard};
 
-type Pieces = Sender<Result<Bytes, io::Error>>;
+type BodySender = Sender<Result<Bytes, io::Error>>;
 
 /// A line of a response, without its request id and sequence number.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -43,14 +43,14 @@
 
 /// All lines of a response.
 #[derive(Debug, Clone)]
-pub(super) struct Lines {
+pub(super) struct ResponseLines {
     pub request: RequestId,
     bodies: Vec<LineBody>,
 }
 
-impl Lines {
-    fn planned(request: RequestId, seed: u64, body: &Generate) -> Self {
-        let plan = plan_answer(seed, &body.context, &body.input, body.max_tokens);
+impl ResponseLines {
+    fn plan(request: RequestId, seed: u64, body: &Generate) -> Self {
+        let plan = plan_response(seed, &body.context, &body.input, body.max_tokens);
         let total = plan.tokens.len() as u64;
         let mut bodies: Vec<LineBody> =
             plan.tokens.into_iter().map(|text| LineBody::Text { text, tokens: 1 }).collect();
@@ -64,9 +64,9 @@
         Self { request, bodies }
     }
 
-    fn encoded(&self, place: usize) -> Vec<u8> {
+    fn encoded(&self, index: usize) -> Vec<u8> {
         let line =
-            Line { request: &self.request.0, seq: place as u64 + 1, body: &self.bodies[place] };
+            Line { request: &self.request.0, seq: index as u64 + 1, body: &self.bodies[index] };
         let mut bytes = serde_json::to_vec(&line).unwrap_or_default();
         bytes.push(b'\n');
         bytes
@@ -77,17 +77,17 @@
 pub(super) struct Generation {
     server: Arc<ModelServer>,
     body: Generate,
-    hit: Hit,
+    faults: RequestFaults,
     /// Lines to send: its own, or those of another request if the `cross` fault applies.
-    lines: Lines,
+    lines: ResponseLines,
     /// Whether `lines` belong to another request.
-    crossed: bool,
-    record: Record,
+    is_crossed: bool,
+    guard: GenerationGuard,
 }
 
 /// Records the end of a generation in the ledger when it is dropped, even if the client
 /// disconnected.
-struct Record {
+struct GenerationGuard {
     server: Arc<ModelServer>,
     request: RequestId,
     session: String,
@@ -95,12 +95,12 @@
     text: String,
     tokens: u64,
     end: &'static str,
-    _running: Running,
+    _running: RunningGuard,
 }
 
-impl Drop for Record {
+impl Drop for GenerationGuard {
     fn drop(&mut self) {
-        self.server.core.record(LedgerEntry::GenerationEnded {
+        self.server.state.record(LedgerEntry::GenerationEnded {
             request: self.request.0.clone(),
             session: std::mem::take(&mut self.session),
             turn: std::mem::take(&mut self.turn),
@@ -112,49 +112,49 @@
 }
 
 /// The client disconnected, or a fault ended the stream.
-struct Ended;
+struct StreamAborted;
 
 impl Generation {
     pub(super) fn new(
         server: Arc<ModelServer>,
         body: Generate,
         request: RequestId,
-        hit: Hit,
-        crossed: Option<Lines>,
+        faults: RequestFaults,
+        crossed_lines: Option<ResponseLines>,
     ) -> Self {
-        let own = Lines::planned(request.clone(), server.options.seed, &body);
-        *server.last_answer() = Some(own.clone());
-        let record = Record {
+        let own_lines = ResponseLines::plan(request.clone(), server.options.seed, &body);
+        *server.last_response() = Some(own_lines.clone());
+        let guard = GenerationGuard {
             request,
             session: body.session.clone(),
             turn: body.turn.clone(),
             text: String::new(),
             tokens: 0,
             end: "aborted",
-            _running: server.core.enter(),
+            _running: server.state.count_running(),
             server: server.clone(),
         };
-        let is_crossed = crossed.is_some();
-        Self { server, body, hit, lines: crossed.unwrap_or(own), crossed: is_crossed, record }
+        let is_crossed = crossed_lines.is_some();
+        Self { server, body, faults, lines: crossed_lines.unwrap_or(own_lines), is_crossed, guard }
     }
 
     /// Runs to the end, or until the client disconnects.
-    pub(super) async fn run(mut self, pieces: Pieces) {
+    pub(super) async fn run(mut self, sender: BodySender) {
         let slots = self.server.slots.clone();
         let slot = tokio::select! {
             slot = slots.acquire_owned() => slot,
-            () = pieces.closed() => return,
+            () = sender.closed() => return,
         };
-        let first_token = self.look_up();
+        let first_token = self.first_token_delay();
         let streamed = tokio::select! {
-            streamed = self.stream(&pieces, first_token) => streamed,
-            () = pieces.closed() => Err(Ended),
+            streamed = self.stream(&sender, first_token) => streamed,
+            () = sender.closed() => Err(StreamAborted),
         };
         drop(slot);
-        if self.crossed {
-            self.record.end = "crossed";
+        if self.is_crossed {
+            self.guard.end = "crossed";
         } else if streamed.is_ok() {
-            self.record.end = match self.lines.bodies.last() {
+            self.guard.end = match self.lines.bodies.last() {
                 Some(LineBody::End { end, .. }) => end,
                 _ => "stop",
             };
@@ -163,73 +163,79 @@
 
     /// Looks up the context in the cache, records the start in the ledger, and returns the time to
     /// the first token.
-    fn look_up(&self) -> Duration {
+    fn first_token_delay(&self) -> Duration {
         let body = &self.body;
         let context: u64 = body.context.iter().map(|item| count_tokens(&item.text)).sum();
-        let found = self.server.cache().use_for(
+        let cached = self.server.cache().lookup_and_insert(
             body.prefix.as_deref(),
             &body.session,
             context + count_tokens(&body.input),
         );
-        self.server.core.record(LedgerEntry::GenerationBegan {
-            request: self.record.request.0.clone(),
+        self.server.state.record(LedgerEntry::GenerationBegan {
+            request: self.guard.request.0.clone(),
             session: body.session.clone(),
             turn: body.turn.clone(),
             prefix: body.prefix.clone(),
-            prefix_hit: found.prefix_hit,
-            uncached_tokens: found.uncached_tokens,
+            prefix_hit: cached.prefix_hit,
+            uncached_tokens: cached.uncached_tokens,
         });
         let options = &self.server.options;
-        let uncached = u32::try_from(found.uncached_tokens).unwrap_or(u32::MAX);
-        options.first_token + options.per_uncached_token.saturating_mul(uncached) + self.hit.delay
+        let uncached = u32::try_from(cached.uncached_tokens).unwrap_or(u32::MAX);
+        options.first_token
+            + options.per_uncached_token.saturating_mul(uncached)
+            + self.faults.delay
     }
 
-    async fn stream(&mut self, pieces: &Pieces, first_token: Duration) -> Result<(), Ended> {
+    async fn stream(
+        &mut self,
+        sender: &BodySender,
+        first_token: Duration,
+    ) -> Result<(), StreamAborted> {
         tokio::time::sleep(first_token).await;
         let half = self.lines.bodies.len() / 2;
-        for place in 0..self.lines.bodies.len() {
-            if place > 0 {
-                tokio::time::sleep(self.gap()).await;
+        for index in 0..self.lines.bodies.len() {
+            if index > 0 {
+                tokio::time::sleep(self.token_interval()).await;
             }
-            if place == half {
-                self.break_off(pieces).await?;
+            if index == half {
+                self.apply_midstream_faults(sender).await?;
             }
-            let mut bytes = self.lines.encoded(place);
-            if self.hit.garble && place == half {
+            let mut bytes = self.lines.encoded(index);
+            if self.faults.garble && index == half {
                 bytes.iter_mut().for_each(|byte| *byte ^= 0x15);
             }
-            self.count(place);
-            pieces.send(Ok(bytes.into())).await.map_err(|_| Ended)?;
+            self.record_tokens(index);
+            sender.send(Ok(bytes.into())).await.map_err(|_| StreamAborted)?;
         }
         Ok(())
     }
 
     /// Applies the faults that stall or abort a stream in its middle.
-    async fn break_off(&self, pieces: &Pieces) -> Result<(), Ended> {
-        if self.hit.stall {
-            pieces.closed().await;
-            return Err(Ended);
+    async fn apply_midstream_faults(&self, sender: &BodySender) -> Result<(), StreamAborted> {
+        if self.faults.stall {
+            sender.closed().await;
+            return Err(StreamAborted);
         }
-        if self.hit.cut_short {
-            tokio::time::sleep(CUT_PAUSE).await;
-            let _ = pieces.send(Err(broken())).await;
-            return Err(Ended);
+        if self.faults.cut_short {
+            tokio::time::sleep(ABORT_DELAY).await;
+            let _ = sender.send(Err(abort_error())).await;
+            return Err(StreamAborted);
         }
         Ok(())
     }
 
-    fn count(&mut self, place: usize) {
-        if let LineBody::Text { text, tokens } = &self.lines.bodies[place] {
-            self.record.text.push_str(text);
-            self.record.tokens += tokens;
+    fn record_tokens(&mut self, index: usize) {
+        if let LineBody::Text { text, tokens } = &self.lines.bodies[index] {
+            self.guard.text.push_str(text);
+            self.guard.tokens += tokens;
         }
     }
 
     /// Time between tokens at the current load.
-    fn gap(&self) -> Duration {
+    fn token_interval(&self) -> Duration {
         let options = &self.server.options;
-        let others = self.server.core.running().saturating_sub(1).min(options.slots);
+        let others = self.server.state.running().saturating_sub(1).min(options.slots);
         let share = f64::from(others) / f64::from(options.slots.max(1));
-        options.between_tokens.mul_f64(1.0 + options.load_factor * share) + self.hit.gap
+        options.between_tokens.mul_f64(1.0 + options.load_factor * share) + self.faults.gap
     }
 }
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -19,21 +19,21 @@
 use tokio::sync::{Semaphore, mpsc};
 
 use crate::fake_backend::{Backend, StandIn};
-use crate::faults::Hit;
-use crate::http::{Answer, Unanswered, read_json, stream, text as words};
+use crate::faults::RequestFaults;
+use crate::http::{HandlerResult, NoResponse, read_json, stream_response, text_response};
 use crate::identity::{BackendKind, Identity};
 use crate::ledger::Ledger;
-use crate::state::{Core, RequestId};
+use crate::state::{BackendState, RequestId};
 use cache::KvCache;
-use generation::{Generation, Lines};
+use generation::{Generation, ResponseLines};
 use text::ContextItem;
 
 /// Capacity of the cache for shared prefixes.
-const CACHED_PREFIXES: usize = 16;
+const PREFIX_CAPACITY: usize = 16;
 /// Capacity of the cache for session histories.
-const CACHED_HISTORIES: usize = 256;
+const HISTORY_CAPACITY: usize = 256;
 /// Number of lines buffered for a slow client.
-const WAITING_LINES: usize = 16;
+const LINE_BUFFER: usize = 16;
 
 /// Options of a fake model server.
 #[derive(Debug, Clone)]
@@ -83,11 +83,11 @@
 /// Fake model server, started with [`ModelServer::start`].
 #[derive(Debug)]
 pub struct ModelServer {
-    core: Arc<Core>,
+    state: Arc<BackendState>,
     options: ModelOptions,
     slots: Arc<Semaphore>,
     cache: Mutex<KvCache>,
-    last_answer: Mutex<Option<Lines>>,
+    last_response: Mutex<Option<ResponseLines>>,
 }
 
 impl ModelServer {
@@ -104,79 +104,87 @@
             kind: BackendKind::Model,
         };
         let ledger = Ledger::open(options.ledger.as_deref())?;
-        let core = Arc::new(Core::new(identity, ledger, options.slots));
+        let state = Arc::new(BackendState::new(identity, ledger, options.slots));
         let listen = options.listen;
         let server = Arc::new(Self {
-            core: core.clone(),
+            state: state.clone(),
             slots: Arc::new(Semaphore::new(options.slots as usize)),
             cache: Mutex::new(new_cache(&options)),
-            last_answer: Mutex::default(),
+            last_response: Mutex::default(),
             options,
         });
-        StandIn::start(listen, core, server).await
+        StandIn::start(listen, state, server).await
     }
 
-    async fn generate(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn generate(self: Arc<Self>, request: Request<Incoming>) -> HandlerResult {
         let headers = request.headers().clone();
         let body: Generate = match read_json(request).await {
             Ok(body) => body,
             Err(refusal) => return Ok(*refusal),
         };
         let route = body.prefix.clone().unwrap_or_default();
-        let (id, hit) = match self.core.admit(&headers, &route) {
+        let (id, faults) = match self.state.admit(&headers, &route) {
             Ok(admitted) => admitted,
             Err(refusal) => return Ok(*refusal),
         };
-        if self.core.running() >= self.options.slots + self.options.queue {
+        if self.state.running() >= self.options.slots + self.options.queue {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Ok(self.core.refusal(&id, status, "overloaded"));
+            return Ok(self.state.refusal(&id, status, "overloaded"));
         }
-        self.begin(body, id, hit).await
+        self.start_generation(body, id, faults).await
     }
 
-    async fn begin(self: Arc<Self>, body: Generate, id: RequestId, hit: Hit) -> Answer {
-        let (sender, pieces) = mpsc::channel(WAITING_LINES);
-        let crossed = if hit.cross { self.last_answer().clone() } else { None };
-        let shown = crossed.as_ref().map_or_else(|| id.clone(), |lines| lines.request.clone());
-        let generation = Generation::new(self.clone(), body, id, hit, crossed);
-        if hit.lose_answer {
+    async fn start_generation(
+        self: Arc<Self>,
+        body: Generate,
+        id: RequestId,
+        faults: RequestFaults,
+    ) -> HandlerResult {
+        let (body_sender, body_chunks) = mpsc::channel(LINE_BUFFER);
+        let crossed_lines = if faults.cross { self.last_response().clone() } else { None };
+        let response_id =
+            crossed_lines.as_ref().map_or_else(|| id.clone(), |lines| lines.request.clone());
+        let generation = Generation::new(self.clone(), body, id, faults, crossed_lines);
+        if faults.lose_answer {
             // Runs the generation to its end and discards its output.
-            let (unread, mut lines) = mpsc::channel(WAITING_LINES);
-            let running = tokio::spawn(generation.run(unread));
+            let (discarded, mut lines) = mpsc::channel(LINE_BUFFER);
+            let running = tokio::spawn(generation.run(discarded));
             while lines.recv().await.is_some() {}
             let _ = running.await;
-            return Err(Unanswered);
+            return Err(NoResponse);
         }
-        tokio::spawn(generation.run(sender));
-        Ok(self.core.signed(&shown, stream("application/x-ndjson", pieces)))
+        tokio::spawn(generation.run(body_sender));
+        Ok(self
+            .state
+            .with_identity(&response_id, stream_response("application/x-ndjson", body_chunks)))
     }
 
     fn cache(&self) -> MutexGuard<'_, KvCache> {
         self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn last_answer(&self) -> MutexGuard<'_, Option<Lines>> {
-        self.last_answer.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_response(&self) -> MutexGuard<'_, Option<ResponseLines>> {
+        self.last_response.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 fn new_cache(options: &ModelOptions) -> KvCache {
-    KvCache::new(options.prefix_tokens, CACHED_PREFIXES, CACHED_HISTORIES)
+    KvCache::new(options.prefix_tokens, PREFIX_CAPACITY, HISTORY_CAPACITY)
 }
 
 impl Backend for ModelServer {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = HandlerResult> + Send>> {
         match (request.method().clone(), request.uri().path()) {
             (Method::POST, "/generate") => Box::pin(self.generate(request)),
-            _ => Box::pin(async { Ok(words(StatusCode::NOT_FOUND, "no such path")) }),
+            _ => Box::pin(async { Ok(text_response(StatusCode::NOT_FOUND, "no such path")) }),
         }
     }
 
-    fn forget(&self) {
+    fn reset(&self) {
         *self.cache() = new_cache(&self.options);
-        *self.last_answer() = None;
+        *self.last_response() = None;
     }
 }
--- a/crates/emulator/src/model/text.rs
+++ b/crates/emulator/src/model/text.rs
@@ -9,7 +9,7 @@
     "humidity", "below", "eighty", "wait", "for", "wind", "to", "drop", "or", "ask",
 ];
 /// Range of the length of a response, in tokens, if the input does not request one.
-const LENGTHS: std::ops::Range<u64> = 8..33;
+const DEFAULT_LENGTHS: std::ops::Range<u64> = 8..33;
 
 /// An item of the context.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 
 /// Content of a response, computed before the first token is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlannedAnswer {
+pub struct PlannedResponse {
     /// Tokens, one word each.
     pub tokens: Vec<String>,
     /// Tool to request after the first token.
@@ -35,19 +35,20 @@
 ///
 /// `[tokens N]` in the input sets the number of tokens, `[tool NAME]` requests a tool call.
 #[must_use]
-pub fn plan_answer(
+pub fn plan_response(
     seed: u64,
     context: &[ContextItem],
     input: &str,
     max_tokens: u64,
-) -> PlannedAnswer {
+) -> PlannedResponse {
     let mut words = WordSource::new(seed, context, input);
-    let drawn = LENGTHS.start + words.draw() % (LENGTHS.end - LENGTHS.start);
-    let asked = directive(input, "tokens").and_then(|n| n.parse().ok());
-    let wanted = asked.unwrap_or(drawn);
-    let tokens = (0..wanted.min(max_tokens)).map(|_| words.word()).collect();
+    let drawn_length =
+        DEFAULT_LENGTHS.start + words.next_u64() % (DEFAULT_LENGTHS.end - DEFAULT_LENGTHS.start);
+    let requested = directive(input, "tokens").and_then(|n| n.parse().ok());
+    let length = requested.unwrap_or(drawn_length);
+    let tokens = (0..length.min(max_tokens)).map(|_| words.word()).collect();
     let tool = directive(input, "tool").map(str::to_owned);
-    PlannedAnswer { tokens, tool, limited: wanted > max_tokens }
+    PlannedResponse { tokens, tool, limited: length > max_tokens }
 }
 
 /// Counts the tokens of a text: one per word.
@@ -79,14 +80,14 @@
         Self { bytes: hasher.finalize_xof() }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn next_u64(&mut self) -> u64 {
         let mut bytes = [0; 8];
         self.bytes.fill(&mut bytes);
         u64::from_le_bytes(bytes)
     }
 
     fn word(&mut self) -> String {
-        let place = self.draw() % WORDS.len() as u64;
-        format!("{} ", WORDS[place as usize])
+        let index = self.next_u64() % WORDS.len() as u64;
+        format!("{} ", WORDS[index as usize])
     }
 }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::http::{Answer, json, read_json, serve, text};
+use crate::http::{HandlerResult, json_response, read_json, serve, text_response};
 
 /// Engine list, as specified in `docs/BACKENDS.md`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,25 +45,25 @@
 }
 
 #[derive(Debug)]
-struct Versions {
-    shown: EngineList,
+struct DelayedList {
+    visible: EngineList,
     /// Changes that are not visible yet with the time at which they become visible, oldest first.
-    coming: Vec<(Instant, EngineList)>,
+    pending: Vec<(Instant, EngineList)>,
     lag: Duration,
 }
 
-impl Versions {
+impl DelayedList {
     fn set(&mut self, list: EngineList) {
-        self.coming.push((Instant::now() + self.lag, list));
+        self.pending.push((Instant::now() + self.lag, list));
     }
 
-    fn show(&mut self) -> EngineList {
+    fn visible_list(&mut self) -> EngineList {
         let now = Instant::now();
-        let seen = self.coming.iter().take_while(|(at, _)| *at <= now).count();
-        if let Some((_, newest)) = self.coming.drain(..seen).next_back() {
-            self.shown = newest;
+        let due = self.pending.iter().take_while(|(at, _)| *at <= now).count();
+        if let Some((_, newest)) = self.pending.drain(..due).next_back() {
+            self.visible = newest;
         }
-        self.shown.clone()
+        self.visible.clone()
     }
 }
 
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct PlatformList {
     address: SocketAddr,
-    versions: Arc<Mutex<Versions>>,
+    list: Arc<Mutex<DelayedList>>,
     stop: CancellationToken,
 }
 
@@ -83,12 +83,12 @@
     pub async fn start(options: PlatformOptions) -> io::Result<Self> {
         let listener = TcpListener::bind(options.listen).await?;
         let address = listener.local_addr()?;
-        let versions = Versions { shown: options.engines, coming: Vec::new(), lag: options.lag };
-        let versions = Arc::new(Mutex::new(versions));
+        let list = DelayedList { visible: options.engines, pending: Vec::new(), lag: options.lag };
+        let list = Arc::new(Mutex::new(list));
         let stop = CancellationToken::new();
-        let served = versions.clone();
-        tokio::spawn(serve(listener, stop.clone(), move |request| answer(served.clone(), request)));
-        Ok(Self { address, versions, stop })
+        let served = list.clone();
+        tokio::spawn(serve(listener, stop.clone(), move |request| handle(served.clone(), request)));
+        Ok(Self { address, list, stop })
     }
 
     /// The address on which it listens.
@@ -99,7 +99,7 @@
 
     /// Replaces the list; the change becomes visible after the delay.
     pub fn set(&self, list: EngineList) {
-        self.versions.lock().unwrap_or_else(PoisonError::into_inner).set(list);
+        self.list.lock().unwrap_or_else(PoisonError::into_inner).set(list);
     }
 
     /// Waits until the server is stopped.
@@ -114,18 +114,18 @@
     }
 }
 
-async fn answer(versions: Arc<Mutex<Versions>>, request: Request<Incoming>) -> Answer {
-    let lock = || versions.lock().unwrap_or_else(PoisonError::into_inner);
+async fn handle(list: Arc<Mutex<DelayedList>>, request: Request<Incoming>) -> HandlerResult {
+    let lock = || list.lock().unwrap_or_else(PoisonError::into_inner);
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
-        (Method::GET, "/engines") => Ok(json(StatusCode::OK, &lock().show())),
+        (Method::GET, "/engines") => Ok(json_response(StatusCode::OK, &lock().visible_list())),
         (Method::PUT, "/emulator/engines") => match read_json(request).await {
             Ok(list) => {
                 lock().set(list);
-                Ok(text(StatusCode::OK, "switched"))
+                Ok(text_response(StatusCode::OK, "switched"))
             }
             Err(refusal) => Ok(*refusal),
         },
-        _ => Ok(text(StatusCode::NOT_FOUND, "no such path")),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
 }
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -6,33 +6,33 @@
 
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 
-use crate::faults::{FaultSwitches, Hit};
+use crate::faults::{FaultInjector, RequestFaults};
 use crate::headers;
-use crate::http::{Body, text};
+use crate::http::{Body, text_response};
 use crate::identity::Identity;
 use crate::ledger::{Ledger, LedgerEntry};
 
 /// State of a fake backend; it survives restarts in place.
 #[derive(Debug)]
-pub(crate) struct Core {
+pub(crate) struct BackendState {
     identity: RwLock<Identity>,
-    pub(crate) faults: FaultSwitches,
+    pub(crate) faults: FaultInjector,
     pub(crate) ledger: Ledger,
     running: AtomicU32,
     pub(crate) slots: u32,
 }
 
-impl Core {
+impl BackendState {
     pub(crate) fn new(identity: Identity, ledger: Ledger, slots: u32) -> Self {
-        let core = Self {
+        let state = Self {
             identity: RwLock::new(identity),
-            faults: FaultSwitches::default(),
+            faults: FaultInjector::default(),
             ledger,
             running: AtomicU32::new(0),
             slots,
         };
-        core.record(LedgerEntry::Started);
-        core
+        state.record(LedgerEntry::Started);
+        state
     }
 
     pub(crate) fn identity(&self) -> Identity {
@@ -53,9 +53,9 @@
     }
 
     /// Counts a request as running until the returned guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> Running {
+    pub(crate) fn count_running(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
-        Running { core: self.clone() }
+        RunningGuard { state: self.clone() }
     }
 
     /// Checks the headers of a request for work and selects the faults that apply to it. Returns
@@ -64,9 +64,10 @@
         &self,
         request: &HeaderMap,
         route: &str,
-    ) -> Result<(RequestId, Hit), Box<Response<Body>>> {
-        let id = RequestId::of(request)
-            .ok_or_else(|| text(StatusCode::BAD_REQUEST, "x-hooklug-request is missing"))?;
+    ) -> Result<(RequestId, RequestFaults), Box<Response<Body>>> {
+        let id = RequestId::from_headers(request).ok_or_else(|| {
+            text_response(StatusCode::BAD_REQUEST, "x-hooklug-request is missing")
+        })?;
         let identity = self.identity();
         let expected = header_text(request, headers::EXPECT);
         if expected.is_some_and(|e| e != identity.to_string()) {
@@ -75,15 +76,15 @@
         if self.faults.get().draining {
             return Err(Box::new(self.refusal(&id, StatusCode::SERVICE_UNAVAILABLE, "draining")));
         }
-        let hit = self.faults.draw(route, self.running());
-        if hit.refuse {
+        let faults = self.faults.select(route, self.running());
+        if faults.refuse {
             return Err(Box::new(self.refusal(&id, StatusCode::SERVICE_UNAVAILABLE, "overloaded")));
         }
-        if hit.fail {
-            let failed = text(StatusCode::INTERNAL_SERVER_ERROR, "failed on purpose");
-            return Err(Box::new(self.signed(&id, failed)));
+        if faults.fail {
+            let failed = text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed on purpose");
+            return Err(Box::new(self.with_identity(&id, failed)));
         }
-        Ok((id, hit))
+        Ok((id, faults))
     }
 
     /// Builds a response that states explicitly that the request was not run.
@@ -93,21 +94,25 @@
         status: StatusCode,
         reason: &'static str,
     ) -> Response<Body> {
-        let mut answer = text(status, reason);
-        answer.headers_mut().insert(headers::REFUSED, HeaderValue::from_static(reason));
-        self.signed(id, answer)
+        let mut response = text_response(status, reason);
+        response.headers_mut().insert(headers::REFUSED, HeaderValue::from_static(reason));
+        self.with_identity(id, response)
     }
 
     /// Adds the headers with the request id and the identity of this backend.
-    pub(crate) fn signed(&self, id: &RequestId, mut answer: Response<Body>) -> Response<Body> {
-        let names =
+    pub(crate) fn with_identity(
+        &self,
+        id: &RequestId,
+        mut response: Response<Body>,
+    ) -> Response<Body> {
+        let identity_headers =
             [(headers::REQUEST, id.0.clone()), (headers::ENGINE, self.identity().to_string())];
-        for (name, value) in names {
+        for (name, value) in identity_headers {
             if let Ok(value) = HeaderValue::from_str(&value) {
-                answer.headers_mut().insert(name, value);
+                response.headers_mut().insert(name, value);
             }
         }
-        answer
+        response
     }
 }
 
@@ -116,20 +121,20 @@
 pub(crate) struct RequestId(pub(crate) String);
 
 impl RequestId {
-    pub(crate) fn of(request: &HeaderMap) -> Option<Self> {
+    pub(crate) fn from_headers(request: &HeaderMap) -> Option<Self> {
         header_text(request, headers::REQUEST).map(|id| Self(id.to_owned()))
     }
 }
 
 /// Guard that counts a request as running.
 #[derive(Debug)]
-pub(crate) struct Running {
-    core: Arc<Core>,
+pub(crate) struct RunningGuard {
+    state: Arc<BackendState>,
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
-        self.core.running.fetch_sub(1, Ordering::Relaxed);
+        self.state.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/emulator/tests/application.rs
+++ b/crates/emulator/tests/application.rs
@@ -22,7 +22,7 @@
 async fn an_answer_echoes_its_request_and_every_request_runs() {
     let engine = application().await;
     for (request, times) in [("r1", 1), ("r2", 2)] {
-        let (status, headers, body) = call(&engine, request, "alarm", "p/c").await.whole();
+        let (status, headers, body) = call(&engine, request, "alarm", "p/c").await.complete();
         assert_eq!(status, StatusCode::OK);
         assert_eq!(headers["x-hooklug-request"], request);
         assert_eq!(headers["x-hooklug-engine"], engine.identity().to_string().as_str());
@@ -40,19 +40,19 @@
 async fn refusals_are_explicit_and_run_nothing() {
     let engine = application().await;
     let foreign = [("x-hooklug-request", "r1"), ("x-hooklug-expect", "alarms/app-9/1")];
-    let seen = send(engine.address(), Method::POST, "/calls/alarm", &foreign, &json!({})).await;
-    let (status, headers, _) = seen.whole();
+    let response = send(engine.address(), Method::POST, "/calls/alarm", &foreign, &json!({})).await;
+    let (status, headers, _) = response.complete();
     assert_eq!(
         (status, &headers["x-hooklug-refused"]),
         (StatusCode::CONFLICT, &"identity".parse().unwrap())
     );
     engine.set_faults(Faults { draining: true, ..Faults::default() });
-    let (status, headers, _) = call(&engine, "r2", "alarm", "p/c").await.whole();
+    let (status, headers, _) = call(&engine, "r2", "alarm", "p/c").await.complete();
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(headers["x-hooklug-refused"], "draining");
     assert_eq!(headers["x-hooklug-request"], "r2");
     engine.set_faults(faults(FaultKind::Refuse));
-    let (_, headers, _) = call(&engine, "r3", "alarm", "p/c").await.whole();
+    let (_, headers, _) = call(&engine, "r3", "alarm", "p/c").await.complete();
     assert_eq!(headers["x-hooklug-refused"], "overloaded");
     assert_eq!(runs(&engine, "p/c"), 0);
 }
@@ -61,7 +61,7 @@
 async fn a_lost_answer_ran() {
     let engine = application().await;
     engine.set_faults(faults(FaultKind::LoseAnswer));
-    assert!(matches!(call(&engine, "r1", "alarm", "p/c").await, Seen::Nothing));
+    assert!(matches!(call(&engine, "r1", "alarm", "p/c").await, ClientResponse::NoResponse));
     assert_eq!(runs(&engine, "p/c"), 1);
     assert_eq!(get(engine.address(), "/calls?call=p/c").await["state"], "done");
 }
@@ -70,13 +70,13 @@
 async fn cut_crossed_and_garbled_answers_are_recognisable() {
     let engine = application().await;
     engine.set_faults(faults(FaultKind::CutShort));
-    assert!(matches!(call(&engine, "r1", "alarm", "p/c1").await, Seen::Cut));
+    assert!(matches!(call(&engine, "r1", "alarm", "p/c1").await, ClientResponse::Truncated));
     engine.set_faults(faults(FaultKind::Cross));
-    let (_, headers, body) = call(&engine, "r2", "alarm", "p/c2").await.whole();
+    let (_, headers, body) = call(&engine, "r2", "alarm", "p/c2").await.complete();
     assert_eq!(headers["x-hooklug-request"], "r1");
     assert!(String::from_utf8_lossy(&body).contains("p/c1"));
     engine.set_faults(faults(FaultKind::Garble));
-    let (_, headers, body) = call(&engine, "r3", "alarm", "p/c3").await.whole();
+    let (_, headers, body) = call(&engine, "r3", "alarm", "p/c3").await.complete();
     assert_eq!(headers["x-hooklug-request"], "r3");
     assert!(serde_json::from_slice::<Value>(&body).is_err());
 }
@@ -85,7 +85,7 @@
 async fn a_failure_is_not_a_refusal() {
     let engine = application().await;
     engine.set_faults(faults(FaultKind::Fail));
-    let (status, headers, _) = call(&engine, "r1", "alarm", "p/c").await.whole();
+    let (status, headers, _) = call(&engine, "r1", "alarm", "p/c").await.complete();
     assert_eq!(status, StatusCode::INTERNAL_SERVER_ERROR);
     assert!(!headers.contains_key("x-hooklug-refused"));
     assert_eq!(runs(&engine, "p/c"), 0);
@@ -103,8 +103,8 @@
     engine.set_faults(Faults { rules: vec![rule], ..Faults::default() });
     let mut failed = Vec::new();
     for n in 0..8 {
-        let (status, _, _) = call(&engine, "r", "alarm", "p/c").await.whole();
-        let (other, _, _) = call(&engine, "r", "report", "p/c").await.whole();
+        let (status, _, _) = call(&engine, "r", "alarm", "p/c").await.complete();
+        let (other, _, _) = call(&engine, "r", "report", "p/c").await.complete();
         assert_eq!(other, StatusCode::OK);
         if status != StatusCode::OK {
             failed.push(n);
@@ -116,11 +116,11 @@
 #[tokio::test]
 async fn a_restart_is_a_new_run_and_may_be_another_service() {
     let engine = application().await;
-    call(&engine, "r1", "alarm", "p/c").await.whole();
+    call(&engine, "r1", "alarm", "p/c").await.complete();
     let before = engine.identity();
     let restart = json!({"service": "reports", "engine": "app-7", "version": "v2"});
-    let seen = send(engine.address(), Method::PUT, "/emulator/restart", &[], &restart).await;
-    assert_eq!(seen.whole().0, StatusCode::OK);
+    let response = send(engine.address(), Method::PUT, "/emulator/restart", &[], &restart).await;
+    assert_eq!(response.complete().0, StatusCode::OK);
     while engine.identity() == before {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
@@ -131,7 +131,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     assert_eq!(get(engine.address(), "/calls?call=p/c").await["state"], "never");
-    assert_eq!(runs(&engine, "p/c"), 1, "the ledger stays");
+    assert_eq!(runs(&engine, "p/c"), 1, "the ledger survives the restart");
     engine.restart(Restart::default());
 }
 
@@ -143,11 +143,11 @@
     };
     let at = engine.address().to_string();
     let good = json!({"at": at, "faults": {"rules": [{"kind": "lose_answer", "share": 0.1}]}});
-    assert_eq!(put(good).await.whole().0, StatusCode::OK);
+    assert_eq!(put(good).await.complete().0, StatusCode::OK);
     let shown = get(engine.address(), "/emulator/faults").await;
     assert_eq!(shown["rules"][0]["kind"], "lose_answer");
     let bad = json!({"at": at, "faults": {"rulez": []}});
-    assert_eq!(put(bad).await.whole().0, StatusCode::BAD_REQUEST);
+    assert_eq!(put(bad).await.complete().0, StatusCode::BAD_REQUEST);
 }
 
 fn engine_address(body: &Value) -> std::net::SocketAddr {
@@ -170,7 +170,7 @@
         ledger: Some(path.clone()),
     };
     let engine = hooklug_emulator::ApplicationEngine::start(options).await.unwrap();
-    call(&engine, "r1", "alarm", "p/c").await.whole();
+    call(&engine, "r1", "alarm", "p/c").await.complete();
     let text = std::fs::read_to_string(path).unwrap();
     let lines: Vec<hooklug_emulator::LedgerLine> =
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -59,19 +59,19 @@
 
 /// Result of a request, as seen by its client.
 #[derive(Debug)]
-pub enum Seen {
+pub enum ClientResponse {
     /// A complete response.
-    Whole(StatusCode, HeaderMap, Bytes),
+    Complete(StatusCode, HeaderMap, Bytes),
     /// The headers arrived, but the body was truncated.
-    Cut,
+    Truncated,
     /// The connection was closed without a response.
-    Nothing,
+    NoResponse,
 }
 
-impl Seen {
-    pub fn whole(self) -> (StatusCode, HeaderMap, Bytes) {
+impl ClientResponse {
+    pub fn complete(self) -> (StatusCode, HeaderMap, Bytes) {
         match self {
-            Self::Whole(status, headers, body) => (status, headers, body),
+            Self::Complete(status, headers, body) => (status, headers, body),
             other => panic!("{other:?}"),
         }
     }
@@ -83,7 +83,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &Value,
-) -> Seen {
+) -> ClientResponse {
     let stream = TcpStream::connect(to).await.unwrap();
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.unwrap();
     tokio::spawn(connection);
@@ -92,21 +92,21 @@
         request = request.header(*name, *value);
     }
     let request = request.body(Full::new(Bytes::from(body.to_string()))).unwrap();
-    let Ok(answer) = sender.send_request(request).await else { return Seen::Nothing };
+    let Ok(answer) = sender.send_request(request).await else { return ClientResponse::NoResponse };
     let (parts, body) = answer.into_parts();
     match body.collect().await {
-        Ok(body) => Seen::Whole(parts.status, parts.headers, body.to_bytes()),
-        Err(_) => Seen::Cut,
+        Ok(body) => ClientResponse::Complete(parts.status, parts.headers, body.to_bytes()),
+        Err(_) => ClientResponse::Truncated,
     }
 }
 
 pub async fn get(to: SocketAddr, path: &str) -> Value {
-    let (status, _, body) = send(to, Method::GET, path, &[], &Value::Null).await.whole();
+    let (status, _, body) = send(to, Method::GET, path, &[], &Value::Null).await.complete();
     assert_eq!(status, StatusCode::OK);
     serde_json::from_slice(&body).unwrap()
 }
 
-pub async fn call(to: &StandIn, request: &str, tool: &str, call: &str) -> Seen {
+pub async fn call(to: &StandIn, request: &str, tool: &str, call: &str) -> ClientResponse {
     let identity = to.identity().to_string();
     let headers = [
         ("x-hooklug-request", request),
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hooklug_emulator::model::text::{ContextItem, plan_answer};
+use hooklug_emulator::model::text::{ContextItem, plan_response};
 use hooklug_emulator::{
     EngineList, FaultKind, LedgerEntry, ListedEngine, PlatformList, PlatformOptions, StandIn,
 };
@@ -12,7 +12,7 @@
 
 const LAG: std::time::Duration = std::time::Duration::from_millis(50);
 
-async fn generate(to: &StandIn, request: &str, session: &str, input: &str) -> Seen {
+async fn generate(to: &StandIn, request: &str, session: &str, input: &str) -> ClientResponse {
     let body = json!({
         "session": session, "turn": "t1", "prefix": "greenhouse", "max_tokens": 12,
         "context": [{"role": "user", "text": "hello there"}], "input": input,
@@ -35,13 +35,13 @@
 #[tokio::test]
 async fn a_stream_is_counted_and_its_text_follows_from_the_context() {
     let model = model().await;
-    let (status, headers, body) = generate(&model, "r1", "p/s", "vent?").await.whole();
+    let (status, headers, body) = generate(&model, "r1", "p/s", "vent?").await.complete();
     assert_eq!((status, &headers["x-hooklug-request"]), (StatusCode::OK, &"r1".parse().unwrap()));
     let lines = lines(&body);
     assert!(lines.iter().enumerate().all(|(n, line)| line["seq"] == n + 1));
     assert!(lines.iter().all(|line| line["request"] == "r1"));
     let context = [ContextItem { role: "user".to_owned(), text: "hello there".to_owned() }];
-    let plan = plan_answer(7, &context, "vent?", 12);
+    let plan = plan_response(7, &context, "vent?", 12);
     assert_eq!(text_of(&lines), plan.tokens.concat());
     let end = lines.last().unwrap();
     assert_eq!(end["events"], lines.len() - 1);
@@ -52,8 +52,8 @@
 #[tokio::test]
 async fn an_input_can_ask_for_a_length_and_a_tool() {
     let model = model().await;
-    let asked = "[tokens 4] [tool read_sensor]";
-    let lines = lines(&generate(&model, "r1", "p/s", asked).await.whole().2);
+    let input = "[tokens 4] [tool read_sensor]";
+    let lines = lines(&generate(&model, "r1", "p/s", input).await.complete().2);
     assert_eq!(lines[1]["tool"]["name"], "read_sensor");
     assert_eq!(lines.last().unwrap()["tokens_total"], 4);
     assert_eq!(lines.last().unwrap()["events"], 5);
@@ -64,7 +64,7 @@
 async fn the_cache_hits_on_a_known_prefix_and_history() {
     let model = model().await;
     for (request, session) in [("r1", "p/s"), ("r2", "p/other"), ("r3", "p/s")] {
-        generate(&model, request, session, "go on").await.whole();
+        generate(&model, request, session, "go on").await.complete();
     }
     let found: Vec<_> = model
         .ledger()
@@ -83,17 +83,17 @@
 async fn faults_break_streams_recognisably() {
     let model = model().await;
     model.set_faults(faults(FaultKind::CutShort));
-    assert!(matches!(generate(&model, "r1", "p/s", "one").await, Seen::Cut));
+    assert!(matches!(generate(&model, "r1", "p/s", "one").await, ClientResponse::Truncated));
     model.set_faults(faults(FaultKind::LoseAnswer));
-    assert!(matches!(generate(&model, "r2", "p/s", "two").await, Seen::Nothing));
+    assert!(matches!(generate(&model, "r2", "p/s", "two").await, ClientResponse::NoResponse));
     model.set_faults(faults(FaultKind::Garble));
-    let (_, _, body) = generate(&model, "r3", "p/s", "three").await.whole();
-    let broken = body
+    let (_, _, body) = generate(&model, "r3", "p/s", "three").await.complete();
+    let is_corrupt = body
         .split(|b| *b == b'\n')
         .any(|l| serde_json::from_slice::<Value>(l).is_err() && !l.is_empty());
-    assert!(broken);
+    assert!(is_corrupt);
     model.set_faults(faults(FaultKind::Cross));
-    let (_, headers, body) = generate(&model, "r4", "p/s", "four").await.whole();
+    let (_, headers, body) = generate(&model, "r4", "p/s", "four").await.complete();
     assert_eq!(headers["x-hooklug-request"], "r3");
     assert!(lines(&body).iter().all(|line| line["request"] == "r3"));
 }
@@ -132,7 +132,7 @@
 async fn a_full_queue_is_refused_explicitly() {
     let model = model().await;
     model.set_faults(faults(FaultKind::Stall));
-    let held: Vec<_> = (0..3)
+    let blocked: Vec<_> = (0..3)
         .map(|n| {
             let address = model.address();
             tokio::spawn(async move {
@@ -146,10 +146,10 @@
     while model.running() < 3 {
         tokio::time::sleep(std::time::Duration::from_millis(2)).await;
     }
-    let (status, headers, _) = generate(&model, "r9", "p/s", "late").await.whole();
+    let (status, headers, _) = generate(&model, "r9", "p/s", "late").await.complete();
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(headers["x-hooklug-refused"], "overloaded");
-    held.into_iter().for_each(|task| task.abort());
+    blocked.into_iter().for_each(|task| task.abort());
 }
 
 #[tokio::test]
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,10 +10,9 @@
 mod addresses;
 mod binaries;
 mod bundle;
+mod bundle_admin;
 pub mod caller;
 pub mod control;
-
-mod bundle_admin;
 pub mod demo;
 mod error;
 mod fakes;
