--- a/crates/fleet/src/addresses.rs
+++ b/crates/fleet/src/addresses.rs
@@ -19,7 +19,7 @@
 /// Number of addresses for processes in a range.
 pub(crate) const MAX_ADDRESSES: usize = 250;
 /// Number of ranges tried before the claim fails.
-const TRIES: usize = 200;
+const CLAIM_ATTEMPTS: usize = 200;
 
 /// A range of 256 loopback addresses, claimed until this value is dropped.
 #[derive(Debug)]
@@ -32,25 +32,25 @@
 impl AddressRange {
     /// Claims a random range that no other fleet on this machine uses.
     pub(crate) fn claim() -> Result<Self, FleetError> {
-        for _ in 0..TRIES {
+        for _ in 0..CLAIM_ATTEMPTS {
             // 127.0.* is left to other programs.
             let network = [rand::random_range(1..=254_u8), rand::random_range(0..=255_u8)];
-            let claimed = TcpListener::bind((ip(network, CLAIM_HOST), CLAIM_PORT));
-            if let Ok(claim) = claimed {
+            let listener = TcpListener::bind((ip(network, CLAIM_HOST), CLAIM_PORT));
+            if let Ok(claim) = listener {
                 return Ok(Self { network, next_host: 1, _claim: claim });
             }
         }
-        Err(FleetError::NoAddresses)
+        Err(FleetError::NoFreeRange)
     }
 
     /// Assigns an address that no process of this fleet has used before.
-    pub(crate) fn draw(&mut self) -> Result<Ipv4Addr, FleetError> {
+    pub(crate) fn allocate(&mut self) -> Result<Ipv4Addr, FleetError> {
         if usize::from(self.next_host) > MAX_ADDRESSES {
-            return Err(FleetError::RangeUsedUp);
+            return Err(FleetError::AddressesExhausted);
         }
-        let drawn = ip(self.network, self.next_host);
+        let address = ip(self.network, self.next_host);
         self.next_host += 1;
-        Ok(drawn)
+        Ok(address)
     }
 
     /// The address on which the fleet accepts commands.
--- a/crates/fleet/src/binaries.rs
+++ b/crates/fleet/src/binaries.rs
@@ -15,16 +15,16 @@
     pub emulator: PathBuf,
 }
 
-static FOUND: OnceLock<Result<Binaries, String>> = OnceLock::new();
+static BINARIES: OnceLock<Result<Binaries, String>> = OnceLock::new();
 
 impl Binaries {
     /// Finds the binaries, building them first when run by cargo. Done once per process.
     pub(crate) fn find() -> Result<Self, FleetError> {
-        FOUND.get_or_init(find).clone().map_err(FleetError::Build)
+        BINARIES.get_or_init(find_binaries).clone().map_err(FleetError::Build)
     }
 }
 
-fn find() -> Result<Binaries, String> {
+fn find_binaries() -> Result<Binaries, String> {
     let folder = profile_folder()?;
     if let Some(cargo) = std::env::var_os("CARGO") {
         build(&cargo, &folder)?;
@@ -41,16 +41,16 @@
 
 /// The folder under `target` for the profile with which this program was built.
 fn profile_folder() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folder = own.parent().ok_or("the path of this program has no parent folder")?;
+    let executable = std::env::current_exe().map_err(|e| e.to_string())?;
+    let folder = executable.parent().ok_or("the path of this program has no parent folder")?;
     // Test and example binaries are one folder deeper.
-    let inner = matches!(folder.file_name().and_then(OsStr::to_str), Some("deps" | "examples"));
-    let folder = if inner { folder.parent().unwrap_or(folder) } else { folder };
+    let is_nested = matches!(folder.file_name().and_then(OsStr::to_str), Some("deps" | "examples"));
+    let folder = if is_nested { folder.parent().unwrap_or(folder) } else { folder };
     Ok(folder.to_owned())
 }
 
 /// Cargo arguments for nodes that break a rule on purpose.
-const BROKEN: &[&str] = &["--features", "hooklug/broken-rules"];
+const BROKEN_RULES_ARGUMENTS: &[&str] = &["--features", "hooklug/broken-rules"];
 
 /// Builds the binaries with cargo, which skips those that are up to date.
 fn build(cargo: &OsStr, folder: &Path) -> Result<(), String> {
@@ -62,7 +62,7 @@
     let workspace = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let status = Command::new(cargo)
         .args(["build", "--quiet", "--bin", "hooklug", "--bin", "hooklug-emulator"])
-        .args(if cfg!(feature = "broken-rules") { BROKEN } else { &[] })
+        .args(if cfg!(feature = "broken-rules") { BROKEN_RULES_ARGUMENTS } else { &[] })
         .args(["--profile", profile, "--target-dir"])
         .arg(target)
         .current_dir(workspace)
--- a/crates/fleet/src/bundle.rs
+++ b/crates/fleet/src/bundle.rs
@@ -34,7 +34,7 @@
 
 fn add_model(bundle: &mut Bundle, group: &ModelGroup) -> Result<(), IdError> {
     let slots = group.slots * u32::try_from(group.engines).unwrap_or(u32::MAX);
-    let service = entry(&mut bundle.services, &group.service, ServiceKind::Model);
+    let service = service_entry(&mut bundle.services, &group.service, ServiceKind::Model);
     service.model = Some(group.model.clone());
     service.slots += slots;
     add_version(service, &group.version);
@@ -46,18 +46,18 @@
 
 fn add_application(bundle: &mut Bundle, group: &ApplicationGroup) -> Result<(), IdError> {
     let engines = u32::try_from(group.engines).unwrap_or(u32::MAX);
-    let service = entry(&mut bundle.services, &group.service, ServiceKind::Application);
+    let service = service_entry(&mut bundle.services, &group.service, ServiceKind::Application);
     service.slots += group.slots * engines;
     add_version(service, &group.version);
     for tool in &group.tools {
         let matches = RouteMatch::Tool { tool: tool.name.clone() };
-        let made = route(matches, &group.service, tool.may_repeat, tool.urgent, 10_000);
-        bundle.routes.insert(RouteName::new(&tool.name)?, made);
+        let tool_route = route(matches, &group.service, tool.may_repeat, tool.urgent, 10_000);
+        bundle.routes.insert(RouteName::new(&tool.name)?, tool_route);
     }
     Ok(())
 }
 
-fn entry<'a>(
+fn service_entry<'a>(
     services: &'a mut BTreeMap<ServiceName, Service>,
     name: &ServiceName,
     kind: ServiceKind,
--- a/crates/fleet/src/bundle_admin.rs
+++ b/crates/fleet/src/bundle_admin.rs
@@ -13,13 +13,13 @@
 use crate::{Fleet, FleetError, ProcessName};
 
 /// Timeout of a read.
-const LOOK_TIME: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay before a submission is retried.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A committed bundle with its record.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct ReadBundle {
+pub struct BundleWithRecord {
     /// Record of the bundle.
     pub record: BundleRecord,
     /// Content of the bundle.
@@ -52,7 +52,7 @@
 
 /// Result of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SubmitOutcome {
     /// The bundle is committed, by this or an earlier submission.
     Accepted(Submitted),
     /// The bundle was rejected permanently.
@@ -75,19 +75,21 @@
     /// # Errors
     /// When the node does not respond.
     pub async fn installed_bundle(&self, name: ProcessName) -> Result<BundleVersion, FleetError> {
-        let ask = Ask::new(Method::GET, "/admin/v1/view");
-        let answer = self.http.ask_within(self.http_address(name)?, &ask, LOOK_TIME).await?;
-        Ok(answer.json::<View>()?.installed_bundle)
+        let request = Ask::new(Method::GET, "/admin/v1/view");
+        let response =
+            self.http.ask_within(self.http_address(name)?, &request, READ_TIMEOUT).await?;
+        Ok(response.json::<View>()?.installed_bundle)
     }
 
     /// The newest bundle committed by a quorum of stores, read through a node.
     ///
     /// # Errors
     /// When the node does not respond, or no quorum is reachable.
-    pub async fn current_bundle(&self, name: ProcessName) -> Result<ReadBundle, FleetError> {
-        let ask = Ask::new(Method::GET, "/admin/v1/bundles/current");
-        let answer = self.http.ask_within(self.http_address(name)?, &ask, LOOK_TIME).await?;
-        Ok(answer.json()?)
+    pub async fn current_bundle(&self, name: ProcessName) -> Result<BundleWithRecord, FleetError> {
+        let request = Ask::new(Method::GET, "/admin/v1/bundles/current");
+        let response =
+            self.http.ask_within(self.http_address(name)?, &request, READ_TIMEOUT).await?;
+        Ok(response.json()?)
     }
 
     /// Submits a bundle at one node and retries while the outcome is unknown or the node responds
@@ -100,22 +102,22 @@
         name: ProcessName,
         bundle: &Bundle,
         time: Duration,
-    ) -> Result<Verdict, FleetError> {
+    ) -> Result<SubmitOutcome, FleetError> {
         let deadline = Instant::now() + time;
         loop {
             let error = match self.submit_bundle_at(name, bundle).await {
-                Ok(submitted) => return Ok(Verdict::Accepted(submitted)),
+                Ok(submitted) => return Ok(SubmitOutcome::Accepted(submitted)),
                 Err(FleetError::Http(HttpError::Status { status, body, .. }))
                     if status != StatusCode::SERVICE_UNAVAILABLE.as_u16() =>
                 {
-                    return Ok(Verdict::Refused { status, body });
+                    return Ok(SubmitOutcome::Refused { status, body });
                 }
                 Err(error) => error,
             };
             if Instant::now() >= deadline {
                 return Err(error);
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -126,8 +128,8 @@
     /// When the name of a tool is not a valid route name.
     pub fn marked_bundle(&self, version: u64, marker: u32) -> Result<Bundle, FleetError> {
         let base = BundleVersion(version.saturating_sub(1));
-        let made = self.topology().bundle(BundleVersion(version), base);
-        let mut bundle = made.map_err(|e| FleetError::Unexpected(e.to_string()))?;
+        let result = self.topology().bundle(BundleVersion(version), base);
+        let mut bundle = result.map_err(|e| FleetError::Unexpected(e.to_string()))?;
         for service in bundle.services.values_mut() {
             service.queue_per_engine = marker;
         }
--- a/crates/fleet/src/caller/error.rs
+++ b/crates/fleet/src/caller/error.rs
@@ -54,7 +54,7 @@
     pub fn is_passing(&self) -> bool {
         match self {
             Self::Problem(problem) => matches!(problem.status, 429 | 503),
-            Self::Http(HttpError::Broken { .. } | HttpError::TimedOut { .. }) => true,
+            Self::Http(HttpError::Connection { .. } | HttpError::TimedOut { .. }) => true,
             Self::Http(_) | Self::Broken(_) => false,
         }
     }
@@ -64,16 +64,17 @@
 const CALL_STATE: &str = "x-hooklug-call-state";
 
 /// Returns the response if it is a success or the application's own, and its problem otherwise.
-pub(super) fn success(answer: Answer) -> Result<Answer, CallerError> {
-    let answered = answer.headers.get(CALL_STATE).is_some_and(|state| state == "answered");
-    if answer.status.is_success() || answered {
-        return Ok(answer);
+pub(super) fn into_success(response: Answer) -> Result<Answer, CallerError> {
+    let is_application_response =
+        response.headers.get(CALL_STATE).is_some_and(|state| state == "answered");
+    if response.status.is_success() || is_application_response {
+        return Ok(response);
     }
-    match serde_json::from_slice::<Problem>(&answer.body) {
+    match serde_json::from_slice::<Problem>(&response.body) {
         Ok(problem) => Err(CallerError::Problem(Box::new(problem))),
         Err(error) => {
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
-            let status = answer.status;
+            let body = String::from_utf8_lossy(&response.body).into_owned();
+            let status = response.status;
             Err(CallerError::Broken(format!("{status} without a problem ({error}): {body}")))
         }
     }
--- a/crates/fleet/src/caller/mod.rs
+++ b/crates/fleet/src/caller/mod.rs
@@ -17,17 +17,17 @@
 use tokio::time::{Instant, sleep};
 
 use crate::http::{Answer, Ask, HttpClient};
-use error::success;
+use error::into_success;
 pub use error::{CallerError, Problem};
 pub use sse::{SseError, SseParser, StreamEvent};
 pub use stream::{EventStream, Transcript};
 pub use turns::TurnRequest;
-pub use views::{CallAnswer, CallView, Placed, ProgramView, SessionView, TurnView};
+pub use views::{CallAnswer, CallView, ProgramView, SessionView, ToolResultPosition, TurnView};
 
 /// Time after which a request is no longer retried.
-const RETRY_TIME: Duration = Duration::from_secs(30);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay before a retry.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Reference to a session by program and name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -91,43 +91,44 @@
         self.gateways[index % self.gateways.len()]
     }
 
-    fn signed(&self, ask: Ask) -> Ask {
-        ask.header("x-hooklug-tenant", self.tenant.clone())
+    fn with_tenant(&self, request: Ask) -> Ask {
+        request.header("x-hooklug-tenant", self.tenant.clone())
     }
 
     /// Sends a request to one gateway, without retries.
     ///
     /// # Errors
     /// When the response is a problem or does not arrive.
-    pub async fn ask_once(&self, gateway: usize, ask: &Ask) -> Result<Answer, CallerError> {
-        let answer = self.http.ask(self.gateway(gateway), &self.signed(ask.clone())).await?;
-        success(answer)
+    pub async fn ask_once(&self, gateway: usize, request: &Ask) -> Result<Answer, CallerError> {
+        let response =
+            self.http.ask(self.gateway(gateway), &self.with_tenant(request.clone())).await?;
+        into_success(response)
     }
 
     /// Sends a request, and retries it at the next gateway while the error is retryable.
     ///
     /// # Errors
     /// A permanent error, or the last error when the retry time is over.
-    pub async fn ask(&self, mut gateway: usize, ask: &Ask) -> Result<Answer, CallerError> {
-        let deadline = Instant::now() + RETRY_TIME;
+    pub async fn ask(&self, mut gateway: usize, request: &Ask) -> Result<Answer, CallerError> {
+        let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
-            match self.ask_once(gateway, ask).await {
+            match self.ask_once(gateway, request).await {
                 Err(error) if error.is_passing() && Instant::now() < deadline => {
                     gateway += 1;
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
                 done => return done,
             }
         }
     }
 
-    async fn ask_json<T: DeserializeOwned>(
+    async fn request_json<T: DeserializeOwned>(
         &self,
         gateway: usize,
-        ask: Ask,
+        request: Ask,
     ) -> Result<T, CallerError> {
-        let answer = self.ask(gateway, &ask).await?;
-        serde_json::from_slice(&answer.body).map_err(|e| CallerError::Broken(e.to_string()))
+        let response = self.ask(gateway, &request).await?;
+        serde_json::from_slice(&response.body).map_err(|e| CallerError::Broken(e.to_string()))
     }
 
     /// Declares a program with its token budget and end time.
@@ -142,7 +143,7 @@
         end_time_ms: u64,
     ) -> Result<ProgramView, CallerError> {
         let body = json!({"token_budget": token_budget, "end_time_ms": end_time_ms});
-        self.ask_json(gateway, Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body))
+        self.request_json(gateway, Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body))
             .await
     }
 
@@ -151,7 +152,7 @@
     /// # Errors
     /// A permanent error, or the last error when the retry time is over.
     pub async fn program(&self, gateway: usize, program: &str) -> Result<ProgramView, CallerError> {
-        self.ask_json(gateway, Ask::new(Method::GET, format!("/v1/programs/{program}"))).await
+        self.request_json(gateway, Ask::new(Method::GET, format!("/v1/programs/{program}"))).await
     }
 
     /// Opens a session.
@@ -169,7 +170,7 @@
         if let Some(prefix) = prefix {
             body["prefix"] = prefix.into();
         }
-        self.ask_json(gateway, Ask::json(Method::PUT, session.path(), &body)).await
+        self.request_json(gateway, Ask::json(Method::PUT, session.path(), &body)).await
     }
 
     /// Reads a session.
@@ -181,7 +182,7 @@
         gateway: usize,
         session: &SessionRef,
     ) -> Result<SessionView, CallerError> {
-        self.ask_json(gateway, Ask::new(Method::GET, session.path())).await
+        self.request_json(gateway, Ask::new(Method::GET, session.path())).await
     }
 
     /// Closes a session.
@@ -193,7 +194,7 @@
         gateway: usize,
         session: &SessionRef,
     ) -> Result<SessionView, CallerError> {
-        self.ask_json(gateway, Ask::new(Method::DELETE, session.path())).await
+        self.request_json(gateway, Ask::new(Method::DELETE, session.path())).await
     }
 
     /// Reads a turn.
@@ -207,7 +208,7 @@
         turn: &str,
     ) -> Result<TurnView, CallerError> {
         let path = format!("{}/turns/{turn}", session.path());
-        self.ask_json(gateway, Ask::new(Method::GET, path)).await
+        self.request_json(gateway, Ask::new(Method::GET, path)).await
     }
 
     /// Aborts a turn.
@@ -221,7 +222,7 @@
         turn: &str,
     ) -> Result<TurnView, CallerError> {
         let path = format!("{}/turns/{turn}/abort", session.path());
-        self.ask_json(gateway, Ask::new(Method::POST, path)).await
+        self.request_json(gateway, Ask::new(Method::POST, path)).await
     }
 
     /// Sends the result of a tool call to its session.
@@ -234,10 +235,10 @@
         session: &SessionRef,
         call: &str,
         result: &Value,
-    ) -> Result<Placed, CallerError> {
+    ) -> Result<ToolResultPosition, CallerError> {
         let body = json!({"call": call, "result": result});
         let path = format!("{}/tool-results", session.path());
-        self.ask_json(gateway, Ask::json(Method::POST, path, &body)).await
+        self.request_json(gateway, Ask::json(Method::POST, path, &body)).await
     }
 
     /// Makes a call. A call that is sent again with the same id and content gets the same response.
@@ -252,11 +253,12 @@
         call: &str,
         request: &CallRequest,
     ) -> Result<CallAnswer, CallerError> {
-        let ask = Ask::json(Method::PUT, format!("/v1/programs/{program}/calls/{call}"), request);
-        let answer = self.ask(gateway, &ask).await?;
-        let body =
-            serde_json::from_slice(&answer.body).map_err(|e| CallerError::Broken(e.to_string()))?;
-        Ok(CallAnswer { status: answer.status.as_u16(), body })
+        let request =
+            Ask::json(Method::PUT, format!("/v1/programs/{program}/calls/{call}"), request);
+        let response = self.ask(gateway, &request).await?;
+        let body = serde_json::from_slice(&response.body)
+            .map_err(|e| CallerError::Broken(e.to_string()))?;
+        Ok(CallAnswer { status: response.status.as_u16(), body })
     }
 
     /// Reads the state of a non-repeatable call.
@@ -270,7 +272,7 @@
         call: &str,
     ) -> Result<CallView, CallerError> {
         let path = format!("/v1/programs/{program}/calls/{call}");
-        self.ask_json(gateway, Ask::new(Method::GET, path)).await
+        self.request_json(gateway, Ask::new(Method::GET, path)).await
     }
 
     /// Seals a call, so that it never runs unless it has started already.
@@ -286,6 +288,6 @@
     ) -> Result<CallView, CallerError> {
         let body = json!({"tool": request.tool, "arguments": request.arguments});
         let path = format!("/v1/programs/{program}/calls/{call}/seal");
-        self.ask_json(gateway, Ask::json(Method::POST, path, &body)).await
+        self.request_json(gateway, Ask::json(Method::POST, path, &body)).await
     }
 }
--- a/crates/fleet/src/caller/sse.rs
+++ b/crates/fleet/src/caller/sse.rs
@@ -55,14 +55,14 @@
             }
             let line = std::mem::take(&mut self.line);
             let text = String::from_utf8(line).map_err(|e| SseError(e.to_string()))?;
-            events.extend(self.take_line(text.trim_end_matches('\r'))?);
+            events.extend(self.parse_line(text.trim_end_matches('\r'))?);
         }
         Ok(events)
     }
 
-    fn take_line(&mut self, line: &str) -> Result<Option<StreamEvent>, SseError> {
+    fn parse_line(&mut self, line: &str) -> Result<Option<StreamEvent>, SseError> {
         if line.is_empty() {
-            return self.finish();
+            return self.finish_event();
         }
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
@@ -76,7 +76,7 @@
         Ok(None)
     }
 
-    fn finish(&mut self) -> Result<Option<StreamEvent>, SseError> {
+    fn finish_event(&mut self) -> Result<Option<StreamEvent>, SseError> {
         let event = std::mem::take(&mut self.event);
         let data = std::mem::take(&mut self.data).join("\n");
         let id = self.id.take();
--- a/crates/fleet/src/caller/stream.rs
+++ b/crates/fleet/src/caller/stream.rs
@@ -13,7 +13,7 @@
 use crate::http::HttpError;
 
 /// Time without any data, comments included, after which a stream counts as interrupted.
-const SILENCE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An open event stream. Dropping it closes the connection.
 #[derive(Debug)]
@@ -21,12 +21,12 @@
     from: SocketAddr,
     body: Incoming,
     parser: SseParser,
-    ready: VecDeque<StreamEvent>,
+    pending: VecDeque<StreamEvent>,
 }
 
 impl EventStream {
     pub(super) fn new(from: SocketAddr, body: Incoming) -> Self {
-        Self { from, body, parser: SseParser::default(), ready: VecDeque::new() }
+        Self { from, body, parser: SseParser::default(), pending: VecDeque::new() }
     }
 
     /// The gateway that serves the stream.
@@ -41,18 +41,18 @@
     /// When the connection fails or is idle for too long, or the data is not an event stream.
     pub async fn next(&mut self) -> Result<Option<StreamEvent>, CallerError> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.pending.pop_front() {
                 return Ok(Some(event));
             }
-            let frame = timeout(SILENCE, self.body.frame())
+            let frame = timeout(IDLE_TIMEOUT, self.body.frame())
                 .await
                 .map_err(|_| HttpError::TimedOut { to: self.from })?;
             let Some(frame) = frame else { return Ok(None) };
-            let frame =
-                frame.map_err(|e| HttpError::Broken { to: self.from, reason: e.to_string() })?;
+            let frame = frame
+                .map_err(|e| HttpError::Connection { to: self.from, reason: e.to_string() })?;
             if let Ok(bytes) = frame.into_data() {
                 let events = self.parser.push(&bytes);
-                self.ready.extend(events.map_err(|e| CallerError::Broken(e.to_string()))?);
+                self.pending.extend(events.map_err(|e| CallerError::Broken(e.to_string()))?);
             }
         }
     }
@@ -106,26 +106,32 @@
     /// # Errors
     /// The first violation found.
     pub fn check(&self, turn: &str) -> Result<(), CallerError> {
-        let wrong = |what: String| Err(CallerError::Broken(format!("turn {turn}: {what}")));
-        let Some(first) = self.events.first() else { return wrong("no event arrived".to_owned()) };
+        let violation = |what: String| Err(CallerError::Broken(format!("turn {turn}: {what}")));
+        let Some(first) = self.events.first() else {
+            return violation("no event arrived".to_owned());
+        };
         if first.event != "turn" {
-            return wrong(format!("the first event is {:?}", first.event));
+            return violation(format!("the first event is {:?}", first.event));
         }
-        for (place, event) in self.events.iter().enumerate() {
-            if event.id != first.id + place as u64 {
-                return wrong(format!("event {} instead of {}", event.id, first.id + place as u64));
+        for (index, event) in self.events.iter().enumerate() {
+            if event.id != first.id + index as u64 {
+                return violation(format!(
+                    "event {} instead of {}",
+                    event.id,
+                    first.id + index as u64
+                ));
             }
             if event.turn() != Some(turn) {
-                return wrong(format!("event {} belongs to {:?}", event.id, event.turn()));
+                return violation(format!("event {} belongs to {:?}", event.id, event.turn()));
             }
         }
         match self.terminal().and_then(|end| end.data["tokens"].as_u64()) {
-            Some(counted) if counted == self.tokens() => Ok(()),
-            Some(counted) => wrong(format!(
-                "{} tokens arrived, but the terminal event counts {counted}",
+            Some(expected) if expected == self.tokens() => Ok(()),
+            Some(expected) => violation(format!(
+                "{} tokens arrived, but the terminal event counts {expected}",
                 self.tokens()
             )),
-            None => wrong("the terminal event is missing".to_owned()),
+            None => violation("the terminal event is missing".to_owned()),
         }
     }
 }
--- a/crates/fleet/src/caller/turns.rs
+++ b/crates/fleet/src/caller/turns.rs
@@ -6,15 +6,15 @@
 use serde::Serialize;
 use tokio::time::{Instant, sleep};
 
-use super::error::success;
+use super::error::into_success;
 use super::stream::{EventStream, Transcript};
 use super::{Caller, CallerError, SessionRef};
 use crate::http::{Answer, Ask};
 
 /// Time after which the stream of a turn is no longer resumed.
-const TURN_TIME: Duration = Duration::from_secs(90);
+const TURN_TIMEOUT: Duration = Duration::from_secs(90);
 /// Delay before a stream is resumed.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Request body of a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -53,8 +53,8 @@
         session: &SessionRef,
         turn: &TurnRequest,
     ) -> Result<EventStream, CallerError> {
-        let ask = Ask::json(Method::POST, format!("{}/turns", session.path()), turn);
-        self.open_stream(gateway, ask).await
+        let request = Ask::json(Method::POST, format!("{}/turns", session.path()), turn);
+        self.open_stream(gateway, request).await
     }
 
     /// Opens the stream of an existing turn after an event, at one gateway, without retries.
@@ -69,7 +69,7 @@
         after: Option<u64>,
     ) -> Result<EventStream, CallerError> {
         let path = format!("{}/turns/{turn}/events", session.path());
-        self.open_stream(gateway, resuming(path, after)).await
+        self.open_stream(gateway, resume_request(path, after)).await
     }
 
     /// Joins a session at one gateway, without retries. Without `after` the first event is a
@@ -84,7 +84,7 @@
         after: Option<u64>,
     ) -> Result<EventStream, CallerError> {
         let path = format!("{}/events", session.path());
-        self.open_stream(gateway, resuming(path, after)).await
+        self.open_stream(gateway, resume_request(path, after)).await
     }
 
     /// Sends a turn and follows it to its terminal event. An interrupted stream is resumed at the
@@ -112,18 +112,18 @@
         turn: &TurnRequest,
         mut transcript: Transcript,
     ) -> Result<Transcript, CallerError> {
-        let deadline = Instant::now() + TURN_TIME;
+        let deadline = Instant::now() + TURN_TIMEOUT;
         loop {
             let opened = match transcript.last_id() {
                 None => self.begin_turn(gateway, session, turn).await,
                 after => self.resume_turn(gateway, session, &turn.turn, after).await,
             };
             let error = match opened {
-                Ok(mut stream) => match read_on(&mut stream, &mut transcript).await {
+                Ok(mut stream) => match read_events(&mut stream, &mut transcript).await {
                     None => return Ok(transcript),
-                    Some(cut) => {
+                    Some(interruption) => {
                         transcript.cuts += 1;
-                        cut
+                        interruption
                     }
                 },
                 Err(error) => error,
@@ -132,36 +132,36 @@
                 return Err(error);
             }
             gateway += 1;
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn open_stream(&self, gateway: usize, ask: Ask) -> Result<EventStream, CallerError> {
+    async fn open_stream(&self, gateway: usize, request: Ask) -> Result<EventStream, CallerError> {
         let to = self.gateway(gateway);
-        let answer = self.http.open(to, &self.signed(ask)).await?;
-        if answer.status().is_success() {
-            return Ok(EventStream::new(to, answer.into_body()));
+        let response = self.http.open(to, &self.with_tenant(request)).await?;
+        if response.status().is_success() {
+            return Ok(EventStream::new(to, response.into_body()));
         }
-        let (parts, body) = answer.into_parts();
+        let (parts, body) = response.into_parts();
         let collected = http_body_util::BodyExt::collect(body).await;
         let body = collected.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-        let whole = Answer { from: to, status: parts.status, headers: parts.headers, body };
-        Err(success(whole).err().unwrap_or_else(|| {
+        let response = Answer { from: to, status: parts.status, headers: parts.headers, body };
+        Err(into_success(response).err().unwrap_or_else(|| {
             CallerError::Broken("an unsuccessful response was taken for a success".to_owned())
         }))
     }
 }
 
-fn resuming(path: String, after: Option<u64>) -> Ask {
-    let ask = Ask::new(Method::GET, path);
+fn resume_request(path: String, after: Option<u64>) -> Ask {
+    let request = Ask::new(Method::GET, path);
     match after {
-        Some(id) => ask.header("last-event-id", id.to_string()),
-        None => ask,
+        Some(id) => request.header("last-event-id", id.to_string()),
+        None => request,
     }
 }
 
 /// Appends events up to the terminal one. Returns the error if the stream is interrupted before.
-async fn read_on(stream: &mut EventStream, transcript: &mut Transcript) -> Option<CallerError> {
+async fn read_events(stream: &mut EventStream, transcript: &mut Transcript) -> Option<CallerError> {
     loop {
         match stream.next().await {
             Ok(Some(event)) => {
@@ -173,7 +173,7 @@
             Ok(None) => {
                 let reason = "the stream ended without a terminal event".to_owned();
                 return Some(
-                    crate::http::HttpError::Broken { to: stream.gateway(), reason }.into(),
+                    crate::http::HttpError::Connection { to: stream.gateway(), reason }.into(),
                 );
             }
             Err(error) => return Some(error),
--- a/crates/fleet/src/caller/views.rs
+++ b/crates/fleet/src/caller/views.rs
@@ -65,7 +65,7 @@
 
 /// Position of a committed tool result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub struct Placed {
+pub struct ToolResultPosition {
     /// Sequence number in the session's stream.
     pub seq: u64,
 }
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -24,7 +24,7 @@
 /// Request path for commands.
 const COMMAND_PATH: &str = "/commands";
 /// Timeout of a command.
-const COMMAND_TIME: std::time::Duration = std::time::Duration::from_secs(600);
+const COMMAND_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(600);
 
 /// A process given by its name or by its current role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -102,7 +102,7 @@
 /// Server that accepts commands for a fleet until it is dropped, which also removes the state file.
 #[derive(Debug)]
 pub struct CommandServer {
-    serving: JoinHandle<()>,
+    task: JoinHandle<()>,
     file: PathBuf,
 }
 
@@ -112,20 +112,20 @@
     /// # Errors
     /// When it can't listen or write the file.
     pub async fn start(fleet: Arc<Fleet>) -> Result<Self, FleetError> {
-        let address = fleet.inner().range.command_address();
+        let address = fleet.state().range.command_address();
         let listener = TcpListener::bind(address)
             .await
             .map_err(FleetError::io("cannot listen for commands"))?;
         let file = fleet.data().join(STATE_FILE);
         let state = serde_json::to_vec(&StateFile { commands: address }).unwrap_or_default();
         std::fs::write(&file, state).map_err(FleetError::io("cannot write the state file"))?;
-        Ok(Self { serving: tokio::spawn(serve(listener, fleet)), file })
+        Ok(Self { task: tokio::spawn(serve(listener, fleet)), file })
     }
 }
 
 impl Drop for CommandServer {
     fn drop(&mut self) {
-        self.serving.abort();
+        self.task.abort();
         // If the removal fails, the stale file points to an address where nothing listens.
         let _ = std::fs::remove_file(&self.file);
     }
@@ -135,27 +135,27 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let fleet = fleet.clone();
-        let service = service_fn(move |request| answer(fleet.clone(), request));
+        let service = service_fn(move |request| handle(fleet.clone(), request));
         tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     }
 }
 
-async fn answer(
+async fn handle(
     fleet: Arc<Fleet>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
     let body = request.into_body().collect().await?.to_bytes();
     let outcome = match serde_json::from_slice::<FleetCommand>(&body) {
-        Ok(command) => fleet.carry_out(command).await.map_err(|e| e.to_string()),
+        Ok(command) => fleet.execute(command).await.map_err(|e| e.to_string()),
         Err(error) => Err(error.to_string()),
     };
     let (status, text) = match outcome {
         Ok(text) => (StatusCode::OK, text),
         Err(text) => (StatusCode::BAD_REQUEST, text),
     };
-    let mut answer = Response::new(Full::new(Bytes::from(text)));
-    *answer.status_mut() = status;
-    Ok(answer)
+    let mut response = Response::new(Full::new(Bytes::from(text)));
+    *response.status_mut() = status;
+    Ok(response)
 }
 
 impl Fleet {
@@ -163,7 +163,7 @@
     ///
     /// # Errors
     /// When the command fails.
-    pub async fn carry_out(&self, command: FleetCommand) -> Result<String, FleetError> {
+    pub async fn execute(&self, command: FleetCommand) -> Result<String, FleetError> {
         match command {
             FleetCommand::Status => return Ok(self.status_table()),
             FleetCommand::Log { name, lines } => return self.log(name, lines),
@@ -206,14 +206,15 @@
 ///
 /// # Errors
 /// When no fleet runs there, or the command failed.
-pub async fn send(data: &Path, command: &FleetCommand) -> Result<String, FleetError> {
+pub async fn send_command(data: &Path, command: &FleetCommand) -> Result<String, FleetError> {
     let file = data.join(STATE_FILE);
     let state = std::fs::read(&file)
         .map_err(FleetError::io(format!("no fleet runs in {}", data.display())))?;
     let state: StateFile =
         serde_json::from_slice(&state).map_err(|e| FleetError::Unexpected(e.to_string()))?;
-    let ask = Ask::json(Method::POST, COMMAND_PATH, command);
-    let answer = HttpClient::default().ask_within(state.commands, &ask, COMMAND_TIME).await?;
-    let text = String::from_utf8_lossy(&answer.body).into_owned();
-    if answer.status.is_success() { Ok(text) } else { Err(FleetError::Unexpected(text)) }
+    let request = Ask::json(Method::POST, COMMAND_PATH, command);
+    let response =
+        HttpClient::default().ask_within(state.commands, &request, COMMAND_TIMEOUT).await?;
+    let text = String::from_utf8_lossy(&response.body).into_owned();
+    if response.status.is_success() { Ok(text) } else { Err(FleetError::Unexpected(text)) }
 }
--- a/crates/fleet/src/demo/checks.rs
+++ b/crates/fleet/src/demo/checks.rs
@@ -7,7 +7,7 @@
 use crate::ProcessKind;
 
 use super::calls::ALARM;
-use super::{BUDGET, Demo, DemoError, PROGRAM, SESSION, during, promise};
+use super::{BUDGET, Demo, DemoError, PROGRAM, SESSION, during, ensure};
 
 impl Demo {
     /// Number of runs of a call in the ledgers of all application engines.
@@ -36,31 +36,31 @@
         for end in self.seen.iter().filter(|event| event.ends_turn()) {
             let of_turn = self.seen.iter().filter(|event| event.turn() == end.turn());
             let shown: String = of_turn.filter_map(|event| event.data["text"].as_str()).collect();
-            let made = ledger.iter().any(|line| match &line.entry {
+            let generated = ledger.iter().any(|line| match &line.entry {
                 LedgerEntry::GenerationEnded { session, turn, text, .. } => {
                     let same = *session == format!("{PROGRAM}/{SESSION}");
-                    let whole = end.event != "finished" || text.len() == shown.len();
-                    same && end.turn() == Some(turn) && text.starts_with(&shown) && whole
+                    let complete = end.event != "finished" || text.len() == shown.len();
+                    same && end.turn() == Some(turn) && text.starts_with(&shown) && complete
                 }
                 _ => false,
             });
-            promise(made, || {
+            ensure(generated, || {
                 format!("no model server generated the text of turn {:?}", end.turn())
             })?;
         }
         Ok(())
     }
 
-    pub(super) async fn check_promises(&mut self) -> Result<String, DemoError> {
-        let ran = self.runs_of(ALARM)?;
-        promise(ran == 1, || format!("a non-repeatable call ran {ran} times"))?;
+    pub(super) async fn check_results(&mut self) -> Result<String, DemoError> {
+        let run_count = self.runs_of(ALARM)?;
+        ensure(run_count == 1, || format!("a non-repeatable call ran {run_count} times"))?;
         let program = self.caller.program(1, PROGRAM).await;
         let program = program.map_err(during("reading the program"))?;
-        promise(program.spent == self.tokens && program.reserved == 0, || {
+        ensure(program.spent == self.tokens && program.reserved == 0, || {
             format!("{} tokens were streamed, but the program shows {program:?}", self.tokens)
         })?;
         self.check_texts()?;
-        promise(program.spent <= BUDGET, || {
+        ensure(program.spent <= BUDGET, || {
             format!("{} tokens spent, over the budget", program.spent)
         })?;
         Ok(format!(
--- a/crates/fleet/src/demo/mod.rs
+++ b/crates/fleet/src/demo/mod.rs
@@ -18,7 +18,7 @@
 const PREFIX: &str = "greenhouse";
 const BUDGET: u64 = 2_000;
 /// Time until the end of the program.
-const PROGRAM_TIME: Duration = Duration::from_secs(3_600);
+const PROGRAM_DURATION: Duration = Duration::from_secs(3_600);
 
 /// Error of a demo run.
 #[derive(Debug, thiserror::Error)]
@@ -36,7 +36,7 @@
     },
     /// A check of a result failed.
     #[error("check failed: {0}")]
-    Promise(String),
+    CheckFailed(String),
 }
 
 /// Adds the name of the step to the error of a request.
@@ -44,8 +44,8 @@
     move |source| DemoError::Caller { step, source }
 }
 
-fn promise(kept: bool, what: impl FnOnce() -> String) -> Result<(), DemoError> {
-    if kept { Ok(()) } else { Err(DemoError::Promise(what())) }
+fn ensure(passed: bool, failure: impl FnOnce() -> String) -> Result<(), DemoError> {
+    if passed { Ok(()) } else { Err(DemoError::CheckFailed(failure())) }
 }
 
 /// State of a demo run.
@@ -73,18 +73,18 @@
 pub async fn run(
     topology: Topology,
     kill: Option<Target>,
-    say: &(dyn Fn(String) + Sync),
+    print_line: &(dyn Fn(String) + Sync),
 ) -> Result<(), DemoError> {
-    let began = std::time::Instant::now();
-    say(format!(
+    let started = std::time::Instant::now();
+    print_line(format!(
         "starting {} stores, {} cores, {} gateways and their backends",
         topology.stores, topology.cores, topology.gateways
     ));
     let fleet = Fleet::start(topology).await?;
-    say(format!(
+    print_line(format!(
         "{} processes ready after {:.1} s",
         fleet.all_names().len(),
-        began.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     ));
     let tenant = fleet.topology().tenants.first().cloned();
     let tenant =
@@ -101,15 +101,15 @@
         first_owner: String::new(),
         killed: None,
     };
-    say(demo.open().await?);
-    say(demo.stream_and_join().await?);
-    say(demo.cut_and_resume(say).await?);
-    say(demo.call_tools().await?);
-    say(demo.return_results().await?);
-    say(demo.abort().await?);
-    say(demo.move_owner().await?);
-    say(demo.read_back_and_close().await?);
-    say(demo.check_promises().await?);
+    print_line(demo.open().await?);
+    print_line(demo.stream_and_join().await?);
+    print_line(demo.interrupt_and_resume(print_line).await?);
+    print_line(demo.call_tools().await?);
+    print_line(demo.return_results().await?);
+    print_line(demo.abort().await?);
+    print_line(demo.move_owner().await?);
+    print_line(demo.read_back_and_close().await?);
+    print_line(demo.check_results().await?);
     Ok(())
 }
 
@@ -120,7 +120,7 @@
     }
 
     async fn open(&mut self) -> Result<String, DemoError> {
-        let end = UnixMillis::now().plus(PROGRAM_TIME);
+        let end = UnixMillis::now().plus(PROGRAM_DURATION);
         let put = self.caller.put_program(0, PROGRAM, BUDGET, end.0).await;
         put.map_err(during("declaring the program"))?;
         let newest = self.fleet.topology().models.last().cloned();
@@ -130,12 +130,12 @@
         let model = newest.model.as_str();
         let opened = self.caller.open_session(0, &self.session, model, Some(PREFIX)).await;
         let session = opened.map_err(during("opening the session"))?;
-        promise(session.version == newest.version.as_str(), || {
+        ensure(session.version == newest.version.as_str(), || {
             format!("a new session runs version {} instead of {}", session.version, newest.version)
         })?;
         let again = self.caller.open_session(1, &self.session, model, Some(PREFIX)).await;
         let again = again.map_err(during("opening the session again"))?;
-        promise(again.owner == session.owner && again.epoch == session.epoch, || {
+        ensure(again.owner == session.owner && again.epoch == session.epoch, || {
             format!("two gateways report different owners: {session:?}, {again:?}")
         })?;
         self.first_owner = session.owner.unwrap_or_default();
--- a/crates/fleet/src/demo/sessions.rs
+++ b/crates/fleet/src/demo/sessions.rs
@@ -4,10 +4,10 @@
 use crate::control::Target;
 use crate::{FleetError, ProcessKind, ProcessName};
 
-use super::{Demo, DemoError, during, promise};
+use super::{Demo, DemoError, during, ensure};
 
 /// Number of events read before the client drops a stream.
-const READ_BEFORE_CUT: usize = 5;
+const EVENTS_BEFORE_CLOSE: usize = 5;
 
 impl Demo {
     /// Runs a turn to its end and records its events.
@@ -16,13 +16,13 @@
         gateway: usize,
         turn: &TurnRequest,
     ) -> Result<Transcript, DemoError> {
-        let ran = self.caller.run_turn(gateway, &self.session, turn).await;
-        let transcript = ran.map_err(during("streaming a turn"))?;
-        self.keep(turn, &transcript)?;
+        let result = self.caller.run_turn(gateway, &self.session, turn).await;
+        let transcript = result.map_err(during("streaming a turn"))?;
+        self.record(turn, &transcript)?;
         Ok(transcript)
     }
 
-    fn keep(&mut self, turn: &TurnRequest, transcript: &Transcript) -> Result<(), DemoError> {
+    fn record(&mut self, turn: &TurnRequest, transcript: &Transcript) -> Result<(), DemoError> {
         transcript.check(&turn.turn).map_err(during("checking the events of a turn"))?;
         self.head = Some(turn.turn.clone());
         self.tokens += transcript.tokens();
@@ -39,30 +39,30 @@
         check_sync(&sync, &first.events)?;
         let second = self.next_turn("t2", "And at dawn? [tokens 12]", 64);
         let second = self.run_turn(1, &second).await?;
-        let mut common = Vec::new();
-        while common.len() < second.events.len() {
-            common.push(next(&mut joined).await?);
+        let mut received = Vec::new();
+        while received.len() < second.events.len() {
+            received.push(next(&mut joined).await?);
         }
-        promise(common == second.events, || {
+        ensure(received == second.events, || {
             "the stream of the joined caller differs from the turn's own".to_owned()
         })?;
         Ok(format!(
             "2. two turns through two gateways ({} and {} tokens); a caller that joined at a third gateway got one sync, then the same {} events",
             first.tokens(),
             second.tokens(),
-            common.len()
+            received.len()
         ))
     }
 
-    pub(super) async fn cut_and_resume(
+    pub(super) async fn interrupt_and_resume(
         &mut self,
-        say: &(dyn Fn(String) + Sync),
+        print_line: &(dyn Fn(String) + Sync),
     ) -> Result<String, DemoError> {
         let turn = self.next_turn("t3", "Explain at length. [tokens 80]", 128);
-        let begun = self.caller.begin_turn(0, &self.session, &turn).await;
-        let mut stream = begun.map_err(during("starting a turn"))?;
+        let started = self.caller.begin_turn(0, &self.session, &turn).await;
+        let mut stream = started.map_err(during("starting a turn"))?;
         let mut transcript = Transcript::default();
-        while transcript.events.len() < READ_BEFORE_CUT {
+        while transcript.events.len() < EVENTS_BEFORE_CLOSE {
             transcript.events.push(next(&mut stream).await?);
         }
         drop(stream);
@@ -70,21 +70,21 @@
             let name = self.resolve(target).await?;
             self.fleet.kill(name)?;
             self.killed = Some(name);
-            say(format!("   killed {name} in the middle of a turn"));
+            print_line(format!("   killed {name} in the middle of a turn"));
         }
         let followed = self.caller.follow_turn(1, &self.session, &turn, transcript).await;
         let transcript = followed.map_err(during("resuming an interrupted stream"))?;
         let may_be_interrupted = self
             .killed
             .is_some_and(|name| matches!(name.kind, ProcessKind::Engine | ProcessKind::Model));
-        let whole = transcript.end() == "finished" && transcript.tokens() == 80;
-        promise(whole || may_be_interrupted && transcript.end() != "cut", || {
+        let complete = transcript.end() == "finished" && transcript.tokens() == 80;
+        ensure(complete || may_be_interrupted && transcript.end() != "cut", || {
             format!("the turn ended {} after {} tokens", transcript.end(), transcript.tokens())
         })?;
-        self.keep(&turn, &transcript)?;
+        self.record(&turn, &transcript)?;
         self.read_again(&turn, &transcript).await?;
         Ok(format!(
-            "3. a stream closed after {READ_BEFORE_CUT} events and resumed at another gateway: {} events, none lost or repeated, {}",
+            "3. a stream closed after {EVENTS_BEFORE_CLOSE} events and resumed at another gateway: {} events, none lost or repeated, {}",
             transcript.events.len(),
             transcript.end()
         ))
@@ -98,7 +98,7 @@
     ) -> Result<(), DemoError> {
         let again = self.caller.follow_turn(3, &self.session, turn, Transcript::default()).await;
         let again = again.map_err(during("reading a turn again"))?;
-        promise(again.events == transcript.events, || {
+        ensure(again.events == transcript.events, || {
             "a turn differs when it is read again".to_owned()
         })
     }
@@ -117,17 +117,17 @@
         let owner =
             session.map_err(during("reading the owner of the session"))?.owner.unwrap_or_default();
         let engines = self.fleet.names(ProcessKind::Engine);
-        let found = engines.into_iter().find(|name| name.word() == owner);
-        Ok(found
+        let engine = engines.into_iter().find(|name| name.word() == owner);
+        Ok(engine
             .ok_or_else(|| FleetError::Unexpected(format!("the fleet has no engine {owner:?}")))?)
     }
 
     pub(super) async fn abort(&mut self) -> Result<String, DemoError> {
         let turn = self.next_turn("t5", "Count all sensors. [tokens 500]", 500);
-        let begun = self.caller.begin_turn(1, &self.session, &turn).await;
-        let mut stream = begun.map_err(during("starting a long turn"))?;
+        let started = self.caller.begin_turn(1, &self.session, &turn).await;
+        let mut stream = started.map_err(during("starting a long turn"))?;
         let mut transcript = Transcript::default();
-        while transcript.events.len() < READ_BEFORE_CUT {
+        while transcript.events.len() < EVENTS_BEFORE_CLOSE {
             transcript.events.push(next(&mut stream).await?);
         }
         drop(stream);
@@ -135,10 +135,10 @@
         aborted.map_err(during("aborting a turn"))?;
         let followed = self.caller.follow_turn(2, &self.session, &turn, transcript).await;
         let transcript = followed.map_err(during("reading an aborted turn to its end"))?;
-        promise(transcript.end() == "aborted", || {
+        ensure(transcript.end() == "aborted", || {
             format!("an aborted turn ended {}", transcript.end())
         })?;
-        self.keep(&turn, &transcript)?;
+        self.record(&turn, &transcript)?;
         Ok(format!("6. a turn of 500 tokens aborted after {}", transcript.tokens()))
     }
 
@@ -149,19 +149,19 @@
         let moved_by_kill = before.word() != self.first_owner;
         if !moved_by_kill {
             let clean = self.fleet.stop(before).await?;
-            promise(clean, || format!("{before} did not stop in its grace period"))?;
+            ensure(clean, || format!("{before} did not stop in its grace period"))?;
         }
         let turn = self.next_turn("t6", "Are you still there? [tokens 8]", 64);
         let transcript = self.run_turn(0, &turn).await?;
-        promise(transcript.end() == "finished", || {
+        ensure(transcript.end() == "finished", || {
             format!("the turn at the new owner ended {}", transcript.end())
         })?;
         let now = self.owner().await?;
-        promise(now.word() != self.first_owner, || {
+        ensure(now.word() != self.first_owner, || {
             format!("{now} still owns the session though its process has exited")
         })?;
-        let how = if moved_by_kill { "was killed" } else { "stopped within its grace period" };
-        Ok(format!("7. {} {how}; the session continued at {now}", self.first_owner))
+        let reason = if moved_by_kill { "was killed" } else { "stopped within its grace period" };
+        Ok(format!("7. {} {reason}; the session continued at {now}", self.first_owner))
     }
 
     pub(super) async fn read_back_and_close(&mut self) -> Result<String, DemoError> {
@@ -172,13 +172,11 @@
         drop(joined);
         let closed = self.caller.close_session(1, &self.session).await;
         let closed = closed.map_err(during("closing the session"))?;
-        promise(closed.closed, || "a closed session is reported as open".to_owned())?;
+        ensure(closed.closed, || "a closed session is reported as open".to_owned())?;
         let late = self.next_turn("t7", "One more?", 64);
         let refused = self.caller.begin_turn(2, &self.session, &late).await;
         let code = refused.as_ref().err().and_then(|error| error.code());
-        promise(code == Some("session_closed"), || {
-            format!("a turn after closing got {refused:?}")
-        })?;
+        ensure(code == Some("session_closed"), || format!("a turn after closing got {refused:?}"))?;
         Ok(format!("8. {history} events of history read back at the new owner; session closed"))
     }
 }
@@ -186,23 +184,24 @@
 /// The next event of a stream that has not reached its terminal event.
 async fn next(stream: &mut EventStream) -> Result<StreamEvent, DemoError> {
     let event = stream.next().await.map_err(during("reading a stream"))?;
-    event.ok_or_else(|| DemoError::Promise("a stream ended without a terminal event".to_owned()))
+    event
+        .ok_or_else(|| DemoError::CheckFailed("a stream ended without a terminal event".to_owned()))
 }
 
 /// Checks that a sync has no gaps and contains every event in `seen` at its position; returns the
 /// number of events in the sync.
 fn check_sync(sync: &StreamEvent, seen: &[StreamEvent]) -> Result<usize, DemoError> {
-    promise(sync.event == "sync", || {
+    ensure(sync.event == "sync", || {
         format!("the first event of a joined stream is {:?}, not a sync", sync.event)
     })?;
     let events = sync.data["events"].as_array().cloned().unwrap_or_default();
-    for (place, event) in events.iter().enumerate() {
-        promise(event["id"] == place as u64 + 1, || format!("gap in a sync at {}", event["id"]))?;
+    for (index, event) in events.iter().enumerate() {
+        ensure(event["id"] == index as u64 + 1, || format!("gap in a sync at {}", event["id"]))?;
     }
     for event in seen {
-        let held = usize::try_from(event.id).ok().and_then(|id| events.get(id.checked_sub(1)?));
-        let same = held.is_some_and(|h| h["event"] == event.event && h["data"] == event.data);
-        promise(same, || format!("event {} is missing in a sync, or differs", event.id))?;
+        let expected = usize::try_from(event.id).ok().and_then(|id| events.get(id.checked_sub(1)?));
+        let same = expected.is_some_and(|h| h["event"] == event.event && h["data"] == event.data);
+        ensure(same, || format!("event {} is missing in a sync, or differs", event.id))?;
     }
     Ok(events.len())
 }
--- a/crates/fleet/src/error.rs
+++ b/crates/fleet/src/error.rs
@@ -17,19 +17,19 @@
     },
     /// No free range of loopback addresses was found.
     #[error("no free loopback address range found")]
-    NoAddresses,
+    NoFreeRange,
     /// All addresses of the fleet's range have been assigned.
     #[error("all addresses of the fleet's loopback range are in use")]
-    RangeUsedUp,
+    AddressesExhausted,
     /// The binaries are missing or could not be built.
     #[error("cannot build or find the binaries: {0}")]
     Build(String),
     /// The fleet has no process of this name.
     #[error("the fleet has no process {0}")]
-    NoProcess(ProcessName),
+    UnknownProcess(ProcessName),
     /// A process exited unexpectedly.
     #[error("{name} exited unexpectedly ({status}); last lines of its log:\n{log}")]
-    Ended {
+    ProcessExited {
         /// Name of the process.
         name: ProcessName,
         /// Exit code or signal.
--- a/crates/fleet/src/fakes.rs
+++ b/crates/fleet/src/fakes.rs
@@ -5,7 +5,7 @@
 use http::Method;
 
 use crate::http::Ask;
-use crate::plan::{Job, Plan};
+use crate::plan::{ProcessPlan, ProcessRole};
 use crate::topology::{ApplicationGroup, ModelGroup};
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
@@ -15,7 +15,7 @@
     /// # Errors
     /// When the backend does not respond or rejects the request.
     pub async fn set_faults(&self, name: ProcessName, faults: &Faults) -> Result<(), FleetError> {
-        self.switch(name, Ask::json(Method::PUT, "/emulator/faults", faults)).await
+        self.put_control(name, Ask::json(Method::PUT, "/emulator/faults", faults)).await
     }
 
     /// Restarts a fake backend in place, optionally as another service or version.
@@ -27,15 +27,15 @@
         name: ProcessName,
         restart: &Restart,
     ) -> Result<(), FleetError> {
-        self.switch(name, Ask::json(Method::PUT, "/emulator/restart", restart)).await
+        self.put_control(name, Ask::json(Method::PUT, "/emulator/restart", restart)).await
     }
 
-    async fn switch(&self, name: ProcessName, ask: Ask) -> Result<(), FleetError> {
-        let answer = self.http.ask(self.http_address(name)?, &ask).await?;
-        if answer.status.is_success() {
+    async fn put_control(&self, name: ProcessName, request: Ask) -> Result<(), FleetError> {
+        let response = self.http.ask(self.http_address(name)?, &request).await?;
+        if response.status.is_success() {
             return Ok(());
         }
-        Err(answer
+        Err(response
             .json::<serde_json::Value>()
             .map_or_else(FleetError::Http, |value| FleetError::Unexpected(value.to_string())))
     }
@@ -46,11 +46,11 @@
     /// # Errors
     /// When a line of the file can't be decoded.
     pub fn ledger(&self, name: ProcessName) -> Result<Vec<LedgerLine>, FleetError> {
-        let path = self.common.folder(name).join("ledger");
+        let path = self.config.folder(name).join("ledger");
         let text = std::fs::read_to_string(&path).unwrap_or_default();
         // Ignores a last line without a line end: the process was killed while it wrote it.
-        let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
-        whole
+        let complete_lines = text.rsplit_once('\n').map_or("", |(lines, _)| lines);
+        complete_lines
             .lines()
             .map(serde_json::from_str)
             .collect::<Result<_, _>>()
@@ -74,9 +74,12 @@
     /// # Errors
     /// When one of them can't be started or does not respond.
     pub async fn add_engine(&self, group: &ModelGroup) -> Result<ProcessName, FleetError> {
-        let model = self.add(ProcessKind::Model, Job::Model { group: group.clone() }).await?;
+        let model = self
+            .add_process(ProcessKind::Model, ProcessRole::Model { group: group.clone() })
+            .await?;
         let model = self.http_address(model)?;
-        self.add(ProcessKind::Engine, Job::Engine { group: group.clone(), model }).await
+        self.add_process(ProcessKind::Engine, ProcessRole::Engine { group: group.clone(), model })
+            .await
     }
 
     /// Adds a fake application engine and registers it in the platform's engine list.
@@ -87,18 +90,23 @@
         &self,
         group: &ApplicationGroup,
     ) -> Result<ProcessName, FleetError> {
-        let name = self.add(ProcessKind::App, Job::App { group: group.clone() }).await?;
+        let name =
+            self.add_process(ProcessKind::App, ProcessRole::App { group: group.clone() }).await?;
         self.list_applications().await?;
         Ok(name)
     }
 
-    async fn add(&self, kind: ProcessKind, job: Job) -> Result<ProcessName, FleetError> {
+    async fn add_process(
+        &self,
+        kind: ProcessKind,
+        role: ProcessRole,
+    ) -> Result<ProcessName, FleetError> {
         let index = self.names(kind).last().map_or(0, |name| name.index + 1);
         let name = ProcessName::new(kind, index);
-        let ip = self.inner().range.draw()?;
-        let zone = self.common.topology.zone(index).clone();
-        self.begin_planned(Plan { name, ip, zone, job })?;
-        self.answer_again(name).await?;
+        let ip = self.state().range.allocate()?;
+        let zone = self.config.topology.zone(index).clone();
+        self.start_planned(ProcessPlan { name, ip, zone, role })?;
+        self.wait_started(name).await?;
         Ok(name)
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -15,12 +15,12 @@
 use crate::binaries::Binaries;
 use crate::http::HttpClient;
 use crate::links::Links;
-use crate::plan::{Common, Job, Plan, plan_all, seeds};
-use crate::process::{Launch, Process, describe, poll_until};
+use crate::plan::{ProcessPlan, ProcessRole, SharedConfig, plan_processes, select_seeds};
+use crate::process::{LaunchSpec, Process, describe_exit_status, poll_until};
 use crate::{FleetError, ProcessKind, ProcessName, Topology};
 
 /// Timeout of each stage of fleet startup (issue: the largest fleet starts within 30 s).
-const START_TIME: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time beyond the grace period after which a stopping process is killed.
 const STOP_MARGIN: Duration = Duration::from_secs(5);
 
@@ -50,28 +50,28 @@
 /// A running fleet. Dropping it kills every process.
 #[derive(Debug)]
 pub struct Fleet {
-    inner: Mutex<Inner>,
-    pub(crate) common: Common,
+    state: Mutex<FleetState>,
+    pub(crate) config: SharedConfig,
     pub(crate) http: HttpClient,
     // Declared last, so that the folder is removed after the processes have been killed.
     _folder: Option<TempDir>,
 }
 
 #[derive(Debug)]
-pub(crate) struct Inner {
+pub(crate) struct FleetState {
     pub range: AddressRange,
-    pub members: BTreeMap<ProcessName, Member>,
+    pub processes: BTreeMap<ProcessName, ManagedProcess>,
     pub links: Links,
 }
 
 /// A process of the fleet and how to start it again; the process may have exited.
 #[derive(Debug)]
-pub(crate) struct Member {
-    pub plan: Plan,
-    pub launch: Launch,
+pub(crate) struct ManagedProcess {
+    pub plan: ProcessPlan,
+    pub launch: LaunchSpec,
     pub process: Option<Process>,
     /// Whether an exit is expected, because the process was stopped or killed on request.
-    pub expected_end: bool,
+    pub exit_expected: bool,
 }
 
 impl Fleet {
@@ -89,10 +89,10 @@
     /// When a process can't be started, exits, or is not ready in time.
     pub async fn start_with(topology: Topology, options: FleetOptions) -> Result<Self, FleetError> {
         let fleet = Self::launch(topology, options)?;
-        fleet.wait_alive(START_TIME).await?;
-        fleet.tell_zone_delays().await?;
-        fleet.submit_first_bundle(START_TIME).await?;
-        fleet.wait_serving(START_TIME).await?;
+        fleet.wait_alive(START_TIMEOUT).await?;
+        fleet.send_zone_delays().await?;
+        fleet.submit_first_bundle(START_TIMEOUT).await?;
+        fleet.wait_serving(START_TIMEOUT).await?;
         Ok(fleet)
     }
 
@@ -103,88 +103,93 @@
     pub fn launch(topology: Topology, options: FleetOptions) -> Result<Self, FleetError> {
         let binaries = Binaries::find()?;
         let mut range = AddressRange::claim()?;
-        let plans = plan_all(&topology, &mut range)?;
+        let plans = plan_processes(&topology, &mut range)?;
         let (data, folder) = data_folder(options)?;
-        let platform = plans.iter().find(|p| p.job == Job::Platform).map(Plan::http);
+        let platform =
+            plans.iter().find(|p| p.role == ProcessRole::Platform).map(ProcessPlan::http);
         let platform = platform.ok_or_else(|| {
             FleetError::Unexpected("the topology has no platform process".to_owned())
         })?;
         let secret = format!("{:032x}", rand::random::<u128>());
-        let common = Common { topology, binaries, data, secret, platform };
-        let members = BTreeMap::new();
-        let inner = Mutex::new(Inner { range, members, links: Links::default() });
-        let fleet = Self { inner, common, http: HttpClient::default(), _folder: folder };
+        let config = SharedConfig { topology, binaries, data, secret, platform };
+        let processes = BTreeMap::new();
+        let state = Mutex::new(FleetState { range, processes, links: Links::default() });
+        let fleet = Self { state, config, http: HttpClient::default(), _folder: folder };
         fleet.launch_all(plans)?;
         Ok(fleet)
     }
 
-    fn launch_all(&self, mut plans: Vec<Plan>) -> Result<(), FleetError> {
+    fn launch_all(&self, mut plans: Vec<ProcessPlan>) -> Result<(), FleetError> {
         // Fakes start first, so that nodes find their backends at once.
         plans.sort_by_key(|plan| (plan.name.kind.is_node(), plan.name));
         let addresses = |kind| -> Vec<SocketAddr> {
-            plans.iter().filter(|p| p.name.kind == kind).map(Plan::rpc).collect()
+            plans.iter().filter(|p| p.name.kind == kind).map(ProcessPlan::rpc).collect()
         };
         let (stores, cores) = (addresses(ProcessKind::Store), addresses(ProcessKind::Core));
-        let apps: Vec<Plan> =
+        let apps: Vec<ProcessPlan> =
             plans.iter().filter(|p| p.name.kind == ProcessKind::App).cloned().collect();
-        for (place, plan) in plans.into_iter().enumerate() {
-            let launch = self.common.launch(
+        for (index, plan) in plans.into_iter().enumerate() {
+            let launch = self.config.launch(
                 &plan,
-                seeds(self.common.topology.seeds, place, &stores, &cores),
+                select_seeds(self.config.topology.seeds, index, &stores, &cores),
                 &apps,
             )?;
-            self.begin(plan, launch)?;
+            self.start_process(plan, launch)?;
         }
         Ok(())
     }
 
     /// Starts a process and registers it under its name, replacing an earlier process of that name.
-    pub(crate) fn begin(&self, plan: Plan, launch: Launch) -> Result<(), FleetError> {
+    pub(crate) fn start_process(
+        &self,
+        plan: ProcessPlan,
+        launch: LaunchSpec,
+    ) -> Result<(), FleetError> {
         let process = Some(Process::start(&launch)?);
         let name = plan.name;
-        let member = Member { plan, launch, process, expected_end: false };
-        self.inner().members.insert(name, member);
+        let managed = ManagedProcess { plan, launch, process, exit_expected: false };
+        self.state().processes.insert(name, managed);
         Ok(())
     }
 
-    pub(crate) fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn state(&self) -> MutexGuard<'_, FleetState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn with_member<T>(
+    pub(crate) fn with_process<T>(
         &self,
         name: ProcessName,
-        act: impl FnOnce(&mut Member) -> T,
+        act: impl FnOnce(&mut ManagedProcess) -> T,
     ) -> Result<T, FleetError> {
-        self.inner().members.get_mut(&name).map(act).ok_or(FleetError::NoProcess(name))
+        self.state().processes.get_mut(&name).map(act).ok_or(FleetError::UnknownProcess(name))
     }
 
-    pub(crate) fn plan(&self, name: ProcessName) -> Result<Plan, FleetError> {
-        self.with_member(name, |member| member.plan.clone())
+    pub(crate) fn plan(&self, name: ProcessName) -> Result<ProcessPlan, FleetError> {
+        self.with_process(name, |managed| managed.plan.clone())
     }
 
     /// The names of all processes of a kind.
     #[must_use]
     pub fn names(&self, kind: ProcessKind) -> Vec<ProcessName> {
-        self.inner().members.keys().filter(|name| name.kind == kind).copied().collect()
+        self.state().processes.keys().filter(|name| name.kind == kind).copied().collect()
     }
 
     /// The names of all processes.
     #[must_use]
     pub fn all_names(&self) -> Vec<ProcessName> {
-        self.inner().members.keys().copied().collect()
+        self.state().processes.keys().copied().collect()
     }
 
     /// The topology from which the fleet was started.
     #[must_use]
     pub fn topology(&self) -> &Topology {
-        &self.common.topology
+        &self.config.topology
     }
 
     /// The folder for logs, settings, ledgers and disks.
     #[must_use]
     pub fn data(&self) -> &Path {
-        &self.common.data
+        &self.config.data
     }
 
     /// The HTTP address of a process.
@@ -208,8 +213,8 @@
     /// The HTTP addresses of all gateways.
     #[must_use]
     pub fn gateways(&self) -> Vec<SocketAddr> {
-        let inner = self.inner();
-        let gateways = inner.members.values().filter(|m| m.plan.job == Job::Gateway);
+        let state = self.state();
+        let gateways = state.processes.values().filter(|m| m.plan.role == ProcessRole::Gateway);
         gateways.map(|m| m.plan.http()).collect()
     }
 
@@ -218,9 +223,9 @@
     /// # Errors
     /// When the fleet has no process of that name.
     pub fn kill(&self, name: ProcessName) -> Result<(), FleetError> {
-        self.with_member(name, |member| {
-            member.expected_end = true;
-            if let Some(process) = &mut member.process {
+        self.with_process(name, |managed| {
+            managed.exit_expected = true;
+            if let Some(process) = &mut managed.process {
                 process.kill();
             }
         })
@@ -230,8 +235,8 @@
     ///
     /// # Errors
     /// When the fleet has no process of that name.
-    pub fn allow_end(&self, name: ProcessName) -> Result<(), FleetError> {
-        self.with_member(name, |member| member.expected_end = true)
+    pub fn expect_exit(&self, name: ProcessName) -> Result<(), FleetError> {
+        self.with_process(name, |managed| managed.exit_expected = true)
     }
 
     /// Freezes a process (`SIGSTOP`).
@@ -254,7 +259,7 @@
     ///
     /// # Errors
     /// When the fleet has no process of that name, or the signal can't be sent.
-    pub fn hang_up(&self, name: ProcessName) -> Result<(), FleetError> {
+    pub fn send_sighup(&self, name: ProcessName) -> Result<(), FleetError> {
         self.signal(name, Signal::SIGHUP, None)
     }
 
@@ -264,8 +269,8 @@
         signal: Signal,
         frozen: Option<bool>,
     ) -> Result<(), FleetError> {
-        self.with_member(name, |member| {
-            let Some(process) = &mut member.process else { return Ok(()) };
+        self.with_process(name, |managed| {
+            let Some(process) = &mut managed.process else { return Ok(()) };
             process.frozen = frozen.unwrap_or(process.frozen);
             process.signal(signal)
         })?
@@ -280,7 +285,7 @@
         if matches!(name.kind, ProcessKind::Model | ProcessKind::App) {
             return self.set_faults(name, &Faults { draining: true, ..Faults::default() }).await;
         }
-        self.with_member(name, |member| member.expected_end = true)?;
+        self.with_process(name, |managed| managed.exit_expected = true)?;
         self.signal(name, Signal::SIGTERM, None)
     }
 
@@ -290,9 +295,9 @@
     /// # Errors
     /// When the fleet has no process of that name.
     pub async fn stop(&self, name: ProcessName) -> Result<bool, FleetError> {
-        self.with_member(name, |member| member.expected_end = true)?;
+        self.with_process(name, |managed| managed.exit_expected = true)?;
         self.signal(name, Signal::SIGTERM, None)?;
-        let grace = Duration::from_millis(self.common.topology.grace_ms) + STOP_MARGIN;
+        let grace = Duration::from_millis(self.config.topology.grace_ms) + STOP_MARGIN;
         poll_until(grace, || self.exit_status(name).is_some()).await;
         let clean = self.exit_status(name).is_some_and(|status| status.success());
         self.kill(name)?;
@@ -300,7 +305,7 @@
     }
 
     fn exit_status(&self, name: ProcessName) -> Option<std::process::ExitStatus> {
-        self.with_member(name, |member| member.process.as_mut().and_then(Process::ended))
+        self.with_process(name, |managed| managed.process.as_mut().and_then(Process::exit_status))
             .ok()
             .flatten()
     }
@@ -315,14 +320,14 @@
             self.stop(name).await?;
         }
         let (plan, launch) =
-            self.with_member(name, |member| (member.plan.clone(), member.launch.clone()))?;
-        self.begin(plan, launch)?;
-        self.answer_again(name).await
+            self.with_process(name, |managed| (managed.plan.clone(), managed.launch.clone()))?;
+        self.start_process(plan, launch)?;
+        self.wait_started(name).await
     }
 
-    pub(crate) async fn answer_again(&self, name: ProcessName) -> Result<(), FleetError> {
-        self.wait_answers(name, START_TIME).await?;
-        self.tell_links(name).await
+    pub(crate) async fn wait_started(&self, name: ProcessName) -> Result<(), FleetError> {
+        self.wait_responding(name, START_TIMEOUT).await?;
+        self.send_link_faults(name).await
     }
 
     /// Whether a process has been started and has not exited.
@@ -330,19 +335,23 @@
     /// # Errors
     /// When the fleet has no process of that name.
     pub fn is_running(&self, name: ProcessName) -> Result<bool, FleetError> {
-        self.with_member(name, |member| {
-            member.process.as_mut().is_some_and(|process| process.ended().is_none())
+        self.with_process(name, |managed| {
+            managed.process.as_mut().is_some_and(|process| process.exit_status().is_none())
         })
     }
 
     /// An error for a process that exited without being stopped or killed by the fleet, if any has.
-    pub(crate) fn ended_by_itself(&self) -> Option<FleetError> {
-        let mut inner = self.inner();
-        inner.members.iter_mut().filter(|(_, member)| !member.expected_end).find_map(
-            |(name, member)| {
-                let status = member.process.as_mut()?.ended()?;
-                let log = member.launch.log_tail();
-                Some(FleetError::Ended { name: *name, status: describe(status), log })
+    pub(crate) fn unexpected_exit(&self) -> Option<FleetError> {
+        let mut state = self.state();
+        state.processes.iter_mut().filter(|(_, managed)| !managed.exit_expected).find_map(
+            |(name, managed)| {
+                let status = managed.process.as_mut()?.exit_status()?;
+                let log = managed.launch.log_tail();
+                Some(FleetError::ProcessExited {
+                    name: *name,
+                    status: describe_exit_status(status),
+                    log,
+                })
             },
         )
     }
@@ -350,8 +359,8 @@
     /// The status of all processes.
     #[must_use]
     pub fn status(&self) -> Vec<ProcessStatus> {
-        let mut inner = self.inner();
-        inner.members.iter_mut().map(|(name, member)| member.status(*name)).collect()
+        let mut state = self.state();
+        state.processes.iter_mut().map(|(name, managed)| managed.status(*name)).collect()
     }
 
     /// The last lines of a process's log.
@@ -359,33 +368,33 @@
     /// # Errors
     /// When the fleet has no process of that name.
     pub fn log(&self, name: ProcessName, lines: usize) -> Result<String, FleetError> {
-        let log = self.with_member(name, |member| member.launch.log.clone())?;
+        let log = self.with_process(name, |managed| managed.launch.log.clone())?;
         Ok(crate::process::tail(&log, lines))
     }
 
     /// Starts a process from its plan. Its seeds are the current addresses of stores and cores.
-    pub(crate) fn begin_planned(&self, plan: Plan) -> Result<(), FleetError> {
+    pub(crate) fn start_planned(&self, plan: ProcessPlan) -> Result<(), FleetError> {
         let rpc = |kind| -> Vec<SocketAddr> {
-            let inner = self.inner();
-            let of_kind = inner.members.values().filter(|m| m.plan.name.kind == kind);
+            let state = self.state();
+            let of_kind = state.processes.values().filter(|m| m.plan.name.kind == kind);
             of_kind.map(|m| m.plan.rpc()).filter(|rpc| *rpc != plan.rpc()).collect()
         };
         let (stores, cores) = (rpc(ProcessKind::Store), rpc(ProcessKind::Core));
-        let launch = self.common.launch(
+        let launch = self.config.launch(
             &plan,
-            seeds(self.common.topology.seeds, plan.name.index, &stores, &cores),
+            select_seeds(self.config.topology.seeds, plan.name.index, &stores, &cores),
             &[],
         )?;
-        self.begin(plan, launch)
+        self.start_process(plan, launch)
     }
 }
 
-impl Member {
+impl ManagedProcess {
     fn status(&mut self, name: ProcessName) -> ProcessStatus {
         let (pid, state) = match &mut self.process {
             None => (None, "stopped".to_owned()),
-            Some(process) => match process.ended() {
-                Some(status) => (None, describe(status)),
+            Some(process) => match process.exit_status() {
+                Some(status) => (None, describe_exit_status(status)),
                 None if process.frozen => (Some(process.id()), "frozen".to_owned()),
                 None => (Some(process.id()), "running".to_owned()),
             },
@@ -397,8 +406,8 @@
 
 fn data_folder(options: FleetOptions) -> Result<(PathBuf, Option<TempDir>), FleetError> {
     let Some(data) = options.data else {
-        let made = tempfile::Builder::new().prefix("hooklug-fleet-").tempdir();
-        let folder = made.map_err(FleetError::io("cannot create a temporary folder"))?;
+        let created = tempfile::Builder::new().prefix("hooklug-fleet-").tempdir();
+        let folder = created.map_err(FleetError::io("cannot create a temporary folder"))?;
         return Ok((folder.path().to_owned(), Some(folder)));
     };
     std::fs::create_dir_all(&data).map_err(FleetError::io("cannot create the data folder"))?;
--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -15,14 +15,14 @@
 use tokio::time::timeout;
 
 /// Default timeout of a request.
-pub const ANSWER_TIME: Duration = Duration::from_secs(15);
+pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Error of an HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The connection failed; the server may have received the request.
     #[error("{to}: {reason}")]
-    Broken {
+    Connection {
         /// Address of the server.
         to: SocketAddr,
         /// Description of the failure.
@@ -137,8 +137,8 @@
     ///
     /// # Errors
     /// [`HttpError`] when no complete response arrives in time. Any status counts as a response.
-    pub async fn ask(&self, to: SocketAddr, ask: &Ask) -> Result<Answer, HttpError> {
-        self.ask_within(to, ask, ANSWER_TIME).await
+    pub async fn ask(&self, to: SocketAddr, request: &Ask) -> Result<Answer, HttpError> {
+        self.ask_within(to, request, DEFAULT_TIMEOUT).await
     }
 
     /// Sends a request and reads the complete response within a timeout.
@@ -148,12 +148,12 @@
     pub async fn ask_within(
         &self,
         to: SocketAddr,
-        ask: &Ask,
+        request: &Ask,
         time: Duration,
     ) -> Result<Answer, HttpError> {
         let exchange = async {
-            let (parts, body) = self.send(to, ask).await?.into_parts();
-            let body = body.collect().await.map_err(|e| broken(to, &e))?.to_bytes();
+            let (parts, body) = self.send_request(to, request).await?.into_parts();
+            let body = body.collect().await.map_err(|e| connection_error(to, &e))?.to_bytes();
             Ok(Answer { from: to, status: parts.status, headers: parts.headers, body })
         };
         timeout(time, exchange).await.map_err(|_| HttpError::TimedOut { to })?
@@ -164,32 +164,40 @@
     ///
     /// # Errors
     /// [`HttpError`] when no response headers arrive in time. Any status counts as a response.
-    pub async fn open(&self, to: SocketAddr, ask: &Ask) -> Result<Response<Incoming>, HttpError> {
-        let sent = timeout(ANSWER_TIME, self.send(to, ask)).await;
+    pub async fn open(
+        &self,
+        to: SocketAddr,
+        request: &Ask,
+    ) -> Result<Response<Incoming>, HttpError> {
+        let sent = timeout(DEFAULT_TIMEOUT, self.send_request(to, request)).await;
         sent.map_err(|_| HttpError::TimedOut { to })?
     }
 
-    async fn send(&self, to: SocketAddr, ask: &Ask) -> Result<Response<Incoming>, HttpError> {
-        let mut request = Request::builder()
-            .method(ask.method.clone())
-            .uri(format!("http://{to}{}", ask.path))
+    async fn send_request(
+        &self,
+        to: SocketAddr,
+        request: &Ask,
+    ) -> Result<Response<Incoming>, HttpError> {
+        let mut builder = Request::builder()
+            .method(request.method.clone())
+            .uri(format!("http://{to}{}", request.path))
             .header(header::HOST, to.to_string());
-        for (name, value) in &ask.headers {
-            request = request.header(*name, value);
+        for (name, value) in &request.headers {
+            builder = builder.header(*name, value);
         }
-        let request = request
-            .body(Full::new(ask.body.clone()))
+        let outgoing = builder
+            .body(Full::new(request.body.clone()))
             .map_err(|e| HttpError::Body { to, reason: e.to_string() })?;
-        self.client.request(request).await.map_err(|e| broken(to, &e))
+        self.client.request(outgoing).await.map_err(|e| connection_error(to, &e))
     }
 }
 
-fn broken(to: SocketAddr, error: &dyn std::error::Error) -> HttpError {
+fn connection_error(to: SocketAddr, error: &dyn std::error::Error) -> HttpError {
     let mut reason = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
         reason = format!("{reason}: {cause}");
         source = cause.source();
     }
-    HttpError::Broken { to, reason }
+    HttpError::Connection { to, reason }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -26,7 +26,7 @@
 mod readiness;
 mod topology;
 
-pub use bundle_admin::{BundleRecord, Harm, ReadBundle, Verdict};
+pub use bundle_admin::{BundleRecord, BundleWithRecord, Harm, SubmitOutcome};
 pub use caller::{Caller, CallerError};
 pub use error::FleetError;
 pub use fleet::{Fleet, FleetOptions, ProcessStatus};
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -17,17 +17,17 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Body<'a> {
+struct LinkFaultsBody<'a> {
     links: &'a BTreeMap<IpAddr, LinkFault>,
 }
 
 impl Links {
     pub(crate) fn set_cut(&mut self, from: Ipv4Addr, to: Ipv4Addr, cut: bool) {
-        self.link(from, to).cut = cut;
+        self.fault_mut(from, to).cut = cut;
     }
 
     pub(crate) fn set_delay(&mut self, from: Ipv4Addr, to: Ipv4Addr, micros: u64) {
-        self.link(from, to).delay_micros = micros;
+        self.fault_mut(from, to).delay_micros = micros;
     }
 
     /// Unblocks all links; delays stay. Returns the senders that had a blocked link.
@@ -43,23 +43,23 @@
     }
 
     /// The faults of all links of a sender.
-    pub(crate) fn of(&self, from: Ipv4Addr) -> BTreeMap<IpAddr, LinkFault> {
+    pub(crate) fn faults_from(&self, from: Ipv4Addr) -> BTreeMap<IpAddr, LinkFault> {
         self.faults.get(&from).cloned().unwrap_or_default()
     }
 
-    fn link(&mut self, from: Ipv4Addr, to: Ipv4Addr) -> &mut LinkFault {
+    fn fault_mut(&mut self, from: Ipv4Addr, to: Ipv4Addr) -> &mut LinkFault {
         self.faults.entry(from).or_default().entry(IpAddr::V4(to)).or_default()
     }
 }
 
 /// Replaces the link faults of a node.
-pub(crate) async fn tell(
+pub(crate) async fn put_link_faults(
     http: &HttpClient,
     node: SocketAddr,
     links: &BTreeMap<IpAddr, LinkFault>,
 ) -> Result<(), HttpError> {
-    let ask = Ask::json(http::Method::PUT, "/faults", &Body { links });
-    http.ask(node, &ask).await?.json::<serde_json::Value>().map(drop)
+    let request = Ask::json(http::Method::PUT, "/faults", &LinkFaultsBody { links });
+    http.ask(node, &request).await?.json::<serde_json::Value>().map(drop)
 }
 
 impl Fleet {
@@ -75,14 +75,14 @@
     ) -> Result<(), FleetError> {
         let (first, second) = (self.plan(a)?.ip, self.plan(b)?.ip);
         {
-            let links = &mut self.inner().links;
+            let links = &mut self.state().links;
             links.set_cut(first, second, true);
             if !one_way {
                 links.set_cut(second, first, true);
             }
         }
-        self.tell_links(a).await?;
-        if one_way { Ok(()) } else { self.tell_links(b).await }
+        self.send_link_faults(a).await?;
+        if one_way { Ok(()) } else { self.send_link_faults(b).await }
     }
 
     /// Isolates a node: blocks its links to all other running nodes, both ways.
@@ -104,27 +104,27 @@
     /// # Errors
     /// When a running node can't be reached.
     pub async fn heal(&self) -> Result<(), FleetError> {
-        let changed = self.inner().links.heal();
+        let changed = self.state().links.heal();
         for name in self.all_names() {
             let plan = self.plan(name)?;
             if changed.contains(&plan.ip) && self.is_running(name)? {
-                self.tell_links(name).await?;
+                self.send_link_faults(name).await?;
             }
         }
         Ok(())
     }
 
-    pub(crate) async fn tell_links(&self, name: ProcessName) -> Result<(), FleetError> {
+    pub(crate) async fn send_link_faults(&self, name: ProcessName) -> Result<(), FleetError> {
         let plan = self.plan(name)?;
-        let faults = self.inner().links.of(plan.ip);
+        let faults = self.state().links.faults_from(plan.ip);
         if !name.kind.is_node() || faults.is_empty() {
             return Ok(());
         }
-        Ok(tell(&self.http, plan.http(), &faults).await?)
+        Ok(put_link_faults(&self.http, plan.http(), &faults).await?)
     }
 
-    pub(crate) async fn tell_zone_delays(&self) -> Result<(), FleetError> {
-        let micros = self.common.topology.zone_delay_micros;
+    pub(crate) async fn send_zone_delays(&self) -> Result<(), FleetError> {
+        let micros = self.config.topology.zone_delay_micros;
         if micros == 0 {
             return Ok(());
         }
@@ -132,18 +132,18 @@
         for (from, from_zone) in &nodes {
             for (to, to_zone) in nodes.iter().filter(|(to, _)| to != from) {
                 let delay = if from_zone == to_zone { 0 } else { micros };
-                self.inner().links.set_delay(*from, *to, delay);
+                self.state().links.set_delay(*from, *to, delay);
             }
         }
         for name in self.all_names() {
-            self.tell_links(name).await?;
+            self.send_link_faults(name).await?;
         }
         Ok(())
     }
 
     fn nodes(&self) -> Vec<(Ipv4Addr, String)> {
-        let inner = self.inner();
-        let nodes = inner.members.values().filter(|m| m.plan.name.kind.is_node());
+        let state = self.state();
+        let nodes = state.processes.values().filter(|m| m.plan.name.kind.is_node());
         nodes.map(|m| (m.plan.ip, m.plan.zone.to_string())).collect()
     }
 }
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use clap::{Args, Parser, Subcommand};
-use hooklug_fleet::control::{CommandServer, FleetCommand, Target, send};
+use hooklug_fleet::control::{CommandServer, FleetCommand, Target, send_command};
 use hooklug_fleet::demo::{self, DemoError};
 use hooklug_fleet::{Fleet, FleetError, FleetOptions, ProcessName, Topology};
 use tokio::signal::unix::{SignalKind, signal};
@@ -127,7 +127,7 @@
 async fn main() -> ExitCode {
     let filter = tracing_subscriber::EnvFilter::from_default_env();
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
-    match until_interrupted(Cli::parse().command).await {
+    match run_until_signal(Cli::parse().command).await {
         Ok(code) => code,
         Err(error) => {
             eprintln!("hooklug-fleet: {error}");
@@ -138,15 +138,15 @@
 
 /// Runs a command until it finishes or `SIGINT` or `SIGTERM` arrives. A signal drops the command
 /// and with it the processes that it started.
-async fn until_interrupted(command: Command) -> Result<ExitCode, DemoError> {
-    let stop = |kind| {
+async fn run_until_signal(command: Command) -> Result<ExitCode, DemoError> {
+    let listen = |kind| {
         signal(kind).map_err(|source| FleetError::Io {
             what: "cannot install signal handlers".to_owned(),
             source,
         })
     };
-    let mut interrupt = stop(SignalKind::interrupt())?;
-    let mut terminate = stop(SignalKind::terminate())?;
+    let mut interrupt = listen(SignalKind::interrupt())?;
+    let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
         done = run(command) => done.map(|()| ExitCode::SUCCESS),
         _ = interrupt.recv() => Ok(ExitCode::from(EXIT_INTERRUPTED)),
@@ -159,7 +159,7 @@
         Command::Up(args) => return Ok(up(args).await?),
         Command::Demo(args) => return run_demo(args).await,
         Command::Status(args) => (args, FleetCommand::Status),
-        Command::Kill(args) => (args.running, kill(args.target)?),
+        Command::Kill(args) => (args.running, kill_command(args.target)?),
         Command::Freeze(args) => (args.running, FleetCommand::Freeze(args.name)),
         Command::Wake(args) => (args.running, FleetCommand::Wake(args.name)),
         Command::Cut(CutArgs { a, b, one_way, running }) => {
@@ -175,11 +175,11 @@
             (running, FleetCommand::Log { name, lines })
         }
     };
-    println!("{}", send(&running.data, &command).await?);
+    println!("{}", send_command(&running.data, &command).await?);
     Ok(())
 }
 
-fn kill(target: Target) -> Result<FleetCommand, FleetError> {
+fn kill_command(target: Target) -> Result<FleetCommand, FleetError> {
     match target {
         Target::Process(name) => Ok(FleetCommand::Kill(name)),
         Target::CoreLeader => Ok(FleetCommand::KillCoreLeader),
@@ -189,22 +189,22 @@
     }
 }
 
-fn topology(path: Option<&Path>) -> Result<Topology, FleetError> {
+fn load_topology(path: Option<&Path>) -> Result<Topology, FleetError> {
     path.map_or_else(|| Ok(Topology::small()), Topology::read)
 }
 
 async fn up(args: UpArgs) -> Result<(), FleetError> {
-    let began = std::time::Instant::now();
-    let topology = topology(args.topology.as_deref())?;
+    let started = std::time::Instant::now();
+    let topology = load_topology(args.topology.as_deref())?;
     let options = FleetOptions { data: Some(args.running.data) };
     let fleet = Arc::new(Fleet::start_with(topology, options).await?);
     let _commands = CommandServer::start(fleet.clone()).await?;
-    println!("{}", fleet.carry_out(FleetCommand::Status).await?);
-    println!("ready after {:.1} s; press Ctrl-C to stop", began.elapsed().as_secs_f64());
+    println!("{}", fleet.execute(FleetCommand::Status).await?);
+    println!("ready after {:.1} s; press Ctrl-C to stop", started.elapsed().as_secs_f64());
     std::future::pending().await
 }
 
 async fn run_demo(args: DemoArgs) -> Result<(), DemoError> {
-    let topology = topology(args.topology.as_deref())?;
+    let topology = load_topology(args.topology.as_deref())?;
     demo::run(topology, args.kill, &|line| println!("{line}")).await
 }
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -9,7 +9,7 @@
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
 /// Timeout until a restarted node is ready.
-const READY_TIME: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Fleet {
     /// Replaces a process by one with an empty disk at a new address.
@@ -19,12 +19,12 @@
     pub async fn replace(&self, name: ProcessName) -> Result<(), FleetError> {
         self.kill(name)?;
         let mut plan = self.plan(name)?;
-        plan.ip = self.inner().range.draw()?;
-        self.begin_planned(plan)?;
+        plan.ip = self.state().range.allocate()?;
+        self.start_planned(plan)?;
         if name.kind == ProcessKind::App {
             self.list_applications().await?;
         }
-        self.answer_again(name).await
+        self.wait_started(name).await
     }
 
     /// Kills a store, deletes its data and starts it again at the same address.
@@ -36,7 +36,7 @@
             return Err(FleetError::Unexpected(format!("{name} is not a store and has no disk")));
         }
         self.kill(name)?;
-        let disk = self.common.disk(&self.plan(name)?);
+        let disk = self.config.disk(&self.plan(name)?);
         if disk.exists() {
             std::fs::remove_dir_all(&disk)
                 .map_err(FleetError::io("cannot delete the data folder of a store"))?;
@@ -52,7 +52,7 @@
         for kind in kinds {
             for name in self.names(*kind) {
                 self.restart(name).await?;
-                self.wait_ready(name, READY_TIME).await?;
+                self.wait_ready(name, READY_TIMEOUT).await?;
             }
         }
         Ok(())
@@ -70,14 +70,14 @@
                 engines.push(ListedEngine { address: plan.http(), zone: plan.zone });
             }
         }
-        let ask = Ask::json(Method::PUT, "/emulator/engines", &EngineList { engines });
-        let answer = self.http.ask(self.common.platform, &ask).await?;
-        if answer.status.is_success() {
+        let request = Ask::json(Method::PUT, "/emulator/engines", &EngineList { engines });
+        let response = self.http.ask(self.config.platform, &request).await?;
+        if response.status.is_success() {
             return Ok(());
         }
         Err(FleetError::Unexpected(format!(
             "update of the platform's engine list failed with status {}",
-            answer.status
+            response.status
         )))
     }
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -12,16 +12,16 @@
 
 use crate::addresses::{AddressRange, http_address, rpc_address};
 use crate::binaries::Binaries;
-use crate::process::Launch;
+use crate::process::LaunchSpec;
 use crate::topology::{ApplicationGroup, ModelGroup, SeedChoice, Topology};
 use crate::{FleetError, ProcessKind, ProcessName};
 
 /// Maximum number of seeds of a node.
-const SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 
 /// Role of a process with its parameters.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Job {
+pub(crate) enum ProcessRole {
     Store,
     Core,
     Gateway,
@@ -33,14 +33,14 @@
 
 /// Placement and role of a process; they outlive its restarts.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Plan {
+pub(crate) struct ProcessPlan {
     pub name: ProcessName,
     pub ip: Ipv4Addr,
     pub zone: ZoneName,
-    pub job: Job,
+    pub role: ProcessRole,
 }
 
-impl Plan {
+impl ProcessPlan {
     pub(crate) fn rpc(&self) -> SocketAddr {
         rpc_address(self.ip)
     }
@@ -56,43 +56,44 @@
 }
 
 /// Plans all processes of a topology.
-pub(crate) fn plan_all(
+pub(crate) fn plan_processes(
     topology: &Topology,
     range: &mut AddressRange,
-) -> Result<Vec<Plan>, FleetError> {
+) -> Result<Vec<ProcessPlan>, FleetError> {
     let mut plans = Vec::new();
-    let mut add = |kind, index: usize, job| -> Result<SocketAddr, FleetError> {
+    let mut add = |kind, index: usize, role| -> Result<SocketAddr, FleetError> {
         let name = ProcessName::new(kind, index);
-        let plan = Plan { name, ip: range.draw()?, zone: topology.zone(index).clone(), job };
+        let plan =
+            ProcessPlan { name, ip: range.allocate()?, zone: topology.zone(index).clone(), role };
         let http = plan.http();
         plans.push(plan);
         Ok(http)
     };
     for index in 0..topology.stores {
-        add(ProcessKind::Store, index, Job::Store)?;
+        add(ProcessKind::Store, index, ProcessRole::Store)?;
     }
     for index in 0..topology.cores {
-        add(ProcessKind::Core, index, Job::Core)?;
+        add(ProcessKind::Core, index, ProcessRole::Core)?;
     }
     for index in 0..topology.gateways {
-        add(ProcessKind::Gateway, index, Job::Gateway)?;
+        add(ProcessKind::Gateway, index, ProcessRole::Gateway)?;
     }
     let models = topology.models.iter().flat_map(|g| std::iter::repeat_n(g, g.engines));
     for (index, group) in models.enumerate() {
-        let model = add(ProcessKind::Model, index, Job::Model { group: group.clone() })?;
-        add(ProcessKind::Engine, index, Job::Engine { group: group.clone(), model })?;
+        let model = add(ProcessKind::Model, index, ProcessRole::Model { group: group.clone() })?;
+        add(ProcessKind::Engine, index, ProcessRole::Engine { group: group.clone(), model })?;
     }
     let apps = topology.applications.iter().flat_map(|g| std::iter::repeat_n(g, g.engines));
     for (index, group) in apps.enumerate() {
-        add(ProcessKind::App, index, Job::App { group: group.clone() })?;
+        add(ProcessKind::App, index, ProcessRole::App { group: group.clone() })?;
     }
-    add(ProcessKind::Platform, 0, Job::Platform)?;
+    add(ProcessKind::Platform, 0, ProcessRole::Platform)?;
     Ok(plans)
 }
 
 /// Configuration shared by all processes of a fleet.
 #[derive(Debug)]
-pub(crate) struct Common {
+pub(crate) struct SharedConfig {
     pub topology: Topology,
     pub binaries: Binaries,
     pub data: PathBuf,
@@ -100,14 +101,14 @@
     pub platform: SocketAddr,
 }
 
-impl Common {
+impl SharedConfig {
     /// The folder of a process, for its settings, log and data.
     pub(crate) fn folder(&self, name: ProcessName) -> PathBuf {
         self.data.join(name.word())
     }
 
     /// The data folder of a store.
-    pub(crate) fn disk(&self, plan: &Plan) -> PathBuf {
+    pub(crate) fn disk(&self, plan: &ProcessPlan) -> PathBuf {
         // The path contains the address, so that a replacement at a new address starts with an
         // empty disk.
         self.folder(plan.name).join(format!("disk-{}", plan.ip))
@@ -117,10 +118,10 @@
     /// application engines that the fake platform lists at first.
     pub(crate) fn launch(
         &self,
-        plan: &Plan,
+        plan: &ProcessPlan,
         seeds: Vec<SocketAddr>,
-        listed: &[Plan],
-    ) -> Result<Launch, FleetError> {
+        listed_engines: &[ProcessPlan],
+    ) -> Result<LaunchSpec, FleetError> {
         let folder = self.folder(plan.name);
         std::fs::create_dir_all(&folder)
             .map_err(FleetError::io("cannot create the folder of a process"))?;
@@ -129,16 +130,16 @@
             write_settings(&file, &self.settings(plan, seeds)?)?;
             (&self.binaries.hooklug, node_arguments(plan, &file))
         } else {
-            (&self.binaries.emulator, self.stand_in_arguments(plan, &folder, listed)?)
+            (&self.binaries.emulator, self.fake_arguments(plan, &folder, listed_engines)?)
         };
-        Ok(Launch { program: program.clone(), arguments, log: folder.join("log") })
+        Ok(LaunchSpec { program: program.clone(), arguments, log: folder.join("log") })
     }
 
-    fn settings(&self, plan: &Plan, seeds: Vec<SocketAddr>) -> Result<Settings, FleetError> {
+    fn settings(&self, plan: &ProcessPlan, seeds: Vec<SocketAddr>) -> Result<Settings, FleetError> {
         let topology = &self.topology;
-        let wrong = |e: hooklug_types::IdError| FleetError::Unexpected(e.to_string());
-        let engine = match &plan.job {
-            Job::Engine { group, model } => Some(EngineSettings {
+        let invalid = |e: hooklug_types::IdError| FleetError::Unexpected(e.to_string());
+        let engine = match &plan.role {
+            ProcessRole::Engine { group, model } => Some(EngineSettings {
                 id: plan.engine_id()?,
                 service: group.service.clone(),
                 version: group.version.clone(),
@@ -154,13 +155,13 @@
             keep_seconds: topology.keep_seconds,
             ..StoreSettings::default()
         };
-        let is_store = plan.job == Job::Store;
-        let is_core = plan.job == Job::Core;
+        let is_store = plan.role == ProcessRole::Store;
+        let is_core = plan.role == ProcessRole::Core;
         Ok(Settings {
             rpc: plan.rpc(),
             http: plan.http(),
             zone: plan.zone.clone(),
-            region: RegionName::new("local").map_err(wrong)?,
+            region: RegionName::new("local").map_err(invalid)?,
             seeds,
             data_folder: is_store.then(|| self.disk(plan)),
             cluster_secret: Secret::new(self.secret.clone()),
@@ -177,39 +178,40 @@
         })
     }
 
-    fn stand_in_arguments(
+    fn fake_arguments(
         &self,
-        plan: &Plan,
+        plan: &ProcessPlan,
         folder: &Path,
-        listed: &[Plan],
+        listed_engines: &[ProcessPlan],
     ) -> Result<Vec<OsString>, FleetError> {
-        let mut line = Line::default();
-        match &plan.job {
-            Job::Model { group } => {
+        let mut arguments = Arguments::default();
+        match &plan.role {
+            ProcessRole::Model { group } => {
                 let pace = &self.topology.pace;
-                line.word("model-server");
-                line.identity(plan, &group.service, &group.version, folder)?;
-                line.option("--slots", &group.slots);
-                line.option("--first-token-ms", &pace.first_token_ms);
-                line.option("--between-tokens-ms", &pace.between_tokens_ms);
-                line.option("--uncached-token-micros", &pace.uncached_token_micros);
+                arguments.push("model-server");
+                arguments.push_identity(plan, &group.service, &group.version, folder)?;
+                arguments.push_option("--slots", &group.slots);
+                arguments.push_option("--first-token-ms", &pace.first_token_ms);
+                arguments.push_option("--between-tokens-ms", &pace.between_tokens_ms);
+                arguments.push_option("--uncached-token-micros", &pace.uncached_token_micros);
             }
-            Job::App { group } => {
-                line.word("application-engine");
-                line.identity(plan, &group.service, &group.version, folder)?;
-                line.option("--run-ms", &group.run_ms);
-                line.option("--slots", &group.slots);
+            ProcessRole::App { group } => {
+                arguments.push("application-engine");
+                arguments.push_identity(plan, &group.service, &group.version, folder)?;
+                arguments.push_option("--run-ms", &group.run_ms);
+                arguments.push_option("--slots", &group.slots);
             }
             _ => {
-                line.word("platform");
-                line.option("--listen", &plan.http());
-                line.option("--lag-ms", &self.topology.platform_lag_ms);
-                for engine in listed {
-                    line.option("--engine", &format!("{}={}", engine.http(), engine.zone));
+                arguments.push("platform");
+                arguments.push_option("--listen", &plan.http());
+                arguments.push_option("--lag-ms", &self.topology.platform_lag_ms);
+                for engine in listed_engines {
+                    arguments
+                        .push_option("--engine", &format!("{}={}", engine.http(), engine.zone));
                 }
             }
         }
-        Ok(line.0)
+        Ok(arguments.0)
     }
 }
 
@@ -218,41 +220,41 @@
     std::fs::write(file, text).map_err(FleetError::io("cannot write a settings file"))
 }
 
-fn node_arguments(plan: &Plan, file: &Path) -> Vec<OsString> {
-    let mut line = Line::default();
-    line.word(plan.name.kind.word());
-    line.word("--settings");
-    line.0.push(file.into());
-    line.word("--enable-faults");
-    line.0
+fn node_arguments(plan: &ProcessPlan, file: &Path) -> Vec<OsString> {
+    let mut arguments = Arguments::default();
+    arguments.push(plan.name.kind.word());
+    arguments.push("--settings");
+    arguments.0.push(file.into());
+    arguments.push("--enable-faults");
+    arguments.0
 }
 
 /// Builder for command line arguments.
 #[derive(Debug, Default)]
-struct Line(Vec<OsString>);
+struct Arguments(Vec<OsString>);
 
-impl Line {
-    fn word(&mut self, word: &str) {
-        self.0.push(word.into());
+impl Arguments {
+    fn push(&mut self, argument: &str) {
+        self.0.push(argument.into());
     }
 
-    fn option(&mut self, name: &str, value: &dyn ToString) {
-        self.word(name);
+    fn push_option(&mut self, name: &str, value: &dyn ToString) {
+        self.push(name);
         self.0.push(value.to_string().into());
     }
 
-    fn identity(
+    fn push_identity(
         &mut self,
-        plan: &Plan,
+        plan: &ProcessPlan,
         service: &ServiceName,
         version: &ServiceVersion,
         folder: &Path,
     ) -> Result<(), FleetError> {
-        self.option("--listen", &plan.http());
-        self.option("--service", &service);
-        self.option("--engine", &plan.engine_id()?);
-        self.option("--version", &version);
-        self.word("--ledger");
+        self.push_option("--listen", &plan.http());
+        self.push_option("--service", &service);
+        self.push_option("--engine", &plan.engine_id()?);
+        self.push_option("--version", &version);
+        self.push("--ledger");
         self.0.push(folder.join("ledger").into());
         Ok(())
     }
@@ -261,23 +263,23 @@
 /// Selects the seeds of the process with this index. They alternate between stores and cores, or
 /// are cores only, and start at a different peer for each process, so that no peer is the only
 /// entry point of all.
-pub(crate) fn seeds(
+pub(crate) fn select_seeds(
     choice: SeedChoice,
     index: usize,
     stores: &[SocketAddr],
     cores: &[SocketAddr],
 ) -> Vec<SocketAddr> {
-    let pick = |list: &[SocketAddr], n: usize| list.get(n % list.len().max(1)).copied();
-    let picked = match choice {
+    let select = |list: &[SocketAddr], n: usize| list.get(n % list.len().max(1)).copied();
+    let selected = match choice {
         SeedChoice::StoresAndCores => {
-            [pick(stores, index), pick(cores, index), pick(stores, index + 1)]
+            [select(stores, index), select(cores, index), select(stores, index + 1)]
         }
-        SeedChoice::Cores => [0, 1, 2].map(|step| pick(cores, index + step)),
+        SeedChoice::Cores => [0, 1, 2].map(|step| select(cores, index + step)),
     };
     let mut seeds: Vec<SocketAddr> = Vec::new();
-    for found in picked {
-        seeds.extend(found.filter(|address| !seeds.contains(address)));
+    for seed in selected {
+        seeds.extend(seed.filter(|address| !seeds.contains(address)));
     }
-    seeds.truncate(SEEDS);
+    seeds.truncate(MAX_SEEDS);
     seeds
 }
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -14,19 +14,19 @@
 use crate::FleetError;
 
 /// Interval at which the exit of a process is polled.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Number of log lines included in errors.
 const LOG_LINES: usize = 20;
 
 /// Command line and log file of a process, reused for restarts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Launch {
+pub(crate) struct LaunchSpec {
     pub program: PathBuf,
     pub arguments: Vec<OsString>,
     pub log: PathBuf,
 }
 
-impl Launch {
+impl LaunchSpec {
     fn command(&self) -> std::io::Result<Command> {
         let log = OpenOptions::new().create(true).append(true).open(&self.log)?;
         let errors: File = log.try_clone()?;
@@ -59,16 +59,16 @@
 #[derive(Debug)]
 pub(crate) struct Process {
     child: Child,
-    ended: Option<ExitStatus>,
+    exit_status: Option<ExitStatus>,
     pub frozen: bool,
 }
 
 impl Process {
-    pub(crate) fn start(launch: &Launch) -> Result<Self, FleetError> {
-        let what = || format!("cannot start {}", launch.program.display());
-        let mut command = launch.command().map_err(FleetError::io(what()))?;
-        let child = command.spawn().map_err(FleetError::io(what()))?;
-        Ok(Self { child, ended: None, frozen: false })
+    pub(crate) fn start(launch: &LaunchSpec) -> Result<Self, FleetError> {
+        let context = || format!("cannot start {}", launch.program.display());
+        let mut command = launch.command().map_err(FleetError::io(context()))?;
+        let child = command.spawn().map_err(FleetError::io(context()))?;
+        Ok(Self { child, exit_status: None, frozen: false })
     }
 
     pub(crate) fn id(&self) -> u32 {
@@ -76,25 +76,25 @@
     }
 
     /// The exit status, if the process has exited.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
-        if self.ended.is_none() {
-            self.ended = self.child.try_wait().ok().flatten();
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
+        if self.exit_status.is_none() {
+            self.exit_status = self.child.try_wait().ok().flatten();
         }
-        self.ended
+        self.exit_status
     }
 
     /// Kills the process and waits for it to exit.
     pub(crate) fn kill(&mut self) {
-        if self.ended().is_none() {
+        if self.exit_status().is_none() {
             // The kill fails if the process exits in between; `wait` returns its status either way.
             let _ = self.child.kill();
-            self.ended = self.child.wait().ok();
+            self.exit_status = self.child.wait().ok();
         }
     }
 
     /// Sends a signal, unless the process has exited: its id may then belong to another process.
     pub(crate) fn signal(&mut self, signal: Signal) -> Result<(), FleetError> {
-        if self.ended().is_some() {
+        if self.exit_status().is_some() {
             return Ok(());
         }
         let id = i32::try_from(self.id()).map_err(|e| FleetError::Unexpected(e.to_string()))?;
@@ -109,7 +109,7 @@
 }
 
 /// Formats an exit status as an exit code or signal.
-pub(crate) fn describe(status: ExitStatus) -> String {
+pub(crate) fn describe_exit_status(status: ExitStatus) -> String {
     match (status.code(), status.signal()) {
         (Some(code), _) => format!("exit code {code}"),
         (None, Some(signal)) => format!("signal {signal}"),
@@ -127,6 +127,6 @@
         if Instant::now() >= deadline {
             return false;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/fleet/src/readiness.rs
+++ b/crates/fleet/src/readiness.rs
@@ -15,11 +15,11 @@
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
 /// Interval between two checks of a condition.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout of a request that checks a condition.
-const LOOK_TIME: Duration = Duration::from_secs(2);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of a submission.
-const SUBMIT_TIME: Duration = Duration::from_secs(8);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Request body of a submission.
 #[derive(Debug, Serialize)]
@@ -48,19 +48,19 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Ready {
+struct Readiness {
     ready: bool,
     reasons: BTreeMap<String, String>,
 }
 
 #[derive(Debug, Deserialize)]
-struct SeenEngine {
+struct EngineView {
     engine: String,
     ready: bool,
 }
 
 #[derive(Debug, Deserialize)]
-struct SeenMember {
+struct MemberView {
     http: SocketAddr,
     core_leader: bool,
 }
@@ -74,7 +74,7 @@
         &self,
         what: &str,
         time: Duration,
-        mut look: F,
+        mut check: F,
     ) -> Result<(), FleetError>
     where
         F: FnMut() -> Fut,
@@ -82,21 +82,21 @@
     {
         let deadline = Instant::now() + time;
         loop {
-            let Err(last) = look().await else { return Ok(()) };
-            if let Some(error) = self.ended_by_itself() {
+            let Err(last) = check().await else { return Ok(()) };
+            if let Some(error) = self.unexpected_exit() {
                 return Err(error);
             }
             if Instant::now() >= deadline {
                 let seconds = time.as_secs();
                 return Err(FleetError::TimedOut { what: what.to_owned(), seconds, last });
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     pub(crate) async fn wait_alive(&self, time: Duration) -> Result<(), FleetError> {
         for name in self.all_names() {
-            self.wait_answers(name, time).await?;
+            self.wait_responding(name, time).await?;
         }
         Ok(())
     }
@@ -105,7 +105,11 @@
     ///
     /// # Errors
     /// When it does not respond in time.
-    pub async fn wait_answers(&self, name: ProcessName, time: Duration) -> Result<(), FleetError> {
+    pub async fn wait_responding(
+        &self,
+        name: ProcessName,
+        time: Duration,
+    ) -> Result<(), FleetError> {
         let path = match name.kind {
             ProcessKind::Model | ProcessKind::App => "/identity",
             ProcessKind::Platform => "/engines",
@@ -113,8 +117,8 @@
         };
         let what = format!("{name} responds");
         self.wait_until(&what, time, || async move {
-            let answer = self.look(name, path).await?;
-            if answer.status.is_success() { Ok(()) } else { Err(answer.status.to_string()) }
+            let response = self.get(name, path).await?;
+            if response.status.is_success() { Ok(()) } else { Err(response.status.to_string()) }
         })
         .await
     }
@@ -125,7 +129,7 @@
     /// When it is not ready in time.
     pub async fn wait_ready(&self, name: ProcessName, time: Duration) -> Result<(), FleetError> {
         let what = format!("{name} is ready");
-        self.wait_until(&what, time, || self.readiness(name)).await
+        self.wait_until(&what, time, || self.check_ready(name)).await
     }
 
     /// Waits until every running node reports that it is ready.
@@ -146,36 +150,36 @@
         self.wait_all_ready(time).await?;
         for name in self.names(ProcessKind::Gateway) {
             let what = format!("{name} lists all engines as ready");
-            self.wait_until(&what, time, || self.sees_all_engines(name)).await?;
+            self.wait_until(&what, time, || self.check_engines_listed(name)).await?;
         }
         Ok(())
     }
 
-    async fn readiness(&self, name: ProcessName) -> Result<(), String> {
-        let answer = self.look(name, "/readyz").await?;
-        let ready: Ready = serde_json::from_slice(&answer.body).map_err(|e| e.to_string())?;
+    async fn check_ready(&self, name: ProcessName) -> Result<(), String> {
+        let response = self.get(name, "/readyz").await?;
+        let ready: Readiness = serde_json::from_slice(&response.body).map_err(|e| e.to_string())?;
         if ready.ready { Ok(()) } else { Err(format!("{:?}", ready.reasons)) }
     }
 
-    async fn sees_all_engines(&self, gateway: ProcessName) -> Result<(), String> {
-        let answer = self.look(gateway, "/admin/v1/engines").await?;
-        let seen: Vec<SeenEngine> = answer.json().map_err(|e| e.to_string())?;
+    async fn check_engines_listed(&self, gateway: ProcessName) -> Result<(), String> {
+        let response = self.get(gateway, "/admin/v1/engines").await?;
+        let engines: Vec<EngineView> = response.json().map_err(|e| e.to_string())?;
         let missing = [ProcessKind::Engine, ProcessKind::App]
             .into_iter()
             .flat_map(|kind| self.names(kind))
-            .find(|name| !seen.iter().any(|e| e.ready && e.engine == name.word()));
+            .find(|name| !engines.iter().any(|e| e.ready && e.engine == name.word()));
         missing.map_or(Ok(()), |name| Err(format!("{name} is missing or not ready")))
     }
 
-    async fn look(&self, name: ProcessName, path: &str) -> Result<Answer, String> {
+    async fn get(&self, name: ProcessName, path: &str) -> Result<Answer, String> {
         let address = self.http_address(name).map_err(|e| e.to_string())?;
-        let ask = Ask::new(Method::GET, path);
-        self.http.ask_within(address, &ask, LOOK_TIME).await.map_err(|e| e.to_string())
+        let request = Ask::new(Method::GET, path);
+        self.http.ask_within(address, &request, CHECK_TIMEOUT).await.map_err(|e| e.to_string())
     }
 
     pub(crate) async fn submit_first_bundle(&self, time: Duration) -> Result<(), FleetError> {
-        let made = self.common.topology.bundle(BundleVersion(1), BundleVersion(0));
-        let bundle = made.map_err(|e| FleetError::Unexpected(e.to_string()))?;
+        let result = self.config.topology.bundle(BundleVersion(1), BundleVersion(0));
+        let bundle = result.map_err(|e| FleetError::Unexpected(e.to_string()))?;
         self.wait_until("the first bundle is committed", time, || async {
             self.submit_bundle(&bundle).await.map(drop).map_err(|e| e.to_string())
         })
@@ -195,9 +199,9 @@
             match self.submit_bundle_at(name, bundle).await {
                 Ok(submitted) => return Ok(submitted),
                 Err(FleetError::Http(HttpError::Status { to, status, body })) => {
-                    let again = status == StatusCode::SERVICE_UNAVAILABLE.as_u16();
+                    let is_retryable = status == StatusCode::SERVICE_UNAVAILABLE.as_u16();
                     last = HttpError::Status { to, status, body }.into();
-                    if !again {
+                    if !is_retryable {
                         return Err(last);
                     }
                 }
@@ -216,9 +220,10 @@
         name: ProcessName,
         bundle: &Bundle,
     ) -> Result<Submitted, FleetError> {
-        let ask = Ask::json(Method::POST, "/admin/v1/bundles", &Submission { bundle });
-        let answer = self.http.ask_within(self.http_address(name)?, &ask, SUBMIT_TIME).await?;
-        Ok(answer.json()?)
+        let request = Ask::json(Method::POST, "/admin/v1/bundles", &Submission { bundle });
+        let response =
+            self.http.ask_within(self.http_address(name)?, &request, SUBMIT_TIMEOUT).await?;
+        Ok(response.json()?)
     }
 
     /// The core leader, according to the view of the first node that shows one.
@@ -227,18 +232,18 @@
     /// When no node responds, or none shows a leader.
     pub async fn core_leader(&self) -> Result<ProcessName, FleetError> {
         for name in self.all_names().into_iter().filter(|name| name.kind.is_node()) {
-            let Ok(answer) = self.look(name, "/admin/v1/members").await else { continue };
-            let Ok(members) = answer.json::<Vec<SeenMember>>() else { continue };
+            let Ok(response) = self.get(name, "/admin/v1/members").await else { continue };
+            let Ok(members) = response.json::<Vec<MemberView>>() else { continue };
             let leader = members.iter().find(|member| member.core_leader);
-            if let Some(found) = leader.and_then(|member| self.name_at(member.http)) {
-                return Ok(found);
+            if let Some(leader_name) = leader.and_then(|member| self.process_at(member.http)) {
+                return Ok(leader_name);
             }
         }
         Err(FleetError::Unexpected("no node shows a core leader".to_owned()))
     }
 
-    fn name_at(&self, http: SocketAddr) -> Option<ProcessName> {
-        let inner = self.inner();
-        inner.members.values().find(|m| m.plan.http() == http).map(|m| m.plan.name)
+    fn process_at(&self, http: SocketAddr) -> Option<ProcessName> {
+        let state = self.state();
+        state.processes.values().find(|m| m.plan.http() == http).map(|m| m.plan.name)
     }
 }
--- a/crates/fleet/src/topology.rs
+++ b/crates/fleet/src/topology.rs
@@ -156,10 +156,10 @@
     /// # Errors
     /// When the file can't be read or parsed, or the topology is invalid.
     pub fn read(path: &Path) -> Result<Self, FleetError> {
-        let wrong = |reason: String| FleetError::Topology { path: path.to_owned(), reason };
-        let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
-        let topology: Self = toml::from_str(&text).map_err(|e| wrong(e.to_string()))?;
-        topology.check().map_err(wrong)?;
+        let invalid = |reason: String| FleetError::Topology { path: path.to_owned(), reason };
+        let text = std::fs::read_to_string(path).map_err(|e| invalid(e.to_string()))?;
+        let topology: Self = toml::from_str(&text).map_err(|e| invalid(e.to_string()))?;
+        topology.validate().map_err(invalid)?;
         Ok(topology)
     }
 
@@ -172,7 +172,7 @@
         })
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         let engines = self.models.iter().map(|g| g.engines).sum::<usize>();
         let applications = self.applications.iter().map(|g| g.engines).sum::<usize>();
         let addresses = self.stores + self.cores + self.gateways + 2 * engines + applications + 1;
--- a/crates/fleet/tests/suite/demo.rs
+++ b/crates/fleet/tests/suite/demo.rs
@@ -45,6 +45,6 @@
     let ended = run(Topology::small(), kill, &|_| {}).await;
     let missing = "store:99".parse().unwrap();
     assert!(
-        matches!(ended, Err(hooklug_fleet::demo::DemoError::Fleet(FleetError::NoProcess(name))) if name == missing)
+        matches!(ended, Err(hooklug_fleet::demo::DemoError::Fleet(FleetError::UnknownProcess(name))) if name == missing)
     );
 }
--- a/crates/fleet/tests/suite/soak.rs
+++ b/crates/fleet/tests/suite/soak.rs
@@ -15,7 +15,7 @@
 
 use futures::future::join_all;
 use hooklug_bundle::Bundle;
-use hooklug_fleet::{Fleet, ProcessKind, ProcessName, Verdict};
+use hooklug_fleet::{Fleet, ProcessKind, ProcessName, SubmitOutcome};
 use hooklug_types::BundleVersion;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -141,7 +141,7 @@
         bundle.base = BundleVersion(version);
         let verdict = submit(&self.fleet, name("gateway:0"), &bundle).await;
         assert!(
-            matches!(verdict, Verdict::Refused { .. }),
+            matches!(verdict, SubmitOutcome::Refused { .. }),
             "an invalid bundle was accepted: {verdict:?}"
         );
     }
@@ -187,7 +187,7 @@
             fleet.wake(victim).unwrap();
         }
         Fault::NewSettings => {
-            fleet.hang_up(victim).unwrap();
+            fleet.send_sighup(victim).unwrap();
             tokio::time::sleep(pause).await;
         }
     }
--- a/crates/fleet/tests/suite/support/bundles.rs
+++ b/crates/fleet/tests/suite/support/bundles.rs
@@ -1,19 +1,19 @@
 //! Submits bundles as operators do.
 
 use hooklug_bundle::Bundle;
-use hooklug_fleet::{Fleet, ProcessName, Submitted, Verdict};
+use hooklug_fleet::{Fleet, ProcessName, SubmitOutcome, Submitted};
 
 use super::{PATIENCE, name};
 
 /// Submits a bundle and retries until the outcome is known.
-pub async fn submit(fleet: &Fleet, at: ProcessName, bundle: &Bundle) -> Verdict {
+pub async fn submit(fleet: &Fleet, at: ProcessName, bundle: &Bundle) -> SubmitOutcome {
     fleet.submit_until_decided(at, bundle, PATIENCE).await.unwrap()
 }
 
 /// Submits a bundle and asserts that it is accepted.
 pub async fn accepted(fleet: &Fleet, at: ProcessName, bundle: &Bundle) -> Submitted {
     match submit(fleet, at, bundle).await {
-        Verdict::Accepted(submitted) => submitted,
+        SubmitOutcome::Accepted(submitted) => submitted,
         refused => panic!("{at} refused version {}: {refused:?}", bundle.version),
     }
 }
@@ -25,8 +25,8 @@
     bundle
 }
 
-pub fn refused_as_taken(verdict: &Verdict) -> bool {
-    matches!(verdict, Verdict::Refused { status: 409, body } if body.contains("version_taken"))
+pub fn refused_as_taken(verdict: &SubmitOutcome) -> bool {
+    matches!(verdict, SubmitOutcome::Refused { status: 409, body } if body.contains("version_taken"))
 }
 
 /// Result of submitting two different bundles of the same version concurrently.
@@ -46,10 +46,10 @@
         let (first, second) =
             tokio::join!(submit(fleet, left, &ours), submit(fleet, right, &theirs));
         match (first, second) {
-            (Verdict::Accepted(answer), lost) if refused_as_taken(&lost) => {
+            (SubmitOutcome::Accepted(answer), lost) if refused_as_taken(&lost) => {
                 Self { winner: ours, answer, loser: theirs }
             }
-            (lost, Verdict::Accepted(answer)) if refused_as_taken(&lost) => {
+            (lost, SubmitOutcome::Accepted(answer)) if refused_as_taken(&lost) => {
                 Self { winner: theirs, answer, loser: ours }
             }
             both => panic!("version {version}: {both:?}"),
--- a/crates/fleet/tests/suite/support/state.rs
+++ b/crates/fleet/tests/suite/support/state.rs
@@ -24,7 +24,7 @@
 }
 
 /// Reads the newest bundle, waiting until a quorum is reachable.
-pub async fn read_current(fleet: &Fleet, at: ProcessName) -> hooklug_fleet::ReadBundle {
+pub async fn read_current(fleet: &Fleet, at: ProcessName) -> hooklug_fleet::BundleWithRecord {
     let look =
         || async move { fleet.current_bundle(at).await.map(drop).map_err(|e| e.to_string()) };
     fleet.wait_until("the newest bundle is read", PATIENCE, look).await.unwrap();
--- a/crates/fleet/tests/suite/version_harm.rs
+++ b/crates/fleet/tests/suite/version_harm.rs
@@ -116,7 +116,7 @@
     };
     let engine = fleet.add_engine(&group).await.unwrap();
     // The engine drains and exits by itself after the rollback.
-    fleet.allow_end(engine).unwrap();
+    fleet.expect_exit(engine).unwrap();
     let model = *fleet.names(ProcessKind::Model).last().unwrap();
     let mut released = fleet.topology().clone();
     released.models.push(group);
