--- a/crates/fleet/tests/suite/at_most_once_calls.rs
+++ b/crates/fleet/tests/suite/at_most_once_calls.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    PATIENCE, TestFleet, alarm, caller, data_topology, fault, name, put_program, runs,
+    TestFleet, WAIT_TIMEOUT, alarm, caller, data_topology, name, put_program, runs, set_fault,
     shard_leader, slow, start,
 };
 use hooklug_emulator::{FaultKind, FaultRule, Faults};
@@ -74,38 +74,38 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_runs_once_though_machines_fail_in_the_middle() {
     let (fleet, caller) = start_calls().await;
-    fault(&fleet, ProcessKind::App, Some(slow(1_500))).await;
+    set_fault(&fleet, ProcessKind::App, Some(slow(1_500))).await;
 
     // The leader of its shard is frozen while the call runs, and resumes after the call was sent
     // again.
     let leader = shard_leader(&fleet, PROGRAM).await;
-    let running = begin(&caller, "leader-frozen");
+    let background_call = send_in_background(&caller, "leader-frozen");
     wait_for_run(&fleet, "leader-frozen").await;
     fleet.freeze(leader).unwrap();
     resend(&caller, "leader-frozen").await;
     fleet.wake(leader).unwrap();
-    running.await.unwrap();
+    background_call.await.unwrap();
     resend(&caller, "leader-frozen").await;
 
     // The gateway that dispatched the call is killed, and the caller sends it to the other one.
-    let running = begin(&caller, "gateway-killed");
+    let background_call = send_in_background(&caller, "gateway-killed");
     wait_for_run(&fleet, "gateway-killed").await;
     fleet.kill(name("gateway:0")).unwrap();
     resend(&caller, "gateway-killed").await;
-    running.await.unwrap();
+    background_call.await.unwrap();
     fleet.restart(name("gateway:0")).await.unwrap();
-    fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
     resend(&caller, "gateway-killed").await;
 
     // The engine that runs the call is killed; another engine is available.
-    let running = begin(&caller, "engine-killed");
+    let background_call = send_in_background(&caller, "engine-killed");
     wait_for_run(&fleet, "engine-killed").await;
     let key = format!("{PROGRAM}/engine-killed");
     let mut apps = fleet.names(ProcessKind::App).into_iter();
     let runner = apps.find(|app| crate::support::runs_at(&fleet, *app, &key) > 0).unwrap();
     fleet.kill(runner).unwrap();
     resend(&caller, "engine-killed").await;
-    running.await.unwrap();
+    background_call.await.unwrap();
     fleet.restart(runner).await.unwrap();
     resend(&caller, "engine-killed").await;
 
@@ -115,11 +115,11 @@
 }
 
 /// Sends a call to the first gateway in the background.
-fn begin(caller: &Caller, call: &str) -> tokio::task::JoinHandle<()> {
+fn send_in_background(caller: &Caller, call: &str) -> tokio::task::JoinHandle<()> {
     let (caller, call) = (caller.clone(), call.to_owned());
     tokio::spawn(async move {
-        let told = caller.call(0, PROGRAM, &call, &alarm(3)).await;
-        println!("{call}: {told:?}");
+        let result = caller.call(0, PROGRAM, &call, &alarm(3)).await;
+        println!("{call}: {result:?}");
     })
 }
 
@@ -135,22 +135,26 @@
 
 /// Sends a call until its outcome is known and returns the result. A missed deadline counts as
 /// unknown: the claim of the killed gateway has not been given up yet.
-async fn settled(fleet: &Fleet, caller: &Caller, call: &str) -> Result<CallAnswer, CallerError> {
-    let told = Mutex::new(None);
-    let look = || async {
-        let answer = caller.call(1, PROGRAM, call, &alarm(3)).await;
+async fn wait_settled(
+    fleet: &Fleet,
+    caller: &Caller,
+    call: &str,
+) -> Result<CallAnswer, CallerError> {
+    let result = Mutex::new(None);
+    let check = || async {
+        let response = caller.call(1, PROGRAM, call, &alarm(3)).await;
         let claims_nothing =
             |e: &CallerError| e.is_passing() || e.code() == Some("deadline_exceeded");
-        match answer {
+        match response {
             Err(error) if claims_nothing(&error) => Err(error.to_string()),
             settled => {
-                *told.lock().unwrap() = Some(settled);
+                *result.lock().unwrap() = Some(settled);
                 Ok(())
             }
         }
     };
-    fleet.wait_until("a call is settled", PATIENCE, look).await.unwrap();
-    told.into_inner().unwrap().unwrap()
+    fleet.wait_until("a call is settled", WAIT_TIMEOUT, check).await.unwrap();
+    result.into_inner().unwrap().unwrap()
 }
 
 /// Times after which the gateway of a call is killed: before the claim, while the call runs (20
@@ -162,19 +166,20 @@
     let (fleet, caller) = start_calls().await;
     for millis in KILLED_AFTER_MS {
         let call = format!("killed-{millis}");
-        let ask = Ask::json(Method::PUT, format!("/v1/programs/{PROGRAM}/calls/{call}"), &alarm(3));
-        let dying = async {
+        let request =
+            Ask::json(Method::PUT, format!("/v1/programs/{PROGRAM}/calls/{call}"), &alarm(3));
+        let kill_gateway = async {
             tokio::time::sleep(Duration::from_millis(millis)).await;
             fleet.kill(name("gateway:0")).unwrap();
         };
-        let (first, ()) = tokio::join!(caller.ask_once(0, &ask), dying);
-        let again = settled(&fleet, &caller, &call).await;
+        let (first, ()) = tokio::join!(caller.ask_once(0, &request), kill_gateway);
+        let again = wait_settled(&fleet, &caller, &call).await;
         println!("{call}: first {}, then {again:?}", first.is_ok());
         match &again {
-            Ok(answer) => {
+            Ok(response) => {
                 let first: Option<Value> = first.ok().map(|first| first.json().unwrap());
                 assert!(
-                    first.is_none_or(|first| first == answer.body),
+                    first.is_none_or(|first| first == response.body),
                     "{call}: two different responses"
                 );
                 assert_ran_once(&fleet, &call);
@@ -186,7 +191,7 @@
             }
         }
         fleet.restart(name("gateway:0")).await.unwrap();
-        fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
+        fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
         resend(&caller, &call).await;
         let ran = runs(&fleet, &format!("{PROGRAM}/{call}"));
         assert!(ran <= 1, "{call} ran {ran} times");
--- a/crates/fleet/tests/suite/bundle_races.rs
+++ b/crates/fleet/tests/suite/bundle_races.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-use crate::support::bundles::{Race, accepted, refused_as_taken, submit};
-use crate::support::{PATIENCE, control_topology, name, read_current, running_nodes, start};
+use crate::support::bundles::{Race, is_version_taken, submit, submit_accepted};
+use crate::support::{WAIT_TIMEOUT, control_topology, name, read_current, running_nodes, start};
 use hooklug_fleet::Fleet;
 use hooklug_types::BundleVersion;
 
@@ -19,7 +19,7 @@
     for version in 2..=6 {
         let race = Race::run(&fleet, version).await;
         for node in running_nodes(&fleet) {
-            race.check_at(&fleet, node).await;
+            race.check_response_at(&fleet, node).await;
         }
     }
 }
@@ -27,53 +27,55 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bundle_whose_answer_was_lost_is_accepted_again_at_another_node() {
     let fleet = start(control_topology(3)).await;
-    let (left, right) = (name("gateway:0"), name("gateway:1"));
+    let (first_gateway, second_gateway) = (name("gateway:0"), name("gateway:1"));
     let mut version = 1;
     // The node is killed at different points of the commit, so the bundle may be committed or not.
     for millis in [0, 1, 2, 4, 8, 16, 32, 64] {
         version += 1;
         let bundle = fleet.marked_bundle(version, 20).unwrap();
-        let dying = async {
+        let kill_node = async {
             tokio::time::sleep(Duration::from_millis(millis)).await;
-            fleet.kill(left).unwrap();
+            fleet.kill(first_gateway).unwrap();
         };
-        let (answer, ()) = tokio::join!(fleet.submit_bundle_at(left, &bundle), dying);
-        let again = accepted(&fleet, right, &bundle).await;
-        if let Ok(first) = answer {
+        let (response, ()) =
+            tokio::join!(fleet.submit_bundle_at(first_gateway, &bundle), kill_node);
+        let again = submit_accepted(&fleet, second_gateway, &bundle).await;
+        if let Ok(first) = response {
             assert_eq!(first.bundle, again.bundle);
         }
-        fleet.restart(left).await.unwrap();
-        assert_eq!(accepted(&fleet, left, &bundle).await.bundle, again.bundle);
+        fleet.restart(first_gateway).await.unwrap();
+        assert_eq!(submit_accepted(&fleet, first_gateway, &bundle).await.bundle, again.bundle);
     }
-    a_committed_one_stays_even_after_newer_ones(&fleet, version + 1).await;
+    check_committed_bundle_survives_newer_ones(&fleet, version + 1).await;
 }
 
 /// Loses the response of a bundle that is certainly committed: the response waits for a frozen
 /// node, and then the responding node is killed.
-async fn a_committed_one_stays_even_after_newer_ones(fleet: &Fleet, version: u64) {
-    let (left, right) = (name("gateway:0"), name("gateway:1"));
-    fleet.wait_all_ready(PATIENCE).await.unwrap();
+async fn check_committed_bundle_survives_newer_ones(fleet: &Fleet, version: u64) {
+    let (first_gateway, second_gateway) = (name("gateway:0"), name("gateway:1"));
+    fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
     fleet.freeze(name("engine:1")).unwrap();
     let bundle = fleet.marked_bundle(version, 20).unwrap();
-    let committed = async {
-        let look = || async {
-            let current = fleet.current_bundle(right).await.map_err(|e| e.to_string())?;
+    let kill_after_commit = async {
+        let check = || async {
+            let current = fleet.current_bundle(second_gateway).await.map_err(|e| e.to_string())?;
             let seen = current.record.version;
             if seen == BundleVersion(version) { Ok(()) } else { Err(seen.to_string()) }
         };
-        fleet.wait_until("the bundle is committed", PATIENCE, look).await.unwrap();
-        fleet.kill(left).unwrap();
+        fleet.wait_until("the bundle is committed", WAIT_TIMEOUT, check).await.unwrap();
+        fleet.kill(first_gateway).unwrap();
     };
-    let (answer, ()) = tokio::join!(fleet.submit_bundle_at(left, &bundle), committed);
-    println!("first response: {answer:?}");
+    let (response, ()) =
+        tokio::join!(fleet.submit_bundle_at(first_gateway, &bundle), kill_after_commit);
+    println!("first response: {response:?}");
     fleet.wake(name("engine:1")).unwrap();
     let other = fleet.marked_bundle(version, 30).unwrap();
-    assert!(refused_as_taken(&submit(fleet, right, &other).await));
+    assert!(is_version_taken(&submit(fleet, second_gateway, &other).await));
     let newer = fleet.marked_bundle(version + 1, 20).unwrap();
-    accepted(fleet, right, &newer).await;
-    let again = accepted(fleet, right, &bundle).await;
+    submit_accepted(fleet, second_gateway, &newer).await;
+    let again = submit_accepted(fleet, second_gateway, &bundle).await;
     assert_eq!(again.bundle.version, BundleVersion(version));
-    let current = read_current(fleet, right).await;
+    let current = read_current(fleet, second_gateway).await;
     assert_eq!(
         current.record.version,
         BundleVersion(version + 1),
--- a/crates/fleet/tests/suite/bundle_spread.rs
+++ b/crates/fleet/tests/suite/bundle_spread.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::support::bundles::accepted;
+use crate::support::bundles::submit_accepted;
 use crate::support::{
-    IN_FORCE_BOUND, PATIENCE, VersionWatch, control_topology, name, running_nodes, start,
+    INSTALL_BOUND, VersionWatch, WAIT_TIMEOUT, control_topology, name, running_nodes, start,
     wait_installed,
 };
 use futures::future::join_all;
@@ -20,11 +20,11 @@
 /// Submits a version and returns the time between its installation at the first and at the last of
 /// the nodes. The response may arrive later, because it waits for nodes that are believed to be
 /// alive.
-async fn spread(fleet: &Fleet, version: u64, nodes: &[ProcessName]) -> Duration {
+async fn measure_spread(fleet: &Fleet, version: u64, nodes: &[ProcessName]) -> Duration {
     let bundle = fleet.marked_bundle(version, 100).unwrap();
     let at = fleet.names(ProcessKind::Gateway)[0];
     let submitting = async {
-        accepted(fleet, at, &bundle).await;
+        submit_accepted(fleet, at, &bundle).await;
         Instant::now()
     };
     let installing = join_all(nodes.iter().map(|node| async {
@@ -41,8 +41,8 @@
     spread
 }
 
-fn others(fleet: &Fleet, without: &[ProcessName]) -> Vec<ProcessName> {
-    running_nodes(fleet).into_iter().filter(|node| !without.contains(node)).collect()
+fn running_nodes_except(fleet: &Fleet, excluded: &[ProcessName]) -> Vec<ProcessName> {
+    running_nodes(fleet).into_iter().filter(|node| !excluded.contains(node)).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -55,38 +55,41 @@
         let (leader, restarted) = (fleet.core_leader().await.unwrap(), name(restarted));
         fleet.kill(leader).unwrap();
         fleet.kill(restarted).unwrap();
-        let rest = others(&fleet, &[leader, restarted]);
+        let rest = running_nodes_except(&fleet, &[leader, restarted]);
         let (took, started) =
-            tokio::join!(spread(&fleet, version, &rest), fleet.restart(restarted));
+            tokio::join!(measure_spread(&fleet, version, &rest), fleet.restart(restarted));
         started.unwrap();
-        assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?}");
+        assert!(took <= INSTALL_BOUND, "version {version} took {took:?}");
         fleet.restart(leader).await.unwrap();
         // A restarted node that is ready must have at least the version that was acknowledged
         // meanwhile.
         for back in [restarted, leader] {
-            fleet.wait_ready(back, PATIENCE).await.unwrap();
+            fleet.wait_ready(back, WAIT_TIMEOUT).await.unwrap();
             let installed = fleet.installed_bundle(back).await.unwrap();
             assert!(installed >= BundleVersion(version), "{back} is ready with {installed}");
         }
     }
-    a_node_cut_off_is_caught_up(&fleet, version).await;
-    watch.end().await;
+    check_isolated_node_catches_up(&fleet, version).await;
+    watch.stop().await;
 }
 
-async fn a_node_cut_off_is_caught_up(fleet: &Fleet, mut version: u64) {
-    for cut in ["gateway:1", "core:0"] {
-        let cut = name(cut);
-        fleet.cut_off(cut).await.unwrap();
+async fn check_isolated_node_catches_up(fleet: &Fleet, mut version: u64) {
+    for isolated in ["gateway:1", "core:0"] {
+        let isolated = name(isolated);
+        fleet.cut_off(isolated).await.unwrap();
         version += 1;
-        let rest = others(fleet, &[cut]);
-        let took = spread(fleet, version, &rest).await;
-        assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?} while {cut} was isolated");
-        let installed = fleet.installed_bundle(cut).await.unwrap();
-        assert!(installed < BundleVersion(version), "{cut} is not isolated");
+        let rest = running_nodes_except(fleet, &[isolated]);
+        let took = measure_spread(fleet, version, &rest).await;
+        assert!(
+            took <= INSTALL_BOUND,
+            "version {version} took {took:?} while {isolated} was isolated"
+        );
+        let installed = fleet.installed_bundle(isolated).await.unwrap();
+        assert!(installed < BundleVersion(version), "{isolated} is not isolated");
         let healed = Instant::now();
         fleet.heal().await.unwrap();
-        wait_installed(fleet, cut, version).await;
-        println!("{cut}: caught up {:?} after its links were unblocked", healed.elapsed());
-        fleet.wait_ready(cut, PATIENCE).await.unwrap();
+        wait_installed(fleet, isolated, version).await;
+        println!("{isolated}: caught up {:?} after its links were unblocked", healed.elapsed());
+        fleet.wait_ready(isolated, WAIT_TIMEOUT).await.unwrap();
     }
 }
--- a/crates/fleet/tests/suite/combined_failures.rs
+++ b/crates/fleet/tests/suite/combined_failures.rs
@@ -11,20 +11,20 @@
 use hooklug_fleet::{Caller, Fleet, ProcessName};
 use hooklug_types::BundleVersion;
 
-use crate::support::bundles::{Race, accept_version};
+use crate::support::bundles::{Race, submit_version};
 use crate::support::load::Load;
 use crate::support::{
-    PATIENCE, RETURN_BOUND, caller, check_text, control_topology, data_topology, finish,
+    RECOVERY_BOUND, WAIT_TIMEOUT, caller, check_text, control_topology, data_topology, finish,
     generations, name, open, owner, put_program, read_current, restart_all, running_nodes, start,
 };
 
 /// Asserts that all sessions make progress within the bound after machines returned.
-async fn assert_back(fleet: &Fleet, load: &Load, what: &str) {
+async fn assert_recovered(fleet: &Fleet, load: &Load, what: &str) {
     let returned = Instant::now();
     load.wait_rounds(fleet, 1).await;
     let took = returned.elapsed();
     println!("{what}: all sessions made progress {took:?} after the machine returned");
-    assert!(took <= RETURN_BOUND, "{what}: service was back only after {took:?}");
+    assert!(took <= RECOVERY_BOUND, "{what}: service was back only after {took:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -36,31 +36,31 @@
     fleet.kill(second).unwrap();
     // One store of three is not a quorum, so nothing may be acknowledged.
     let alone = fleet.marked_bundle(2, 10).unwrap();
-    let answer = fleet.submit_bundle_at(name("gateway:0"), &alone).await;
-    assert!(answer.is_err(), "acknowledged by one store of three: {answer:?}");
+    let response = fleet.submit_bundle_at(name("gateway:0"), &alone).await;
+    assert!(response.is_err(), "acknowledged by one store of three: {response:?}");
     fleet.wake(first).unwrap();
-    assert_back(&fleet, &load, "resumed").await;
-    accept_version(&fleet, name("gateway:0"), 2).await;
+    assert_recovered(&fleet, &load, "resumed").await;
+    submit_version(&fleet, name("gateway:0"), 2).await;
     // Again with other stores: the one that was down must form a quorum with the one that was
     // frozen.
     fleet.freeze(third).unwrap();
     fleet.restart(second).await.unwrap();
-    assert_back(&fleet, &load, "restarted").await;
-    accept_version(&fleet, name("gateway:1"), 3).await;
+    assert_recovered(&fleet, &load, "restarted").await;
+    submit_version(&fleet, name("gateway:1"), 3).await;
     fleet.kill(first).unwrap();
     fleet.wake(third).unwrap();
-    assert_back(&fleet, &load, "resumed while another store is down").await;
-    accept_version(&fleet, name("gateway:1"), 4).await;
+    assert_recovered(&fleet, &load, "resumed while another store is down").await;
+    submit_version(&fleet, name("gateway:1"), 4).await;
     fleet.restart(first).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
     let current = read_current(&fleet, name("gateway:0")).await.record.version;
     assert_eq!(current, BundleVersion(4));
-    println!("turns ended {:?}", load.ends());
+    println!("turns ended {:?}", load.turn_ends());
     load.stop_and_read_back(&fleet).await;
 }
 
 /// Starts a long turn and returns it with the events that its client has received.
-async fn long_turn(caller: &Caller, session: &SessionRef) -> (TurnRequest, Transcript) {
+async fn start_long_turn(caller: &Caller, session: &SessionRef) -> (TurnRequest, Transcript) {
     let turn = TurnRequest::new("t2", Some("t1"), "[tokens 800]", 800);
     let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
     let mut seen = Transcript::default();
@@ -71,14 +71,18 @@
 }
 
 /// Waits until another engine owns a session and returns it.
-async fn next_owner(fleet: &Fleet, session: &SessionRef, before: ProcessName) -> ProcessName {
+async fn wait_for_next_owner(
+    fleet: &Fleet,
+    session: &SessionRef,
+    before: ProcessName,
+) -> ProcessName {
     let caller = caller(fleet);
-    let look = || async {
+    let check = || async {
         let view = caller.session(1, session).await.map_err(|e| e.to_string())?;
-        let other = view.owner.as_ref().is_some_and(|owner| *owner != before.word());
-        if other { Ok(()) } else { Err(format!("{view:?}")) }
+        let moved = view.owner.as_ref().is_some_and(|owner| *owner != before.word());
+        if moved { Ok(()) } else { Err(format!("{view:?}")) }
     };
-    fleet.wait_until("another engine owns the session", PATIENCE, look).await.unwrap();
+    fleet.wait_until("another engine owns the session", WAIT_TIMEOUT, check).await.unwrap();
     owner(fleet, &caller, session).await
 }
 
@@ -87,21 +91,21 @@
     let fleet = start(data_topology(3, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, "frost", 100_000).await;
-    for together in [false, true] {
-        let session = open(&caller, "frost", &format!("s-{together}")).await;
+    for at_once in [false, true] {
+        let session = open(&caller, "frost", &format!("s-{at_once}")).await;
         finish(&caller, &session, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
-        let (turn, seen) = long_turn(&caller, &session).await;
+        let (turn, seen) = start_long_turn(&caller, &session).await;
         let first = owner(&fleet, &caller, &session).await;
         fleet.kill(first).unwrap();
         let following = {
             let (caller, session, turn) = (caller.clone(), session.clone(), turn.clone());
             tokio::spawn(async move { caller.follow_turn(1, &session, &turn, seen).await })
         };
-        let second = if together {
+        let second = if at_once {
             let mut others = fleet.names(first.kind).into_iter();
             others.find(|engine| *engine != first).unwrap()
         } else {
-            next_owner(&fleet, &session, first).await
+            wait_for_next_owner(&fleet, &session, first).await
         };
         fleet.kill(second).unwrap();
         let seen = following.await.unwrap().unwrap();
@@ -118,7 +122,7 @@
             "the session is owned by {third}, which was killed"
         );
         restart_all(&fleet, &[first, second]).await.unwrap();
-        fleet.wait_all_ready(PATIENCE).await.unwrap();
+        fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
         let again = caller.follow_turn(0, &session, &turn, Transcript::default()).await.unwrap();
         assert_eq!(again.events, seen.events, "the turn differs when it is read again");
         println!(
@@ -138,17 +142,17 @@
         // The gateway that responded is killed, and another core leads when the bundles are
         // submitted again.
         fleet.kill(name("gateway:0")).unwrap();
-        let look = || async {
+        let check = || async {
             let now = fleet.core_leader().await.map_err(|e| e.to_string())?;
             if now == leader { Err(format!("{now} still leads")) } else { Ok(()) }
         };
-        fleet.wait_until("another core leads", PATIENCE, look).await.unwrap();
-        race.check_at(&fleet, name("gateway:1")).await;
+        fleet.wait_until("another core leads", WAIT_TIMEOUT, check).await.unwrap();
+        race.check_response_at(&fleet, name("gateway:1")).await;
         fleet.heal().await.unwrap();
         fleet.restart(name("gateway:0")).await.unwrap();
-        fleet.wait_all_ready(PATIENCE).await.unwrap();
+        fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
         for node in running_nodes(&fleet) {
-            race.check_at(&fleet, node).await;
+            race.check_response_at(&fleet, node).await;
         }
         let current = read_current(&fleet, name("gateway:0")).await.record;
         assert_eq!((current.version, current.rollback), (BundleVersion(version), None));
--- a/crates/fleet/tests/suite/demo.rs
+++ b/crates/fleet/tests/suite/demo.rs
@@ -1,14 +1,14 @@
 //! Runs the demo with real processes, without a fault and with one process killed in the middle.
 
-use crate::support::share_of_the_machine;
+use crate::support::acquire_fleet_permit;
 use hooklug_fleet::demo::run;
 use hooklug_fleet::{FleetError, Topology};
 
 async fn demo(kill: Option<&str>) {
-    let _share = share_of_the_machine().await;
+    let _permit = acquire_fleet_permit().await;
     let kill = kill.map(|target| target.parse().unwrap());
-    let ended = run(Topology::small(), kill, &|line| println!("{line}")).await;
-    if let Err(error) = ended {
+    let result = run(Topology::small(), kill, &|line| println!("{line}")).await;
+    if let Err(error) = result {
         panic!("{error}");
     }
 }
@@ -40,11 +40,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_that_is_not_there_fails_the_demo() {
-    let _share = share_of_the_machine().await;
+    let _permit = acquire_fleet_permit().await;
     let kill = Some("store:99".parse().unwrap());
-    let ended = run(Topology::small(), kill, &|_| {}).await;
+    let result = run(Topology::small(), kill, &|_| {}).await;
     let missing = "store:99".parse().unwrap();
     assert!(
-        matches!(ended, Err(hooklug_fleet::demo::DemoError::Fleet(FleetError::UnknownProcess(name))) if name == missing)
+        matches!(result, Err(hooklug_fleet::demo::DemoError::Fleet(FleetError::UnknownProcess(name))) if name == missing)
     );
 }
--- a/crates/fleet/tests/suite/disk_soak.rs
+++ b/crates/fleet/tests/suite/disk_soak.rs
@@ -21,7 +21,7 @@
 use crate::support::{control_topology, name, restart_all, running_nodes, start_alone};
 
 /// Number of disks that are lost in a run.
-const LOSSES: usize = 6;
+const DISK_LOSSES: usize = 6;
 
 /// Number of sessions of the load.
 const SESSIONS: usize = 4;
@@ -37,7 +37,7 @@
 
 /// Fault of another process at the same time; none of them loses a disk.
 #[derive(Debug, Clone, Copy)]
-enum Beside {
+enum ConcurrentFault {
     Nothing,
     KillCore,
     FreezeCore,
@@ -46,37 +46,38 @@
 }
 
 const LOSS_KINDS: [Loss; 2] = [Loss::Disk, Loss::Machine];
-const BESIDE_KINDS: [Beside; 5] = [
-    Beside::Nothing,
-    Beside::KillCore,
-    Beside::FreezeCore,
-    Beside::FreezeGateway,
-    Beside::RestartAllCores,
+const CONCURRENT_FAULTS: [ConcurrentFault; 5] = [
+    ConcurrentFault::Nothing,
+    ConcurrentFault::KillCore,
+    ConcurrentFault::FreezeCore,
+    ConcurrentFault::FreezeGateway,
+    ConcurrentFault::RestartAllCores,
 ];
 
-async fn lose(fleet: &Fleet, store: ProcessName, loss: Loss) {
+async fn lose_disk(fleet: &Fleet, store: ProcessName, loss: Loss) {
     match loss {
         Loss::Disk => fleet.lose_disk(store).await.unwrap(),
         Loss::Machine => fleet.replace(store).await.unwrap(),
     }
 }
 
-async fn disturb(fleet: &Fleet, beside: Beside, pause: Duration) {
+async fn apply_concurrent_fault(fleet: &Fleet, concurrent: ConcurrentFault, pause: Duration) {
     let (core, gateway) = (name("core:1"), name("gateway:1"));
-    match beside {
-        Beside::Nothing => {}
-        Beside::KillCore => {
+    match concurrent {
+        ConcurrentFault::Nothing => {}
+        ConcurrentFault::KillCore => {
             fleet.kill(core).unwrap();
             tokio::time::sleep(pause).await;
             fleet.restart(core).await.unwrap();
         }
-        Beside::FreezeCore | Beside::FreezeGateway => {
-            let frozen = if matches!(beside, Beside::FreezeCore) { core } else { gateway };
+        ConcurrentFault::FreezeCore | ConcurrentFault::FreezeGateway => {
+            let frozen =
+                if matches!(concurrent, ConcurrentFault::FreezeCore) { core } else { gateway };
             fleet.freeze(frozen).unwrap();
             tokio::time::sleep(pause).await;
             fleet.wake(frozen).unwrap();
         }
-        Beside::RestartAllCores => {
+        ConcurrentFault::RestartAllCores => {
             let cores = fleet.names(ProcessKind::Core);
             cores.iter().for_each(|core| fleet.kill(*core).unwrap());
             restart_all(fleet, &cores).await.unwrap();
@@ -84,7 +85,7 @@
     }
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     println!("disk soak, seed {seed}");
     let mut rng = StdRng::seed_from_u64(seed);
     let mut topology = control_topology(5);
@@ -94,17 +95,20 @@
     let retired = node_id(&fleet, name("store:4")).await.expect("the store is in the view");
     let stores = ["store:0", "store:1", "store:2", "store:3"].map(name);
     let mut lost = Vec::new();
-    for round in 0..LOSSES {
+    for round in 0..DISK_LOSSES {
         if round == 1 {
             retire(&fleet, retired).await;
         }
         let store = *stores.choose(&mut rng).unwrap();
-        let (loss, beside) = (LOSS_KINDS.choose(&mut rng), BESIDE_KINDS.choose(&mut rng));
-        let (loss, beside) = (*loss.unwrap(), *beside.unwrap());
+        let (loss, concurrent) = (LOSS_KINDS.choose(&mut rng), CONCURRENT_FAULTS.choose(&mut rng));
+        let (loss, concurrent) = (*loss.unwrap(), *concurrent.unwrap());
         let pause = Duration::from_millis(rng.random_range(100..1_500));
-        println!("{loss:?} of {store}, concurrent fault {beside:?} for {pause:?}");
+        println!("{loss:?} of {store}, concurrent fault {concurrent:?} for {pause:?}");
         lost.push(node_id(&fleet, store).await.expect("the store is in the view"));
-        tokio::join!(lose(&fleet, store, loss), disturb(&fleet, beside, pause));
+        tokio::join!(
+            lose_disk(&fleet, store, loss),
+            apply_concurrent_fault(&fleet, concurrent, pause)
+        );
         let returned = Instant::now();
         wait_repaired(&fleet, lost[round]).await;
         println!("all groups fully replicated {:?} after the return", returned.elapsed());
@@ -127,6 +131,6 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn disks_lost_in_series_lose_nothing() {
     for seed in seeds() {
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
--- a/crates/fleet/tests/suite/durable_bundles.rs
+++ b/crates/fleet/tests/suite/durable_bundles.rs
@@ -4,19 +4,19 @@
 //! in part, a repair that counts a replica as voter before it has caught up, and a store with an
 //! emptied disk that votes as before.
 
-use crate::support::bundles::accepted;
+use crate::support::bundles::submit_accepted;
 use crate::support::repair::{node_id, wait_repaired};
 use crate::support::{
-    PATIENCE, control_topology, name, read_current, restart_all, running_nodes, start,
+    WAIT_TIMEOUT, control_topology, name, read_current, restart_all, running_nodes, start,
     wait_installed,
 };
 use hooklug_bundle::Bundle;
 use hooklug_fleet::{Fleet, ProcessKind, ProcessName};
 use hooklug_types::BundleVersion;
 
-async fn accept(fleet: &Fleet, at: ProcessName, version: u64, marker: u32) -> Bundle {
+async fn submit_variant(fleet: &Fleet, at: ProcessName, version: u64, marker: u32) -> Bundle {
     let bundle = fleet.marked_bundle(version, marker).unwrap();
-    accepted(fleet, at, &bundle).await;
+    submit_accepted(fleet, at, &bundle).await;
     bundle
 }
 
@@ -32,16 +32,16 @@
     (small.cores, small.gateways, small.models[0].engines) = (1, 1, 1);
     let fleet = start(small).await;
     let at = name("gateway:0");
-    let mut newest = accept(&fleet, at, 2, 10).await;
+    let mut newest = submit_variant(&fleet, at, 2, 10).await;
     for version in 3..=CHANGES {
-        newest = accept(&fleet, at, version, 10 + u32::try_from(version).unwrap()).await;
+        newest = submit_variant(&fleet, at, version, 10 + u32::try_from(version).unwrap()).await;
     }
     let stores = fleet.names(ProcessKind::Store);
     stores.iter().for_each(|store| fleet.kill(*store).unwrap());
     restart_all(&fleet, &stores).await.unwrap();
     assert_newest(&fleet, &newest).await;
 
-    newest = accept(&fleet, at, CHANGES + 1, 10).await;
+    newest = submit_variant(&fleet, at, CHANGES + 1, 10).await;
     let nodes = running_nodes(&fleet);
     nodes.iter().for_each(|node| fleet.kill(*node).unwrap());
     restart_all(&fleet, &nodes).await.unwrap();
@@ -49,7 +49,7 @@
     for node in nodes {
         wait_installed(&fleet, node, CHANGES + 1).await;
     }
-    accept(&fleet, at, CHANGES + 2, 10).await;
+    submit_variant(&fleet, at, CHANGES + 2, 10).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -57,27 +57,27 @@
     let fleet = start(control_topology(4)).await;
     let at = name("gateway:0");
     for version in 2..=20 {
-        accept(&fleet, at, version, 10).await;
+        submit_variant(&fleet, at, version, 10).await;
     }
     // A store is lost for good, and the fourth one replaces it; the next store is killed right
     // afterwards.
     let lost = node_id(&fleet, name("store:0")).await.expect("the store is in the view");
     fleet.kill(name("store:0")).unwrap();
     wait_repaired(&fleet, lost).await;
-    let newest = accept(&fleet, at, 21, 11).await;
+    let newest = submit_variant(&fleet, at, 21, 11).await;
     fleet.kill(name("store:1")).unwrap();
     assert_newest(&fleet, &newest).await;
-    accept(&fleet, at, 22, 12).await;
+    submit_variant(&fleet, at, 22, 12).await;
     fleet.restart(name("store:1")).await.unwrap();
 
     // The lost machine is replaced by an empty one at a new address; another one is killed right
     // after the replacement has caught up.
     let lost = node_id(&fleet, name("store:2")).await.expect("the store is in the view");
     fleet.replace(name("store:0")).await.unwrap();
-    fleet.wait_ready(name("store:0"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("store:0"), WAIT_TIMEOUT).await.unwrap();
     fleet.kill(name("store:2")).unwrap();
     wait_repaired(&fleet, lost).await;
-    let newest = accept(&fleet, at, 23, 13).await;
+    let newest = submit_variant(&fleet, at, 23, 13).await;
     fleet.kill(name("store:3")).unwrap();
     assert_newest(&fleet, &newest).await;
 }
@@ -90,7 +90,8 @@
     for store in fleet.names(ProcessKind::Store) {
         version += 1;
         let lost = node_id(&fleet, store).await.expect("the store is in the view");
-        let newest = accept(&fleet, at, version, 10 + u32::try_from(version).unwrap()).await;
+        let newest =
+            submit_variant(&fleet, at, version, 10 + u32::try_from(version).unwrap()).await;
         fleet.lose_disk(store).await.unwrap();
         assert_newest(&fleet, &newest).await;
         // The store must be fully repaired before the next loss: two lost disks at once are too
@@ -98,7 +99,7 @@
         wait_repaired(&fleet, lost).await;
     }
     assert_eq!(read_current(&fleet, at).await.record.version, BundleVersion(version));
-    let newest = accept(&fleet, at, version + 1, 10).await;
+    let newest = submit_variant(&fleet, at, version + 1, 10).await;
     let stores = fleet.names(ProcessKind::Store);
     stores.iter().for_each(|store| fleet.kill(*store).unwrap());
     restart_all(&fleet, &stores).await.unwrap();
--- a/crates/fleet/tests/suite/engine_drain.rs
+++ b/crates/fleet/tests/suite/engine_drain.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    PATIENCE, alarm, caller, data_topology, finish, name, open, owner, put_program, start,
+    WAIT_TIMEOUT, alarm, caller, data_topology, finish, name, open, owner, put_program, start,
 };
 use hooklug_emulator::LedgerEntry;
 use hooklug_fleet::caller::{SessionRef, TurnRequest};
@@ -19,14 +19,14 @@
 
 const PROGRAM: &str = "frost";
 /// Time after which a draining engine may get no new work (requirement: 3 s).
-const BOUND: Duration = Duration::from_secs(3);
+const DRAIN_BOUND: Duration = Duration::from_secs(3);
 /// Time for which new work is offered after the start of a drain; longer than the bound, so that
 /// late work is detected.
-const OFFERED: Duration = Duration::from_secs(6);
+const OFFER_TIME: Duration = Duration::from_secs(6);
 
 /// Time of the last request that reached an engine, including refused ones.
-fn last_work(fleet: &Fleet, stand_in: ProcessName) -> Option<UnixMillis> {
-    let lines = fleet.ledger(stand_in).unwrap().into_iter();
+fn last_work(fleet: &Fleet, backend: ProcessName) -> Option<UnixMillis> {
+    let lines = fleet.ledger(backend).unwrap().into_iter();
     let work = lines.filter(|line| {
         use LedgerEntry::{CallRan, GenerationBegan, Refused};
         matches!(line.entry, CallRan { .. } | GenerationBegan { .. } | Refused { .. })
@@ -34,17 +34,20 @@
     work.map(|line| line.at).max()
 }
 
-fn assert_within_bound(fleet: &Fleet, stand_in: ProcessName, known: UnixMillis) {
-    let last = last_work(fleet, stand_in).expect("the engine had work before its drain");
-    let millis = last.0.saturating_sub(known.0);
-    println!("{stand_in}: last new work {millis} ms after its drain was known");
-    assert!(last <= known.plus(BOUND), "{stand_in} got work {millis} ms after its drain was known");
+fn assert_within_bound(fleet: &Fleet, backend: ProcessName, drain_started: UnixMillis) {
+    let last = last_work(fleet, backend).expect("the engine had work before its drain");
+    let millis = last.0.saturating_sub(drain_started.0);
+    println!("{backend}: last new work {millis} ms after its drain was known");
+    assert!(
+        last <= drain_started.plus(DRAIN_BOUND),
+        "{backend} got work {millis} ms after its drain was known"
+    );
 }
 
 /// Opens sessions and runs a turn in each, alternating between the gateways, until `ended` is set.
-async fn new_sessions(caller: Caller, ended: Arc<AtomicBool>) -> Vec<SessionRef> {
+async fn open_sessions(caller: Caller, stopped: Arc<AtomicBool>) -> Vec<SessionRef> {
     let mut opened = Vec::new();
-    while !ended.load(Ordering::SeqCst) {
+    while !stopped.load(Ordering::SeqCst) {
         let session = open(&caller, PROGRAM, &format!("new-{}", opened.len())).await;
         let turn = TurnRequest::new("t1", None, "[tokens 2]", 4);
         caller.run_turn(opened.len(), &session, &turn).await.unwrap().check("t1").unwrap();
@@ -67,14 +70,14 @@
     let mut stream = caller.begin_turn(0, &session, &long).await.unwrap();
     let mut seen = hooklug_fleet::caller::Transcript::default();
     seen.events.extend(stream.next().await.unwrap());
-    let ended = Arc::new(AtomicBool::new(false));
-    let opening = tokio::spawn(new_sessions(caller.clone(), ended.clone()));
-    let known = UnixMillis::now();
+    let stopped = Arc::new(AtomicBool::new(false));
+    let opening = tokio::spawn(open_sessions(caller.clone(), stopped.clone()));
+    let drain_started = UnixMillis::now();
     let stop = async {
-        let begun = tokio::time::Instant::now();
+        let began = tokio::time::Instant::now();
         let clean = fleet.stop(leaving).await.unwrap();
-        tokio::time::sleep_until(begun + OFFERED).await;
-        ended.store(true, Ordering::SeqCst);
+        tokio::time::sleep_until(began + OFFER_TIME).await;
+        stopped.store(true, Ordering::SeqCst);
         clean
     };
     let follow = async {
@@ -93,7 +96,7 @@
     let opened = opening.await.unwrap();
     println!("{} sessions opened meanwhile", opened.len());
     assert!(!opened.is_empty());
-    assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, leaving.index), known);
+    assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, leaving.index), drain_started);
     finish(&caller, &session, &TurnRequest::new("t3", Some("t2"), "[tokens 5]", 8)).await;
     assert_ne!(owner(&fleet, &caller, &session).await, leaving);
 }
@@ -117,17 +120,17 @@
         (service.steps, service.step_seconds) = (vec![100], 1);
     }
     fleet.submit_bundle(&bundle).await.unwrap();
-    let known = UnixMillis::now();
+    let drain_started = UnixMillis::now();
     // An engine becomes ready once a bundle lists its version.
-    fleet.wait_ready(new, PATIENCE).await.unwrap();
-    let ended = Arc::new(AtomicBool::new(false));
-    let opening = tokio::spawn(new_sessions(caller.clone(), ended.clone()));
-    tokio::time::sleep(OFFERED).await;
-    ended.store(true, Ordering::SeqCst);
+    fleet.wait_ready(new, WAIT_TIMEOUT).await.unwrap();
+    let stopped = Arc::new(AtomicBool::new(false));
+    let opening = tokio::spawn(open_sessions(caller.clone(), stopped.clone()));
+    tokio::time::sleep(OFFER_TIME).await;
+    stopped.store(true, Ordering::SeqCst);
     let opened = opening.await.unwrap();
     let last = owner(&fleet, &caller, opened.last().unwrap()).await;
     assert_eq!(last, new, "the last of {} sessions does not run the new version", opened.len());
-    assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, old.index), known);
+    assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, old.index), drain_started);
     // The old engine keeps its existing session.
     finish(&caller, &kept, &TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8)).await;
     assert_eq!(owner(&fleet, &caller, &kept).await, old);
@@ -135,9 +138,9 @@
     for session in opened.iter().chain([&kept]) {
         caller.close_session(0, session).await.unwrap();
     }
-    let begun = tokio::time::Instant::now();
+    let began = tokio::time::Instant::now();
     while fleet.is_running(old).unwrap() {
-        assert!(begun.elapsed() < PATIENCE, "{old} still runs without sessions");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "{old} still runs without sessions");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let status = fleet.status().into_iter().find(|status| status.name == old);
@@ -154,14 +157,14 @@
         caller.call(number, PROGRAM, &format!("before-{number}"), &alarm(1)).await.unwrap();
     }
     fleet.drain(leaving).await.unwrap();
-    let (known, begun) = (UnixMillis::now(), tokio::time::Instant::now());
+    let (drain_started, began) = (UnixMillis::now(), tokio::time::Instant::now());
     let mut answered = 0;
-    while begun.elapsed() < OFFERED {
+    while began.elapsed() < OFFER_TIME {
         let call = format!("call-{answered}");
         // A refused call is sent to the other engine, so callers see no failure.
         caller.call(answered, PROGRAM, &call, &alarm(2)).await.unwrap();
         answered += 1;
     }
     println!("{answered} calls answered while one of two engines drained");
-    assert_within_bound(&fleet, leaving, known);
+    assert_within_bound(&fleet, leaving, drain_started);
 }
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -7,16 +7,16 @@
 //! the wrong position.
 
 use crate::support::{
-    PATIENCE, caller, check_text, data_topology, finish, name, open, owner, put_program,
+    WAIT_TIMEOUT, caller, check_text, data_topology, finish, name, open, owner, put_program,
     shard_leader, start,
 };
 use hooklug_fleet::caller::{SessionRef, StreamEvent, Transcript, TurnRequest};
 use hooklug_fleet::{Caller, Fleet, ProcessName};
 
 /// Number of events read before the failure.
-const READ_BEFORE: usize = 6;
+const EVENTS_BEFORE_FAILURE: usize = 6;
 /// Maximum number of tokens of a turn; it takes more than a second.
-const TOKENS: u64 = 120;
+const TURN_TOKENS: u64 = 120;
 
 /// Failure of a process in the middle of a turn.
 #[derive(Debug, Clone, Copy)]
@@ -27,19 +27,19 @@
 
 /// Runs a turn with two clients while a process fails, then another turn. Returns the events of the
 /// first turn and whether it finished completely.
-async fn disturbed_turn(
+async fn run_disturbed_turn(
     fleet: &Fleet,
     session: &SessionRef,
     failure: Failure,
 ) -> (Transcript, bool) {
     let caller = caller(fleet);
     let before = finish(&caller, session, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
-    let input = format!("[tokens {TOKENS}]");
-    let turn = TurnRequest::new("t2", Some("t1"), &input, TOKENS);
+    let input = format!("[tokens {TURN_TOKENS}]");
+    let turn = TurnRequest::new("t2", Some("t1"), &input, TURN_TOKENS);
     let joined = tokio::spawn(follow_joined(caller.clone(), session.clone(), before.last_id()));
     let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
     let mut seen = Transcript::default();
-    while seen.events.len() < READ_BEFORE {
+    while seen.events.len() < EVENTS_BEFORE_FAILURE {
         seen.events.push(stream.next().await.unwrap().unwrap());
     }
     let failed = match failure {
@@ -71,19 +71,19 @@
     } else {
         fleet.restart(failed).await.unwrap();
     }
-    fleet.wait_ready(failed, PATIENCE).await.unwrap();
-    let whole = seen.end() == "finished" && seen.tokens() == TOKENS;
-    (seen, whole)
+    fleet.wait_ready(failed, WAIT_TIMEOUT).await.unwrap();
+    let complete = seen.end() == "finished" && seen.tokens() == TURN_TOKENS;
+    (seen, complete)
 }
 
 /// Joins a session, again after interruptions, until the end of a turn; returns the events after
 /// `last`.
 async fn follow_joined(caller: Caller, session: SessionRef, last: Option<u64>) -> Vec<StreamEvent> {
     let mut events: Vec<StreamEvent> = Vec::new();
-    let begun = tokio::time::Instant::now();
+    let began = tokio::time::Instant::now();
     for gateway in 1.. {
         assert!(
-            begun.elapsed() < PATIENCE,
+            began.elapsed() < WAIT_TIMEOUT,
             "the joined stream did not reach the end of the turn: {events:?}"
         );
         let after = events.last().map_or(last, |event| Some(event.id));
@@ -103,7 +103,7 @@
 }
 
 /// Opens a session in a new program, and so usually in another shard.
-async fn session(fleet: &Fleet, program: &str) -> SessionRef {
+async fn open_session(fleet: &Fleet, program: &str) -> SessionRef {
     let caller = caller(fleet);
     put_program(&caller, program, 100_000).await;
     open(&caller, program, "s").await
@@ -113,11 +113,11 @@
 async fn the_owner_fails_in_the_middle_of_a_turn() {
     let fleet = start(data_topology(3, 1)).await;
     for frozen in [false, true] {
-        let session = session(&fleet, &format!("owner-{frozen}")).await;
+        let session = open_session(&fleet, &format!("owner-{frozen}")).await;
         let owner = owner(&fleet, &caller(&fleet), &session).await;
         let failure = if frozen { Failure::Freeze(owner) } else { Failure::Kill(owner) };
-        let (seen, whole) = disturbed_turn(&fleet, &session, failure).await;
-        assert!(whole || seen.end() == "interrupted", "{}", seen.end());
+        let (seen, complete) = run_disturbed_turn(&fleet, &session, failure).await;
+        assert!(complete || seen.end() == "interrupted", "{}", seen.end());
         // The turn is sealed after its committed events and not generated again elsewhere.
         let generations = crate::support::generations(&fleet, &session, "t2");
         assert_eq!(generations, 1, "the turn was generated {generations} times");
@@ -127,14 +127,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_or_a_shards_leader_fails_in_the_middle_of_a_turn() {
     let fleet = start(data_topology(2, 1)).await;
-    let of_gateway = session(&fleet, "gateway").await;
-    let (seen, whole) = disturbed_turn(&fleet, &of_gateway, Failure::Kill(name("gateway:0"))).await;
-    assert!(whole, "the failure of a gateway interrupted the turn: {}", seen.end());
+    let session_of_gateway = open_session(&fleet, "gateway").await;
+    let (seen, complete) =
+        run_disturbed_turn(&fleet, &session_of_gateway, Failure::Kill(name("gateway:0"))).await;
+    assert!(complete, "the failure of a gateway interrupted the turn: {}", seen.end());
     for frozen in [false, true] {
-        let session = session(&fleet, &format!("store-{frozen}")).await;
+        let session = open_session(&fleet, &format!("store-{frozen}")).await;
         let leader = shard_leader(&fleet, &session.program).await;
         let failure = if frozen { Failure::Freeze(leader) } else { Failure::Kill(leader) };
-        let (seen, whole) = disturbed_turn(&fleet, &session, failure).await;
-        assert!(whole || seen.end() == "interrupted", "{}", seen.end());
+        let (seen, complete) = run_disturbed_turn(&fleet, &session, failure).await;
+        assert!(complete || seen.end() == "interrupted", "{}", seen.end());
     }
 }
--- a/crates/fleet/tests/suite/genuine_answers.rs
+++ b/crates/fleet/tests/suite/genuine_answers.rs
@@ -3,7 +3,7 @@
 //! Detects a gateway or engine that accepts a truncated response, the response to another request,
 //! one that can't be decoded, or one of another service at a reused address.
 
-use crate::support::{PATIENCE, caller, check_text, fault, open, put_program, start};
+use crate::support::{WAIT_TIMEOUT, caller, check_text, open, put_program, set_fault, start};
 use hooklug_emulator::{FaultKind, FaultRule, Faults, LedgerEntry, Restart};
 use hooklug_fleet::caller::{CallAnswer, CallRequest, CallerError, TurnRequest};
 use hooklug_fleet::{Caller, ProcessKind, Topology};
@@ -11,7 +11,7 @@
 
 const PROGRAM: &str = "frost";
 /// Service that takes over the address of a backend.
-const STRANGER: &str = "stranger";
+const OTHER_SERVICE: &str = "stranger";
 
 fn topology() -> Topology {
     let mut topology = crate::support::data_topology(2, 2);
@@ -21,11 +21,11 @@
 
 /// Asserts that a response belongs to the request: the fake engines return the request in each
 /// response.
-fn assert_genuine(answer: &CallAnswer, call: &str, house: u64) {
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(answer.body["call"], format!("{PROGRAM}/{call}"));
-    assert_eq!(answer.body["arguments"], json!({"house": house}));
-    assert!(answer.body["engine"].as_str().unwrap().starts_with("app-"), "{answer:?}");
+fn assert_genuine(response: &CallAnswer, call: &str, house: u64) {
+    assert_eq!(response.status, 200, "{response:?}");
+    assert_eq!(response.body["call"], format!("{PROGRAM}/{call}"));
+    assert_eq!(response.body["arguments"], json!({"house": house}));
+    assert!(response.body["engine"].as_str().unwrap().starts_with("app-"), "{response:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -46,31 +46,31 @@
             for tool in ["read_sensor", "send_alarm"] {
                 for _ in 0..6 {
                     house += 1;
-                    genuine += usize::from(ask(&caller, tool, house).await);
+                    genuine += usize::from(call_tool(&caller, tool, house).await);
                 }
             }
             println!("{kind:?} with share {share}: {genuine} of 12 answered");
             assert!(share < 1.0 || genuine == 0, "a damaged response was returned to the caller");
         }
-        fault(&fleet, ProcessKind::App, None).await;
+        set_fault(&fleet, ProcessKind::App, None).await;
     }
 }
 
 /// Makes a call and checks the response. Returns whether it was answered.
-async fn ask(caller: &Caller, tool: &str, house: u64) -> bool {
+async fn call_tool(caller: &Caller, tool: &str, house: u64) -> bool {
     let call = format!("{tool}-{house}");
     let mut request = CallRequest::new(tool, json!({"house": house}));
     request.deadline_ms = 1_000;
-    let ask = hooklug_fleet::http::Ask::json(
+    let http_request = hooklug_fleet::http::Ask::json(
         http::Method::PUT,
         format!("/v1/programs/{PROGRAM}/calls/{call}"),
         &request,
     );
-    match caller.ask_once(0, &ask).await {
-        Ok(answer) => {
-            let body = serde_json::from_slice(&answer.body).unwrap();
-            let answer = CallAnswer { status: answer.status.as_u16(), body };
-            assert_genuine(&answer, &call, house);
+    match caller.ask_once(0, &http_request).await {
+        Ok(response) => {
+            let body = serde_json::from_slice(&response.body).unwrap();
+            let response = CallAnswer { status: response.status.as_u16(), body };
+            assert_genuine(&response, &call, house);
             true
         }
         Err(CallerError::Problem(_)) => false,
@@ -86,23 +86,24 @@
     for house in 0..10 {
         // Opens connections to all engines before their addresses are reused.
         assert!(
-            ask(&caller, "read_sensor", house).await && ask(&caller, "send_alarm", house).await
+            call_tool(&caller, "read_sensor", house).await
+                && call_tool(&caller, "send_alarm", house).await
         );
     }
     let restart = Restart {
-        service: Some(STRANGER.parse().unwrap()),
+        service: Some(OTHER_SERVICE.parse().unwrap()),
         engine: Some("stranger-1".parse().unwrap()),
         version: None,
         down_ms: 0,
     };
     // One engine of each service and one of the two model servers are replaced.
-    for stand_in in ["app:0", "app:2", "model:0"] {
-        fleet.restart_stand_in(stand_in.parse().unwrap(), &restart).await.unwrap();
+    for backend in ["app:0", "app:2", "model:0"] {
+        fleet.restart_stand_in(backend.parse().unwrap(), &restart).await.unwrap();
     }
     let mut answered = 0;
     for house in 10..40 {
-        answered += usize::from(ask(&caller, "read_sensor", house).await);
-        answered += usize::from(ask(&caller, "send_alarm", house).await);
+        answered += usize::from(call_tool(&caller, "read_sensor", house).await);
+        answered += usize::from(call_tool(&caller, "send_alarm", house).await);
     }
     println!("{answered} of 60 calls answered by the remaining engines");
     assert!(answered > 0);
@@ -117,11 +118,12 @@
     }
     for kind in [ProcessKind::App, ProcessKind::Model] {
         for line in fleet.ledgers(kind).unwrap() {
-            let strange = line.identity.starts_with(STRANGER);
+            let is_other_service = line.identity.starts_with(OTHER_SERVICE);
             // Requests on existing connections may reach it; it must refuse requests for another
             // identity.
-            let idle = matches!(line.entry, LedgerEntry::Started | LedgerEntry::Refused { .. });
-            assert!(!strange || idle, "{line:?}");
+            let did_no_work =
+                matches!(line.entry, LedgerEntry::Started | LedgerEntry::Refused { .. });
+            assert!(!is_other_service || did_no_work, "{line:?}");
         }
     }
 }
@@ -134,20 +136,20 @@
     use FaultKind::{Cross, CutShort, Garble, LoseAnswer};
     for kind in [LoseAnswer, CutShort, Cross, Garble] {
         let session = open(&caller, PROGRAM, &format!("s-{kind:?}").to_lowercase()).await;
-        let whole = TurnRequest::new("whole", None, "[tokens 12]", 16);
-        let before = crate::support::finish(&caller, &session, &whole).await;
-        fault(&fleet, ProcessKind::Model, Some(FaultRule::always(kind))).await;
+        let complete = TurnRequest::new("whole", None, "[tokens 12]", 16);
+        let before = crate::support::finish(&caller, &session, &complete).await;
+        set_fault(&fleet, ProcessKind::Model, Some(FaultRule::always(kind))).await;
         let damaged = TurnRequest::new("damaged", Some("whole"), "[tokens 12]", 16);
-        let shown = caller.run_turn(0, &session, &damaged).await.unwrap();
-        shown.check("damaged").unwrap();
-        println!("{kind:?}: {} after {} tokens", shown.end(), shown.tokens());
-        assert!(matches!(shown.end(), "failed" | "interrupted"), "{kind:?}: {shown:?}");
-        fault(&fleet, ProcessKind::Model, None).await;
+        let transcript = caller.run_turn(0, &session, &damaged).await.unwrap();
+        transcript.check("damaged").unwrap();
+        println!("{kind:?}: {} after {} tokens", transcript.end(), transcript.tokens());
+        assert!(matches!(transcript.end(), "failed" | "interrupted"), "{kind:?}: {transcript:?}");
+        set_fault(&fleet, ProcessKind::Model, None).await;
         check_text(&fleet, &session, "whole", &before).await;
-        if shown.tokens() > 0 {
-            check_text(&fleet, &session, "damaged", &shown).await;
+        if transcript.tokens() > 0 {
+            check_text(&fleet, &session, "damaged", &transcript).await;
         }
-        fleet.wait_all_ready(PATIENCE).await.unwrap();
+        fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
         let after = TurnRequest::new("after", Some("damaged"), "[tokens 12]", 16);
         crate::support::finish(&caller, &session, &after).await;
     }
--- a/crates/fleet/tests/suite/machines.rs
+++ b/crates/fleet/tests/suite/machines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::support::{MODEL, PATIENCE, TENANT, name, start};
+use crate::support::{MODEL, TENANT, WAIT_TIMEOUT, name, start};
 use hooklug_fleet::caller::{CallerError, SessionRef, TurnRequest};
 use hooklug_fleet::{Caller, Fleet, FleetError, ProcessKind, Topology};
 use hooklug_types::UnixMillis;
@@ -51,7 +51,7 @@
         .collect()
 }
 
-fn is_gone(pid: i32) -> bool {
+fn has_exited(pid: i32) -> bool {
     kill(Pid::from_raw(pid), None) == Err(Errno::ESRCH)
 }
 
@@ -66,7 +66,7 @@
         panic!("on purpose");
     });
     assert!(panicked.await.unwrap_err().is_panic());
-    assert!(ids.into_iter().all(is_gone));
+    assert!(ids.into_iter().all(has_exited));
     assert!(!data.exists());
 }
 
@@ -78,10 +78,10 @@
     let before = fleet.http_address(name("store:1")).unwrap();
     fleet.replace(name("store:1")).await.unwrap();
     assert_ne!(before, fleet.http_address(name("store:1")).unwrap());
-    fleet.wait_ready(name("store:1"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("store:1"), WAIT_TIMEOUT).await.unwrap();
     run_turn(&caller, &session, "t2", Some("t1")).await.unwrap();
     fleet.lose_disk(name("store:1")).await.unwrap();
-    fleet.wait_ready(name("store:1"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("store:1"), WAIT_TIMEOUT).await.unwrap();
     run_turn(&caller, &session, "t3", Some("t2")).await.unwrap();
 }
 
@@ -94,7 +94,7 @@
     let others = Caller::new(vec![fleet.gateway(1)], TENANT);
     run_turn(&others, &session, "t1", None).await.unwrap();
     fleet.wake(name("gateway:0")).unwrap();
-    fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
     run_turn(&caller, &session, "t2", Some("t1")).await.unwrap();
 }
 
@@ -110,7 +110,7 @@
     }
     assert!(matches!(last, Err(FleetError::TimedOut { .. })), "{last:?}");
     fleet.heal().await.unwrap();
-    fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -129,12 +129,12 @@
     let group = fleet.topology().applications[0].clone();
     let added = fleet.add_application(&group).await.unwrap();
     assert_eq!(added, name("app:2"));
-    let shown = || async {
+    let engine_listed = || async {
         let http = hooklug_fleet::http::HttpClient::default();
-        let ask = hooklug_fleet::http::Ask::new(http::Method::GET, "/admin/v1/engines");
-        let answer = http.ask(fleet.gateway(0), &ask).await.map_err(|e| e.to_string())?;
-        let text = String::from_utf8_lossy(&answer.body).into_owned();
+        let request = hooklug_fleet::http::Ask::new(http::Method::GET, "/admin/v1/engines");
+        let response = http.ask(fleet.gateway(0), &request).await.map_err(|e| e.to_string())?;
+        let text = String::from_utf8_lossy(&response.body).into_owned();
         if text.contains("app-2") { Ok(()) } else { Err(text) }
     };
-    fleet.wait_until("a gateway sees the new engine", PATIENCE, shown).await.unwrap();
+    fleet.wait_until("a gateway sees the new engine", WAIT_TIMEOUT, engine_listed).await.unwrap();
 }
--- a/crates/fleet/tests/suite/parsing.rs
+++ b/crates/fleet/tests/suite/parsing.rs
@@ -57,15 +57,15 @@
 
 #[test]
 fn a_stream_parses_alike_however_its_bytes_are_cut() {
-    let whole = SseParser::default().push(STREAM.as_bytes()).unwrap();
-    assert_eq!(whole.len(), 2);
-    assert_eq!((whole[0].id, &whole[0].data["text"]), (7, &json!("ä ")));
-    assert!(whole[1].ends_turn());
+    let complete = SseParser::default().push(STREAM.as_bytes()).unwrap();
+    assert_eq!(complete.len(), 2);
+    assert_eq!((complete[0].id, &complete[0].data["text"]), (7, &json!("ä ")));
+    assert!(complete[1].ends_turn());
     for size in 1..STREAM.len() {
         let mut parser = SseParser::default();
         let pieces = STREAM.as_bytes().chunks(size);
         let events: Vec<_> = pieces.flat_map(|piece| parser.push(piece).unwrap()).collect();
-        assert_eq!(events, whole);
+        assert_eq!(events, complete);
     }
     for bad in ["event: tokens\ndata: {}\n\n", "id: x\n", "id: 1\nevent: a\ndata: {\n\n"] {
         assert!(SseParser::default().push(bad.as_bytes()).is_err(), "{bad:?}");
@@ -76,7 +76,7 @@
     StreamEvent { id, event: kind.to_owned(), data }
 }
 
-fn whole_turn() -> Transcript {
+fn complete_turn() -> Transcript {
     let events = vec![
         event(3, "turn", json!({"turn": "t", "after": null, "input": "x"})),
         event(4, "tokens", json!({"turn": "t", "text": "a ", "count": 1})),
@@ -88,9 +88,9 @@
 
 #[test]
 fn lost_repeated_and_spliced_events_are_found() {
-    assert!(whole_turn().check("t").is_ok());
-    assert_eq!((whole_turn().text().as_str(), whole_turn().end()), ("a b ", "finished"));
-    let damages: [fn(&mut Vec<StreamEvent>); 6] = [
+    assert!(complete_turn().check("t").is_ok());
+    assert_eq!((complete_turn().text().as_str(), complete_turn().end()), ("a b ", "finished"));
+    let corruptions: [fn(&mut Vec<StreamEvent>); 6] = [
         |events| drop(events.remove(1)),
         |events| events.insert(2, events[1].clone()),
         |events| events[2].data["turn"] = json!("other"),
@@ -98,11 +98,11 @@
         |events| events[3].data["tokens"] = json!(4),
         |events| events.swap(1, 2),
     ];
-    for (place, damage) in damages.into_iter().enumerate() {
-        let mut transcript = whole_turn();
-        damage(&mut transcript.events);
-        assert!(transcript.check("t").is_err(), "damage {place} was not detected");
+    for (index, corrupt) in corruptions.into_iter().enumerate() {
+        let mut transcript = complete_turn();
+        corrupt(&mut transcript.events);
+        assert!(transcript.check("t").is_err(), "damage {index} was not detected");
     }
-    assert!(whole_turn().check("other").is_err());
+    assert!(complete_turn().check("other").is_err());
     assert!(Transcript::default().check("t").is_err());
 }
--- a/crates/fleet/tests/suite/rolling_restart.rs
+++ b/crates/fleet/tests/suite/rolling_restart.rs
@@ -6,10 +6,10 @@
 
 use std::time::Instant;
 
-use crate::support::bundles::{accept_version, accepted};
+use crate::support::bundles::{submit_accepted, submit_version};
 use crate::support::load::Load;
 use crate::support::{
-    PATIENCE, control_topology, name, read_current, running_nodes, start, wait_installed,
+    WAIT_TIMEOUT, control_topology, name, read_current, running_nodes, start, wait_installed,
 };
 use hooklug_emulator::LedgerEntry;
 use hooklug_fleet::{Fleet, ProcessKind};
@@ -23,7 +23,7 @@
     for kind in [Store, Core, Gateway, Engine] {
         fleet.rolling_restart(&[kind]).await.unwrap();
         load.wait_rounds(&fleet, 2).await;
-        println!("after {kind:?}: turns ended {:?}", load.ends());
+        println!("after {kind:?}: turns ended {:?}", load.turn_ends());
     }
     load.stop_and_read_back(&fleet).await;
 }
@@ -37,18 +37,18 @@
     for node in running_nodes(&fleet) {
         let at = if node == name("gateway:0") { name("gateway:1") } else { name("gateway:0") };
         fleet.kill(node).unwrap();
-        accept_version(&fleet, at, version + 1).await;
+        submit_version(&fleet, at, version + 1).await;
         fleet.restart(node).await.unwrap();
         version += 2;
-        accept_version(&fleet, at, version).await;
-        fleet.wait_ready(node, PATIENCE).await.unwrap();
+        submit_version(&fleet, at, version).await;
+        fleet.wait_ready(node, WAIT_TIMEOUT).await.unwrap();
         wait_installed(&fleet, node, version).await;
         assert_eq!(fleet.installed_bundle(node).await.unwrap(), BundleVersion(version));
     }
 }
 
 /// Number of calls run by engines of a version.
-fn ran(fleet: &Fleet, version: &ServiceVersion) -> usize {
+fn calls_run(fleet: &Fleet, version: &ServiceVersion) -> usize {
     let lines = fleet.ledgers(ProcessKind::App).unwrap();
     let ran = |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { .. });
     lines.iter().filter(|line| line.version == version.as_str() && ran(&line.entry)).count()
@@ -69,12 +69,12 @@
     for service in bundle.services.values_mut() {
         (service.steps, service.step_seconds) = (vec![10, 50, 100], 2);
     }
-    accepted(&fleet, name("gateway:0"), &bundle).await;
+    submit_accepted(&fleet, name("gateway:0"), &bundle).await;
     let released = Instant::now();
     let old = ServiceVersion::new("v1").unwrap();
     for kind in [Core, Gateway, Store, Engine] {
         fleet.rolling_restart(&[kind]).await.unwrap();
-        let calls = (ran(&fleet, &old), ran(&fleet, &newer.version));
+        let calls = (calls_run(&fleet, &old), calls_run(&fleet, &newer.version));
         println!(
             "{kind:?}s restarted, {:.1?} after the release: {calls:?} calls ran at v1 and v2",
             released.elapsed()
@@ -82,14 +82,14 @@
         load.wait_rounds(&fleet, 2).await;
     }
     // The rollout must complete: after its last step no call runs at the old version.
-    let look = || async {
-        let before = (ran(&fleet, &old), ran(&fleet, &newer.version));
+    let check = || async {
+        let before = (calls_run(&fleet, &old), calls_run(&fleet, &newer.version));
         load.wait_rounds(&fleet, 4).await;
-        let after = (ran(&fleet, &old), ran(&fleet, &newer.version));
+        let after = (calls_run(&fleet, &old), calls_run(&fleet, &newer.version));
         let done = after.0 == before.0 && after.1 > before.1;
         if done { Ok(()) } else { Err(format!("calls by version {before:?}, then {after:?}")) }
     };
-    fleet.wait_until("all calls run at the new version", PATIENCE, look).await.unwrap();
+    fleet.wait_until("all calls run at the new version", WAIT_TIMEOUT, check).await.unwrap();
     let current = read_current(&fleet, name("gateway:0")).await.record;
     assert_eq!(
         (current.version, current.rollback),
--- a/crates/fleet/tests/suite/soak.rs
+++ b/crates/fleet/tests/suite/soak.rs
@@ -22,10 +22,10 @@
 use rand::{RngExt, SeedableRng};
 use tokio::task::JoinSet;
 
-use crate::support::bundles::{Race, accepted, submit};
+use crate::support::bundles::{Race, submit, submit_accepted};
 use crate::support::load::Load;
 use crate::support::{
-    IN_FORCE_BOUND, PATIENCE, TestFleet, VersionWatch, control_topology, name, read_current,
+    INSTALL_BOUND, TestFleet, VersionWatch, WAIT_TIMEOUT, control_topology, name, read_current,
     restart_all, running_nodes, start, wait_installed,
 };
 
@@ -50,10 +50,10 @@
     Kill,
     Stop,
     Freeze,
-    NewSettings,
+    Sighup,
 }
 
-const FAULTS: [Fault; 4] = [Fault::Kill, Fault::Stop, Fault::Freeze, Fault::NewSettings];
+const FAULTS: [Fault; 4] = [Fault::Kill, Fault::Stop, Fault::Freeze, Fault::Sighup];
 
 pub(crate) fn seeds() -> Vec<u64> {
     let Ok(given) = std::env::var(SEEDS_VARIABLE) else { return SEEDS.to_vec() };
@@ -61,7 +61,7 @@
 }
 
 /// State of a run.
-struct Day {
+struct SoakRun {
     fleet: Arc<TestFleet>,
     rng: StdRng,
     newest: Bundle,
@@ -70,8 +70,8 @@
     faults: JoinSet<()>,
 }
 
-impl Day {
-    async fn begin(fleet: Arc<TestFleet>, seed: u64) -> Self {
+impl SoakRun {
+    async fn new(fleet: Arc<TestFleet>, seed: u64) -> Self {
         let newest = read_current(&fleet, name("gateway:0")).await.bundle;
         Self {
             fleet,
@@ -93,7 +93,7 @@
         // The first gateway is spared, and only one store is disturbed at a time, so that changes
         // can be acknowledged.
         let names: Vec<_> = names.into_iter().filter(|n| *n != name("gateway:0")).collect();
-        let (Some(&victim), Some(&fault)) =
+        let (Some(&target), Some(&fault)) =
             (names.choose(&mut self.rng), FAULTS.choose(&mut self.rng))
         else {
             return;
@@ -102,12 +102,12 @@
             return;
         }
         let pause = Duration::from_millis(self.rng.random_range(100..1_200));
-        println!("{fault:?} {victim} for {pause:?}");
-        self.disturbed.lock().unwrap().insert(victim);
+        println!("{fault:?} {target} for {pause:?}");
+        self.disturbed.lock().unwrap().insert(target);
         let (fleet, disturbed) = (self.fleet.clone(), self.disturbed.clone());
         self.faults.spawn(async move {
-            carry_out(&fleet, victim, fault, pause).await;
-            disturbed.lock().unwrap().remove(&victim);
+            apply_fault(&fleet, target, fault, pause).await;
+            disturbed.lock().unwrap().remove(&target);
         });
     }
 
@@ -121,12 +121,12 @@
         let version = self.next_version();
         match self.rng.random_range(0..10) {
             0 if !self.is_disturbed(name("gateway:1")) => self.race(version).await,
-            1 => self.invalid(version).await,
-            2 => drop(accepted(&self.fleet, name("gateway:0"), &self.newest).await),
+            1 => self.submit_invalid(version).await,
+            2 => drop(submit_accepted(&self.fleet, name("gateway:0"), &self.newest).await),
             _ => {
                 let marker = 10 + u32::try_from(version % 100).unwrap();
                 let bundle = self.fleet.marked_bundle(version, marker).unwrap();
-                accepted(&self.fleet, name("gateway:0"), &bundle).await;
+                submit_accepted(&self.fleet, name("gateway:0"), &bundle).await;
                 self.newest = bundle;
             }
         }
@@ -136,30 +136,30 @@
         self.newest = Race::run(&self.fleet, version).await.winner;
     }
 
-    async fn invalid(&mut self, version: u64) {
+    async fn submit_invalid(&mut self, version: u64) {
         let mut bundle = self.fleet.marked_bundle(version, 10).unwrap();
         bundle.base = BundleVersion(version);
-        let verdict = submit(&self.fleet, name("gateway:0"), &bundle).await;
+        let outcome = submit(&self.fleet, name("gateway:0"), &bundle).await;
         assert!(
-            matches!(verdict, SubmitOutcome::Refused { .. }),
-            "an invalid bundle was accepted: {verdict:?}"
+            matches!(outcome, SubmitOutcome::Refused { .. }),
+            "an invalid bundle was accepted: {outcome:?}"
         );
     }
 
     /// Waits until all faults have ended; then a change must be installed at all nodes within the
     /// bound and read back as it was sent.
-    async fn check_in_calm(&mut self) {
+    async fn check_after_faults(&mut self) {
         while self.faults.join_next().await.is_some() {}
-        self.fleet.wait_all_ready(PATIENCE).await.unwrap();
+        self.fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
         let version = self.next_version();
         let bundle = self.fleet.marked_bundle(version, 9).unwrap();
-        accepted(&self.fleet, name("gateway:0"), &bundle).await;
+        submit_accepted(&self.fleet, name("gateway:0"), &bundle).await;
         let answered = Instant::now();
         let nodes = running_nodes(&self.fleet);
         join_all(nodes.iter().map(|node| wait_installed(&self.fleet, *node, version))).await;
         let took = answered.elapsed();
         println!("version {version}: installed at all nodes {took:?} after the response");
-        assert!(took <= IN_FORCE_BOUND, "version {version} took {took:?}");
+        assert!(took <= INSTALL_BOUND, "version {version} took {took:?}");
         self.newest = bundle;
         self.read_back().await;
     }
@@ -170,58 +170,58 @@
     }
 }
 
-async fn carry_out(fleet: &Fleet, victim: ProcessName, fault: Fault, pause: Duration) {
+async fn apply_fault(fleet: &Fleet, target: ProcessName, fault: Fault, pause: Duration) {
     match fault {
         Fault::Kill => {
-            fleet.kill(victim).unwrap();
+            fleet.kill(target).unwrap();
             tokio::time::sleep(pause).await;
-            fleet.restart(victim).await.unwrap();
+            fleet.restart(target).await.unwrap();
         }
         Fault::Stop => {
-            fleet.stop(victim).await.unwrap();
-            fleet.restart(victim).await.unwrap();
+            fleet.stop(target).await.unwrap();
+            fleet.restart(target).await.unwrap();
         }
         Fault::Freeze => {
-            fleet.freeze(victim).unwrap();
+            fleet.freeze(target).unwrap();
             tokio::time::sleep(pause).await;
-            fleet.wake(victim).unwrap();
+            fleet.wake(target).unwrap();
         }
-        Fault::NewSettings => {
-            fleet.send_sighup(victim).unwrap();
+        Fault::Sighup => {
+            fleet.send_sighup(target).unwrap();
             tokio::time::sleep(pause).await;
         }
     }
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     println!("soak, seed {seed}");
     let fleet = Arc::new(start(control_topology(3)).await);
     let watch = VersionWatch::start(fleet.clone());
     let load = Load::start(&fleet, SESSIONS).await;
-    let mut day = Day::begin(fleet.clone(), seed).await;
+    let mut run = SoakRun::new(fleet.clone(), seed).await;
     for _ in 0..SERIES {
         for number in 0..CHANGES {
             if number % 3 == 0 {
-                day.disturb(ProcessKind::Store);
-                day.disturb(ProcessKind::Core);
-                day.disturb(ProcessKind::Gateway);
+                run.disturb(ProcessKind::Store);
+                run.disturb(ProcessKind::Core);
+                run.disturb(ProcessKind::Gateway);
             }
-            day.change().await;
+            run.change().await;
         }
-        day.check_in_calm().await;
+        run.check_after_faults().await;
     }
     load.stop_and_read_back(&fleet).await;
-    watch.end().await;
+    watch.stop().await;
     let nodes = running_nodes(&fleet);
     nodes.iter().for_each(|node| fleet.kill(*node).unwrap());
     restart_all(&fleet, &nodes).await.unwrap();
-    day.read_back().await;
+    run.read_back().await;
 }
 
 /// Guards against changes that are late, lost or undone during series of overlapping faults.
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_hold_through_overlapping_faults() {
     for seed in seeds() {
-        play(seed).await;
+        run_seed(seed).await;
     }
 }
--- a/crates/fleet/tests/suite/store_failures.rs
+++ b/crates/fleet/tests/suite/store_failures.rs
@@ -11,8 +11,8 @@
 use crate::support::load::Load;
 use crate::support::repair::{node_id, retire, wait_repaired};
 use crate::support::{
-    PATIENCE, RETURN_BOUND, control_topology, name, restart_all, start, start_alone,
-    whole_state_answers,
+    RECOVERY_BOUND, WAIT_TIMEOUT, control_topology, name, restart_all, start, start_alone,
+    write_all_shards,
 };
 use hooklug_fleet::{Fleet, ProcessKind, ProcessName, SeedChoice};
 
@@ -23,17 +23,22 @@
 pub(crate) const CATCH_UP_TIME: Duration = Duration::from_millis(4_200);
 
 /// Restarts stores and asserts that service is back within the bound.
-async fn machines_return(fleet: &Fleet, load: &Load, stores: &[ProcessName], word: &str) {
+async fn restart_and_check_recovery(
+    fleet: &Fleet,
+    load: &Load,
+    stores: &[ProcessName],
+    label: &str,
+) {
     let returned = Instant::now();
     let (started, answered) =
-        tokio::join!(restart_all(fleet, stores), whole_state_answers(fleet, word));
+        tokio::join!(restart_all(fleet, stores), write_all_shards(fleet, label));
     started.unwrap();
     answered.unwrap();
     let state = returned.elapsed();
     load.wait_rounds(fleet, 1).await;
     let service = returned.elapsed();
-    println!("{word}: all shards available after {state:?}, all sessions after {service:?}");
-    assert!(service <= RETURN_BOUND, "{word}: service was back only after {service:?}");
+    println!("{label}: all shards available after {state:?}, all sessions after {service:?}");
+    assert!(service <= RECOVERY_BOUND, "{label}: service was back only after {service:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -44,23 +49,23 @@
     fleet.kill(stores[0]).unwrap();
     // The other stores continue without it.
     load.wait_rounds(&fleet, 3).await;
-    machines_return(&fleet, &load, &stores[..1], "one").await;
-    for (word, lost) in [("majority", 2), ("all", 3)] {
+    restart_and_check_recovery(&fleet, &load, &stores[..1], "one").await;
+    for (label, lost) in [("majority", 2), ("all", 3)] {
         stores[..lost].iter().for_each(|store| fleet.kill(*store).unwrap());
-        machines_return(&fleet, &load, &stores[..lost], word).await;
+        restart_and_check_recovery(&fleet, &load, &stores[..lost], label).await;
     }
-    println!("turns ended {:?}", load.ends());
+    println!("turns ended {:?}", load.turn_ends());
     load.stop_and_read_back(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_freezes_and_wakes_and_links_fail_one_way() {
     /// Time for which the store is frozen (requirement: 20 s).
-    const FROZEN: std::time::Duration = std::time::Duration::from_secs(20);
+    const FREEZE_TIME: std::time::Duration = std::time::Duration::from_secs(20);
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, SESSIONS).await;
     let frozen = name("store:0");
-    let until = Instant::now() + FROZEN;
+    let until = Instant::now() + FREEZE_TIME;
     fleet.freeze(frozen).unwrap();
     load.wait_rounds(&fleet, 3).await;
     while Instant::now() < until {
@@ -68,7 +73,7 @@
     }
     fleet.wake(frozen).unwrap();
     load.wait_rounds(&fleet, 3).await;
-    fleet.wait_ready(frozen, PATIENCE).await.unwrap();
+    fleet.wait_ready(frozen, WAIT_TIMEOUT).await.unwrap();
 
     // First the traffic from a store is blocked, then the traffic to it, then both, so that it
     // campaigns alone.
@@ -85,7 +90,7 @@
         fleet.heal().await.unwrap();
         load.wait_rounds(&fleet, 2).await;
     }
-    println!("turns ended {:?}", load.ends());
+    println!("turns ended {:?}", load.turn_ends());
     load.stop_and_read_back(&fleet).await;
 }
 
@@ -97,20 +102,20 @@
     let lost = node_id(&fleet, name("store:1")).await.expect("the store is in the view");
     fleet.replace(name("store:1")).await.unwrap();
     assert_ne!(before, fleet.http_address(name("store:1")).unwrap());
-    fleet.wait_ready(name("store:1"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("store:1"), WAIT_TIMEOUT).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
     // The groups must be fully replicated before the next loss: two of three lost disks at once are
     // too many.
     wait_repaired(&fleet, lost).await;
     let lost = node_id(&fleet, name("store:2")).await.expect("the store is in the view");
     fleet.lose_disk(name("store:2")).await.unwrap();
-    fleet.wait_ready(name("store:2"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("store:2"), WAIT_TIMEOUT).await.unwrap();
     load.wait_rounds(&fleet, 2).await;
     wait_repaired(&fleet, lost).await;
     load.wait_rounds(&fleet, 2).await;
-    println!("turns ended {:?}", load.ends());
+    println!("turns ended {:?}", load.turn_ends());
     // No engine, model server or quorum failed, so every turn must have finished.
-    assert_eq!(load.ends().keys().collect::<Vec<_>>(), ["finished"], "turns ended early");
+    assert_eq!(load.turn_ends().keys().collect::<Vec<_>>(), ["finished"], "turns ended early");
     load.stop_and_read_back(&fleet).await;
 }
 
@@ -127,8 +132,8 @@
     // All groups are fully replicated, so one of the remaining three stores may be lost at once.
     fleet.kill(killed).unwrap();
     load.wait_rounds(&fleet, 3).await;
-    machines_return(&fleet, &load, &[killed], "retired").await;
-    println!("turns ended {:?}", load.ends());
+    restart_and_check_recovery(&fleet, &load, &[killed], "retired").await;
+    println!("turns ended {:?}", load.turn_ends());
     load.stop_and_read_back(&fleet).await;
 }
 
--- a/crates/fleet/tests/suite/support/fleet.rs
+++ b/crates/fleet/tests/suite/support/fleet.rs
@@ -13,19 +13,19 @@
 const PROCESSORS_PER_FLEET: usize = 2;
 
 /// Maximum number of fleets that run concurrently.
-static SHARES: LazyLock<usize> = LazyLock::new(|| {
+static MAX_FLEETS: LazyLock<usize> = LazyLock::new(|| {
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     (processors / PROCESSORS_PER_FLEET).max(1)
 });
-static MACHINE: LazyLock<Semaphore> = LazyLock::new(|| Semaphore::new(*SHARES));
+static FLEET_PERMITS: LazyLock<Semaphore> = LazyLock::new(|| Semaphore::new(*MAX_FLEETS));
 
 /// A running fleet with its permit for a share of the machine.
 #[derive(Debug)]
 pub struct TestFleet {
     fleet: Fleet,
-    began: Instant,
+    started_at: Instant,
     // Declared last, so that the permit is released after the processes have exited.
-    _share: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 impl Deref for TestFleet {
@@ -40,29 +40,29 @@
     /// Prints the duration of the test, without the wait for its permit.
     fn drop(&mut self) {
         let thread = std::thread::current();
-        println!("{} took {:.1?}", thread.name().unwrap_or("a test"), self.began.elapsed());
+        println!("{} took {:.1?}", thread.name().unwrap_or("a test"), self.started_at.elapsed());
     }
 }
 
 /// Waits until another fleet may run.
-pub async fn share_of_the_machine() -> SemaphorePermit<'static> {
-    MACHINE.acquire().await.unwrap()
+pub async fn acquire_fleet_permit() -> SemaphorePermit<'static> {
+    FLEET_PERMITS.acquire().await.unwrap()
 }
 
 /// Starts a fleet once another one may run.
 pub async fn start(topology: Topology) -> TestFleet {
-    launch(topology, share_of_the_machine().await).await
+    launch(topology, acquire_fleet_permit().await).await
 }
 
 /// Starts a fleet while no other one runs, for load that uses the complete machine.
 pub async fn start_alone(topology: Topology) -> TestFleet {
-    let all = u32::try_from(*SHARES).unwrap();
-    launch(topology, MACHINE.acquire_many(all).await.unwrap()).await
+    let all_permits = u32::try_from(*MAX_FLEETS).unwrap();
+    launch(topology, FLEET_PERMITS.acquire_many(all_permits).await.unwrap()).await
 }
 
-async fn launch(topology: Topology, share: SemaphorePermit<'static>) -> TestFleet {
-    let began = Instant::now();
-    TestFleet { fleet: Fleet::start(topology).await.unwrap(), began, _share: share }
+async fn launch(topology: Topology, permit: SemaphorePermit<'static>) -> TestFleet {
+    let started_at = Instant::now();
+    TestFleet { fleet: Fleet::start(topology).await.unwrap(), started_at, _permit: permit }
 }
 
 /// Topology for faults of stores and cores: three cores, two gateways, two engines, and one
--- a/crates/fleet/tests/suite/support/load.rs
+++ b/crates/fleet/tests/suite/support/load.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use tokio::task::JoinHandle;
 
-use super::{MODEL, PATIENCE, TENANT};
+use super::{MODEL, TENANT, WAIT_TIMEOUT};
 
 const BUDGET: u64 = 1_000_000;
 /// A tool with non-repeatable calls.
@@ -31,15 +31,15 @@
     /// Number of calls whose outcome the gateway reported as unknown.
     pub unknown: u64,
     /// Responses that violate the contract.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// One program with one session. Turns and calls alternate, each started after the one before has
 /// ended.
 #[derive(Debug)]
-struct Line {
+struct Worker {
     session: SessionRef,
-    told: Mutex<Acknowledged>,
+    acknowledged: Mutex<Acknowledged>,
     rounds: AtomicU64,
 }
 
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Load {
     caller: Caller,
-    lines: Vec<Arc<Line>>,
+    workers: Vec<Arc<Worker>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -57,16 +57,19 @@
     pub async fn start(fleet: &Fleet, count: usize) -> Self {
         let caller = Caller::new(fleet.gateways(), TENANT);
         let stop = Arc::new(AtomicBool::new(false));
-        let mut load = Self { caller, lines: Vec::new(), stop, tasks: Vec::new() };
+        let mut load = Self { caller, workers: Vec::new(), stop, tasks: Vec::new() };
         let end = UnixMillis::now().plus(Duration::from_secs(3_600));
         for number in 0..count {
             let session = SessionRef::new(&format!("load-{number}"), "s");
             load.caller.put_program(number, &session.program, BUDGET, end.0).await.unwrap();
             load.caller.open_session(number, &session, MODEL, None).await.unwrap();
-            let line =
-                Arc::new(Line { session, told: Mutex::default(), rounds: AtomicU64::new(0) });
-            load.lines.push(line.clone());
-            let work = keep_busy(load.caller.clone(), line, number, load.stop.clone());
+            let worker = Arc::new(Worker {
+                session,
+                acknowledged: Mutex::default(),
+                rounds: AtomicU64::new(0),
+            });
+            load.workers.push(worker.clone());
+            let work = run_worker(load.caller.clone(), worker, number, load.stop.clone());
             load.tasks.push(tokio::spawn(work));
         }
         load.wait_rounds(fleet, 1).await;
@@ -76,31 +79,32 @@
     /// Waits until each worker has completed this number of further rounds; a round in progress
     /// counts.
     pub async fn wait_rounds(&self, fleet: &Fleet, more: u64) {
-        let goals: Vec<u64> =
-            self.lines.iter().map(|line| line.rounds.load(Ordering::SeqCst) + more).collect();
-        let look = || async {
-            let late = self.lines.iter().zip(&goals);
-            let mut late = late.filter(|(line, goal)| line.rounds.load(Ordering::SeqCst) < **goal);
-            late.next().map_or(Ok(()), |(line, _)| {
-                let told = line.told.lock().unwrap();
+        let targets: Vec<u64> =
+            self.workers.iter().map(|worker| worker.rounds.load(Ordering::SeqCst) + more).collect();
+        let check = || async {
+            let behind = self.workers.iter().zip(&targets);
+            let mut behind =
+                behind.filter(|(worker, target)| worker.rounds.load(Ordering::SeqCst) < **target);
+            behind.next().map_or(Ok(()), |(worker, _)| {
+                let acknowledged = worker.acknowledged.lock().unwrap();
                 Err(format!(
                     "{} made no progress; violations: {:?}",
-                    line.session.program, told.faults
+                    worker.session.program, acknowledged.violations
                 ))
             })
         };
-        fleet.wait_until("all workers make progress", PATIENCE, look).await.unwrap();
+        fleet.wait_until("all workers make progress", WAIT_TIMEOUT, check).await.unwrap();
     }
 
     /// Number of turns by the type of their terminal event.
-    pub fn ends(&self) -> BTreeMap<String, usize> {
-        let mut ends = BTreeMap::new();
-        for line in &self.lines {
-            for (_, transcript) in &line.told.lock().unwrap().turns {
-                *ends.entry(transcript.end().to_owned()).or_default() += 1;
+    pub fn turn_ends(&self) -> BTreeMap<String, usize> {
+        let mut turn_ends = BTreeMap::new();
+        for worker in &self.workers {
+            for (_, transcript) in &worker.acknowledged.lock().unwrap().turns {
+                *turn_ends.entry(transcript.end().to_owned()).or_default() += 1;
             }
         }
-        ends
+        turn_ends
     }
 
     /// Stops the load, then reads back everything that was acknowledged through another gateway and
@@ -111,13 +115,18 @@
             task.await.unwrap();
         }
         let (mut turns, mut calls, mut unknown) = (0, 0, 0);
-        for (number, line) in self.lines.iter().enumerate() {
-            let told = std::mem::take(&mut *line.told.lock().unwrap());
-            assert!(told.faults.is_empty(), "{}: {:?}", line.session.program, told.faults);
-            read_line_back(&self.caller, number + 1, &line.session, &told).await;
-            turns += told.turns.len();
-            calls += told.calls.len();
-            unknown += told.unknown;
+        for (number, worker) in self.workers.iter().enumerate() {
+            let acknowledged = std::mem::take(&mut *worker.acknowledged.lock().unwrap());
+            assert!(
+                acknowledged.violations.is_empty(),
+                "{}: {:?}",
+                worker.session.program,
+                acknowledged.violations
+            );
+            read_back(&self.caller, number + 1, &worker.session, &acknowledged).await;
+            turns += acknowledged.turns.len();
+            calls += acknowledged.calls.len();
+            unknown += acknowledged.unknown;
         }
         check_runs(fleet);
         println!(
@@ -126,24 +135,24 @@
     }
 }
 
-async fn read_line_back(
+async fn read_back(
     caller: &Caller,
     gateway: usize,
     session: &SessionRef,
-    told: &Acknowledged,
+    acknowledged: &Acknowledged,
 ) {
     let mut tokens = 0;
-    for (turn, transcript) in &told.turns {
+    for (turn, transcript) in &acknowledged.turns {
         let request = TurnRequest::new(turn, None, "", 1);
         // Starts after the first event, so that the turn is resumed. With an empty transcript it
         // would be sent again.
         let first = transcript.events[..1].to_vec();
-        let begun = Transcript { events: first, cuts: 0 };
-        let again = caller.follow_turn(gateway, session, &request, begun).await.unwrap();
+        let received = Transcript { events: first, cuts: 0 };
+        let again = caller.follow_turn(gateway, session, &request, received).await.unwrap();
         assert_eq!(again.events, transcript.events, "{}: {turn} read again", session.program);
         tokens += transcript.tokens();
     }
-    for (call, answer) in &told.calls {
+    for (call, answer) in &acknowledged.calls {
         let state = caller.call_state(gateway, &session.program, call).await.unwrap();
         assert_eq!(state.state, "answered", "{}/{call}", session.program);
         assert_eq!(state.body.as_ref(), Some(&answer.body), "{}/{call}", session.program);
@@ -166,61 +175,61 @@
     assert!(runs.is_empty(), "non-repeatable calls ran more than once: {runs:?}");
 }
 
-async fn keep_busy(caller: Caller, line: Arc<Line>, gateway: usize, stop: Arc<AtomicBool>) {
+async fn run_worker(caller: Caller, worker: Arc<Worker>, gateway: usize, stop: Arc<AtomicBool>) {
     let mut number = 0_u64;
     while !stop.load(Ordering::SeqCst) {
         number += 1;
-        run_turn(&caller, &line, gateway, number).await;
-        make_call(&caller, &line, gateway, number).await;
-        line.rounds.fetch_add(1, Ordering::SeqCst);
+        run_turn(&caller, &worker, gateway, number).await;
+        make_call(&caller, &worker, gateway, number).await;
+        worker.rounds.fetch_add(1, Ordering::SeqCst);
         tokio::time::sleep(PAUSE).await;
     }
 }
 
-async fn run_turn(caller: &Caller, line: &Line, gateway: usize, number: u64) {
-    let after = line.told.lock().unwrap().turns.last().map(|(turn, _)| turn.clone());
+async fn run_turn(caller: &Caller, worker: &Worker, gateway: usize, number: u64) {
+    let after = worker.acknowledged.lock().unwrap().turns.last().map(|(turn, _)| turn.clone());
     let name = format!("t{number}");
     let request = TurnRequest::new(&name, after.as_deref(), "[tokens 5]", 16);
     loop {
-        let ended = caller.run_turn(gateway, &line.session, &request).await;
-        let mut told = line.told.lock().unwrap();
+        let ended = caller.run_turn(gateway, &worker.session, &request).await;
+        let mut acknowledged = worker.acknowledged.lock().unwrap();
         match ended {
             Ok(transcript) => {
                 if let Err(error) = transcript.check(&name) {
-                    told.faults.push(error.to_string());
+                    acknowledged.violations.push(error.to_string());
                 }
-                told.turns.push((name, transcript));
+                acknowledged.turns.push((name, transcript));
                 return;
             }
             Err(error) if error.is_passing() => {}
             Err(error) => {
-                told.faults.push(format!("{name}: {error}"));
+                acknowledged.violations.push(format!("{name}: {error}"));
                 return;
             }
         }
     }
 }
 
-async fn make_call(caller: &Caller, line: &Line, gateway: usize, number: u64) {
+async fn make_call(caller: &Caller, worker: &Worker, gateway: usize, number: u64) {
     let name = format!("c{number}");
     let request = CallRequest::new(TOOL, json!({ "number": number }));
     loop {
-        let answered = caller.call(gateway, &line.session.program, &name, &request).await;
-        let mut told = line.told.lock().unwrap();
+        let answered = caller.call(gateway, &worker.session.program, &name, &request).await;
+        let mut acknowledged = worker.acknowledged.lock().unwrap();
         match answered {
             Ok(answer) => {
-                told.calls.insert(name, answer);
+                acknowledged.calls.insert(name, answer);
                 return;
             }
             // The outcome is unknown in both cases; the same call is sent again.
             Err(error) if error.is_passing() || error.code() == Some("deadline_exceeded") => {}
             // The response was lost, and the record of the call says so.
             Err(error) if error.code() == Some("call_unknown") => {
-                told.unknown += 1;
+                acknowledged.unknown += 1;
                 return;
             }
             Err(error) => {
-                told.faults.push(format!("{name}: {error}"));
+                acknowledged.violations.push(format!("{name}: {error}"));
                 return;
             }
         }
--- a/crates/fleet/tests/suite/support/state.rs
+++ b/crates/fleet/tests/suite/support/state.rs
@@ -9,41 +9,41 @@
 use hooklug_types::{BundleVersion, UnixMillis, shard_of};
 use serde_json::Value;
 
-use super::{PATIENCE, TENANT};
+use super::{TENANT, WAIT_TIMEOUT};
 
 /// Waits until a node has installed at least this version.
 pub async fn wait_installed(fleet: &Fleet, name: ProcessName, version: u64) {
     let what = format!("{name} has installed version {version}");
-    let look = || async move {
+    let check = || async move {
         match fleet.installed_bundle(name).await {
             Ok(installed) if installed >= BundleVersion(version) => Ok(()),
             other => Err(format!("{other:?}")),
         }
     };
-    fleet.wait_until(&what, PATIENCE, look).await.unwrap();
+    fleet.wait_until(&what, WAIT_TIMEOUT, check).await.unwrap();
 }
 
 /// Reads the newest bundle, waiting until a quorum is reachable.
 pub async fn read_current(fleet: &Fleet, at: ProcessName) -> hooklug_fleet::BundleWithRecord {
-    let look =
+    let check =
         || async move { fleet.current_bundle(at).await.map(drop).map_err(|e| e.to_string()) };
-    fleet.wait_until("the newest bundle is read", PATIENCE, look).await.unwrap();
+    fleet.wait_until("the newest bundle is read", WAIT_TIMEOUT, check).await.unwrap();
     fleet.current_bundle(at).await.unwrap()
 }
 
-async fn admin(fleet: &Fleet, path: &str) -> Result<Value, String> {
-    let ask = Ask::new(http::Method::GET, path);
-    let answer = HttpClient::default().ask(fleet.gateway(0), &ask).await;
-    answer.and_then(|answer| answer.json()).map_err(|error| error.to_string())
+async fn get_admin(fleet: &Fleet, path: &str) -> Result<Value, String> {
+    let request = Ask::new(http::Method::GET, path);
+    let response = HttpClient::default().ask(fleet.gateway(0), &request).await;
+    response.and_then(|response| response.json()).map_err(|error| error.to_string())
 }
 
 /// Returns the store that leads the shard of a program.
 pub async fn shard_leader(fleet: &Fleet, program: &str) -> ProcessName {
     let group = shard_of(program).to_string();
     let found = std::sync::Mutex::new(None);
-    let look = || async {
-        let shards = admin(fleet, "/admin/v1/shards").await?;
-        let members = admin(fleet, "/admin/v1/members").await?;
+    let check = || async {
+        let shards = get_admin(fleet, "/admin/v1/shards").await?;
+        let members = get_admin(fleet, "/admin/v1/members").await?;
         let shard = array(&shards).iter().find(|shard| shard["group"] == group.as_str());
         let leader = shard.map(|shard| shard["leader"].clone()).unwrap_or_default();
         let member = array(&members).iter().find(|member| member["node"] == leader);
@@ -54,7 +54,7 @@
         *found.lock().unwrap() = store;
         store.map(drop).ok_or_else(|| format!("no leader of group {group} in {shards}, {members}"))
     };
-    fleet.wait_until("a shard has a leader", PATIENCE, look).await.unwrap();
+    fleet.wait_until("a shard has a leader", WAIT_TIMEOUT, check).await.unwrap();
     found.into_inner().unwrap().unwrap()
 }
 
@@ -63,10 +63,10 @@
 }
 
 /// Returns program names that cover all shards, with a common prefix.
-fn programs_of_all_shards(word: &str) -> Vec<String> {
+fn programs_of_all_shards(prefix: &str) -> Vec<String> {
     let mut found = std::collections::BTreeMap::new();
     for number in 0.. {
-        let program = format!("{word}-{number}");
+        let program = format!("{prefix}-{number}");
         found.entry(shard_of(&program)).or_insert(program);
         if found.len() as u64 == u64::from(hooklug_types::SHARD_COUNT) {
             break;
@@ -76,10 +76,10 @@
 }
 
 /// Writes to every shard and reads the newest bundle; returns once all requests have succeeded.
-pub async fn whole_state_answers(fleet: &Fleet, word: &str) -> Result<(), CallerError> {
+pub async fn write_all_shards(fleet: &Fleet, prefix: &str) -> Result<(), CallerError> {
     let caller = Caller::new(fleet.gateways(), TENANT);
     let end = UnixMillis::now().plus(Duration::from_secs(600));
-    let programs = programs_of_all_shards(word);
+    let programs = programs_of_all_shards(prefix);
     let puts = programs.iter().map(|program| caller.put_program(0, program, 10, end.0));
     try_join_all(puts).await?;
     let gateway = fleet.names(ProcessKind::Gateway)[0];
--- a/crates/fleet/tests/suite/support/versions.rs
+++ b/crates/fleet/tests/suite/support/versions.rs
@@ -14,28 +14,31 @@
 /// Checks in the background that the version that a process reports never decreases.
 pub struct VersionWatch {
     stop: Arc<AtomicBool>,
-    watching: JoinHandle<Vec<String>>,
+    task: JoinHandle<Vec<String>>,
 }
 
 impl VersionWatch {
     /// Polls all nodes until it is stopped.
     pub fn start(fleet: Arc<TestFleet>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let watching = tokio::spawn(watch(fleet, stop.clone()));
-        Self { stop, watching }
+        let task = tokio::spawn(watch(fleet, stop.clone()));
+        Self { stop, task }
     }
 
     /// Stops polling and asserts that no node reported an older version than before.
-    pub async fn end(self) {
+    pub async fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
-        let steps_back = self.watching.await.unwrap();
-        assert!(steps_back.is_empty(), "nodes reported older versions than before: {steps_back:?}");
+        let regressions = self.task.await.unwrap();
+        assert!(
+            regressions.is_empty(),
+            "nodes reported older versions than before: {regressions:?}"
+        );
     }
 }
 
 async fn watch(fleet: Arc<TestFleet>, stop: Arc<AtomicBool>) -> Vec<String> {
     let mut newest = BTreeMap::<(ProcessName, u32), BundleVersion>::new();
-    let mut steps_back = Vec::new();
+    let mut regressions = Vec::new();
     while !stop.load(Ordering::SeqCst) {
         for node in running_nodes(&fleet) {
             let Some(before) = pid(&fleet, node) else { continue };
@@ -45,11 +48,11 @@
             }
             let known = newest.entry((node, before)).or_default();
             if seen < *known {
-                steps_back.push(format!("{node} from {known} to {seen}"));
+                regressions.push(format!("{node} from {known} to {seen}"));
             }
             *known = seen.max(*known);
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    steps_back
+    regressions
 }
--- a/crates/fleet/tests/suite/token_budget.rs
+++ b/crates/fleet/tests/suite/token_budget.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 
 use crate::support::{
-    PATIENCE, caller, check_text, data_topology, open, owner, put_program, start,
+    WAIT_TIMEOUT, caller, check_text, data_topology, open, owner, put_program, start,
 };
 use hooklug_fleet::caller::{SessionRef, Transcript, TurnRequest};
 use hooklug_fleet::{Caller, Fleet};
@@ -24,7 +24,7 @@
 type Streamed = Arc<Mutex<BTreeMap<(String, String), Transcript>>>;
 
 /// Sends turns in a session until the budget is spent.
-async fn spend(caller: Caller, session: SessionRef, gateway: usize, streamed: Streamed) {
+async fn spend_budget(caller: Caller, session: SessionRef, gateway: usize, streamed: Streamed) {
     let mut head: Option<String> = None;
     for number in 0.. {
         let name = format!("t{number}");
@@ -46,16 +46,16 @@
     }
 }
 
-fn total(streamed: &Streamed) -> u64 {
+fn total_tokens(streamed: &Streamed) -> u64 {
     streamed.lock().unwrap().values().map(Transcript::tokens).sum()
 }
 
 async fn wait_for_tokens(fleet: &Fleet, streamed: &Streamed, tokens: u64) {
-    let look = || async {
-        let now = total(streamed);
+    let check = || async {
+        let now = total_tokens(streamed);
         if now >= tokens { Ok(()) } else { Err(format!("{now} of {tokens} tokens")) }
     };
-    fleet.wait_until("tokens are streamed", PATIENCE, look).await.unwrap();
+    fleet.wait_until("tokens are streamed", WAIT_TIMEOUT, check).await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -69,7 +69,7 @@
     for number in 0..SESSIONS {
         let session = open(&caller, PROGRAM, &format!("s{number}")).await;
         opened.push(session.clone());
-        sessions.spawn(spend(caller.clone(), session, number, streamed.clone()));
+        sessions.spawn(spend_budget(caller.clone(), session, number, streamed.clone()));
     }
     wait_for_tokens(&fleet, &streamed, 300).await;
     let killed = owner(&fleet, &caller, &opened[0]).await;
@@ -81,18 +81,18 @@
     for node in &nodes {
         fleet.kill(*node).unwrap();
     }
-    let before = total(&streamed);
+    let before = total_tokens(&streamed);
     println!("{before} tokens had been streamed when all nodes were killed");
     assert!(before < BUDGET, "the budget was spent before all nodes were killed");
     for node in &nodes {
         fleet.restart(*node).await.unwrap();
     }
-    fleet.wait_all_ready(PATIENCE).await.unwrap();
+    fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
     while let Some(ended) = sessions.join_next().await {
         ended.unwrap();
     }
     let program = caller.program(0, PROGRAM).await.unwrap();
-    let streamed_tokens = total(&streamed);
+    let streamed_tokens = total_tokens(&streamed);
     println!("{streamed_tokens} of {BUDGET} tokens streamed; {program:?}");
     assert_eq!((program.spent, program.reserved), (BUDGET, 0));
     assert_eq!(streamed_tokens, BUDGET);
--- a/crates/fleet/tests/suite/truthful_refusals.rs
+++ b/crates/fleet/tests/suite/truthful_refusals.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::support::{
-    PATIENCE, alarm, caller, data_topology, open, owner, put_program, runs, shard_leader, start,
+    WAIT_TIMEOUT, alarm, caller, data_topology, open, owner, put_program, runs, shard_leader, start,
 };
 use hooklug_emulator::LedgerEntry;
 use hooklug_fleet::caller::{CallAnswer, CallRequest, CallView, CallerError, TurnRequest};
@@ -28,17 +28,17 @@
     race: u64,
 ) -> (Result<CallAnswer, CallerError>, Result<CallView, CallerError>) {
     let head_start = Duration::from_micros(race * 500);
-    let (of_seal, of_call) = if race.is_multiple_of(4) {
+    let (seal_head_start, call_head_start) = if race.is_multiple_of(4) {
         (head_start, Duration::ZERO)
     } else {
         (Duration::ZERO, head_start)
     };
     let dispatch = async {
-        tokio::time::sleep(of_seal).await;
+        tokio::time::sleep(seal_head_start).await;
         caller.call(0, PROGRAM, call, request).await
     };
     let seal = async {
-        tokio::time::sleep(of_call).await;
+        tokio::time::sleep(call_head_start).await;
         caller.seal_call(1, PROGRAM, call, request).await
     };
     tokio::join!(dispatch, seal)
@@ -76,13 +76,13 @@
     let leader = shard_leader(&fleet, PROGRAM).await;
     fleet.restart(leader).await.unwrap();
     fleet.restart("gateway:0".parse().unwrap()).await.unwrap();
-    fleet.wait_all_ready(PATIENCE).await.unwrap();
+    fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
     for call in &sealed {
         let request = alarm(call.trim_start_matches("call-").parse().unwrap());
         for gateway in 0..2 {
-            let told = caller.call(gateway, PROGRAM, call, &request).await;
-            let code = told.as_ref().err().and_then(CallerError::code);
-            assert_eq!(code, Some("call_sealed"), "{call}: {told:?}");
+            let result = caller.call(gateway, PROGRAM, call, &request).await;
+            let code = result.as_ref().err().and_then(CallerError::code);
+            assert_eq!(code, Some("call_sealed"), "{call}: {result:?}");
         }
         assert_eq!(caller.call_state(1, PROGRAM, call).await.unwrap().state, "not_run");
     }
@@ -94,7 +94,7 @@
 }
 
 /// Turns of a session for which a model server started a generation.
-fn began(fleet: &Fleet, session: &str) -> BTreeSet<String> {
+fn started_turns(fleet: &Fleet, session: &str) -> BTreeSet<String> {
     let lines = fleet.ledgers(ProcessKind::Model).unwrap().into_iter();
     let turns = lines.filter_map(|line| match line.entry {
         LedgerEntry::GenerationBegan { session: of, turn, .. } if of == session => Some(turn),
@@ -139,16 +139,16 @@
     fleet.kill(killed).unwrap();
     for (session, request) in &refused {
         for gateway in 0..2 {
-            let told = caller.run_turn(gateway, session, request).await;
-            let code = told.as_ref().err().and_then(CallerError::code);
-            assert_eq!(code, Some("budget_spent"), "{session:?} {request:?}: {told:?}");
+            let result = caller.run_turn(gateway, session, request).await;
+            let code = result.as_ref().err().and_then(CallerError::code);
+            assert_eq!(code, Some("budget_spent"), "{session:?} {request:?}: {result:?}");
         }
         let view = caller.turn(0, session, &request.turn).await.unwrap();
         assert_eq!((view.state.as_str(), view.tokens), ("refused", 0));
     }
     for (session, request) in &refused {
         let key = format!("{PROGRAM}/{}", session.session);
-        let ran = began(&fleet, &key);
+        let ran = started_turns(&fleet, &key);
         assert!(!ran.contains(&request.turn), "{key} {} ran: {ran:?}", request.turn);
     }
     let program = caller.program(0, PROGRAM).await.unwrap();
--- a/crates/fleet/tests/suite/turn_lookup.rs
+++ b/crates/fleet/tests/suite/turn_lookup.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use crate::support::{PATIENCE, caller, data_topology, finish, open, put_program, start};
+use crate::support::{WAIT_TIMEOUT, caller, data_topology, finish, open, put_program, start};
 use hooklug_fleet::caller::{SessionRef, Transcript, TurnRequest};
 use hooklug_fleet::{Caller, Fleet, ProcessKind, ProcessName};
 
@@ -16,14 +16,14 @@
 const PROGRAMS: [&str; 3] = ["frost", "sowing", "storm"];
 
 /// A session with its finished turns.
-struct Known {
+struct TrackedSession {
     session: SessionRef,
     turns: Vec<(String, Transcript)>,
 }
 
-impl Known {
+impl TrackedSession {
     /// Runs one more turn after the last one.
-    async fn go_on(&mut self, caller: &Caller) {
+    async fn run_next_turn(&mut self, caller: &Caller) {
         let after = self.turns.last().map(|(name, _)| name.clone());
         let name = format!("t{}", self.turns.len() + 1);
         let request = TurnRequest::new(&name, after.as_deref(), "[tokens 5]", 8);
@@ -48,17 +48,17 @@
 
 /// Reads finished turns continuously and counts the responses; fails if one reports a turn as
 /// absent.
-async fn keep_asking(
+async fn keep_reading(
     caller: Caller,
-    wanted: Vec<(SessionRef, String)>,
-    ended: Arc<AtomicBool>,
+    targets: Vec<(SessionRef, String)>,
+    stopped: Arc<AtomicBool>,
     found: Arc<AtomicU64>,
 ) {
     for number in 0.. {
-        if ended.load(Ordering::SeqCst) {
+        if stopped.load(Ordering::SeqCst) {
             return;
         }
-        let (session, turn) = &wanted[number % wanted.len()];
+        let (session, turn) = &targets[number % targets.len()];
         match caller.turn(number, session, turn).await {
             Ok(view) => {
                 assert_eq!(view.state, "finished");
@@ -76,24 +76,24 @@
     for name in names {
         fleet.restart(*name).await.unwrap();
     }
-    fleet.wait_all_ready(PATIENCE).await.unwrap();
+    fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_finished_turn_is_always_found() {
     let fleet = start(data_topology(2, 1)).await;
     let caller = caller(&fleet);
-    let mut known = Vec::new();
+    let mut tracked = Vec::new();
     for program in PROGRAMS {
         put_program(&caller, program, 10_000).await;
         let session = open(&caller, program, "s").await;
-        known.push(Known { session, turns: Vec::new() });
-        known.last_mut().unwrap().go_on(&caller).await;
+        tracked.push(TrackedSession { session, turns: Vec::new() });
+        tracked.last_mut().unwrap().run_next_turn(&caller).await;
     }
-    let wanted = known.iter().map(|k| (k.session.clone(), "t1".to_owned())).collect();
-    let (ended, found) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-    let asking = keep_asking(caller.clone(), wanted, ended.clone(), found.clone());
-    let asking = tokio::spawn(asking);
+    let targets = tracked.iter().map(|k| (k.session.clone(), "t1".to_owned())).collect();
+    let (stopped, found) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let reading = keep_reading(caller.clone(), targets, stopped.clone(), found.clone());
+    let reading = tokio::spawn(reading);
 
     let mut rounds: Vec<Vec<ProcessName>> = Vec::new();
     for kind in [ProcessKind::Engine, ProcessKind::Gateway, ProcessKind::Store] {
@@ -102,13 +102,13 @@
     rounds.push(fleet.all_names().into_iter().filter(|name| name.kind.is_node()).collect());
     for round in &rounds {
         kill_and_restart(&fleet, round).await;
-        for session in &mut known {
+        for session in &mut tracked {
             session.check(&caller).await;
-            session.go_on(&caller).await;
+            session.run_next_turn(&caller).await;
         }
     }
-    ended.store(true, Ordering::SeqCst);
-    asking.await.unwrap();
+    stopped.store(true, Ordering::SeqCst);
+    reading.await.unwrap();
     let found = found.load(Ordering::SeqCst);
     println!("{} rounds of kills; finished turns were found {found} times meanwhile", rounds.len());
     assert!(found > 0);
--- a/crates/fleet/tests/suite/version_harm.rs
+++ b/crates/fleet/tests/suite/version_harm.rs
@@ -13,13 +13,16 @@
 use std::time::{Duration, Instant};
 
 use crate::support::load::Load;
-use crate::support::{MODEL, PATIENCE, TENANT, control_topology, name, read_current, start_alone};
+use crate::support::{
+    MODEL, TENANT, WAIT_TIMEOUT, control_topology, name, read_current, start_alone,
+};
 use hooklug_emulator::{FaultKind, FaultRule};
 use hooklug_fleet::caller::{SessionRef, TurnRequest};
 use hooklug_fleet::{Caller, ModelGroup, ProcessKind};
 use hooklug_types::{BundleVersion, ServiceVersion, UnixMillis};
 use release::{
-    CALLERS, HARM_BOUND, LIST, Release, accept, at_half, faults, rule, wait_rolled_back,
+    CALLERS, LIST, ROLLBACK_BOUND, Release, faults, rule, submit_and_wait_installed,
+    wait_rolled_back, with_half_traffic,
 };
 
 #[tokio::test(flavor = "multi_thread")]
@@ -29,50 +32,50 @@
 
     release.release(3).await;
     release.set_faults(&newer, &faults(rule(FaultKind::Garble))).await;
-    release.harm_is_met("fails", None).await;
+    release.assert_rolled_back("fails", None).await;
 
     release.release(4).await;
     let one_route = FaultRule { route: Some(LIST.to_owned()), ..rule(FaultKind::Garble) };
     release.set_faults(&newer, &faults(one_route)).await;
-    release.harm_is_met("fails on one route", Some(LIST)).await;
+    release.assert_rolled_back("fails on one route", Some(LIST)).await;
 
     // The version is healthy for a large number of calls before a part of them fails.
     release.release(5).await;
-    release.wait_ran(&release.newer, 1_000).await;
-    let in_part = FaultRule { share: 0.5, ..rule(FaultKind::Garble) };
-    release.set_faults(&newer, &faults(in_part)).await;
-    release.harm_is_met("fails after a while", None).await;
+    release.wait_for_calls(&release.newer, 1_000).await;
+    let partial = FaultRule { share: 0.5, ..rule(FaultKind::Garble) };
+    release.set_faults(&newer, &faults(partial)).await;
+    release.assert_rolled_back("fails after a while", None).await;
 
     // The version is slow only while more than two calls run at an engine; at first there are too
     // few callers for that.
-    release.calls.busy.store(2, Ordering::SeqCst);
+    release.calls.active_callers.store(2, Ordering::SeqCst);
     release.release(6).await;
     let under_load = FaultRule { above_running: Some(2), millis: 400, ..rule(FaultKind::Slow) };
     release.set_faults(&newer, &faults(under_load)).await;
-    release.wait_ran(&release.newer, 200).await;
+    release.wait_for_calls(&release.newer, 200).await;
     let current = read_current(&release.fleet, name("gateway:0")).await.record;
     assert_eq!(current.version, BundleVersion(release.version), "rolled back without load");
-    release.calls.busy.store(CALLERS, Ordering::SeqCst);
-    release.harm_is_met("slow under load", None).await;
+    release.calls.active_callers.store(CALLERS, Ordering::SeqCst);
+    release.assert_rolled_back("slow under load", None).await;
     release.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn versions_that_suffer_alike_stay_in_force() {
     /// Longer than the system needs to react to a real regression (requirement: about 5 s).
-    const WATCHED: Duration = Duration::from_secs(10);
+    const OBSERVATION_TIME: Duration = Duration::from_secs(10);
     /// Calls at each version while both fail.
     const CALLS: usize = 600;
     let mut release = Release::start().await;
     release.release(2).await;
     let all = release.fleet.names(ProcessKind::App);
-    let in_part = FaultRule { share: 0.3, ..rule(FaultKind::Garble) };
-    release.set_faults(&all, &faults(in_part)).await;
+    let partial = FaultRule { share: 0.3, ..rule(FaultKind::Garble) };
+    release.set_faults(&all, &faults(partial)).await;
     let began = Instant::now();
-    release.wait_ran(&release.newer, CALLS).await;
-    release.wait_ran(&ServiceVersion::new("v1").unwrap(), CALLS).await;
-    while began.elapsed() < WATCHED {
-        release.wait_ran(&release.newer, 10).await;
+    release.wait_for_calls(&release.newer, CALLS).await;
+    release.wait_for_calls(&ServiceVersion::new("v1").unwrap(), CALLS).await;
+    while began.elapsed() < OBSERVATION_TIME {
+        release.wait_for_calls(&release.newer, 10).await;
     }
     let current = read_current(&release.fleet, name("gateway:0")).await.record;
     assert_eq!((current.version, current.rollback), (BundleVersion(release.version), None));
@@ -84,7 +87,7 @@
     caller: Caller,
     number: usize,
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Vec<(Instant, String, String)>>>,
+    results: Arc<Mutex<Vec<(Instant, String, String)>>>,
 ) {
     let program = format!("opener-{number}");
     let end = UnixMillis::now().plus(Duration::from_secs(3_600));
@@ -98,7 +101,7 @@
         let turn = TurnRequest::new("t", None, "[tokens 3]", 8);
         let ended = caller.run_turn(number, &session, &turn).await;
         let ended = ended.map_or_else(|e| e.to_string(), |t| t.end().to_owned());
-        seen.lock().unwrap().push((Instant::now(), view.version, ended));
+        results.lock().unwrap().push((Instant::now(), view.version, ended));
         // A closed session frees its slot; a failure to close it does not affect the test.
         let _ = caller.close_session(number, &session).await;
     }
@@ -120,31 +123,35 @@
     let model = *fleet.names(ProcessKind::Model).last().unwrap();
     let mut released = fleet.topology().clone();
     released.models.push(group);
-    accept(&fleet, &at_half(released.bundle(BundleVersion(2), BundleVersion(1)).unwrap())).await;
-    let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+    submit_and_wait_installed(
+        &fleet,
+        &with_half_traffic(released.bundle(BundleVersion(2), BundleVersion(1)).unwrap()),
+    )
+    .await;
+    let (stop, results) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
     let caller = Caller::new(fleet.gateways(), TENANT);
     let openers: Vec<_> = (0..6)
-        .map(|n| tokio::spawn(keep_opening(caller.clone(), n, stop.clone(), seen.clone())))
+        .map(|n| tokio::spawn(keep_opening(caller.clone(), n, stop.clone(), results.clone())))
         .collect();
     let count = |version: &str, end: &str| {
-        let seen = seen.lock().unwrap();
-        seen.iter().filter(|(_, v, e)| v == version && e == end).count()
+        let results = results.lock().unwrap();
+        results.iter().filter(|(_, v, e)| v == version && e == end).count()
     };
     let wait_for = async |version: &str, end: &str, goal: usize| {
-        let look = || async {
+        let check = || async {
             let found = count(version, end);
             if found >= goal { Ok(()) } else { Err(format!("{found} of {goal}")) }
         };
         let what = format!("sessions at {version} end {end}");
-        fleet.wait_until(&what, PATIENCE, look).await.unwrap();
+        fleet.wait_until(&what, WAIT_TIMEOUT, check).await.unwrap();
     };
     wait_for("v2", "finished", 60).await;
     assert_eq!(read_current(&fleet, name("gateway:0")).await.record.version, BundleVersion(2));
 
     fleet.set_faults(model, &faults(rule(FaultKind::Fail))).await.unwrap();
     let began = Instant::now();
-    let harm = wait_rolled_back(&fleet, 2).await;
-    assert_eq!((harm.service.as_str(), harm.version.as_str()), ("advisor", "v2"));
+    let rollback = wait_rolled_back(&fleet, 2).await;
+    assert_eq!((rollback.service.as_str(), rollback.version.as_str()), ("advisor", "v2"));
     let rolled_back = began.elapsed();
     let before = count("v1", "finished");
     wait_for("v1", "finished", before + 60).await;
@@ -152,15 +159,18 @@
     for opener in openers {
         opener.await.unwrap();
     }
-    let last_bad = {
-        let seen = seen.lock().unwrap();
-        seen.iter().filter(|(_, _, end)| end != "finished").map(|(at, ..)| *at).max()
+    let last_failed = {
+        let results = results.lock().unwrap();
+        results.iter().filter(|(_, _, end)| end != "finished").map(|(at, ..)| *at).max()
     };
-    let last_bad = last_bad.expect("some turns failed").saturating_duration_since(began);
+    let last_failed = last_failed.expect("some turns failed").saturating_duration_since(began);
     println!(
-        "model service: rollback installed after {rolled_back:?}, last failed turn after {last_bad:?}; {}",
-        harm.reason
+        "model service: rollback installed after {rolled_back:?}, last failed turn after {last_failed:?}; {}",
+        rollback.reason
+    );
+    assert!(
+        last_failed <= ROLLBACK_BOUND,
+        "a turn failed {last_failed:?} after the start of the fault"
     );
-    assert!(last_bad <= HARM_BOUND, "a turn failed {last_bad:?} after the start of the fault");
     load.stop_and_read_back(&fleet).await;
 }
--- a/crates/fleet/tests/suite/version_harm/release.rs
+++ b/crates/fleet/tests/suite/version_harm/release.rs
@@ -4,9 +4,10 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::support::bundles::accepted;
+use crate::support::bundles::submit_accepted;
 use crate::support::{
-    PATIENCE, TENANT, TestFleet, control_topology, name, read_current, start_alone, wait_installed,
+    TENANT, TestFleet, WAIT_TIMEOUT, control_topology, name, read_current, start_alone,
+    wait_installed,
 };
 use hooklug_bundle::Bundle;
 use hooklug_emulator::{FaultKind, FaultRule, Faults, LedgerEntry, Restart};
@@ -18,9 +19,9 @@
 
 /// Maximum time for which a bad version gets traffic after a clear regression (requirement: about 5
 /// s).
-pub const HARM_BOUND: Duration = Duration::from_secs(5);
+pub const ROLLBACK_BOUND: Duration = Duration::from_secs(5);
 /// Number of requests to a version after which a regression is clear: the bundle's `least_samples`.
-pub const CLEAR_AFTER: usize = 20;
+pub const CLEAR_REGRESSION_SAMPLES: usize = 20;
 /// Two tools of one service. Their calls are repeatable, so that they are recorded only by the
 /// application engine.
 pub const READ: &str = "read_sensor";
@@ -36,15 +37,15 @@
 }
 
 /// Sets the rollout to a first step of 50 % that lasts longer than the test.
-pub fn at_half(mut bundle: Bundle) -> Bundle {
+pub fn with_half_traffic(mut bundle: Bundle) -> Bundle {
     for service in bundle.services.values_mut() {
         (service.steps, service.step_seconds) = (vec![50, 100], 600);
     }
     bundle
 }
 
-pub async fn accept(fleet: &Fleet, bundle: &Bundle) {
-    accepted(fleet, name("gateway:0"), bundle).await;
+pub async fn submit_and_wait_installed(fleet: &Fleet, bundle: &Bundle) {
+    submit_accepted(fleet, name("gateway:0"), bundle).await;
     for gateway in fleet.names(ProcessKind::Gateway) {
         wait_installed(fleet, gateway, bundle.version.0).await;
     }
@@ -54,12 +55,12 @@
 /// returns the reason.
 pub async fn wait_rolled_back(fleet: &Fleet, from: u64) -> Harm {
     let at = name("gateway:0");
-    let look = || async move {
+    let check = || async move {
         let current = fleet.current_bundle(at).await.map_err(|e| e.to_string())?;
         let version = current.record.version;
         if version > BundleVersion(from) { Ok(()) } else { Err(format!("{version} is newest")) }
     };
-    fleet.wait_until("the system has committed a rollback", PATIENCE, look).await.unwrap();
+    fleet.wait_until("the system has committed a rollback", WAIT_TIMEOUT, check).await.unwrap();
     let record = read_current(fleet, at).await.record;
     assert_eq!(record.version, BundleVersion(from + 1));
     for gateway in fleet.names(ProcessKind::Gateway) {
@@ -69,12 +70,12 @@
 }
 
 /// Shared control of the callers of both tools: `busy` is the number of active callers.
-pub struct Calls {
-    pub busy: AtomicUsize,
+pub struct CallControl {
+    pub active_callers: AtomicUsize,
     pub stop: AtomicBool,
 }
 
-pub async fn keep_calling(calls: Arc<Calls>, caller: Caller, number: usize) {
+pub async fn keep_calling(calls: Arc<CallControl>, caller: Caller, number: usize) {
     let program = format!("p{number}");
     let end = UnixMillis::now().plus(Duration::from_secs(3_600));
     caller.put_program(number, &program, 1, end.0).await.unwrap();
@@ -82,7 +83,7 @@
         if calls.stop.load(Ordering::SeqCst) {
             return;
         }
-        if number >= calls.busy.load(Ordering::SeqCst) {
+        if number >= calls.active_callers.load(Ordering::SeqCst) {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         }
@@ -97,7 +98,7 @@
 /// A fleet whose application service runs `v1` on two engines and a newer version on two others.
 pub struct Release {
     pub fleet: TestFleet,
-    pub calls: Arc<Calls>,
+    pub calls: Arc<CallControl>,
     tasks: Vec<JoinHandle<()>>,
     pub version: u64,
     pub newer: ServiceVersion,
@@ -114,8 +115,10 @@
         newer.version = ServiceVersion::new("v2").unwrap();
         topology.applications.push(newer);
         let fleet = start_alone(topology).await;
-        let calls =
-            Arc::new(Calls { busy: AtomicUsize::new(CALLERS), stop: AtomicBool::new(false) });
+        let calls = Arc::new(CallControl {
+            active_callers: AtomicUsize::new(CALLERS),
+            stop: AtomicBool::new(false),
+        });
         let caller = Caller::new(fleet.gateways(), TENANT);
         let tasks = (0..CALLERS)
             .map(|number| tokio::spawn(keep_calling(calls.clone(), caller.clone(), number)))
@@ -140,18 +143,22 @@
         runs
     }
 
-    pub fn ran(&self, version: &ServiceVersion) -> usize {
+    pub fn call_count(&self, version: &ServiceVersion) -> usize {
         self.runs(version).len()
     }
 
-    pub async fn wait_ran(&self, version: &ServiceVersion, more: usize) {
-        let goal = self.ran(version) + more;
-        let look = || async {
-            let ran = self.ran(version);
-            if ran >= goal { Ok(()) } else { Err(format!("{ran} of {goal} calls")) }
+    pub async fn wait_for_calls(&self, version: &ServiceVersion, more: usize) {
+        let target = self.call_count(version) + more;
+        let check = || async {
+            let call_count = self.call_count(version);
+            if call_count >= target {
+                Ok(())
+            } else {
+                Err(format!("{call_count} of {target} calls"))
+            }
         };
         let what = format!("calls run at {version}");
-        self.fleet.wait_until(&what, PATIENCE, look).await.unwrap();
+        self.fleet.wait_until(&what, WAIT_TIMEOUT, check).await.unwrap();
     }
 
     /// Releases a version that is new to the fleet (`v2` is listed from the start), and waits until
@@ -167,11 +174,11 @@
         let mut topology = self.fleet.topology().clone();
         topology.applications[1].version = self.newer.clone();
         let base = BundleVersion(self.version - 1);
-        let bundle = at_half(topology.bundle(BundleVersion(self.version), base).unwrap());
-        accept(&self.fleet, &bundle).await;
+        let bundle = with_half_traffic(topology.bundle(BundleVersion(self.version), base).unwrap());
+        submit_and_wait_installed(&self.fleet, &bundle).await;
         let v1 = ServiceVersion::new("v1").unwrap();
-        self.wait_ran(&self.newer, 100).await;
-        self.wait_ran(&v1, 100).await;
+        self.wait_for_calls(&self.newer, 100).await;
+        self.wait_for_calls(&v1, 100).await;
         let current = read_current(&self.fleet, name("gateway:0")).await.record;
         assert_eq!(
             current.version,
@@ -188,35 +195,38 @@
 
     /// Asserts that the newer version, which has a fault from now on, is rolled back and loses its
     /// traffic in time and permanently.
-    pub async fn harm_is_met(&mut self, what: &str, route: Option<&str>) {
+    pub async fn assert_rolled_back(&mut self, what: &str, route: Option<&str>) {
         let (began, began_at) = (Instant::now(), UnixMillis::now());
-        let harm = wait_rolled_back(&self.fleet, self.version).await;
+        let rollback = wait_rolled_back(&self.fleet, self.version).await;
         self.version += 1;
         let rolled_back = began.elapsed();
-        assert_eq!((harm.service.as_str(), harm.version.as_str()), ("alarms", self.newer.as_str()));
-        assert!(!harm.reason.is_empty());
+        assert_eq!(
+            (rollback.service.as_str(), rollback.version.as_str()),
+            ("alarms", self.newer.as_str())
+        );
+        assert!(!rollback.reason.is_empty());
         if let Some(route) = route {
-            assert_eq!(harm.route.as_deref(), Some(route));
+            assert_eq!(rollback.route.as_deref(), Some(route));
         }
         // Calls in flight have completed once each caller has made several more calls.
         let v1 = ServiceVersion::new("v1").unwrap();
-        self.wait_ran(&v1, 10 * CALLERS).await;
+        self.wait_for_calls(&v1, 10 * CALLERS).await;
         self.set_faults(&self.newer_engines(), &Faults::default()).await;
-        let settled = self.ran(&self.newer);
-        self.wait_ran(&v1, 10 * CALLERS).await;
-        assert_eq!(self.ran(&self.newer), settled, "{what}: traffic after the rollback");
+        let settled = self.call_count(&self.newer);
+        self.wait_for_calls(&v1, 10 * CALLERS).await;
+        assert_eq!(self.call_count(&self.newer), settled, "{what}: traffic after the rollback");
         let mut runs = self.runs(&self.newer);
         runs.retain(|at| *at >= began_at);
-        let clear = runs.get(CLEAR_AFTER - 1).copied().unwrap_or(began_at);
+        let clear = runs.get(CLEAR_REGRESSION_SAMPLES - 1).copied().unwrap_or(began_at);
         let last = runs.last().copied().unwrap_or(began_at);
         let traffic = Duration::from_millis(last.0.saturating_sub(clear.0));
         println!(
             "{what}: rollback installed after {rolled_back:?}, last of {} runs {traffic:?} after a clear regression; {}",
             runs.len(),
-            harm.reason
+            rollback.reason
         );
         assert!(
-            traffic <= HARM_BOUND,
+            traffic <= ROLLBACK_BOUND,
             "{what}: traffic until {traffic:?} after a clear regression"
         );
     }
