--- a/crates/emulator/tests/application.rs
+++ b/crates/emulator/tests/application.rs
@@ -144,8 +144,8 @@
     let at = engine.address().to_string();
     let good = json!({"at": at, "faults": {"rules": [{"kind": "lose_answer", "share": 0.1}]}});
     assert_eq!(put(good).await.complete().0, StatusCode::OK);
-    let shown = get(engine.address(), "/emulator/faults").await;
-    assert_eq!(shown["rules"][0]["kind"], "lose_answer");
+    let active_faults = get(engine.address(), "/emulator/faults").await;
+    assert_eq!(active_faults["rules"][0]["kind"], "lose_answer");
     let bad = json!({"at": at, "faults": {"rulez": []}});
     assert_eq!(put(bad).await.complete().0, StatusCode::BAD_REQUEST);
 }
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -119,8 +119,8 @@
 }
 
 /// Number of runs of a call in the ledger.
-pub fn runs(stand_in: &StandIn, call: &str) -> usize {
-    let ran =
+pub fn runs(backend: &StandIn, call: &str) -> usize {
+    let is_run =
         |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { call: c, .. } if c == call);
-    stand_in.ledger().iter().filter(|line| ran(&line.entry)).count()
+    backend.ledger().iter().filter(|line| is_run(&line.entry)).count()
 }
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -167,8 +167,8 @@
     let changed = std::time::Instant::now();
     list.set(EngineList { engines: vec![entry(2)] });
     loop {
-        let shown = get(list.address(), "/engines").await;
-        if shown["engines"][0]["address"] == "127.0.0.1:2" {
+        let listed = get(list.address(), "/engines").await;
+        if listed["engines"][0]["address"] == "127.0.0.1:2" {
             break;
         }
         tokio::time::sleep(std::time::Duration::from_millis(2)).await;
--- a/crates/fleet/src/caller/turns.rs
+++ b/crates/fleet/src/caller/turns.rs
@@ -147,7 +147,7 @@
         let body = collected.map(http_body_util::Collected::to_bytes).unwrap_or_default();
         let response = Answer { from: to, status: parts.status, headers: parts.headers, body };
         Err(into_success(response).err().unwrap_or_else(|| {
-            CallerError::Broken("an unsuccessful response was taken for a success".to_owned())
+            CallerError::Broken("an unsuccessful response was treated as a success".to_owned())
         }))
     }
 }
--- a/crates/fleet/src/demo/checks.rs
+++ b/crates/fleet/src/demo/checks.rs
@@ -33,14 +33,15 @@
             return Ok(());
         }
         let ledger = self.fleet.ledgers(ProcessKind::Model)?;
-        for end in self.seen.iter().filter(|event| event.ends_turn()) {
-            let of_turn = self.seen.iter().filter(|event| event.turn() == end.turn());
-            let shown: String = of_turn.filter_map(|event| event.data["text"].as_str()).collect();
+        for end in self.received_events.iter().filter(|event| event.ends_turn()) {
+            let of_turn = self.received_events.iter().filter(|event| event.turn() == end.turn());
+            let received_text: String =
+                of_turn.filter_map(|event| event.data["text"].as_str()).collect();
             let generated = ledger.iter().any(|line| match &line.entry {
                 LedgerEntry::GenerationEnded { session, turn, text, .. } => {
                     let same = *session == format!("{PROGRAM}/{SESSION}");
-                    let complete = end.event != "finished" || text.len() == shown.len();
-                    same && end.turn() == Some(turn) && text.starts_with(&shown) && complete
+                    let complete = end.event != "finished" || text.len() == received_text.len();
+                    same && end.turn() == Some(turn) && text.starts_with(&received_text) && complete
                 }
                 _ => false,
             });
--- a/crates/fleet/src/demo/mod.rs
+++ b/crates/fleet/src/demo/mod.rs
@@ -57,8 +57,8 @@
     /// Last turn that has ended.
     head: Option<String>,
     /// Events of all turns, as received by the caller that sent them.
-    seen: Vec<StreamEvent>,
-    /// Number of tokens in `seen`.
+    received_events: Vec<StreamEvent>,
+    /// Number of tokens in `received_events`.
     tokens: u64,
     /// Engine that owned the session when it was opened.
     first_owner: String,
@@ -96,7 +96,7 @@
         session: SessionRef::new(PROGRAM, SESSION),
         kill,
         head: None,
-        seen: Vec::new(),
+        received_events: Vec::new(),
         tokens: 0,
         first_owner: String::new(),
         killed: None,
--- a/crates/fleet/src/demo/sessions.rs
+++ b/crates/fleet/src/demo/sessions.rs
@@ -26,7 +26,7 @@
         transcript.check(&turn.turn).map_err(during("checking the events of a turn"))?;
         self.head = Some(turn.turn.clone());
         self.tokens += transcript.tokens();
-        self.seen.extend(transcript.events.iter().cloned());
+        self.received_events.extend(transcript.events.iter().cloned());
         Ok(())
     }
 
@@ -168,7 +168,7 @@
         let joined = self.caller.join(3, &self.session, None).await;
         let mut joined = joined.map_err(during("reading back the history"))?;
         let sync = next(&mut joined).await?;
-        let history = check_sync(&sync, &self.seen)?;
+        let history = check_sync(&sync, &self.received_events)?;
         drop(joined);
         let closed = self.caller.close_session(1, &self.session).await;
         let closed = closed.map_err(during("closing the session"))?;
@@ -188,9 +188,9 @@
         .ok_or_else(|| DemoError::CheckFailed("a stream ended without a terminal event".to_owned()))
 }
 
-/// Checks that a sync has no gaps and contains every event in `seen` at its position; returns the
-/// number of events in the sync.
-fn check_sync(sync: &StreamEvent, seen: &[StreamEvent]) -> Result<usize, DemoError> {
+/// Checks that a sync has no gaps and contains every event in `received_events` at its position;
+/// returns the number of events in the sync.
+fn check_sync(sync: &StreamEvent, received_events: &[StreamEvent]) -> Result<usize, DemoError> {
     ensure(sync.event == "sync", || {
         format!("the first event of a joined stream is {:?}, not a sync", sync.event)
     })?;
@@ -198,7 +198,7 @@
     for (index, event) in events.iter().enumerate() {
         ensure(event["id"] == index as u64 + 1, || format!("gap in a sync at {}", event["id"]))?;
     }
-    for event in seen {
+    for event in received_events {
         let expected = usize::try_from(event.id).ok().and_then(|id| events.get(id.checked_sub(1)?));
         let same = expected.is_some_and(|h| h["event"] == event.event && h["data"] == event.data);
         ensure(same, || format!("event {} is missing in a sync, or differs", event.id))?;
--- a/crates/fleet/tests/suite/at_most_once_calls.rs
+++ b/crates/fleet/tests/suite/at_most_once_calls.rs
@@ -193,7 +193,7 @@
         fleet.restart(name("gateway:0")).await.unwrap();
         fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
         resend(&caller, &call).await;
-        let ran = runs(&fleet, &format!("{PROGRAM}/{call}"));
-        assert!(ran <= 1, "{call} ran {ran} times");
+        let run_count = runs(&fleet, &format!("{PROGRAM}/{call}"));
+        assert!(run_count <= 1, "{call} ran {run_count} times");
     }
 }
--- a/crates/fleet/tests/suite/bundle_races.rs
+++ b/crates/fleet/tests/suite/bundle_races.rs
@@ -59,8 +59,12 @@
     let kill_after_commit = async {
         let check = || async {
             let current = fleet.current_bundle(second_gateway).await.map_err(|e| e.to_string())?;
-            let seen = current.record.version;
-            if seen == BundleVersion(version) { Ok(()) } else { Err(seen.to_string()) }
+            let current_version = current.record.version;
+            if current_version == BundleVersion(version) {
+                Ok(())
+            } else {
+                Err(current_version.to_string())
+            }
         };
         fleet.wait_until("the bundle is committed", WAIT_TIMEOUT, check).await.unwrap();
         fleet.kill(first_gateway).unwrap();
--- a/crates/fleet/tests/suite/combined_failures.rs
+++ b/crates/fleet/tests/suite/combined_failures.rs
@@ -63,11 +63,11 @@
 async fn start_long_turn(caller: &Caller, session: &SessionRef) -> (TurnRequest, Transcript) {
     let turn = TurnRequest::new("t2", Some("t1"), "[tokens 800]", 800);
     let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
-    let mut seen = Transcript::default();
-    while seen.events.len() < 6 {
-        seen.events.push(stream.next().await.unwrap().unwrap());
+    let mut transcript = Transcript::default();
+    while transcript.events.len() < 6 {
+        transcript.events.push(stream.next().await.unwrap().unwrap());
     }
-    (turn, seen)
+    (turn, transcript)
 }
 
 /// Waits until another engine owns a session and returns it.
@@ -94,12 +94,12 @@
     for at_once in [false, true] {
         let session = open(&caller, "frost", &format!("s-{at_once}")).await;
         finish(&caller, &session, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
-        let (turn, seen) = start_long_turn(&caller, &session).await;
+        let (turn, transcript) = start_long_turn(&caller, &session).await;
         let first = owner(&fleet, &caller, &session).await;
         fleet.kill(first).unwrap();
         let following = {
             let (caller, session, turn) = (caller.clone(), session.clone(), turn.clone());
-            tokio::spawn(async move { caller.follow_turn(1, &session, &turn, seen).await })
+            tokio::spawn(async move { caller.follow_turn(1, &session, &turn, transcript).await })
         };
         let second = if at_once {
             let mut others = fleet.names(first.kind).into_iter();
@@ -108,14 +108,14 @@
             wait_for_next_owner(&fleet, &session, first).await
         };
         fleet.kill(second).unwrap();
-        let seen = following.await.unwrap().unwrap();
-        seen.check("t2").unwrap();
-        assert_eq!(seen.end(), "interrupted");
-        check_text(&fleet, &session, "t2", &seen).await;
+        let transcript = following.await.unwrap().unwrap();
+        transcript.check("t2").unwrap();
+        assert_eq!(transcript.end(), "interrupted");
+        check_text(&fleet, &session, "t2", &transcript).await;
         assert_eq!(generations(&fleet, &session, "t2"), 1, "the turn was generated again");
         let next = TurnRequest::new("t3", Some("t2"), "[tokens 5]", 8);
         let next = finish(&caller, &session, &next).await;
-        assert_eq!(next.events[0].id, seen.last_id().unwrap() + 1);
+        assert_eq!(next.events[0].id, transcript.last_id().unwrap() + 1);
         let third = owner(&fleet, &caller, &session).await;
         assert!(
             third != first && third != second,
@@ -124,10 +124,10 @@
         restart_all(&fleet, &[first, second]).await.unwrap();
         fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
         let again = caller.follow_turn(0, &session, &turn, Transcript::default()).await.unwrap();
-        assert_eq!(again.events, seen.events, "the turn differs when it is read again");
+        assert_eq!(again.events, transcript.events, "the turn differs when it is read again");
         println!(
             "{first}, then {second} killed; {third} owns the session, {} events",
-            seen.events.len()
+            transcript.events.len()
         );
     }
 }
--- a/crates/fleet/tests/suite/engine_drain.rs
+++ b/crates/fleet/tests/suite/engine_drain.rs
@@ -46,14 +46,14 @@
 
 /// Opens sessions and runs a turn in each, alternating between the gateways, until `ended` is set.
 async fn open_sessions(caller: Caller, stopped: Arc<AtomicBool>) -> Vec<SessionRef> {
-    let mut opened = Vec::new();
+    let mut new_sessions = Vec::new();
     while !stopped.load(Ordering::SeqCst) {
-        let session = open(&caller, PROGRAM, &format!("new-{}", opened.len())).await;
+        let session = open(&caller, PROGRAM, &format!("new-{}", new_sessions.len())).await;
         let turn = TurnRequest::new("t1", None, "[tokens 2]", 4);
-        caller.run_turn(opened.len(), &session, &turn).await.unwrap().check("t1").unwrap();
-        opened.push(session);
+        caller.run_turn(new_sessions.len(), &session, &turn).await.unwrap().check("t1").unwrap();
+        new_sessions.push(session);
     }
-    opened
+    new_sessions
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,42 +63,46 @@
     put_program(&caller, PROGRAM, 1_000_000).await;
     let session = open(&caller, PROGRAM, "kept").await;
     finish(&caller, &session, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
-    let leaving = owner(&fleet, &caller, &session).await;
+    let drained_engine = owner(&fleet, &caller, &session).await;
     // A turn that is running when the engine is stopped must finish: sessions move between turns
     // only.
     let long = TurnRequest::new("t2", Some("t1"), "[tokens 150]", 150);
     let mut stream = caller.begin_turn(0, &session, &long).await.unwrap();
-    let mut seen = hooklug_fleet::caller::Transcript::default();
-    seen.events.extend(stream.next().await.unwrap());
+    let mut transcript = hooklug_fleet::caller::Transcript::default();
+    transcript.events.extend(stream.next().await.unwrap());
     let stopped = Arc::new(AtomicBool::new(false));
     let opening = tokio::spawn(open_sessions(caller.clone(), stopped.clone()));
     let drain_started = UnixMillis::now();
     let stop = async {
-        let began = tokio::time::Instant::now();
-        let clean = fleet.stop(leaving).await.unwrap();
-        tokio::time::sleep_until(began + OFFER_TIME).await;
+        let started = tokio::time::Instant::now();
+        let clean = fleet.stop(drained_engine).await.unwrap();
+        tokio::time::sleep_until(started + OFFER_TIME).await;
         stopped.store(true, Ordering::SeqCst);
         clean
     };
     let follow = async {
         while let Ok(Some(event)) = stream.next().await {
-            seen.events.push(event);
-            if seen.terminal().is_some() {
-                return seen;
+            transcript.events.push(event);
+            if transcript.terminal().is_some() {
+                return transcript;
             }
         }
-        caller.follow_turn(1, &session, &long, seen).await.unwrap()
+        caller.follow_turn(1, &session, &long, transcript).await.unwrap()
     };
-    let (clean, seen) = tokio::join!(stop, follow);
-    seen.check("t2").unwrap();
-    assert_eq!((seen.end(), seen.tokens()), ("finished", 150));
-    assert!(clean, "{leaving} did not exit by itself with status 0");
-    let opened = opening.await.unwrap();
-    println!("{} sessions opened meanwhile", opened.len());
-    assert!(!opened.is_empty());
-    assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, leaving.index), drain_started);
+    let (clean, transcript) = tokio::join!(stop, follow);
+    transcript.check("t2").unwrap();
+    assert_eq!((transcript.end(), transcript.tokens()), ("finished", 150));
+    assert!(clean, "{drained_engine} did not exit by itself with status 0");
+    let new_sessions = opening.await.unwrap();
+    println!("{} sessions opened meanwhile", new_sessions.len());
+    assert!(!new_sessions.is_empty());
+    assert_within_bound(
+        &fleet,
+        ProcessName::new(ProcessKind::Model, drained_engine.index),
+        drain_started,
+    );
     finish(&caller, &session, &TurnRequest::new("t3", Some("t2"), "[tokens 5]", 8)).await;
-    assert_ne!(owner(&fleet, &caller, &session).await, leaving);
+    assert_ne!(owner(&fleet, &caller, &session).await, drained_engine);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -106,14 +110,14 @@
     let fleet = start(data_topology(1, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 1_000_000).await;
-    let kept = open(&caller, PROGRAM, "kept").await;
-    finish(&caller, &kept, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
-    let old = owner(&fleet, &caller, &kept).await;
+    let old_session = open(&caller, PROGRAM, "kept").await;
+    finish(&caller, &old_session, &TurnRequest::new("t1", None, "[tokens 5]", 8)).await;
+    let old_engine = owner(&fleet, &caller, &old_session).await;
     let mut next = fleet.topology().clone();
     let mut group = next.models[0].clone();
     group.version = "v2".parse().unwrap();
     next.models.push(group.clone());
-    let new = fleet.add_engine(&group).await.unwrap();
+    let new_engine = fleet.add_engine(&group).await.unwrap();
     let mut bundle = next.bundle(BundleVersion(2), BundleVersion(1)).unwrap();
     // One step of one second: the time for which the old engine stays available for a rollback.
     for service in bundle.services.values_mut() {
@@ -122,28 +126,37 @@
     fleet.submit_bundle(&bundle).await.unwrap();
     let drain_started = UnixMillis::now();
     // An engine becomes ready once a bundle lists its version.
-    fleet.wait_ready(new, WAIT_TIMEOUT).await.unwrap();
+    fleet.wait_ready(new_engine, WAIT_TIMEOUT).await.unwrap();
     let stopped = Arc::new(AtomicBool::new(false));
     let opening = tokio::spawn(open_sessions(caller.clone(), stopped.clone()));
     tokio::time::sleep(OFFER_TIME).await;
     stopped.store(true, Ordering::SeqCst);
-    let opened = opening.await.unwrap();
-    let last = owner(&fleet, &caller, opened.last().unwrap()).await;
-    assert_eq!(last, new, "the last of {} sessions does not run the new version", opened.len());
-    assert_within_bound(&fleet, ProcessName::new(ProcessKind::Model, old.index), drain_started);
+    let new_sessions = opening.await.unwrap();
+    let last = owner(&fleet, &caller, new_sessions.last().unwrap()).await;
+    assert_eq!(
+        last,
+        new_engine,
+        "the last of {} sessions does not run the new version",
+        new_sessions.len()
+    );
+    assert_within_bound(
+        &fleet,
+        ProcessName::new(ProcessKind::Model, old_engine.index),
+        drain_started,
+    );
     // The old engine keeps its existing session.
-    finish(&caller, &kept, &TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8)).await;
-    assert_eq!(owner(&fleet, &caller, &kept).await, old);
+    finish(&caller, &old_session, &TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8)).await;
+    assert_eq!(owner(&fleet, &caller, &old_session).await, old_engine);
     // It exits once its last session is closed.
-    for session in opened.iter().chain([&kept]) {
+    for session in new_sessions.iter().chain([&old_session]) {
         caller.close_session(0, session).await.unwrap();
     }
-    let began = tokio::time::Instant::now();
-    while fleet.is_running(old).unwrap() {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "{old} still runs without sessions");
+    let started = tokio::time::Instant::now();
+    while fleet.is_running(old_engine).unwrap() {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{old_engine} still runs without sessions");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let status = fleet.status().into_iter().find(|status| status.name == old);
+    let status = fleet.status().into_iter().find(|status| status.name == old_engine);
     assert_eq!(status.unwrap().state, "exit code 0");
 }
 
@@ -152,19 +165,19 @@
     let fleet = start(data_topology(1, 2)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 100).await;
-    let leaving = name("app:0");
+    let drained_engine = name("app:0");
     for number in 0..20 {
         caller.call(number, PROGRAM, &format!("before-{number}"), &alarm(1)).await.unwrap();
     }
-    fleet.drain(leaving).await.unwrap();
-    let (drain_started, began) = (UnixMillis::now(), tokio::time::Instant::now());
+    fleet.drain(drained_engine).await.unwrap();
+    let (drain_started, started) = (UnixMillis::now(), tokio::time::Instant::now());
     let mut answered = 0;
-    while began.elapsed() < OFFER_TIME {
+    while started.elapsed() < OFFER_TIME {
         let call = format!("call-{answered}");
         // A refused call is sent to the other engine, so callers see no failure.
         caller.call(answered, PROGRAM, &call, &alarm(2)).await.unwrap();
         answered += 1;
     }
     println!("{answered} calls answered while one of two engines drained");
-    assert_within_bound(&fleet, leaving, drain_started);
+    assert_within_bound(&fleet, drained_engine, drain_started);
 }
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -38,9 +38,9 @@
     let turn = TurnRequest::new("t2", Some("t1"), &input, TURN_TOKENS);
     let joined = tokio::spawn(follow_joined(caller.clone(), session.clone(), before.last_id()));
     let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
-    let mut seen = Transcript::default();
-    while seen.events.len() < EVENTS_BEFORE_FAILURE {
-        seen.events.push(stream.next().await.unwrap().unwrap());
+    let mut transcript = Transcript::default();
+    while transcript.events.len() < EVENTS_BEFORE_FAILURE {
+        transcript.events.push(stream.next().await.unwrap().unwrap());
     }
     let failed = match failure {
         Failure::Kill(name) => fleet.kill(name).map(|()| name).unwrap(),
@@ -49,41 +49,46 @@
     // Events that were in flight at the time of the failure count as received.
     while let Ok(Some(event)) = stream.next().await {
         let ended = event.ends_turn();
-        seen.events.push(event);
+        transcript.events.push(event);
         if ended {
             break;
         }
     }
-    let seen = match seen.terminal() {
-        Some(_) => seen,
-        None => caller.follow_turn(1, session, &turn, seen).await.unwrap(),
+    let transcript = match transcript.terminal() {
+        Some(_) => transcript,
+        None => caller.follow_turn(1, session, &turn, transcript).await.unwrap(),
     };
-    println!("{failure:?}: {} after {} events, {} cuts", seen.end(), seen.events.len(), seen.cuts);
-    seen.check("t2").unwrap();
-    check_text(fleet, session, "t2", &seen).await;
-    assert_eq!(joined.await.unwrap(), seen.events, "the joined client received other events");
+    println!(
+        "{failure:?}: {} after {} events, {} cuts",
+        transcript.end(),
+        transcript.events.len(),
+        transcript.cuts
+    );
+    transcript.check("t2").unwrap();
+    check_text(fleet, session, "t2", &transcript).await;
+    assert_eq!(joined.await.unwrap(), transcript.events, "the joined client received other events");
     let again = caller.follow_turn(1, session, &turn, Transcript::default()).await.unwrap();
-    assert_eq!(again.events, seen.events, "the turn differs when it is read again");
+    assert_eq!(again.events, transcript.events, "the turn differs when it is read again");
     let next = finish(&caller, session, &TurnRequest::new("t3", Some("t2"), "[tokens 5]", 8)).await;
-    assert_eq!(next.events[0].id, seen.last_id().unwrap() + 1);
+    assert_eq!(next.events[0].id, transcript.last_id().unwrap() + 1);
     if matches!(failure, Failure::Freeze(_)) {
         fleet.wake(failed).unwrap();
     } else {
         fleet.restart(failed).await.unwrap();
     }
     fleet.wait_ready(failed, WAIT_TIMEOUT).await.unwrap();
-    let complete = seen.end() == "finished" && seen.tokens() == TURN_TOKENS;
-    (seen, complete)
+    let complete = transcript.end() == "finished" && transcript.tokens() == TURN_TOKENS;
+    (transcript, complete)
 }
 
 /// Joins a session, again after interruptions, until the end of a turn; returns the events after
 /// `last`.
 async fn follow_joined(caller: Caller, session: SessionRef, last: Option<u64>) -> Vec<StreamEvent> {
     let mut events: Vec<StreamEvent> = Vec::new();
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     for gateway in 1.. {
         assert!(
-            began.elapsed() < WAIT_TIMEOUT,
+            started.elapsed() < WAIT_TIMEOUT,
             "the joined stream did not reach the end of the turn: {events:?}"
         );
         let after = events.last().map_or(last, |event| Some(event.id));
@@ -116,8 +121,8 @@
         let session = open_session(&fleet, &format!("owner-{frozen}")).await;
         let owner = owner(&fleet, &caller(&fleet), &session).await;
         let failure = if frozen { Failure::Freeze(owner) } else { Failure::Kill(owner) };
-        let (seen, complete) = run_disturbed_turn(&fleet, &session, failure).await;
-        assert!(complete || seen.end() == "interrupted", "{}", seen.end());
+        let (transcript, complete) = run_disturbed_turn(&fleet, &session, failure).await;
+        assert!(complete || transcript.end() == "interrupted", "{}", transcript.end());
         // The turn is sealed after its committed events and not generated again elsewhere.
         let generations = crate::support::generations(&fleet, &session, "t2");
         assert_eq!(generations, 1, "the turn was generated {generations} times");
@@ -128,14 +133,14 @@
 async fn a_gateway_or_a_shards_leader_fails_in_the_middle_of_a_turn() {
     let fleet = start(data_topology(2, 1)).await;
     let session_of_gateway = open_session(&fleet, "gateway").await;
-    let (seen, complete) =
+    let (transcript, complete) =
         run_disturbed_turn(&fleet, &session_of_gateway, Failure::Kill(name("gateway:0"))).await;
-    assert!(complete, "the failure of a gateway interrupted the turn: {}", seen.end());
+    assert!(complete, "the failure of a gateway interrupted the turn: {}", transcript.end());
     for frozen in [false, true] {
         let session = open_session(&fleet, &format!("store-{frozen}")).await;
         let leader = shard_leader(&fleet, &session.program).await;
         let failure = if frozen { Failure::Freeze(leader) } else { Failure::Kill(leader) };
-        let (seen, complete) = run_disturbed_turn(&fleet, &session, failure).await;
-        assert!(complete || seen.end() == "interrupted", "{}", seen.end());
+        let (transcript, complete) = run_disturbed_turn(&fleet, &session, failure).await;
+        assert!(complete || transcript.end() == "interrupted", "{}", transcript.end());
     }
 }
--- a/crates/fleet/tests/suite/rolling_restart.rs
+++ b/crates/fleet/tests/suite/rolling_restart.rs
@@ -50,8 +50,8 @@
 /// Number of calls run by engines of a version.
 fn calls_run(fleet: &Fleet, version: &ServiceVersion) -> usize {
     let lines = fleet.ledgers(ProcessKind::App).unwrap();
-    let ran = |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { .. });
-    lines.iter().filter(|line| line.version == version.as_str() && ran(&line.entry)).count()
+    let is_run = |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { .. });
+    lines.iter().filter(|line| line.version == version.as_str() && is_run(&line.entry)).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/fleet/tests/suite/single_owner.rs
+++ b/crates/fleet/tests/suite/single_owner.rs
@@ -28,7 +28,7 @@
 struct UnresponsiveOwner {
     session: SessionRef,
     turn: TurnRequest,
-    seen: Transcript,
+    old_transcript: Transcript,
     stream: hooklug_fleet::caller::EventStream,
     owner: ProcessName,
     epoch: u64,
@@ -43,9 +43,9 @@
     let session = open(caller, PROGRAM, session).await;
     let turn = TurnRequest::new("t1", None, "[tokens 2000]", 2_000);
     let mut stream = caller.begin_turn(0, &session, &turn).await.unwrap();
-    let mut seen = Transcript::default();
-    while seen.events.len() < 6 {
-        seen.events.push(stream.next().await.unwrap().unwrap());
+    let mut old_transcript = Transcript::default();
+    while old_transcript.events.len() < 6 {
+        old_transcript.events.push(stream.next().await.unwrap().unwrap());
     }
     let view = caller.session(0, &session).await.unwrap();
     let owner = owner(fleet, caller, &session).await;
@@ -57,7 +57,7 @@
             }
         }
     }
-    UnresponsiveOwner { session, turn, seen, stream, owner, epoch: view.epoch }
+    UnresponsiveOwner { session, turn, old_transcript, stream, owner, epoch: view.epoch }
 }
 
 /// Reads all events of a session with their positions.
@@ -83,15 +83,22 @@
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 100_000).await;
     let unresponsive = make_owner_unresponsive(&fleet, &caller, "s", mode).await;
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     // Another engine takes the session over and seals the turn after its committed events.
-    let UnresponsiveOwner { session, turn, mut seen, mut stream, owner: old_owner, epoch } =
-        unresponsive;
+    let UnresponsiveOwner {
+        session,
+        turn,
+        mut old_transcript,
+        mut stream,
+        owner: old_owner,
+        epoch,
+    } = unresponsive;
     let session = &session;
-    let taken_over = caller.follow_turn(1, session, &turn, Transcript::default()).await.unwrap();
-    taken_over.check("t1").unwrap();
-    assert_eq!(taken_over.end(), "interrupted");
-    println!("{mode:?}: session taken over after {:?}", began.elapsed());
+    let taken_over_transcript =
+        caller.follow_turn(1, session, &turn, Transcript::default()).await.unwrap();
+    taken_over_transcript.check("t1").unwrap();
+    assert_eq!(taken_over_transcript.end(), "interrupted");
+    println!("{mode:?}: session taken over after {:?}", started.elapsed());
     let next = TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8);
     finish(&caller, session, &next).await;
     let view: SessionView = caller.session(0, session).await.unwrap();
@@ -99,18 +106,18 @@
     assert!(view.epoch > epoch);
     let before = history(&caller, session).await;
     // The owner must be unresponsive for the full time, measured from the start of the fault.
-    tokio::time::sleep_until(began + UNRESPONSIVE_TIME).await;
+    tokio::time::sleep_until(started + UNRESPONSIVE_TIME).await;
     match mode {
         FailureMode::Frozen => fleet.wake(old_owner).unwrap(),
         FailureMode::Isolated => fleet.heal().await.unwrap(),
     }
     // Everything that the old owner sent to its client must be committed.
     while let Ok(Some(event)) = stream.next().await {
-        seen.events.push(event);
+        old_transcript.events.push(event);
     }
-    for event in &seen.events {
+    for event in &old_transcript.events {
         assert!(
-            taken_over.events.contains(event),
+            taken_over_transcript.events.contains(event),
             "{mode:?}: released without being committed: {event:?}"
         );
     }
@@ -136,10 +143,10 @@
     // The leader is frozen; its successor is isolated when the former leader resumes.
     let first = fleet.core_leader().await.unwrap();
     fleet.freeze(first).unwrap();
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let mut head = None;
     let mut number = 0;
-    while began.elapsed() < UNRESPONSIVE_TIME {
+    while started.elapsed() < UNRESPONSIVE_TIME {
         head = Some(run_turn(&caller, &session, head.take(), &mut number).await);
     }
     let leader = fleet.core_leader().await.unwrap();
--- a/crates/fleet/tests/suite/support/evidence.rs
+++ b/crates/fleet/tests/suite/support/evidence.rs
@@ -13,9 +13,9 @@
 
 /// Number of runs of a call at one application engine.
 pub fn runs_at(fleet: &Fleet, app: ProcessName, call: &str) -> usize {
-    let ran =
+    let is_run =
         |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { call: c, .. } if c == call);
-    fleet.ledger(app).unwrap().iter().filter(|line| ran(&line.entry)).count()
+    fleet.ledger(app).unwrap().iter().filter(|line| is_run(&line.entry)).count()
 }
 
 /// Waits until a call has started to run.
@@ -43,25 +43,32 @@
     fleet: &Fleet,
     session_ref: &SessionRef,
     name: &str,
-    seen: &Transcript,
+    transcript: &Transcript,
 ) -> bool {
-    let (text_seen, key) =
-        (seen.text(), format!("{}/{}", session_ref.program, session_ref.session));
+    let (received_text, key) =
+        (transcript.text(), format!("{}/{}", session_ref.program, session_ref.session));
     fleet.ledgers(ProcessKind::Model).unwrap().iter().any(|line| match &line.entry {
         LedgerEntry::GenerationEnded { session, turn, text, .. } => {
-            let complete = seen.end() != "finished" || text.len() == text_seen.len();
-            *session == key && turn == name && text.starts_with(&text_seen) && complete
+            let complete = transcript.end() != "finished" || text.len() == received_text.len();
+            *session == key && turn == name && text.starts_with(&received_text) && complete
         }
         _ => false,
     })
 }
 
 /// Waits until the ledger of a model server contains the text of an ended turn.
-pub async fn check_text(fleet: &Fleet, session: &SessionRef, turn: &str, seen: &Transcript) {
+pub async fn check_text(fleet: &Fleet, session: &SessionRef, turn: &str, transcript: &Transcript) {
     let check = || async {
-        if is_generated_text(fleet, session, turn, seen) { Ok(()) } else { Err(seen.text()) }
+        if is_generated_text(fleet, session, turn, transcript) {
+            Ok(())
+        } else {
+            Err(transcript.text())
+        }
     };
-    fleet.wait_until("a model server made the text shown", WAIT_TIMEOUT, check).await.unwrap();
+    fleet
+        .wait_until("a model server generated the received text", WAIT_TIMEOUT, check)
+        .await
+        .unwrap();
 }
 
 /// Number of generations of a turn that model servers started.
--- a/crates/fleet/tests/suite/support/repair.rs
+++ b/crates/fleet/tests/suite/support/repair.rs
@@ -54,8 +54,8 @@
 /// Waits until all groups are fully replicated without the lost node.
 pub async fn wait_repaired(fleet: &Fleet, lost: u64) {
     let check = || async {
-        let seen = shards(fleet).await;
-        if is_repaired(&seen, lost) { Ok(()) } else { Err(format!("{seen:?}")) }
+        let current = shards(fleet).await;
+        if is_repaired(&current, lost) { Ok(()) } else { Err(format!("{current:?}")) }
     };
     fleet.wait_until("the lost store is replaced", 2 * WAIT_TIMEOUT, check).await.unwrap();
 }
--- a/crates/fleet/tests/suite/support/versions.rs
+++ b/crates/fleet/tests/suite/support/versions.rs
@@ -42,15 +42,15 @@
     while !stop.load(Ordering::SeqCst) {
         for node in running_nodes(&fleet) {
             let Some(before) = pid(&fleet, node) else { continue };
-            let Ok(seen) = fleet.installed_bundle(node).await else { continue };
+            let Ok(current_version) = fleet.installed_bundle(node).await else { continue };
             if pid(&fleet, node) != Some(before) {
                 continue; // Restarted meanwhile, so it is unknown which process responded.
             }
             let known = newest.entry((node, before)).or_default();
-            if seen < *known {
-                regressions.push(format!("{node} from {known} to {seen}"));
+            if current_version < *known {
+                regressions.push(format!("{node} from {known} to {current_version}"));
             }
-            *known = seen.max(*known);
+            *known = current_version.max(*known);
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/fleet/tests/suite/truthful_refusals.rs
+++ b/crates/fleet/tests/suite/truthful_refusals.rs
@@ -37,11 +37,11 @@
         tokio::time::sleep(seal_head_start).await;
         caller.call(0, PROGRAM, call, request).await
     };
-    let seal = async {
+    let seal_result = async {
         tokio::time::sleep(call_head_start).await;
         caller.seal_call(1, PROGRAM, call, request).await
     };
-    tokio::join!(dispatch, seal)
+    tokio::join!(dispatch, seal_result)
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -52,21 +52,25 @@
     let mut sealed = BTreeSet::new();
     for race in 0..RACES {
         let (call, request) = (format!("call-{race}"), alarm(race));
-        let (ran, seal) = match race {
+        let (call_result, seal_result) = match race {
             // The first two races are sequential, so that each outcome occurs.
             0 => {
-                let seal = caller.seal_call(1, PROGRAM, &call, &request).await;
-                (caller.call(0, PROGRAM, &call, &request).await, seal)
+                let seal_result = caller.seal_call(1, PROGRAM, &call, &request).await;
+                (caller.call(0, PROGRAM, &call, &request).await, seal_result)
             }
             1 => {
-                let ran = caller.call(0, PROGRAM, &call, &request).await;
-                (ran, caller.seal_call(1, PROGRAM, &call, &request).await)
+                let call_result = caller.call(0, PROGRAM, &call, &request).await;
+                (call_result, caller.seal_call(1, PROGRAM, &call, &request).await)
             }
             _ => race_seal(&caller, &call, &request, race).await,
         };
-        let state = seal.unwrap().state;
-        let code = ran.as_ref().err().and_then(CallerError::code);
-        assert_eq!(state == "not_run", code == Some("call_sealed"), "{call}: {state}, {ran:?}");
+        let state = seal_result.unwrap().state;
+        let code = call_result.as_ref().err().and_then(CallerError::code);
+        assert_eq!(
+            state == "not_run",
+            code == Some("call_sealed"),
+            "{call}: {state}, {call_result:?}"
+        );
         if state == "not_run" {
             sealed.insert(call);
         }
@@ -148,8 +152,12 @@
     }
     for (session, request) in &refused {
         let key = format!("{PROGRAM}/{}", session.session);
-        let ran = started_turns(&fleet, &key);
-        assert!(!ran.contains(&request.turn), "{key} {} ran: {ran:?}", request.turn);
+        let call_result = started_turns(&fleet, &key);
+        assert!(
+            !call_result.contains(&request.turn),
+            "{key} {} ran: {call_result:?}",
+            request.turn
+        );
     }
     let program = caller.program(0, PROGRAM).await.unwrap();
     assert_eq!((program.spent, program.reserved), (60, 0));
--- a/crates/fleet/tests/suite/turn_lookup.rs
+++ b/crates/fleet/tests/suite/turn_lookup.rs
@@ -33,14 +33,14 @@
 
     /// Asserts that every gateway finds every finished turn with all its events.
     async fn check(&self, caller: &Caller) {
-        for (name, seen) in &self.turns {
+        for (name, transcript) in &self.turns {
             for gateway in 0..2 {
                 let view = caller.turn(gateway, &self.session, name).await.unwrap();
-                assert_eq!((view.state.as_str(), view.tokens), ("finished", seen.tokens()));
+                assert_eq!((view.state.as_str(), view.tokens), ("finished", transcript.tokens()));
                 let request = TurnRequest::new(name, None, "", 1);
-                let read = Transcript { events: seen.events[..1].to_vec(), cuts: 0 };
+                let read = Transcript { events: transcript.events[..1].to_vec(), cuts: 0 };
                 let again = caller.follow_turn(gateway, &self.session, &request, read).await;
-                assert_eq!(again.unwrap().events, seen.events);
+                assert_eq!(again.unwrap().events, transcript.events);
             }
         }
     }
--- a/crates/fleet/tests/suite/version_harm.rs
+++ b/crates/fleet/tests/suite/version_harm.rs
@@ -71,10 +71,10 @@
     let all = release.fleet.names(ProcessKind::App);
     let partial = FaultRule { share: 0.3, ..rule(FaultKind::Garble) };
     release.set_faults(&all, &faults(partial)).await;
-    let began = Instant::now();
+    let started = Instant::now();
     release.wait_for_calls(&release.newer, CALLS).await;
     release.wait_for_calls(&ServiceVersion::new("v1").unwrap(), CALLS).await;
-    while began.elapsed() < OBSERVATION_TIME {
+    while started.elapsed() < OBSERVATION_TIME {
         release.wait_for_calls(&release.newer, 10).await;
     }
     let current = read_current(&release.fleet, name("gateway:0")).await.record;
@@ -149,10 +149,10 @@
     assert_eq!(read_current(&fleet, name("gateway:0")).await.record.version, BundleVersion(2));
 
     fleet.set_faults(model, &faults(rule(FaultKind::Fail))).await.unwrap();
-    let began = Instant::now();
+    let started = Instant::now();
     let rollback = wait_rolled_back(&fleet, 2).await;
     assert_eq!((rollback.service.as_str(), rollback.version.as_str()), ("advisor", "v2"));
-    let rolled_back = began.elapsed();
+    let rolled_back = started.elapsed();
     let before = count("v1", "finished");
     wait_for("v1", "finished", before + 60).await;
     stop.store(true, Ordering::SeqCst);
@@ -163,7 +163,7 @@
         let results = results.lock().unwrap();
         results.iter().filter(|(_, _, end)| end != "finished").map(|(at, ..)| *at).max()
     };
-    let last_failed = last_failed.expect("some turns failed").saturating_duration_since(began);
+    let last_failed = last_failed.expect("some turns failed").saturating_duration_since(started);
     println!(
         "model service: rollback installed after {rolled_back:?}, last failed turn after {last_failed:?}; {}",
         rollback.reason
--- a/crates/fleet/tests/suite/version_harm/release.rs
+++ b/crates/fleet/tests/suite/version_harm/release.rs
@@ -196,10 +196,10 @@
     /// Asserts that the newer version, which has a fault from now on, is rolled back and loses its
     /// traffic in time and permanently.
     pub async fn assert_rolled_back(&mut self, what: &str, route: Option<&str>) {
-        let (began, began_at) = (Instant::now(), UnixMillis::now());
+        let (started, started_at) = (Instant::now(), UnixMillis::now());
         let rollback = wait_rolled_back(&self.fleet, self.version).await;
         self.version += 1;
-        let rolled_back = began.elapsed();
+        let rolled_back = started.elapsed();
         assert_eq!(
             (rollback.service.as_str(), rollback.version.as_str()),
             ("alarms", self.newer.as_str())
@@ -216,9 +216,9 @@
         self.wait_for_calls(&v1, 10 * CALLERS).await;
         assert_eq!(self.call_count(&self.newer), settled, "{what}: traffic after the rollback");
         let mut runs = self.runs(&self.newer);
-        runs.retain(|at| *at >= began_at);
-        let clear = runs.get(CLEAR_REGRESSION_SAMPLES - 1).copied().unwrap_or(began_at);
-        let last = runs.last().copied().unwrap_or(began_at);
+        runs.retain(|at| *at >= started_at);
+        let clear = runs.get(CLEAR_REGRESSION_SAMPLES - 1).copied().unwrap_or(started_at);
+        let last = runs.last().copied().unwrap_or(started_at);
         let traffic = Duration::from_millis(last.0.saturating_sub(clear.0));
         println!(
             "{what}: rollback installed after {rolled_back:?}, last of {} runs {traffic:?} after a clear regression; {}",
