--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -13,7 +13,7 @@
 use hooklug_fleet::{Fleet, FleetError, FleetOptions, ProcessName, Topology};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code after an interrupt: 128 + `SIGINT`, as in shells.
+/// Exit code after `SIGINT` or `SIGTERM`; shells use it for an interrupted command.
 const EXIT_INTERRUPTED: u8 = 130;
 
 /// Runs a complete hooklug fleet on this machine, each node a process at its own loopback address.
--- a/crates/fleet/src/names.rs
+++ b/crates/fleet/src/names.rs
@@ -90,7 +90,7 @@
         let error = || NameError(text.to_owned());
         let (word, index) = text.split_once(':').ok_or_else(error)?;
         let (kind, _) =
-            ProcessKind::ALL.iter().find(|(_, known)| *known == word).ok_or_else(error)?;
+            ProcessKind::ALL.iter().find(|(_, kind_name)| *kind_name == word).ok_or_else(error)?;
         Ok(Self { kind: *kind, index: index.parse().map_err(|_| error())? })
     }
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -114,7 +114,7 @@
         self.folder(plan.name).join(format!("disk-{}", plan.ip))
     }
 
-    /// Writes the settings file of a process and returns its command line. `listed` are the
+    /// Writes the settings file of a process and returns its command line. `listed_engines` are the
     /// application engines that the fake platform lists at first.
     pub(crate) fn launch(
         &self,
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -59,7 +59,7 @@
         None => caller.follow_turn(1, session, &turn, transcript).await.unwrap(),
     };
     println!(
-        "{failure:?}: {} after {} events, {} cuts",
+        "{failure:?}: {} after {} events, {} interruptions",
         transcript.end(),
         transcript.events.len(),
         transcript.cuts
--- a/crates/fleet/tests/suite/soak.rs
+++ b/crates/fleet/tests/suite/soak.rs
@@ -66,7 +66,7 @@
     rng: StdRng,
     newest: Bundle,
     /// Processes with a fault in progress.
-    disturbed: Arc<Mutex<BTreeSet<ProcessName>>>,
+    faulty_nodes: Arc<Mutex<BTreeSet<ProcessName>>>,
     faults: JoinSet<()>,
 }
 
@@ -77,18 +77,18 @@
             fleet,
             rng: StdRng::seed_from_u64(seed),
             newest,
-            disturbed: Arc::default(),
+            faulty_nodes: Arc::default(),
             faults: JoinSet::new(),
         }
     }
 
-    fn is_disturbed(&self, node: ProcessName) -> bool {
-        self.disturbed.lock().unwrap().contains(&node)
+    fn has_fault(&self, node: ProcessName) -> bool {
+        self.faulty_nodes.lock().unwrap().contains(&node)
     }
 
     /// Starts a random fault at a process of a kind, unless one is in progress at a process of that
     /// kind. The fault ends by itself.
-    fn disturb(&mut self, kind: ProcessKind) {
+    fn start_random_fault(&mut self, kind: ProcessKind) {
         let names = self.fleet.names(kind);
         // The first gateway is spared, and only one store is disturbed at a time, so that changes
         // can be acknowledged.
@@ -98,16 +98,16 @@
         else {
             return;
         };
-        if names.iter().any(|other| self.is_disturbed(*other)) {
+        if names.iter().any(|other| self.has_fault(*other)) {
             return;
         }
         let pause = Duration::from_millis(self.rng.random_range(100..1_200));
         println!("{fault:?} {target} for {pause:?}");
-        self.disturbed.lock().unwrap().insert(target);
-        let (fleet, disturbed) = (self.fleet.clone(), self.disturbed.clone());
+        self.faulty_nodes.lock().unwrap().insert(target);
+        let (fleet, faulty_nodes) = (self.fleet.clone(), self.faulty_nodes.clone());
         self.faults.spawn(async move {
             apply_fault(&fleet, target, fault, pause).await;
-            disturbed.lock().unwrap().remove(&target);
+            faulty_nodes.lock().unwrap().remove(&target);
         });
     }
 
@@ -120,7 +120,7 @@
     async fn change(&mut self) {
         let version = self.next_version();
         match self.rng.random_range(0..10) {
-            0 if !self.is_disturbed(name("gateway:1")) => self.race(version).await,
+            0 if !self.has_fault(name("gateway:1")) => self.race(version).await,
             1 => self.submit_invalid(version).await,
             2 => drop(submit_accepted(&self.fleet, name("gateway:0"), &self.newest).await),
             _ => {
@@ -202,9 +202,9 @@
     for _ in 0..SERIES {
         for number in 0..CHANGES {
             if number % 3 == 0 {
-                run.disturb(ProcessKind::Store);
-                run.disturb(ProcessKind::Core);
-                run.disturb(ProcessKind::Gateway);
+                run.start_random_fault(ProcessKind::Store);
+                run.start_random_fault(ProcessKind::Core);
+                run.start_random_fault(ProcessKind::Gateway);
             }
             run.change().await;
         }
