--- a/crates/emulator/src/model/text.rs
+++ b/crates/emulator/src/model/text.rs
@@ -1,4 +1,5 @@
-//! Text that follows from the seed and the whole context alone, never from a cache.
+//! Deterministic text of a generation. It depends only on the seed and the complete context, never
+//! on the state of the cache.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,49 +8,50 @@
     "seven", "and", "sensor", "four", "then", "open", "roof", "by", "ten", "percent", "hold",
     "humidity", "below", "eighty", "wait", "for", "wind", "to", "drop", "or", "ask",
 ];
-/// Shortest and longest answer when the input does not ask for a length, in tokens (ours).
-const LENGTHS: std::ops::Range<u64> = 8..33;
+/// Range of the length of a response, in tokens, if the input does not request one.
+const DEFAULT_LENGTHS: std::ops::Range<u64> = 8..33;
 
-/// A piece of the context.
+/// An item of the context.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContextItem {
     /// `user`, `assistant` or `tool`.
     pub role: String,
-    /// What was said.
+    /// Text of the item.
     pub text: String,
 }
 
-/// What a model answers: known before the first token goes out.
+/// Content of a response, computed before the first token is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlannedAnswer {
-    /// Its tokens, one word each.
+pub struct PlannedResponse {
+    /// Tokens, one word each.
     pub tokens: Vec<String>,
-    /// A tool that it asks for after its first token.
+    /// Tool to request after the first token.
     pub tool: Option<String>,
-    /// Whether the token limit cuts it.
+    /// Whether the response is truncated by the token limit.
     pub limited: bool,
 }
 
-/// The answer to an input after a context.
+/// Computes the response to an input after a context.
 ///
-/// An input with `[tokens N]` asks for that many tokens, one with `[tool NAME]` for a tool call.
+/// `[tokens N]` in the input sets the number of tokens, `[tool NAME]` requests a tool call.
 #[must_use]
-pub fn plan_answer(
+pub fn plan_response(
     seed: u64,
     context: &[ContextItem],
     input: &str,
     max_tokens: u64,
-) -> PlannedAnswer {
+) -> PlannedResponse {
     let mut words = WordSource::new(seed, context, input);
-    let drawn = LENGTHS.start + words.draw() % (LENGTHS.end - LENGTHS.start);
-    let asked = directive(input, "tokens").and_then(|n| n.parse().ok());
-    let wanted = asked.unwrap_or(drawn);
-    let tokens = (0..wanted.min(max_tokens)).map(|_| words.word()).collect();
+    let drawn_length =
+        DEFAULT_LENGTHS.start + words.next_u64() % (DEFAULT_LENGTHS.end - DEFAULT_LENGTHS.start);
+    let requested = directive(input, "tokens").and_then(|n| n.parse().ok());
+    let length = requested.unwrap_or(drawn_length);
+    let tokens = (0..length.min(max_tokens)).map(|_| words.word()).collect();
     let tool = directive(input, "tool").map(str::to_owned);
-    PlannedAnswer { tokens, tool, limited: wanted > max_tokens }
+    PlannedResponse { tokens, tool, limited: length > max_tokens }
 }
 
-/// Tokens of a text, as this model counts them: its words.
+/// Counts the tokens of a text: one per word.
 #[must_use]
 pub fn count_tokens(text: &str) -> u64 {
     text.split_whitespace().count() as u64
@@ -78,14 +80,14 @@
         Self { bytes: hasher.finalize_xof() }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn next_u64(&mut self) -> u64 {
         let mut bytes = [0; 8];
         self.bytes.fill(&mut bytes);
         u64::from_le_bytes(bytes)
     }
 
     fn word(&mut self) -> String {
-        let place = self.draw() % WORDS.len() as u64;
-        format!("{} ", WORDS[place as usize])
+        let index = self.next_u64() % WORDS.len() as u64;
+        format!("{} ", WORDS[index as usize])
     }
 }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of engines: right in the end, but only after its lag.
+//! Fake of the platform's engine list. Changes become visible after a configured delay.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,96 +13,96 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::http::{Answer, json, read_json, serve, text};
+use crate::http::{HandlerResult, json_response, read_json, serve, text_response};
 
-/// The list, as `docs/BACKENDS.md` has it.
+/// Engine list, as specified in `docs/BACKENDS.md`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineList {
-    /// Its entries.
+    /// Entries of the list.
     pub engines: Vec<ListedEngine>,
 }
 
-/// An address where the platform has put an engine.
+/// An engine that the platform has started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListedEngine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
 }
 
-/// How the list is started.
+/// Options of the fake engine list.
 #[derive(Debug, Clone)]
 pub struct PlatformOptions {
-    /// Where it listens; port 0 draws one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The list at the start.
+    /// Initial list.
     pub engines: EngineList,
-    /// How long a change stays unseen.
+    /// Delay until a change becomes visible.
     pub lag: Duration,
 }
 
 #[derive(Debug)]
-struct Versions {
-    shown: EngineList,
-    /// Changes that are not seen yet, oldest first.
-    coming: Vec<(Instant, EngineList)>,
+struct DelayedList {
+    visible: EngineList,
+    /// Changes that are not visible yet with the time at which they become visible, oldest first.
+    pending: Vec<(Instant, EngineList)>,
     lag: Duration,
 }
 
-impl Versions {
+impl DelayedList {
     fn set(&mut self, list: EngineList) {
-        self.coming.push((Instant::now() + self.lag, list));
+        self.pending.push((Instant::now() + self.lag, list));
     }
 
-    fn show(&mut self) -> EngineList {
+    fn visible_list(&mut self) -> EngineList {
         let now = Instant::now();
-        let seen = self.coming.iter().take_while(|(at, _)| *at <= now).count();
-        if let Some((_, newest)) = self.coming.drain(..seen).next_back() {
-            self.shown = newest;
+        let due = self.pending.iter().take_while(|(at, _)| *at <= now).count();
+        if let Some((_, newest)) = self.pending.drain(..due).next_back() {
+            self.visible = newest;
         }
-        self.shown.clone()
+        self.visible.clone()
     }
 }
 
-/// The platform's list of engines; `GET /engines` shows it. Dropping it stops it.
+/// Server of the platform's engine list at `GET /engines`. Dropping it stops it.
 #[derive(Debug)]
 pub struct PlatformList {
     address: SocketAddr,
-    versions: Arc<Mutex<Versions>>,
+    list: Arc<Mutex<DelayedList>>,
     stop: CancellationToken,
 }
 
 impl PlatformList {
-    /// Starts it.
+    /// Starts the server.
     ///
     /// # Errors
     /// When it can't listen.
     pub async fn start(options: PlatformOptions) -> io::Result<Self> {
         let listener = TcpListener::bind(options.listen).await?;
         let address = listener.local_addr()?;
-        let versions = Versions { shown: options.engines, coming: Vec::new(), lag: options.lag };
-        let versions = Arc::new(Mutex::new(versions));
+        let list = DelayedList { visible: options.engines, pending: Vec::new(), lag: options.lag };
+        let list = Arc::new(Mutex::new(list));
         let stop = CancellationToken::new();
-        let served = versions.clone();
-        tokio::spawn(serve(listener, stop.clone(), move |request| answer(served.clone(), request)));
-        Ok(Self { address, versions, stop })
+        let served = list.clone();
+        tokio::spawn(serve(listener, stop.clone(), move |request| handle(served.clone(), request)));
+        Ok(Self { address, list, stop })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the list; seen after the lag.
+    /// Replaces the list; the change becomes visible after the delay.
     pub fn set(&self, list: EngineList) {
-        self.versions.lock().unwrap_or_else(PoisonError::into_inner).set(list);
+        self.list.lock().unwrap_or_else(PoisonError::into_inner).set(list);
     }
 
-    /// Waits until it was told to stop.
+    /// Waits until the server is stopped.
     pub async fn stopped(&self) {
         self.stop.cancelled().await;
     }
@@ -114,18 +114,18 @@
     }
 }
 
-async fn answer(versions: Arc<Mutex<Versions>>, request: Request<Incoming>) -> Answer {
-    let lock = || versions.lock().unwrap_or_else(PoisonError::into_inner);
+async fn handle(list: Arc<Mutex<DelayedList>>, request: Request<Incoming>) -> HandlerResult {
+    let lock = || list.lock().unwrap_or_else(PoisonError::into_inner);
     let path = request.uri().path().to_owned();
     match (request.method().clone(), path.as_str()) {
-        (Method::GET, "/engines") => Ok(json(StatusCode::OK, &lock().show())),
+        (Method::GET, "/engines") => Ok(json_response(StatusCode::OK, &lock().visible_list())),
         (Method::PUT, "/emulator/engines") => match read_json(request).await {
             Ok(list) => {
                 lock().set(list);
-                Ok(text(StatusCode::OK, "switched"))
+                Ok(text_response(StatusCode::OK, "switched"))
             }
             Err(refusal) => Ok(*refusal),
         },
-        _ => Ok(text(StatusCode::NOT_FOUND, "no such path")),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
 }
--- a/crates/fleet/src/caller/mod.rs
+++ b/crates/fleet/src/caller/mod.rs
@@ -1,5 +1,5 @@
-//! A caller of the gateways' API, as `docs/API.md` has it: it sends a request again, to the next
-//! gateway, for as long as an answer claims nothing.
+//! Client of the gateways' API (see `docs/API.md`). It retries a request at the next gateway while
+//! the outcome is unknown.
 
 mod error;
 mod sse;
@@ -17,29 +17,29 @@
 use tokio::time::{Instant, sleep};
 
 use crate::http::{Answer, Ask, HttpClient};
-use error::success;
+use error::into_success;
 pub use error::{CallerError, Problem};
 pub use sse::{SseError, SseParser, StreamEvent};
 pub use stream::{EventStream, Transcript};
 pub use turns::TurnRequest;
-pub use views::{CallAnswer, CallView, Placed, ProgramView, SessionView, TurnView};
+pub use views::{CallAnswer, CallView, ProgramView, SessionView, ToolResultPosition, TurnView};
 
-/// Longest time in which a request is sent again (ours).
-const RETRY_TIME: Duration = Duration::from_secs(30);
-/// Pause before a request is sent again (ours).
-const PAUSE: Duration = Duration::from_millis(100);
+/// Time after which a request is no longer retried.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A session's full name.
+/// Reference to a session by program and name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionRef {
-    /// Its program.
+    /// Program of the session.
     pub program: String,
-    /// Its name in the program.
+    /// Name of the session, unique in its program.
     pub session: String,
 }
 
 impl SessionRef {
-    /// A session's name.
+    /// Creates a reference to a session.
     #[must_use]
     pub fn new(program: &str, session: &str) -> Self {
         Self { program: program.to_owned(), session: session.to_owned() }
@@ -50,29 +50,29 @@
     }
 }
 
-/// A call to be made.
+/// Request body of a tool call.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct CallRequest {
-    /// The tool.
+    /// Name of the tool.
     pub tool: String,
-    /// Its arguments.
+    /// Arguments of the call.
     pub arguments: Value,
-    /// `false` makes a route stricter.
+    /// `Some(false)` makes the call non-repeatable even on a route with repeatable calls.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeat: Option<bool>,
-    /// Longest time that it may take, in milliseconds.
+    /// Deadline of the call, in milliseconds.
     pub deadline_ms: u64,
 }
 
 impl CallRequest {
-    /// A call as its route has it.
+    /// Creates a call with the repeatability of its route and a deadline of 5 s.
     #[must_use]
     pub fn new(tool: &str, arguments: Value) -> Self {
         Self { tool: tool.to_owned(), arguments, repeat: None, deadline_ms: 5_000 }
     }
 }
 
-/// Calls gateways for one tenant. Cheap to clone.
+/// API client for one tenant. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Caller {
     gateways: Vec<SocketAddr>,
@@ -81,7 +81,7 @@
 }
 
 impl Caller {
-    /// A caller that knows these gateways; there must be at least one.
+    /// Creates a client for these gateways; there must be at least one.
     #[must_use]
     pub fn new(gateways: Vec<SocketAddr>, tenant: &str) -> Self {
         Self { gateways, tenant: tenant.to_owned(), http: HttpClient::default() }
@@ -91,49 +91,50 @@
         self.gateways[index % self.gateways.len()]
     }
 
-    fn signed(&self, ask: Ask) -> Ask {
-        ask.header("x-hooklug-tenant", self.tenant.clone())
+    fn with_tenant(&self, request: Ask) -> Ask {
+        request.header("x-hooklug-tenant", self.tenant.clone())
     }
 
-    /// Sends a request to one gateway, once.
+    /// Sends a request to one gateway, without retries.
     ///
     /// # Errors
-    /// A problem, or no answer.
-    pub async fn ask_once(&self, gateway: usize, ask: &Ask) -> Result<Answer, CallerError> {
-        let answer = self.http.ask(self.gateway(gateway), &self.signed(ask.clone())).await?;
-        success(answer)
+    /// When the response is a problem or does not arrive.
+    pub async fn ask_once(&self, gateway: usize, request: &Ask) -> Result<Answer, CallerError> {
+        let response =
+            self.http.ask(self.gateway(gateway), &self.with_tenant(request.clone())).await?;
+        into_success(response)
     }
 
-    /// Sends a request, again at the next gateway while the answer claims nothing.
+    /// Sends a request, and retries it at the next gateway while the error is retryable.
     ///
     /// # Errors
-    /// A problem that does not pass, or the last one when the time is over.
-    pub async fn ask(&self, mut gateway: usize, ask: &Ask) -> Result<Answer, CallerError> {
-        let deadline = Instant::now() + RETRY_TIME;
+    /// A permanent error, or the last error when the retry time is over.
+    pub async fn ask(&self, mut gateway: usize, request: &Ask) -> Result<Answer, CallerError> {
+        let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
-            match self.ask_once(gateway, ask).await {
+            match self.ask_once(gateway, request).await {
                 Err(error) if error.is_passing() && Instant::now() < deadline => {
                     gateway += 1;
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
                 done => return done,
             }
         }
     }
 
-    async fn ask_json<T: DeserializeOwned>(
+    async fn request_json<T: DeserializeOwned>(
         &self,
         gateway: usize,
-        ask: Ask,
+        request: Ask,
     ) -> Result<T, CallerError> {
-        let answer = self.ask(gateway, &ask).await?;
-        serde_json::from_slice(&answer.body).map_err(|e| CallerError::Broken(e.to_string()))
+        let response = self.ask(gateway, &request).await?;
+        serde_json::from_slice(&response.body).map_err(|e| CallerError::Broken(e.to_string()))
     }
 
-    /// Declares a program.
+    /// Declares a program with its token budget and end time.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn put_program(
         &self,
         gateway: usize,
@@ -142,22 +143,22 @@
         end_time_ms: u64,
     ) -> Result<ProgramView, CallerError> {
         let body = json!({"token_budget": token_budget, "end_time_ms": end_time_ms});
-        self.ask_json(gateway, Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body))
+        self.request_json(gateway, Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body))
             .await
     }
 
     /// Reads a program.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn program(&self, gateway: usize, program: &str) -> Result<ProgramView, CallerError> {
-        self.ask_json(gateway, Ask::new(Method::GET, format!("/v1/programs/{program}"))).await
+        self.request_json(gateway, Ask::new(Method::GET, format!("/v1/programs/{program}"))).await
     }
 
     /// Opens a session.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn open_session(
         &self,
         gateway: usize,
@@ -169,37 +170,37 @@
         if let Some(prefix) = prefix {
             body["prefix"] = prefix.into();
         }
-        self.ask_json(gateway, Ask::json(Method::PUT, session.path(), &body)).await
+        self.request_json(gateway, Ask::json(Method::PUT, session.path(), &body)).await
     }
 
     /// Reads a session.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn session(
         &self,
         gateway: usize,
         session: &SessionRef,
     ) -> Result<SessionView, CallerError> {
-        self.ask_json(gateway, Ask::new(Method::GET, session.path())).await
+        self.request_json(gateway, Ask::new(Method::GET, session.path())).await
     }
 
     /// Closes a session.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn close_session(
         &self,
         gateway: usize,
         session: &SessionRef,
     ) -> Result<SessionView, CallerError> {
-        self.ask_json(gateway, Ask::new(Method::DELETE, session.path())).await
+        self.request_json(gateway, Ask::new(Method::DELETE, session.path())).await
     }
 
     /// Reads a turn.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn turn(
         &self,
         gateway: usize,
@@ -207,13 +208,13 @@
         turn: &str,
     ) -> Result<TurnView, CallerError> {
         let path = format!("{}/turns/{turn}", session.path());
-        self.ask_json(gateway, Ask::new(Method::GET, path)).await
+        self.request_json(gateway, Ask::new(Method::GET, path)).await
     }
 
     /// Aborts a turn.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn abort_turn(
         &self,
         gateway: usize,
@@ -221,29 +222,30 @@
         turn: &str,
     ) -> Result<TurnView, CallerError> {
         let path = format!("{}/turns/{turn}/abort", session.path());
-        self.ask_json(gateway, Ask::new(Method::POST, path)).await
+        self.request_json(gateway, Ask::new(Method::POST, path)).await
     }
 
-    /// Tells the result of a tool call.
+    /// Sends the result of a tool call to its session.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn tell_tool_result(
         &self,
         gateway: usize,
         session: &SessionRef,
         call: &str,
         result: &Value,
-    ) -> Result<Placed, CallerError> {
+    ) -> Result<ToolResultPosition, CallerError> {
         let body = json!({"call": call, "result": result});
         let path = format!("{}/tool-results", session.path());
-        self.ask_json(gateway, Ask::json(Method::POST, path, &body)).await
+        self.request_json(gateway, Ask::json(Method::POST, path, &body)).await
     }
 
-    /// Makes a call. The same id with the same content again gets the same answer.
+    /// Makes a call. A call that is sent again with the same id and content gets the same response.
     ///
     /// # Errors
-    /// A problem that does not pass; `call_unknown` when the answer was lost.
+    /// A permanent error, or the last error when the retry time is over; `call_unknown` when the
+    /// application's response was lost.
     pub async fn call(
         &self,
         gateway: usize,
@@ -251,17 +253,18 @@
         call: &str,
         request: &CallRequest,
     ) -> Result<CallAnswer, CallerError> {
-        let ask = Ask::json(Method::PUT, format!("/v1/programs/{program}/calls/{call}"), request);
-        let answer = self.ask(gateway, &ask).await?;
-        let body =
-            serde_json::from_slice(&answer.body).map_err(|e| CallerError::Broken(e.to_string()))?;
-        Ok(CallAnswer { status: answer.status.as_u16(), body })
+        let request =
+            Ask::json(Method::PUT, format!("/v1/programs/{program}/calls/{call}"), request);
+        let response = self.ask(gateway, &request).await?;
+        let body = serde_json::from_slice(&response.body)
+            .map_err(|e| CallerError::Broken(e.to_string()))?;
+        Ok(CallAnswer { status: response.status.as_u16(), body })
     }
 
-    /// Reads a call that may not be repeated.
+    /// Reads the state of a non-repeatable call.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn call_state(
         &self,
         gateway: usize,
@@ -269,13 +272,13 @@
         call: &str,
     ) -> Result<CallView, CallerError> {
         let path = format!("/v1/programs/{program}/calls/{call}");
-        self.ask_json(gateway, Ask::new(Method::GET, path)).await
+        self.request_json(gateway, Ask::new(Method::GET, path)).await
     }
 
-    /// Seals a call: it will not run, unless it was begun.
+    /// Seals a call, so that it never runs unless it has started already.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// A permanent error, or the last error when the retry time is over.
     pub async fn seal_call(
         &self,
         gateway: usize,
@@ -285,6 +288,6 @@
     ) -> Result<CallView, CallerError> {
         let body = json!({"tool": request.tool, "arguments": request.arguments});
         let path = format!("/v1/programs/{program}/calls/{call}/seal");
-        self.ask_json(gateway, Ask::json(Method::POST, path, &body)).await
+        self.request_json(gateway, Ask::json(Method::POST, path, &body)).await
     }
 }
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: started, signalled and ended by its id alone.
+//! A child process of the fleet. It is signalled and killed by its id only, never by name.
 
 use std::ffi::OsString;
 use std::fs::{File, OpenOptions};
@@ -13,20 +13,20 @@
 
 use crate::FleetError;
 
-/// How often the end of a process is looked for.
-const POLL: Duration = Duration::from_millis(10);
-/// Lines of a log shown in errors.
+/// Interval at which the exit of a process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of log lines included in errors.
 const LOG_LINES: usize = 20;
 
-/// How a process is started, also again.
+/// Command line and log file of a process, reused for restarts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Launch {
+pub(crate) struct LaunchSpec {
     pub program: PathBuf,
     pub arguments: Vec<OsString>,
     pub log: PathBuf,
 }
 
-impl Launch {
+impl LaunchSpec {
     fn command(&self) -> std::io::Result<Command> {
         let log = OpenOptions::new().create(true).append(true).open(&self.log)?;
         let errors: File = log.try_clone()?;
@@ -36,12 +36,13 @@
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(errors)
-            // Ctrl-C goes to this program, which then ends the others in order.
+            // In a process group of its own the child does not receive Ctrl-C; this program handles
+            // the signal and kills its children.
             .process_group(0);
         Ok(command)
     }
 
-    /// The last lines that the process wrote.
+    /// The last lines of the process's log.
     pub(crate) fn log_tail(&self) -> String {
         tail(&self.log, LOG_LINES)
     }
@@ -54,46 +55,46 @@
     all[all.len().saturating_sub(lines)..].join("\n")
 }
 
-/// A process of the fleet. Dropping it kills it.
+/// A child process. Dropping it kills it.
 #[derive(Debug)]
 pub(crate) struct Process {
     child: Child,
-    ended: Option<ExitStatus>,
+    exit_status: Option<ExitStatus>,
     pub frozen: bool,
 }
 
 impl Process {
-    pub(crate) fn start(launch: &Launch) -> Result<Self, FleetError> {
-        let what = || format!("cannot start {}", launch.program.display());
-        let mut command = launch.command().map_err(FleetError::io(what()))?;
-        let child = command.spawn().map_err(FleetError::io(what()))?;
-        Ok(Self { child, ended: None, frozen: false })
+    pub(crate) fn start(launch: &LaunchSpec) -> Result<Self, FleetError> {
+        let context = || format!("cannot start {}", launch.program.display());
+        let mut command = launch.command().map_err(FleetError::io(context()))?;
+        let child = command.spawn().map_err(FleetError::io(context()))?;
+        Ok(Self { child, exit_status: None, frozen: false })
     }
 
     pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How it ended, if it has.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
-        if self.ended.is_none() {
-            self.ended = self.child.try_wait().ok().flatten();
+    /// The exit status, if the process has exited.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
+        if self.exit_status.is_none() {
+            self.exit_status = self.child.try_wait().ok().flatten();
         }
-        self.ended
+        self.exit_status
     }
 
-    /// Kills it, as a loss of power would as far as the process is concerned.
+    /// Kills the process and waits for it to exit.
     pub(crate) fn kill(&mut self) {
-        if self.ended().is_none() {
-            // It may end by itself in between; waiting settles both.
+        if self.exit_status().is_none() {
+            // The kill fails if the process exits in between; `wait` returns its status either way.
             let _ = self.child.kill();
-            self.ended = self.child.wait().ok();
+            self.exit_status = self.child.wait().ok();
         }
     }
 
-    /// Sends a signal, unless it has ended: its id may then belong to another process.
+    /// Sends a signal, unless the process has exited: its id may then belong to another process.
     pub(crate) fn signal(&mut self, signal: Signal) -> Result<(), FleetError> {
-        if self.ended().is_some() {
+        if self.exit_status().is_some() {
             return Ok(());
         }
         let id = i32::try_from(self.id()).map_err(|e| FleetError::Unexpected(e.to_string()))?;
@@ -107,8 +108,8 @@
     }
 }
 
-/// How an exit status reads.
-pub(crate) fn describe(status: ExitStatus) -> String {
+/// Formats an exit status as an exit code or signal.
+pub(crate) fn describe_exit_status(status: ExitStatus) -> String {
     match (status.code(), status.signal()) {
         (Some(code), _) => format!("exit code {code}"),
         (None, Some(signal)) => format!("signal {signal}"),
@@ -116,7 +117,7 @@
     }
 }
 
-/// Polls a condition until it holds or the time is over; tells whether it held.
+/// Polls a condition until it holds or the timeout expires; returns whether it held.
 pub(crate) async fn poll_until(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + time;
     loop {
@@ -126,6 +127,6 @@
         if Instant::now() >= deadline {
             return false;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/fleet/src/readiness.rs
+++ b/crates/fleet/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Waiting for conditions, never for a span of time alone.
+//! Waits for conditions of a fleet with a timeout, and submits bundles.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -14,67 +14,67 @@
 use crate::http::{Answer, Ask, HttpError};
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
-/// Pause between two looks.
-const POLL: Duration = Duration::from_millis(50);
-/// Longest wait for one look.
-const LOOK_TIME: Duration = Duration::from_secs(2);
-/// Longest wait for a submission's answer.
-const SUBMIT_TIME: Duration = Duration::from_secs(8);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a request that checks a condition.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a submission.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What an operator sends.
+/// Request body of a submission.
 #[derive(Debug, Serialize)]
 struct Submission<'a> {
     bundle: &'a Bundle,
 }
 
-/// Answer to a submission.
+/// Response to a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Submitted {
     /// The bundle as committed.
     pub bundle: CommittedBundle,
-    /// Nodes that live.
+    /// Number of live nodes.
     pub live_nodes: usize,
-    /// How many of them have it in force.
+    /// Number of live nodes that have installed the bundle.
     pub installed_nodes: usize,
 }
 
-/// A committed bundle.
+/// Version and digest of a committed bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct CommittedBundle {
-    /// Its version.
+    /// Version of the bundle.
     pub version: BundleVersion,
-    /// Its digest, in hexadecimal.
+    /// Digest in hexadecimal.
     pub digest: String,
 }
 
 #[derive(Debug, Deserialize)]
-struct Ready {
+struct Readiness {
     ready: bool,
     reasons: BTreeMap<String, String>,
 }
 
 #[derive(Debug, Deserialize)]
-struct SeenEngine {
+struct EngineView {
     engine: String,
     ready: bool,
 }
 
 #[derive(Debug, Deserialize)]
-struct SeenMember {
+struct MemberView {
     http: SocketAddr,
     core_leader: bool,
 }
 
 impl Fleet {
-    /// Looks again and again until a condition holds; fails early when a process ends by itself.
+    /// Polls a condition until it holds. Fails early when a process exits unexpectedly.
     ///
     /// # Errors
-    /// `TimedOut` with what was seen last.
+    /// `TimedOut` with the last error of the condition.
     pub async fn wait_until<F, Fut>(
         &self,
         what: &str,
         time: Duration,
-        mut look: F,
+        mut check: F,
     ) -> Result<(), FleetError>
     where
         F: FnMut() -> Fut,
@@ -82,56 +82,60 @@
     {
         let deadline = Instant::now() + time;
         loop {
-            let Err(last) = look().await else { return Ok(()) };
-            if let Some(error) = self.ended_by_itself() {
+            let Err(last) = check().await else { return Ok(()) };
+            if let Some(error) = self.unexpected_exit() {
                 return Err(error);
             }
             if Instant::now() >= deadline {
                 let seconds = time.as_secs();
                 return Err(FleetError::TimedOut { what: what.to_owned(), seconds, last });
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     pub(crate) async fn wait_alive(&self, time: Duration) -> Result<(), FleetError> {
         for name in self.all_names() {
-            self.wait_answers(name, time).await?;
+            self.wait_responding(name, time).await?;
         }
         Ok(())
     }
 
-    /// Waits until a process answers HTTP at all.
+    /// Waits until a process responds to an HTTP request.
     ///
     /// # Errors
-    /// When it does not in time.
-    pub async fn wait_answers(&self, name: ProcessName, time: Duration) -> Result<(), FleetError> {
+    /// When it does not respond in time.
+    pub async fn wait_responding(
+        &self,
+        name: ProcessName,
+        time: Duration,
+    ) -> Result<(), FleetError> {
         let path = match name.kind {
             ProcessKind::Model | ProcessKind::App => "/identity",
             ProcessKind::Platform => "/engines",
             _ => "/healthz",
         };
-        let what = format!("{name} answers");
+        let what = format!("{name} responds");
         self.wait_until(&what, time, || async move {
-            let answer = self.look(name, path).await?;
-            if answer.status.is_success() { Ok(()) } else { Err(answer.status.to_string()) }
+            let response = self.get(name, path).await?;
+            if response.status.is_success() { Ok(()) } else { Err(response.status.to_string()) }
         })
         .await
     }
 
-    /// Waits until a node says that it is ready.
+    /// Waits until a node reports that it is ready.
     ///
     /// # Errors
-    /// When it does not in time.
+    /// When it is not ready in time.
     pub async fn wait_ready(&self, name: ProcessName, time: Duration) -> Result<(), FleetError> {
         let what = format!("{name} is ready");
-        self.wait_until(&what, time, || self.readiness(name)).await
+        self.wait_until(&what, time, || self.check_ready(name)).await
     }
 
-    /// Waits until every running node says that it is ready.
+    /// Waits until every running node reports that it is ready.
     ///
     /// # Errors
-    /// When one does not in time.
+    /// When a node is not ready in time.
     pub async fn wait_all_ready(&self, time: Duration) -> Result<(), FleetError> {
         for name in self.all_names().into_iter().filter(|name| name.kind.is_node()) {
             if self.is_running(name)? {
@@ -141,53 +145,53 @@
         Ok(())
     }
 
-    /// Waits until all nodes are ready and every gateway sees all engines.
+    /// Waits until all nodes are ready and every gateway lists all engines as ready.
     pub(crate) async fn wait_serving(&self, time: Duration) -> Result<(), FleetError> {
         self.wait_all_ready(time).await?;
         for name in self.names(ProcessKind::Gateway) {
-            let what = format!("{name} sees all engines");
-            self.wait_until(&what, time, || self.sees_all_engines(name)).await?;
+            let what = format!("{name} lists all engines as ready");
+            self.wait_until(&what, time, || self.check_engines_listed(name)).await?;
         }
         Ok(())
     }
 
-    async fn readiness(&self, name: ProcessName) -> Result<(), String> {
-        let answer = self.look(name, "/readyz").await?;
-        let ready: Ready = serde_json::from_slice(&answer.body).map_err(|e| e.to_string())?;
+    async fn check_ready(&self, name: ProcessName) -> Result<(), String> {
+        let response = self.get(name, "/readyz").await?;
+        let ready: Readiness = serde_json::from_slice(&response.body).map_err(|e| e.to_string())?;
         if ready.ready { Ok(()) } else { Err(format!("{:?}", ready.reasons)) }
     }
 
-    async fn sees_all_engines(&self, gateway: ProcessName) -> Result<(), String> {
-        let answer = self.look(gateway, "/admin/v1/engines").await?;
-        let seen: Vec<SeenEngine> = answer.json().map_err(|e| e.to_string())?;
+    async fn check_engines_listed(&self, gateway: ProcessName) -> Result<(), String> {
+        let response = self.get(gateway, "/admin/v1/engines").await?;
+        let engines: Vec<EngineView> = response.json().map_err(|e| e.to_string())?;
         let missing = [ProcessKind::Engine, ProcessKind::App]
             .into_iter()
             .flat_map(|kind| self.names(kind))
-            .find(|name| !seen.iter().any(|e| e.ready && e.engine == name.word()));
+            .find(|name| !engines.iter().any(|e| e.ready && e.engine == name.word()));
         missing.map_or(Ok(()), |name| Err(format!("{name} is missing or not ready")))
     }
 
-    async fn look(&self, name: ProcessName, path: &str) -> Result<Answer, String> {
+    async fn get(&self, name: ProcessName, path: &str) -> Result<Answer, String> {
         let address = self.http_address(name).map_err(|e| e.to_string())?;
-        let ask = Ask::new(Method::GET, path);
-        self.http.ask_within(address, &ask, LOOK_TIME).await.map_err(|e| e.to_string())
+        let request = Ask::new(Method::GET, path);
+        self.http.ask_within(address, &request, CHECK_TIMEOUT).await.map_err(|e| e.to_string())
     }
 
     pub(crate) async fn submit_first_bundle(&self, time: Duration) -> Result<(), FleetError> {
-        let made = self.common.topology.bundle(BundleVersion(1), BundleVersion(0));
-        let bundle = made.map_err(|e| FleetError::Unexpected(e.to_string()))?;
+        let result = self.config.topology.bundle(BundleVersion(1), BundleVersion(0));
+        let bundle = result.map_err(|e| FleetError::Unexpected(e.to_string()))?;
         self.wait_until("the first bundle is committed", time, || async {
             self.submit_bundle(&bundle).await.map(drop).map_err(|e| e.to_string())
         })
         .await
     }
 
-    /// Submits a bundle at the first node that answers other than "try again".
+    /// Submits a bundle at one running node after another until one responds other than 503.
     ///
     /// # Errors
-    /// The last node's answer, when none took it.
+    /// The error of the last node, when none accepted the bundle.
     pub async fn submit_bundle(&self, bundle: &Bundle) -> Result<Submitted, FleetError> {
-        let mut last = FleetError::Unexpected("no node runs".to_owned());
+        let mut last = FleetError::Unexpected("no node is running".to_owned());
         for name in self.all_names().into_iter().filter(|name| name.kind.is_node()) {
             if !self.is_running(name)? {
                 continue;
@@ -195,9 +199,9 @@
             match self.submit_bundle_at(name, bundle).await {
                 Ok(submitted) => return Ok(submitted),
                 Err(FleetError::Http(HttpError::Status { to, status, body })) => {
-                    let again = status == StatusCode::SERVICE_UNAVAILABLE.as_u16();
+                    let is_retryable = status == StatusCode::SERVICE_UNAVAILABLE.as_u16();
                     last = HttpError::Status { to, status, body }.into();
-                    if !again {
+                    if !is_retryable {
                         return Err(last);
                     }
                 }
@@ -210,35 +214,36 @@
     /// Submits a bundle at one node.
     ///
     /// # Errors
-    /// When there is no answer, or a refusal.
+    /// When the node does not respond or rejects the bundle.
     pub async fn submit_bundle_at(
         &self,
         name: ProcessName,
         bundle: &Bundle,
     ) -> Result<Submitted, FleetError> {
-        let ask = Ask::json(Method::POST, "/admin/v1/bundles", &Submission { bundle });
-        let answer = self.http.ask_within(self.http_address(name)?, &ask, SUBMIT_TIME).await?;
-        Ok(answer.json()?)
+        let request = Ask::json(Method::POST, "/admin/v1/bundles", &Submission { bundle });
+        let response =
+            self.http.ask_within(self.http_address(name)?, &request, SUBMIT_TIMEOUT).await?;
+        Ok(response.json()?)
     }
 
-    /// The core that leads, as a running node's view shows it.
+    /// The core leader, according to the view of the first node that shows one.
     ///
     /// # Errors
-    /// When no node answers, or none shows a leader.
+    /// When no node responds, or none shows a leader.
     pub async fn core_leader(&self) -> Result<ProcessName, FleetError> {
         for name in self.all_names().into_iter().filter(|name| name.kind.is_node()) {
-            let Ok(answer) = self.look(name, "/admin/v1/members").await else { continue };
-            let Ok(members) = answer.json::<Vec<SeenMember>>() else { continue };
+            let Ok(response) = self.get(name, "/admin/v1/members").await else { continue };
+            let Ok(members) = response.json::<Vec<MemberView>>() else { continue };
             let leader = members.iter().find(|member| member.core_leader);
-            if let Some(found) = leader.and_then(|member| self.name_at(member.http)) {
-                return Ok(found);
+            if let Some(leader_name) = leader.and_then(|member| self.process_at(member.http)) {
+                return Ok(leader_name);
             }
         }
         Err(FleetError::Unexpected("no node shows a core leader".to_owned()))
     }
 
-    fn name_at(&self, http: SocketAddr) -> Option<ProcessName> {
-        let inner = self.inner();
-        inner.members.values().find(|m| m.plan.http() == http).map(|m| m.plan.name)
+    fn process_at(&self, http: SocketAddr) -> Option<ProcessName> {
+        let state = self.state();
+        state.processes.values().find(|m| m.plan.http() == http).map(|m| m.plan.name)
     }
 }
--- a/crates/fleet/tests/suite/at_most_once_calls.rs
+++ b/crates/fleet/tests/suite/at_most_once_calls.rs
@@ -1,14 +1,14 @@
-//! A call that may not be repeated runs at most once, whatever becomes of its answer, its gateway, its
-//! engine or its shard's leader. The verdict is the application engines' own ledgers.
+//! A non-repeatable call runs at most once, even if its response is lost or its gateway, its engine
+//! or the leader of its shard fails. The ledgers of the application engines decide.
 //!
-//! Catches a gateway that dispatches again after a lost or damaged answer, a second gateway that does
-//! not respect the first one's claim, and a claim that does not outlive its shard's leader.
+//! Detects a gateway that dispatches again after a lost or damaged response, a second gateway that
+//! ignores the claim of the first one, and a claim that is lost with the leader of its shard.
 
 use std::sync::Mutex;
 use std::time::Duration;
 
 use crate::support::{
-    PATIENCE, TestFleet, alarm, caller, data_topology, fault, name, put_program, runs,
+    TestFleet, WAIT_TIMEOUT, alarm, caller, data_topology, name, put_program, runs, set_fault,
     shard_leader, slow, start,
 };
 use hooklug_emulator::{FaultKind, FaultRule, Faults};
@@ -47,17 +47,18 @@
     let (fleet, caller) = start_calls().await;
     use FaultKind::{Cross, CutShort, Garble, LoseAnswer, Stall};
     let kinds = [LoseAnswer, CutShort, Cross, Garble, Stall];
-    // With a look-up the back end's word may settle a call; without one it has to stay unknown.
+    // With a lookup the result of the backend may settle a call; without one its outcome stays
+    // unknown.
     let cases = kinds.into_iter().flat_map(|kind| [(kind, false), (kind, true)]);
     for (kind, no_lookup) in cases {
-        // A request before it, whose answer can be crossed with.
+        // A preceding request, whose response can be sent instead by the `Cross` fault.
         let before = format!("before-{kind:?}-{no_lookup}");
         caller.call(0, PROGRAM, &before, &alarm(1)).await.unwrap();
         set_faults(&fleet, vec![FaultRule::always(kind)], no_lookup).await;
         let call = format!("call-{kind:?}-{no_lookup}");
         let mut request = alarm(2);
         request.deadline_ms = 1_500;
-        // What it is told is another test's affair; here only what ran counts.
+        // The response is checked by other tests; here only the number of runs matters.
         let first = caller.call(0, PROGRAM, &call, &request).await;
         wait_for_run(&fleet, &call).await;
         set_faults(&fleet, Vec::new(), no_lookup).await;
@@ -73,37 +74,38 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_runs_once_though_machines_fail_in_the_middle() {
     let (fleet, caller) = start_calls().await;
-    fault(&fleet, ProcessKind::App, Some(slow(1_500))).await;
+    set_fault(&fleet, ProcessKind::App, Some(slow(1_500))).await;
 
-    // The leader of its shard freezes while it runs, and wakes after others have asked.
+    // The leader of its shard is frozen while the call runs, and resumes after the call was sent
+    // again.
     let leader = shard_leader(&fleet, PROGRAM).await;
-    let running = begin(&caller, "leader-frozen");
+    let background_call = send_in_background(&caller, "leader-frozen");
     wait_for_run(&fleet, "leader-frozen").await;
     fleet.freeze(leader).unwrap();
     resend(&caller, "leader-frozen").await;
     fleet.wake(leader).unwrap();
-    running.await.unwrap();
+    background_call.await.unwrap();
     resend(&caller, "leader-frozen").await;
 
-    // The gateway that dispatched it is killed, the caller goes to the other one.
-    let running = begin(&caller, "gateway-killed");
+    // The gateway that dispatched the call is killed, and the caller sends it to the other one.
+    let background_call = send_in_background(&caller, "gateway-killed");
     wait_for_run(&fleet, "gateway-killed").await;
     fleet.kill(name("gateway:0")).unwrap();
     resend(&caller, "gateway-killed").await;
-    running.await.unwrap();
+    background_call.await.unwrap();
     fleet.restart(name("gateway:0")).await.unwrap();
-    fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
+    fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
     resend(&caller, "gateway-killed").await;
 
-    // The engine that runs it is killed; another one is there.
-    let running = begin(&caller, "engine-killed");
+    // The engine that runs the call is killed; another engine is available.
+    let background_call = send_in_background(&caller, "engine-killed");
     wait_for_run(&fleet, "engine-killed").await;
     let key = format!("{PROGRAM}/engine-killed");
     let mut apps = fleet.names(ProcessKind::App).into_iter();
     let runner = apps.find(|app| crate::support::runs_at(&fleet, *app, &key) > 0).unwrap();
     fleet.kill(runner).unwrap();
     resend(&caller, "engine-killed").await;
-    running.await.unwrap();
+    background_call.await.unwrap();
     fleet.restart(runner).await.unwrap();
     resend(&caller, "engine-killed").await;
 
@@ -112,16 +114,16 @@
     }
 }
 
-/// Sends a call to the first gateway once, without waiting.
-fn begin(caller: &Caller, call: &str) -> tokio::task::JoinHandle<()> {
+/// Sends a call to the first gateway in the background.
+fn send_in_background(caller: &Caller, call: &str) -> tokio::task::JoinHandle<()> {
     let (caller, call) = (caller.clone(), call.to_owned());
     tokio::spawn(async move {
-        let told = caller.call(0, PROGRAM, &call, &alarm(3)).await;
-        println!("{call}: {told:?}");
+        let result = caller.call(0, PROGRAM, &call, &alarm(3)).await;
+        println!("{call}: {result:?}");
     })
 }
 
-/// Sends a call to all gateways at once, as a caller does that lost its answer.
+/// Sends a call to both gateways concurrently, as a caller does that lost the response.
 async fn resend(caller: &Caller, call: &str) {
     let request = alarm(3);
     let (first, second) = tokio::join!(
@@ -131,28 +133,32 @@
     println!("{call} again: {first:?}, {second:?}");
 }
 
-/// What a caller is told in the end that sends its call again while the answer claims nothing: "no recorded
-/// answer in time" is such an answer, as long as the dead gateway's claim is not known to be given up.
-async fn settled(fleet: &Fleet, caller: &Caller, call: &str) -> Result<CallAnswer, CallerError> {
-    let told = Mutex::new(None);
-    let look = || async {
-        let answer = caller.call(1, PROGRAM, call, &alarm(3)).await;
+/// Sends a call until its outcome is known and returns the result. A missed deadline counts as
+/// unknown: the claim of the killed gateway has not been given up yet.
+async fn wait_settled(
+    fleet: &Fleet,
+    caller: &Caller,
+    call: &str,
+) -> Result<CallAnswer, CallerError> {
+    let result = Mutex::new(None);
+    let check = || async {
+        let response = caller.call(1, PROGRAM, call, &alarm(3)).await;
         let claims_nothing =
             |e: &CallerError| e.is_passing() || e.code() == Some("deadline_exceeded");
-        match answer {
+        match response {
             Err(error) if claims_nothing(&error) => Err(error.to_string()),
             settled => {
-                *told.lock().unwrap() = Some(settled);
+                *result.lock().unwrap() = Some(settled);
                 Ok(())
             }
         }
     };
-    fleet.wait_until("a call is settled", PATIENCE, look).await.unwrap();
-    told.into_inner().unwrap().unwrap()
+    fleet.wait_until("a call is settled", WAIT_TIMEOUT, check).await.unwrap();
+    result.into_inner().unwrap().unwrap()
 }
 
-/// How long after its sending a call's gateway is killed: before the claim, while it runs (20 ms), between
-/// its record and its answer, and after.
+/// Times after which the gateway of a call is killed: before the claim, while the call runs (20
+/// ms), between the record and the response, and after the response.
 const KILLED_AFTER_MS: [u64; 7] = [0, 4, 8, 16, 24, 28, 40];
 
 #[tokio::test(flavor = "multi_thread")]
@@ -160,30 +166,34 @@
     let (fleet, caller) = start_calls().await;
     for millis in KILLED_AFTER_MS {
         let call = format!("killed-{millis}");
-        let ask = Ask::json(Method::PUT, format!("/v1/programs/{PROGRAM}/calls/{call}"), &alarm(3));
-        let dying = async {
+        let request =
+            Ask::json(Method::PUT, format!("/v1/programs/{PROGRAM}/calls/{call}"), &alarm(3));
+        let kill_gateway = async {
             tokio::time::sleep(Duration::from_millis(millis)).await;
             fleet.kill(name("gateway:0")).unwrap();
         };
-        let (first, ()) = tokio::join!(caller.ask_once(0, &ask), dying);
-        let again = settled(&fleet, &caller, &call).await;
+        let (first, ()) = tokio::join!(caller.ask_once(0, &request), kill_gateway);
+        let again = wait_settled(&fleet, &caller, &call).await;
         println!("{call}: first {}, then {again:?}", first.is_ok());
         match &again {
-            Ok(answer) => {
+            Ok(response) => {
                 let first: Option<Value> = first.ok().map(|first| first.json().unwrap());
-                assert!(first.is_none_or(|first| first == answer.body), "{call}: two answers");
+                assert!(
+                    first.is_none_or(|first| first == response.body),
+                    "{call}: two different responses"
+                );
                 assert_ran_once(&fleet, &call);
             }
-            // Claimed by the dead gateway, and no engine knows it any more.
+            // The killed gateway claimed the call, and no engine knows it.
             Err(error) => {
                 assert!(first.is_err(), "{call}: answered, then {error}");
                 assert_eq!(error.code(), Some("call_unknown"), "{call}: {error}");
             }
         }
         fleet.restart(name("gateway:0")).await.unwrap();
-        fleet.wait_ready(name("gateway:0"), PATIENCE).await.unwrap();
+        fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
         resend(&caller, &call).await;
-        let ran = runs(&fleet, &format!("{PROGRAM}/{call}"));
-        assert!(ran <= 1, "{call} ran {ran} times");
+        let run_count = runs(&fleet, &format!("{PROGRAM}/{call}"));
+        assert!(run_count <= 1, "{call} ran {run_count} times");
     }
 }
--- a/crates/fleet/tests/suite/genuine_answers.rs
+++ b/crates/fleet/tests/suite/genuine_answers.rs
@@ -1,17 +1,17 @@
-//! What is shown as an answer is the engine's own, whole, and the answer to this request.
+//! Callers only get complete responses of the engine that they called, to their own request.
 //!
-//! Catches a gateway or engine that trusts an answer cut short, one that belongs to another request, one
-//! that does not decode, or one of another service at a reused address.
+//! Detects a gateway or engine that accepts a truncated response, the response to another request,
+//! one that can't be decoded, or one of another service at a reused address.
 
-use crate::support::{PATIENCE, caller, check_text, fault, open, put_program, start};
+use crate::support::{WAIT_TIMEOUT, caller, check_text, open, put_program, set_fault, start};
 use hooklug_emulator::{FaultKind, FaultRule, Faults, LedgerEntry, Restart};
 use hooklug_fleet::caller::{CallAnswer, CallRequest, CallerError, TurnRequest};
 use hooklug_fleet::{Caller, ProcessKind, Topology};
 use serde_json::json;
 
 const PROGRAM: &str = "frost";
-/// Service that takes over a back end's address.
-const STRANGER: &str = "stranger";
+/// Service that takes over the address of a backend.
+const OTHER_SERVICE: &str = "stranger";
 
 fn topology() -> Topology {
     let mut topology = crate::support::data_topology(2, 2);
@@ -19,12 +19,13 @@
     topology
 }
 
-/// The stand-ins tell in each answer what they were asked.
-fn assert_genuine(answer: &CallAnswer, call: &str, house: u64) {
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(answer.body["call"], format!("{PROGRAM}/{call}"));
-    assert_eq!(answer.body["arguments"], json!({"house": house}));
-    assert!(answer.body["engine"].as_str().unwrap().starts_with("app-"), "{answer:?}");
+/// Asserts that a response belongs to the request: the fake engines return the request in each
+/// response.
+fn assert_genuine(response: &CallAnswer, call: &str, house: u64) {
+    assert_eq!(response.status, 200, "{response:?}");
+    assert_eq!(response.body["call"], format!("{PROGRAM}/{call}"));
+    assert_eq!(response.body["arguments"], json!({"house": house}));
+    assert!(response.body["engine"].as_str().unwrap().starts_with("app-"), "{response:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -45,31 +46,31 @@
             for tool in ["read_sensor", "send_alarm"] {
                 for _ in 0..6 {
                     house += 1;
-                    genuine += usize::from(ask(&caller, tool, house).await);
+                    genuine += usize::from(call_tool(&caller, tool, house).await);
                 }
             }
-            println!("{kind:?} hits {share}: {genuine} of 12 answered");
-            assert!(share < 1.0 || genuine == 0, "a damaged answer was shown");
+            println!("{kind:?} with share {share}: {genuine} of 12 answered");
+            assert!(share < 1.0 || genuine == 0, "a damaged response was returned to the caller");
         }
-        fault(&fleet, ProcessKind::App, None).await;
+        set_fault(&fleet, ProcessKind::App, None).await;
     }
 }
 
-/// Makes a call; tells whether it was answered, and checks the answer.
-async fn ask(caller: &Caller, tool: &str, house: u64) -> bool {
+/// Makes a call and checks the response. Returns whether it was answered.
+async fn call_tool(caller: &Caller, tool: &str, house: u64) -> bool {
     let call = format!("{tool}-{house}");
     let mut request = CallRequest::new(tool, json!({"house": house}));
     request.deadline_ms = 1_000;
-    let ask = hooklug_fleet::http::Ask::json(
+    let http_request = hooklug_fleet::http::Ask::json(
         http::Method::PUT,
         format!("/v1/programs/{PROGRAM}/calls/{call}"),
         &request,
     );
-    match caller.ask_once(0, &ask).await {
-        Ok(answer) => {
-            let body = serde_json::from_slice(&answer.body).unwrap();
-            let answer = CallAnswer { status: answer.status.as_u16(), body };
-            assert_genuine(&answer, &call, house);
+    match caller.ask_once(0, &http_request).await {
+        Ok(response) => {
+            let body = serde_json::from_slice(&response.body).unwrap();
+            let response = CallAnswer { status: response.status.as_u16(), body };
+            assert_genuine(&response, &call, house);
             true
         }
         Err(CallerError::Problem(_)) => false,
@@ -83,27 +84,28 @@
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 1_000).await;
     for house in 0..10 {
-        // Connections to all engines are open when their addresses change hands.
+        // Opens connections to all engines before their addresses are reused.
         assert!(
-            ask(&caller, "read_sensor", house).await && ask(&caller, "send_alarm", house).await
+            call_tool(&caller, "read_sensor", house).await
+                && call_tool(&caller, "send_alarm", house).await
         );
     }
     let restart = Restart {
-        service: Some(STRANGER.parse().unwrap()),
+        service: Some(OTHER_SERVICE.parse().unwrap()),
         engine: Some("stranger-1".parse().unwrap()),
         version: None,
         down_ms: 0,
     };
-    // One engine of each service, and one of two model servers.
-    for stand_in in ["app:0", "app:2", "model:0"] {
-        fleet.restart_stand_in(stand_in.parse().unwrap(), &restart).await.unwrap();
+    // One engine of each service and one of the two model servers are replaced.
+    for backend in ["app:0", "app:2", "model:0"] {
+        fleet.restart_stand_in(backend.parse().unwrap(), &restart).await.unwrap();
     }
     let mut answered = 0;
     for house in 10..40 {
-        answered += usize::from(ask(&caller, "read_sensor", house).await);
-        answered += usize::from(ask(&caller, "send_alarm", house).await);
+        answered += usize::from(call_tool(&caller, "read_sensor", house).await);
+        answered += usize::from(call_tool(&caller, "send_alarm", house).await);
     }
-    println!("{answered} of 60 calls answered by the engines that are left");
+    println!("{answered} of 60 calls answered by the remaining engines");
     assert!(answered > 0);
     for number in 0..4 {
         let session = open(&caller, PROGRAM, &format!("s{number}")).await;
@@ -116,10 +118,12 @@
     }
     for kind in [ProcessKind::App, ProcessKind::Model] {
         for line in fleet.ledgers(kind).unwrap() {
-            let strange = line.identity.starts_with(STRANGER);
-            // Requests on connections from before may reach it; it refuses what is not meant for it.
-            let idle = matches!(line.entry, LedgerEntry::Started | LedgerEntry::Refused { .. });
-            assert!(!strange || idle, "{line:?}");
+            let is_other_service = line.identity.starts_with(OTHER_SERVICE);
+            // Requests on existing connections may reach it; it must refuse requests for another
+            // identity.
+            let did_no_work =
+                matches!(line.entry, LedgerEntry::Started | LedgerEntry::Refused { .. });
+            assert!(!is_other_service || did_no_work, "{line:?}");
         }
     }
 }
@@ -132,20 +136,20 @@
     use FaultKind::{Cross, CutShort, Garble, LoseAnswer};
     for kind in [LoseAnswer, CutShort, Cross, Garble] {
         let session = open(&caller, PROGRAM, &format!("s-{kind:?}").to_lowercase()).await;
-        let whole = TurnRequest::new("whole", None, "[tokens 12]", 16);
-        let before = crate::support::finish(&caller, &session, &whole).await;
-        fault(&fleet, ProcessKind::Model, Some(FaultRule::always(kind))).await;
+        let complete = TurnRequest::new("whole", None, "[tokens 12]", 16);
+        let before = crate::support::finish(&caller, &session, &complete).await;
+        set_fault(&fleet, ProcessKind::Model, Some(FaultRule::always(kind))).await;
         let damaged = TurnRequest::new("damaged", Some("whole"), "[tokens 12]", 16);
-        let shown = caller.run_turn(0, &session, &damaged).await.unwrap();
-        shown.check("damaged").unwrap();
-        println!("{kind:?}: {} after {} tokens", shown.end(), shown.tokens());
-        assert!(matches!(shown.end(), "failed" | "interrupted"), "{kind:?}: {shown:?}");
-        fault(&fleet, ProcessKind::Model, None).await;
+        let transcript = caller.run_turn(0, &session, &damaged).await.unwrap();
+        transcript.check("damaged").unwrap();
+        println!("{kind:?}: {} after {} tokens", transcript.end(), transcript.tokens());
+        assert!(matches!(transcript.end(), "failed" | "interrupted"), "{kind:?}: {transcript:?}");
+        set_fault(&fleet, ProcessKind::Model, None).await;
         check_text(&fleet, &session, "whole", &before).await;
-        if shown.tokens() > 0 {
-            check_text(&fleet, &session, "damaged", &shown).await;
+        if transcript.tokens() > 0 {
+            check_text(&fleet, &session, "damaged", &transcript).await;
         }
-        fleet.wait_all_ready(PATIENCE).await.unwrap();
+        fleet.wait_all_ready(WAIT_TIMEOUT).await.unwrap();
         let after = TurnRequest::new("after", Some("damaged"), "[tokens 12]", 16);
         crate::support::finish(&caller, &session, &after).await;
     }
