--- a/crates/bench/src/command/chaos.rs
+++ b/crates/bench/src/command/chaos.rs
@@ -1,4 +1,4 @@
-//! `chaos`: random faults against a fleet under load, judged by the oracle.
+//! `chaos`: random faults in a fleet under load, checked by the oracle.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 /// Arguments of `chaos`.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// How long faults go on.
+    /// Time during which faults are injected.
     #[arg(long, default_value_t = 5.0)]
     minutes: f64,
     /// Seed of the faults and the load.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Programs at once.
+    /// Number of concurrent programs.
     #[arg(long, default_value_t = 24)]
     programs: usize,
     /// Topology file (default: four stores, three cores, three gateways, four engines).
@@ -29,15 +29,16 @@
     /// Folder for the reports.
     #[arg(long, default_value = "bench-reports")]
     reports: PathBuf,
-    /// Folder for the fleet's logs, ledgers and disks; kept afterwards (default: drawn, and removed).
+    /// Folder for the fleet's logs, ledgers and disks, which is retained after the run (default: a
+    /// temporary folder).
     #[arg(long)]
     data: Option<PathBuf>,
 }
 
-/// Runs it.
+/// Runs the chaos scenario, then prints and writes its report.
 ///
 /// # Errors
-/// When the fleet fails, or any promise was broken.
+/// If the fleet fails or any promise was broken.
 pub fn run(arguments: &Arguments) -> anyhow::Result<()> {
     let topology = match &arguments.topology {
         Some(path) => Topology::read(path)?,
--- a/crates/bench/src/command/compare.rs
+++ b/crates/bench/src/command/compare.rs
@@ -1,4 +1,5 @@
-//! `compare`: two scenarios one after the other on the same machine, and their figures by one another.
+//! `compare`: runs two scenarios one after the other on the same machine and reports the ratios of
+//! their results.
 
 use clap::Args;
 
@@ -10,20 +11,21 @@
 /// Arguments of `compare`.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// The first scenario, as for `run`.
+    /// The first scenario, named as for `run`.
     first: String,
-    /// The second one, `frost-night@plain` or `frost-nightx3` for example.
+    /// The second scenario, for example `frost-night@plain` or `frost-nightx3`.
     second: String,
     #[command(flatten)]
     common: Common,
 }
 
-/// Runs both. Violations are reported and do not fail the comparison: a baseline may have them.
+/// Runs both scenarios. Violations are reported but do not fail the comparison, because a baseline
+/// may have them.
 ///
 /// # Errors
-/// When a fleet fails.
+/// If a fleet fails.
 pub fn run(arguments: &Arguments) -> anyhow::Result<()> {
-    // A name that is wrong is told before the first run, not after it.
+    // Reject an invalid name before the first run rather than after it.
     for name in [&arguments.first, &arguments.second] {
         check(name)?;
     }
@@ -41,7 +43,7 @@
     Ok(())
 }
 
-/// The second run's figures by the first's, part by part.
+/// Computes the second run's statistics as ratios of the first run's, for each part.
 fn ratios(first: &[Section], second: &[Section]) -> Section {
     let mut measures = Vec::new();
     if let (Some(Section::Run(first)), Some(Section::Run(second))) = (first.first(), second.first())
--- a/crates/bench/src/command/mod.rs
+++ b/crates/bench/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! The subcommands of `hooklug-bench`.
 
 pub mod chaos;
 pub mod compare;
@@ -8,7 +8,7 @@
 
 use std::future::Future;
 
-/// Runs a subcommand; Ctrl-C ends it, and the fleet with it.
+/// Runs a subcommand on a new runtime. Ctrl-C drops it, which also stops its fleet.
 fn block_on<T>(work: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
--- a/crates/bench/src/command/progress.rs
+++ b/crates/bench/src/command/progress.rs
@@ -1,4 +1,4 @@
-//! A progress bar by seconds, with lines above it.
+//! A progress bar over elapsed seconds, with log lines printed above it.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const TICK: Duration = Duration::from_millis(500);
 
-/// A bar that fills as time passes. Dropping it takes it away.
+/// A progress bar that advances with time and is cleared when it is dropped.
 pub(super) struct TimeBar {
     bar: ProgressBar,
     ticking: JoinHandle<()>,
--- a/crates/bench/src/command/run.rs
+++ b/crates/bench/src/command/run.rs
@@ -1,4 +1,4 @@
-//! `run`: one scenario.
+//! `run`: runs one scenario.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,32 +15,33 @@
 use crate::scenario::takeover::Takeover;
 use crate::scenario::{call_rate, overhead, proxy};
 
-/// Starting a fleet and reading everything back, beside the load itself (ours; for the bar only).
+/// Time for starting a fleet and reading the results, in addition to the load itself. Used only for
+/// the progress bar.
 const AROUND: Duration = Duration::from_secs(15);
 
 /// Arguments of `run`.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// `frost-night`, `sowing-morning` or `storm-warning`, with `@plain` for baseline gateways and `xN` for N
-    /// times the load; or `calls`, `proxy`, `overhead`, `takeover`.
+    /// `frost-night`, `sowing-morning` or `storm-warning`, with `@plain` for baseline gateways and
+    /// `xN` for N times the load; or `calls`, `proxy`, `overhead`, `takeover`.
     scenario: String,
     #[command(flatten)]
     pub(super) common: Common,
 }
 
-/// What all scenarios take.
+/// Arguments that all scenarios share.
 #[derive(Debug, Args)]
 pub struct Common {
-    /// Factor on the load.
+    /// Factor applied to the load.
     #[arg(long, default_value_t = 1.0)]
     scale: f64,
-    /// Length of the steady part and of the burst each, or of the measurement.
+    /// Seconds of the steady part and of the burst, each, or of the measurement.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     /// Seed of load, operators and kills.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Callers or streams at once, for `calls`, `proxy`, `overhead` and `takeover`.
+    /// Concurrent callers or streams, for `calls`, `proxy`, `overhead` and `takeover`.
     #[arg(long)]
     callers: Option<usize>,
     /// Topology file (default: four stores, three cores, three gateways, four engines).
@@ -49,7 +50,8 @@
     /// Folder for the reports.
     #[arg(long, default_value = "bench-reports")]
     pub(super) reports: PathBuf,
-    /// Folder for the fleet's logs, ledgers and disks; kept afterwards (default: drawn, and removed).
+    /// Folder for the fleet's logs, ledgers and disks, which is retained after the run (default: a
+    /// temporary folder).
     #[arg(long)]
     data: Option<PathBuf>,
 }
@@ -67,15 +69,15 @@
     }
 }
 
-/// Callers at once unless asked otherwise (ours).
+/// Default number of concurrent callers.
 const CALLERS: usize = 64;
-/// Streams at once at which overhead and takeovers are to be measured (issue 5).
+/// Default number of concurrent streams for `overhead` and `takeover` (issue 5).
 const STREAMS: usize = 200;
 
-/// Runs it.
+/// Runs a scenario, then prints and writes its report.
 ///
 /// # Errors
-/// When the fleet fails, or any promise was broken.
+/// If the fleet fails or any promise was broken.
 pub fn run(arguments: &Arguments) -> anyhow::Result<()> {
     let environment = Environment::read();
     let scenario = arguments.scenario.as_str();
@@ -87,7 +89,7 @@
     Ok(())
 }
 
-/// Whether a text names a scenario.
+/// Returns an error if no scenario has this name.
 pub(super) fn check(scenario: &str) -> anyhow::Result<()> {
     if !matches!(scenario, "calls" | "proxy" | "overhead" | "takeover") {
         scenario.parse::<Specification>()?;
@@ -95,7 +97,8 @@
     Ok(())
 }
 
-/// Runs one scenario and tells what came of it; a run of a fleet comes first.
+/// Runs one scenario and returns the sections of its report. The section of a fleet run, if any, is
+/// the first.
 pub(super) async fn sections(scenario: &str, common: &Common) -> anyhow::Result<Vec<Section>> {
     let (topology, part) = (common.topology()?, common.part());
     let callers = common.callers.unwrap_or(CALLERS);
--- a/crates/bench/src/environment.rs
+++ b/crates/bench/src/environment.rs
@@ -1,31 +1,31 @@
-//! Where and how a run was made; every report begins with it.
+//! The machine and the build that a run was made with; every report starts with them.
 
 use hooklug_types::UnixMillis;
 use serde::Serialize;
 
-/// Where and how a run was made.
+/// The machine and the build that a run was made with.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Environment {
     /// Version of the workspace.
     pub version: &'static str,
     /// `release` or `debug`.
     pub profile: &'static str,
-    /// When it was read, in milliseconds since 1970.
+    /// Time at which this was read, in milliseconds since 1970.
     pub at: u64,
     /// Processors that this process may use.
     pub processors: usize,
-    /// Processor model, as the system names it.
+    /// Processor model, from `/proc/cpuinfo`.
     pub processor: String,
-    /// Memory in all, in kilobytes.
+    /// Total memory, in kilobytes.
     pub memory_kb: u64,
     /// Load averages over 1, 5 and 15 minutes.
     pub load: String,
-    /// Kernel.
+    /// Kernel release.
     pub kernel: String,
 }
 
 impl Environment {
-    /// The environment now.
+    /// Reads the current environment.
     #[must_use]
     pub fn read() -> Self {
         Self {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Load averages over 1, 5 and 15 minutes.
+/// Reads the load averages over 1, 5 and 15 minutes.
 #[must_use]
 pub fn load() -> String {
     text("/proc/loadavg").split(' ').take(3).collect::<Vec<_>>().join(" ")
@@ -54,7 +54,7 @@
     std::fs::read_to_string(path).unwrap_or_default().trim().to_owned()
 }
 
-/// The value after the first `name:` of a file of the system.
+/// Returns the value of the first line of a `/proc` file that starts with `name`.
 fn field(path: &str, name: &str) -> String {
     let text = text(path);
     let line = text.lines().find(|line| line.starts_with(name));
--- a/crates/bench/src/faults/apply.rs
+++ b/crates/bench/src/faults/apply.rs
@@ -1,4 +1,4 @@
-//! Begins and ends faults on a running fleet.
+//! Starts and ends faults in a running fleet.
 
 use std::time::Duration;
 
@@ -7,13 +7,14 @@
 use super::backends;
 use super::fault::Fault;
 
-/// After this long a dead engine's lease has run out and its sessions are being taken over (design: 3.5 s).
+/// Time after which the lease of a failed engine has expired and the takeover of its sessions has
+/// started (design document: 3.5 s).
 const TAKEOVER_TIME: Duration = Duration::from_millis(3_500);
 
-/// Begins a fault.
+/// Starts a fault.
 ///
 /// # Errors
-/// When the fleet can't do it.
+/// If the fleet cannot perform it.
 pub(super) async fn begin(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
         Fault::Kill(names) => names.iter().try_for_each(|name| fleet.kill(*name)),
@@ -32,10 +33,10 @@
     }
 }
 
-/// Ends a fault. Cuts are healed for all at once by the caller.
+/// Ends a fault, except for network cuts: the caller heals all of them at once.
 ///
 /// # Errors
-/// When the fleet can't do it.
+/// If the fleet cannot perform it.
 pub(super) async fn end(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
         Fault::Kill(names) | Fault::KillInTurn(names) => restart_all(fleet, names).await,
@@ -55,7 +56,7 @@
     Ok(())
 }
 
-/// Starts machines together, as when power returns.
+/// Starts several processes concurrently, as after a power failure.
 async fn restart_all(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
     let restarts = names.iter().map(|name| fleet.restart(*name));
     futures::future::join_all(restarts).await.into_iter().collect()
--- a/crates/bench/src/faults/backends.rs
+++ b/crates/bench/src/faults/backends.rs
@@ -5,9 +5,9 @@
 
 use super::fault::BackendFault;
 
-/// How much slower a slow answer is, in milliseconds (ours).
+/// Additional delay of a slow response, in milliseconds.
 const SLOW_MS: u64 = 600;
-/// How long a restarting back end is away, in milliseconds (ours).
+/// Downtime of a restarting backend, in milliseconds.
 const DOWN_MS: u64 = 500;
 
 pub(super) async fn misbehave(
--- a/crates/bench/src/faults/draw.rs
+++ b/crates/bench/src/faults/draw.rs
@@ -1,10 +1,10 @@
-//! Draws rounds of faults from a seed, never more at once than the promises survive.
+//! Generates rounds of faults from a seed, within the limits under which the promises must hold.
 //!
-//! The limits: only one store loses its disk in a round, in a round without any other store fault, and
-//! only once all groups are whole again (each group has three replicas; a majority of them must not be
-//! lost for good). Stores that keep their disks may fail in any number. At least one session-host engine
-//! and one gateway are left alone in each round, so that there is service to speak of. No process is hit
-//! twice in one round.
+//! At most one store loses its disk in a round, without any other store fault in that round, and
+//! only after all groups are fully replicated again: each group has three replicas, and a majority
+//! of them must not lose their data. Any number of stores that keep their disks may fail. At least
+//! one session-host engine and one gateway stay up in each round, so that requests can be served.
+//! No process is the target of two faults of a round.
 
 use std::collections::BTreeSet;
 
@@ -15,29 +15,29 @@
 
 use super::fault::{BackendFault, Fault};
 
-/// Faults in a round, most.
+/// Maximum number of concurrent faults in a round.
 const MOST_AT_ONCE: usize = 3;
 
-/// What there is to break.
+/// The processes that faults can be applied to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shape {
-    /// All processes that may be hit.
+    /// All processes of the fleet.
     pub names: Vec<ProcessName>,
 }
 
-/// One round.
+/// The faults of one round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Draw {
-    /// Faults at once.
+    /// Faults that are active at the same time.
     pub faults: Vec<Fault>,
-    /// Whether silent nodes stay silent for longer than any lease.
+    /// Whether unresponsive nodes stay so for longer than any lease.
     pub long: bool,
-    /// Whether the same strikes again as soon as service is back.
+    /// Whether the same faults are repeated as soon as service has recovered.
     pub twice: bool,
 }
 
 impl Shape {
-    /// The processes of a fleet.
+    /// Lists the processes of a fleet.
     #[must_use]
     pub fn of(fleet: &Fleet) -> Self {
         Self { names: fleet.all_names() }
@@ -47,7 +47,7 @@
         self.names.iter().filter(|name| name.kind == kind).copied().collect()
     }
 
-    /// One of a kind, the last one spared so that its kind keeps serving.
+    /// Picks one process of a kind, but never the last, so that one of the kind stays up.
     fn one<R: Rng>(&self, kind: ProcessKind, random: &mut R) -> Option<ProcessName> {
         let all = self.all(kind);
         let spared = all.len().min(1);
@@ -55,12 +55,12 @@
     }
 }
 
-/// Draws a round.
+/// Generates a round.
 pub fn draw_round<R: Rng>(shape: &Shape, random: &mut R) -> Draw {
     let wanted = random.random_range(1..=MOST_AT_ONCE);
     let mut faults: Vec<Fault> = Vec::new();
     let mut hit: BTreeSet<ProcessName> = BTreeSet::new();
-    // A draw that the limits forbid is drawn again, a bounded number of times.
+    // A fault that the limits forbid is replaced by another draw, a bounded number of times.
     for _ in 0..wanted * 4 {
         if faults.len() == wanted {
             break;
@@ -81,7 +81,7 @@
         let both = fault.hits_stores() && other.hits_stores();
         both && (fault.loses_disk() || other.loses_disk())
     });
-    // A rolling restart waits for readiness, which other faults of the round would withhold.
+    // A rolling restart waits for readiness, which other faults of the round would prevent.
     let rolling_clash = !others.is_empty() && rolling(fault) || others.iter().any(rolling);
     let same = others.iter().any(|other| std::mem::discriminant(other) == kind);
     !stores_clash && !rolling_clash && !same
@@ -111,13 +111,13 @@
     })
 }
 
-/// The last one is spared, so that there is service.
+/// Drops the last process, so that one stays up.
 fn all_but_one(mut names: Vec<ProcessName>) -> Vec<ProcessName> {
     names.pop();
     names
 }
 
-/// Many at once: two stores, or a mix of stores, cores, an engine and a gateway.
+/// Picks several processes: all stores, or one store, core, engine and gateway.
 fn draw_many<R: Rng>(shape: &Shape, random: &mut R) -> Vec<ProcessName> {
     use ProcessKind::{Core, Engine, Gateway, Store};
     if random.random_bool(0.5) {
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of the brief, each with the processes that it hits.
+//! The kinds of faults that chaos runs inject, and the processes that each one affects.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,52 +6,56 @@
 use hooklug_emulator::FaultKind;
 use hooklug_fleet::{ProcessKind, ProcessName};
 
-/// A fault of a back end's answers.
+/// A fault in the responses of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendFault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Share of the requests that it hits, in percent.
+    /// Share of the requests that are affected, in percent.
     pub percent: u8,
 }
 
-/// One fault.
+/// A fault of a fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// Processes are killed without warning and come back with their disks.
+    /// Kills processes without warning and restarts them with their disks.
     Kill(Vec<ProcessName>),
-    /// Engines are killed one after another, each when sessions of the one before are just taken over.
+    /// Kills engines one after another, each as soon as sessions of the previous one are being
+    /// taken over.
     KillInTurn(Vec<ProcessName>),
-    /// A process is frozen and wakes.
+    /// Suspends a process and resumes it.
     Freeze(ProcessName),
-    /// A node is cut off from all others.
+    /// Isolates a node from all others.
     CutOff(ProcessName),
-    /// What one node sends to another is lost.
+    /// Drops all messages from one node to another.
     CutOneWay(ProcessName, ProcessName),
-    /// A machine is replaced by an empty one at a new address.
+    /// Replaces a machine by an empty one at a new address.
     Replace(ProcessName),
-    /// A store loses its disk and comes back at its address.
+    /// Erases the disk of a store, which restarts at the same address.
     LoseDisk(ProcessName),
-    /// The platform stops a process and starts it again; a stand-in refuses new work for a while.
+    /// Drains a process: the platform stops and restarts it; an emulated application engine refuses new
+    /// work for a while.
     Drain(ProcessName),
-    /// All nodes of a kind are restarted, one after another.
+    /// Restarts all nodes of a kind, one after another.
     RollingRestart(ProcessKind),
-    /// A back end misbehaves for a while.
+    /// Makes a backend return faulty responses for a while.
     Backend(ProcessName, BackendFault),
-    /// A back end restarts in place with a new incarnation.
+    /// Restarts a backend in place with a new incarnation.
     RestartBackend(ProcessName),
-    /// A version that loses most of its answers is released.
+    /// Releases a version that loses most of its responses.
     HarmfulRelease,
 }
 
-/// Longest a process that fails is away, in seconds, by what the fault is (brief: cut-offs of 20 s or more).
+/// Duration of long faults, which must exceed the lease time (requirement: isolation of 20 s or
+/// more).
 const LONG_HOLD: Duration = Duration::from_secs(22);
 const SHORT_HOLD: Duration = Duration::from_secs(4);
-/// A release has 5 s steps; its harm shows in the second or third (bundle defaults).
+/// Duration of a harmful release. A rollout step takes 5 s, and the failures show in the second or
+/// third (bundle defaults).
 const RELEASE_HOLD: Duration = Duration::from_secs(30);
 
 impl Fault {
-    /// Processes that it hits.
+    /// Returns the processes that the fault is applied to.
     #[must_use]
     pub fn hit(&self) -> Vec<ProcessName> {
         match self {
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Whether what a store held is gone for good.
+    /// Returns whether a store loses its data for good.
     #[must_use]
     pub fn loses_disk(&self) -> bool {
         match self {
@@ -78,14 +82,15 @@
         }
     }
 
-    /// Whether it hits a store at all.
+    /// Returns whether the fault affects any store.
     #[must_use]
     pub fn hits_stores(&self) -> bool {
         matches!(self, Self::RollingRestart(ProcessKind::Store))
             || self.hit().iter().any(|name| name.kind == ProcessKind::Store)
     }
 
-    /// How long it lasts: long where a lease has to run out over a silent node.
+    /// Returns how long the fault lasts. `long` extends faults in which the lease of an
+    /// unresponsive node must expire.
     #[must_use]
     pub fn hold(&self, long: bool) -> Duration {
         match self {
--- a/crates/bench/src/faults/groups.rs
+++ b/crates/bench/src/faults/groups.rs
@@ -1,4 +1,4 @@
-//! Whether every group of the stores has all its replicas again.
+//! Checks whether every replication group has all its replicas again.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use serde::Deserialize;
 use tokio::time::{Instant, sleep};
 
-/// Replicas of a group (design).
+/// Replicas of a group (design document).
 const REPLICAS: usize = 3;
-/// Entries that a replica may be behind and still count as caught up: what is in flight under load (ours).
+/// Log entries that a caught-up replica may lag behind, because entries are in flight under load.
 const MOST_LAG: u64 = 500;
-/// Pause between two looks (ours).
+/// Pause between two polls.
 const PAUSE: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Deserialize)]
@@ -34,7 +34,8 @@
     }
 }
 
-/// Waits until all groups are whole; tells how long it took, or nothing when they were not in time.
+/// Waits until all groups are fully replicated. Returns the time that it took, or `None` on
+/// timeout.
 pub(super) async fn wait_whole(fleet: &Fleet, time: Duration) -> Option<Duration> {
     let http = HttpClient::default();
     let began = Instant::now();
--- a/crates/bench/src/faults/probe.rs
+++ b/crates/bench/src/faults/probe.rs
@@ -1,4 +1,4 @@
-//! How long it takes until every gateway serves a whole path again.
+//! Measures the time until every gateway serves all kinds of requests again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use crate::oracle::evidence::{Millis, Recovery};
 use crate::workload::{Profile, now};
 
-/// Longest wait for service to come back (ours; the promise is far shorter).
+/// Maximum time to wait for recovery; far longer than the promised time.
 const LONGEST: Duration = Duration::from_secs(40);
-/// Longest time for one try of the whole path (ours).
+/// Timeout of one probe.
 const TRY_TIME: Duration = Duration::from_secs(4);
-/// Pause between two tries (ours).
+/// Pause between two probes.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Budget of a probing program, in tokens.
+/// Token budget of a probe's program.
 const BUDGET: u64 = 100;
 
-/// Measures how service comes back at all gateways after machines did.
+/// Measures the time from `healed` until a probe through each gateway succeeds.
 pub async fn recover(fleet: &Fleet, profile: &Profile, after: String, healed: Millis) -> Recovery {
     let tenant = fleet.topology().tenants.first().map(ToString::to_string).unwrap_or_default();
     let gateways = fleet.gateways().into_iter();
@@ -43,7 +43,7 @@
     None
 }
 
-/// A program, a session, a turn and a call that may not be repeated, all new.
+/// Probes a gateway with a new program, session, turn and non-repeatable call.
 async fn walk(caller: &Caller, profile: &Profile) -> Result<(), CallerError> {
     let program = format!("probe-{:016x}", rand::random::<u64>());
     let end = UnixMillis::now().plus(Duration::from_secs(600)).0;
--- a/crates/bench/src/faults/release.rs
+++ b/crates/bench/src/faults/release.rs
@@ -1,4 +1,4 @@
-//! A release that does harm: some engines of a new version that lose most of their answers.
+//! Releases a harmful version: an engine of a new version that loses most of its responses.
 
 use hooklug_bundle::{VersionEntry, VersionState};
 use hooklug_emulator::{FaultKind, FaultRule, Faults};
@@ -9,15 +9,15 @@
 use crate::oracle::evidence::HarmfulRelease;
 use crate::workload::{Recorder, read_back, submit};
 
-/// Share of answers that the new version loses (ours: far above the default threshold of 0.1).
+/// Share of responses that the new version loses, far above the default failure threshold of 0.1.
 const LOST_SHARE: f64 = 0.6;
-/// Tries to get the bundle accepted while other operators submit theirs.
+/// Attempts to submit the bundle; other operators submit theirs concurrently.
 const TRIES: usize = 8;
 
-/// Releases a harmful version of the first application service; returns its engine.
+/// Releases a harmful version of the first application service and returns its engine.
 ///
 /// # Errors
-/// When the engine can't be added or no node takes the bundle.
+/// If the engine cannot be added or no node accepts the bundle.
 pub(super) async fn begin(fleet: &Fleet, recorder: &Recorder) -> Result<ProcessName, FleetError> {
     let none = || FleetError::Unexpected("no application services".to_owned());
     let mut group = fleet.topology().applications.first().cloned().ok_or_else(none)?;
@@ -41,7 +41,7 @@
             .versions
             .push(VersionEntry { version: version.clone(), state: VersionState::Sound });
         if submit(fleet, recorder, *node, &bundle).await {
-            // Samples are judged by route.
+            // The rollout judges samples by route.
             let samples = least * group.tools.len().max(1);
             let release = HarmfulRelease { version: version.to_string(), samples };
             recorder.lock().harmful.push(release);
@@ -51,10 +51,10 @@
     Err(FleetError::Unexpected("no node took the release".to_owned()))
 }
 
-/// Takes the harmful version's engine away.
+/// Removes the engine of the harmful version.
 ///
 /// # Errors
-/// When the platform's list can't be told.
+/// If the platform's list cannot be updated.
 pub(super) async fn end(fleet: &Fleet, engine: ProcessName) -> Result<(), FleetError> {
     fleet.kill(engine)?;
     fleet.list_applications().await
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of faults: begun, held, ended, and the way back measured.
+//! Runs rounds of faults and measures the recovery after each.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use crate::oracle::evidence::{Disturbance, DrainRecord};
 use crate::workload::{Client, Profile, now};
 
-/// Longest wait for groups to be whole before another disk may be lost (ours).
+/// Maximum time to wait until all groups are fully replicated, before another disk may be lost.
 const WHOLE_TIME: Duration = Duration::from_secs(90);
-/// Quiet time between two rounds (ours).
+/// Pause between two rounds.
 const BETWEEN_ROUNDS: Duration = Duration::from_secs(2);
 
-/// How long and from which seed.
+/// Duration and seed of a chaos run.
 #[derive(Debug, Clone, Copy)]
 pub struct ChaosOptions {
-    /// Rounds begin until then.
+    /// Time within which rounds start.
     pub time: Duration,
-    /// Seed of the draw.
+    /// Seed of the faults.
     pub seed: u64,
 }
 
-/// Told as rounds go by.
+/// Receives progress messages of a run.
 pub trait ChaosProgress: Send + Sync {
-    /// A line about what happens now.
+    /// Reports one line of progress.
     fn say(&self, line: &str);
 }
 
-/// Breaks the fleet round by round. The load and the records are other tasks'.
+/// Injects faults round by round. Load and recording run in other tasks.
 ///
 /// # Errors
-/// When the fleet can't do what a fault asks for.
+/// If the fleet cannot perform a fault.
 pub async fn run_rounds(
     fleet: &Arc<Fleet>,
     client: &Client,
@@ -83,7 +83,7 @@
             self.note_beginning(fault);
             apply::begin(self.fleet, fault).await?;
             if *fault == Fault::HarmfulRelease {
-                // Without a quorum no release is accepted; then there is none to judge.
+                // Without a quorum no release is accepted, so there is none to check.
                 released = release::begin(self.fleet, &self.client.recorder()).await.ok();
             }
             hold = hold.max(fault.hold(draw.long));
@@ -115,7 +115,8 @@
     }
 
     async fn end(&self, draw: &Draw, released: Option<ProcessName>) -> Result<(), FleetError> {
-        // Machines return together; cuts first, so that restarted nodes are told of none.
+        // Resume frozen processes first, then heal all cuts, so that restarted nodes start without
+        // cuts.
         for fault in draw.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
--- a/crates/bench/src/figures.rs
+++ b/crates/bench/src/figures.rs
@@ -1,4 +1,4 @@
-//! What a run amounts to, in figures.
+//! Statistics of a run: throughput, latency percentiles and a timeline.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 
 use crate::oracle::evidence::{CallClaim, Evidence, Millis, TurnClaim, TurnRecord};
 
-/// Percentiles of a time, in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// How many were measured.
+    /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 95th.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99th.
+    /// 99th percentile.
     pub p99: f64,
-    /// Longest.
+    /// Maximum.
     pub max: f64,
 }
 
 /// Microseconds in a millisecond; histograms count microseconds.
 const MICROS: f64 = 1_000.0;
-/// Longest time that a histogram tells apart, in microseconds: ten minutes.
+/// Longest time that a histogram records, in microseconds: ten minutes. Longer ones saturate.
 const LONGEST_MICROS: u64 = 600_000_000;
 
 impl Percentiles {
-    /// Of some times, in milliseconds.
+    /// Computes the percentiles of durations in milliseconds.
     #[must_use]
     pub fn of(times: impl IntoIterator<Item = f64>) -> Self {
         let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_MICROS, 3) else {
@@ -48,35 +48,35 @@
     }
 }
 
-/// A run in figures.
+/// Throughput, outcome counts and latencies of a span of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Figures {
     /// Length of the measured span, in seconds.
     pub seconds: f64,
-    /// Turns finished in it, a second.
+    /// Turns finished per second.
     pub turns_per_second: f64,
-    /// Tokens of finished turns, a second.
+    /// Tokens of finished turns per second.
     pub tokens_per_second: f64,
-    /// Calls answered in it, a second.
+    /// Calls answered per second.
     pub calls_per_second: f64,
-    /// What turns were told.
+    /// Number of turns by outcome.
     pub turns: BTreeMap<String, u64>,
-    /// What calls were told.
+    /// Number of calls by their first outcome.
     pub calls: BTreeMap<String, u64>,
-    /// Streams cut and resumed.
+    /// Streams that were interrupted and resumed.
     pub cuts: u64,
     /// Time to the first token.
     pub first_token_ms: Percentiles,
     /// Time between tokens.
     pub between_tokens_ms: Percentiles,
-    /// Time to the answer of calls.
+    /// Response time of answered calls.
     pub call_ms: Percentiles,
-    /// Time until service was back.
+    /// Time from the end of a fault until all gateways served again.
     pub recovery_ms: Percentiles,
 }
 
 impl Figures {
-    /// The figures of a span of a run.
+    /// Computes the statistics of a span of a run.
     #[must_use]
     pub fn of(evidence: &Evidence, from: Millis, to: Millis) -> Self {
         let within = |at: Millis| (from..to).contains(&at);
@@ -143,21 +143,21 @@
     counts
 }
 
-/// What happened in each second of a run.
+/// Throughput in each second of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Timeline {
-    /// First instant, in milliseconds since 1970.
+    /// Start of the first second, in milliseconds since 1970.
     pub from: Millis,
-    /// Turns finished, by second.
+    /// Turns finished in each second.
     pub turns: Vec<f64>,
-    /// Calls answered, by second.
+    /// Calls answered in each second.
     pub calls: Vec<f64>,
-    /// Tokens streamed, by second in which their turn ended.
+    /// Tokens of the turns that ended in each second.
     pub tokens: Vec<f64>,
 }
 
 impl Timeline {
-    /// The seconds of a span of a run.
+    /// Computes the timeline of a span of a run.
     #[must_use]
     pub fn of(evidence: &Evidence, from: Millis, to: Millis) -> Self {
         let seconds = usize::try_from(to.saturating_sub(from) / 1_000 + 1).unwrap_or(0);
--- a/crates/bench/src/hollow/access.rs
+++ b/crates/bench/src/hollow/access.rs
@@ -1,4 +1,4 @@
-//! How hollow nodes reach a fleet's real processes.
+//! Settings and addresses that hollow nodes need to join a fleet.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 use hooklug_fleet::{Fleet, ProcessKind};
 use hooklug_settings::Settings;
 
-/// What a node must know to join a fleet.
+/// Settings and addresses that a node needs to join a fleet.
 #[derive(Debug, Clone)]
 pub(crate) struct Access {
-    /// Settings of a core of the fleet; hollow nodes differ from it by address, zone and seeds.
+    /// Settings of a core of the fleet. Hollow nodes use other addresses, zones and seeds.
     pub(crate) settings: Settings,
-    /// Rpc addresses of the stores.
+    /// RPC addresses of the stores.
     pub(crate) stores: Vec<SocketAddr>,
-    /// Rpc addresses of the cores.
+    /// RPC addresses of the cores.
     pub(crate) cores: Vec<SocketAddr>,
 }
 
 impl Access {
-    /// Reads the settings that a fleet gave its processes.
+    /// Reads the settings of a fleet's processes.
     pub(crate) fn of(fleet: &Fleet) -> anyhow::Result<Self> {
         let of_kind = |kind| -> anyhow::Result<Vec<Settings>> {
             fleet.names(kind).into_iter().map(|name| read_settings(fleet, &name.word())).collect()
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Three seeds for the n-th node: two stores and a core.
+    /// Returns three seeds for the n-th node: two stores and a core.
     pub(crate) fn seeds(&self, index: usize) -> Vec<SocketAddr> {
         let of = |list: &[SocketAddr], n: usize| list[n % list.len()];
         vec![of(&self.stores, index), of(&self.cores, index), of(&self.stores, index + 1)]
--- a/crates/bench/src/hollow/crowd.rs
+++ b/crates/bench/src/hollow/crowd.rs
@@ -1,4 +1,4 @@
-//! All hollow nodes of this process.
+//! The hollow nodes of this process.
 
 use std::time::{Duration, Instant};
 
@@ -12,28 +12,29 @@
 use super::node::{HollowNode, HollowPlace};
 use crate::slopes::process::Usage;
 
-/// Nodes started at once, so that their hellos don't wait for each other.
+/// Number of nodes that start concurrently, limited so that their handshakes don't delay each
+/// other.
 const STARTED_AT_ONCE: usize = 50;
-/// Pause between two looks while waiting.
+/// Pause between two polls.
 const POLL: Duration = Duration::from_millis(100);
 
-/// Hollow nodes with their places.
+/// The hollow nodes of this process and their specifications.
 #[derive(Debug)]
 pub(crate) struct Crowd {
     access: Access,
     nodes: Vec<(HollowPlace, HollowNode)>,
-    /// Traffic of nodes that were ended.
+    /// RPC traffic of nodes that were stopped.
     gone: Totals,
 }
 
-/// Sums over all hollow nodes.
+/// RPC traffic of all hollow nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub(crate) struct Totals {
-    /// Bytes sent by rpc.
+    /// Bytes sent.
     pub(crate) sent_bytes: u64,
-    /// Bytes received by rpc.
+    /// Bytes received.
     pub(crate) received_bytes: u64,
-    /// Frames sent and received by rpc.
+    /// Frames sent and received.
     pub(crate) frames: u64,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// One look at this process and its hollow nodes.
+/// Resource usage of this process and its hollow nodes at one instant.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CrowdLook {
     at: Instant,
@@ -54,27 +55,28 @@
     nodes: usize,
 }
 
-/// What one hollow node used on average between two looks.
+/// Average resource usage of one hollow node over a span.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct PerNode {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub(crate) nodes: usize,
     /// Length of the span, in seconds.
     pub(crate) seconds: f64,
-    /// Share of a core, in percent.
+    /// Processor time, in percent of one core.
     pub(crate) cpu_percent: f64,
-    /// Bytes a second sent, without the headers of TCP and IP.
+    /// Bytes sent per second, without TCP and IP headers.
     pub(crate) sent_bytes_a_second: f64,
-    /// Bytes a second received, without the headers of TCP and IP.
+    /// Bytes received per second, without TCP and IP headers.
     pub(crate) received_bytes_a_second: f64,
-    /// Frames a second, both ways.
+    /// Frames sent and received per second.
     pub(crate) frames_a_second: f64,
-    /// Resident memory of this process by its nodes, in bytes.
+    /// Resident memory of this process divided by the number of nodes, in bytes.
     pub(crate) resident_bytes: f64,
 }
 
 impl CrowdLook {
-    /// What each node used since an earlier look; nodes counted as they are now.
+    /// Returns the average usage of a node since an earlier reading, divided by the current number
+    /// of nodes.
     pub(crate) fn since(&self, earlier: &Self) -> PerNode {
         let nodes = self.nodes as f64;
         let seconds = (self.at - earlier.at).as_secs_f64();
@@ -96,12 +98,12 @@
 }
 
 impl Crowd {
-    /// Nobody yet.
+    /// Creates an empty set of nodes.
     pub(crate) fn new(access: Access) -> Self {
         Self { access, nodes: Vec::new(), gone: Totals::default() }
     }
 
-    /// Starts more nodes: so many gateways, then so many engines.
+    /// Starts more nodes: first the gateways, then the engines.
     pub(crate) async fn grow(&mut self, gateways: usize, engines: usize) -> anyhow::Result<()> {
         let roles = std::iter::repeat_n(NodeRole::Gateway, gateways)
             .chain(std::iter::repeat_n(NodeRole::Engine, engines));
@@ -118,7 +120,7 @@
         Ok(())
     }
 
-    /// Ends the n-th node as a kill does and starts it anew.
+    /// Stops the n-th node without a drain, as a kill does, and starts it again.
     pub(crate) async fn restart(&mut self, index: usize) -> anyhow::Result<()> {
         let count = self.nodes.len();
         let (place, node) = &mut self.nodes[index % count];
@@ -127,12 +129,12 @@
         Ok(())
     }
 
-    /// Changes the n-th node's engine, so that the view changes.
+    /// Toggles the draining state of the n-th node's engine, which changes the view.
     pub(crate) fn turn_draining(&self, index: usize) {
         self.nodes[index % self.nodes.len()].1.turn_draining();
     }
 
-    /// Looks at this process and its nodes.
+    /// Reads the resource usage of this process and its nodes.
     pub(crate) fn look(&self) -> anyhow::Result<CrowdLook> {
         let mut totals = self.gone;
         self.nodes.iter().for_each(|(_, node)| totals.add(node.traffic()));
@@ -140,14 +142,14 @@
         Ok(CrowdLook { at: Instant::now(), usage: Usage::own()?, totals, nodes })
     }
 
-    /// Measures a span in which nothing is done to the nodes.
+    /// Measures the average usage of a node over an idle span.
     pub(crate) async fn watch(&self, span: Duration) -> anyhow::Result<PerNode> {
         let before = self.look()?;
         tokio::time::sleep(span).await;
         Ok(self.look()?.since(&before))
     }
 
-    /// Waits until each node sees so many members; tells how long it took.
+    /// Waits until each node sees at least `members` members. Returns the time that it took.
     pub(crate) async fn see_all(&self, members: usize, most: Duration) -> anyhow::Result<Duration> {
         let began = Instant::now();
         loop {
@@ -163,7 +165,8 @@
         }
     }
 
-    /// Waits until a bundle is in force at each node; tells how long each waited from `since`, sorted.
+    /// Waits until a bundle is active on each node. Returns the sorted times from `since` until
+    /// then.
     pub(crate) async fn installed(
         &self,
         version: BundleVersion,
--- a/crates/bench/src/hollow/field.rs
+++ b/crates/bench/src/hollow/field.rs
@@ -1,4 +1,4 @@
-//! Real cores and stores for hollow nodes, and bundles of many tenants.
+//! A cluster of real cores and stores that hollow nodes join, and bundles with many tenants.
 
 use std::time::{Duration, Instant};
 
@@ -12,40 +12,41 @@
 use super::crowd::Crowd;
 use crate::slopes::meter::Look;
 
-/// Longest wait for a bundle to be in force everywhere; beyond it the run fails.
+/// Maximum time until a bundle must be active on all nodes; the run fails after it.
 pub(crate) const LONGEST_INSTALL: Duration = Duration::from_secs(90);
 
-/// Digest of a caller's key, so that tenants have the size that they have in use.
+/// Length of the digest of a caller's key, so that tenants have a realistic size.
 const KEY_DIGEST_BYTES: usize = 32;
 
-/// Real processes with hollow nodes before them.
+/// A cluster of real processes and hollow nodes.
 #[derive(Debug)]
 pub(crate) struct Field {
     /// The real processes.
     pub(crate) fleet: Fleet,
     /// The hollow nodes.
     pub(crate) crowd: Crowd,
-    /// For metrics and operators' requests.
+    /// HTTP client for metrics.
     pub(crate) http: HttpClient,
     bundle: Bundle,
 }
 
-/// How long a bundle took to be in force at the hollow nodes, counted from its submission.
+/// Time until a bundle was active on the hollow nodes, measured from its submission.
 #[derive(Debug, Clone, serde::Serialize)]
 pub(crate) struct InstallTimes {
-    /// Seconds until the answer to the operator, which waits for all nodes, 2 s at most.
+    /// Seconds until the operator received the response, which waits for all nodes, but at most 2
+    /// s.
     pub(crate) answered: f64,
-    /// Nodes that the operator was told had it in force by then.
+    /// Number of nodes with the active bundle, as the response to the operator reports it.
     pub(crate) installed_at_answer: usize,
-    /// Seconds until half of the nodes had it.
+    /// Seconds until the bundle was active on half of the nodes.
     pub(crate) half: f64,
-    /// Seconds until 99 of 100 nodes had it.
+    /// Seconds until the bundle was active on 99 % of the nodes.
     pub(crate) p99: f64,
-    /// Seconds until the last node had it.
+    /// Seconds until the bundle was active on all nodes.
     pub(crate) last: f64,
 }
 
-/// A fleet of stores and cores, with one gateway and no engines.
+/// Returns a topology of stores and cores, with one gateway and no engines.
 pub(crate) fn topology(stores: usize, cores: usize) -> anyhow::Result<Topology> {
     let zones: Result<Vec<ZoneName>, _> = (1..=4).map(|n| ZoneName::new(format!("z{n}"))).collect();
     Ok(Topology {
@@ -68,7 +69,7 @@
 }
 
 impl Field {
-    /// Starts the real processes; their first bundle has one tenant.
+    /// Starts the real processes with a bundle of one tenant.
     pub(crate) async fn start(stores: usize, cores: usize) -> anyhow::Result<Self> {
         let fleet = Fleet::start(topology(stores, cores)?).await.context("the fleet")?;
         let bundle = fleet.topology().bundle(BundleVersion(1), BundleVersion(0))?;
@@ -76,19 +77,19 @@
         Ok(Self { fleet, crowd: Crowd::new(access), http: HttpClient::default(), bundle })
     }
 
-    /// Real nodes that run: stores, cores and gateways.
+    /// Returns the number of running stores, cores and gateways.
     pub(crate) fn real_nodes(&self) -> usize {
         let kinds = [ProcessKind::Store, ProcessKind::Core, ProcessKind::Gateway];
         let names = kinds.into_iter().flat_map(|kind| self.fleet.names(kind));
         names.filter(|name| self.fleet.is_running(*name).unwrap_or(false)).count()
     }
 
-    /// Looks at the real processes.
+    /// Reads the resource usage of the real processes.
     pub(crate) async fn look(&self) -> anyhow::Result<Look> {
         Look::at(&self.fleet, &self.http).await
     }
 
-    /// Submits a bundle with so many tenants, each with a key and limits of its own.
+    /// Submits a bundle with `count` tenants, each with its own key and limits.
     pub(crate) async fn set_tenants(&mut self, count: usize) -> anyhow::Result<InstallTimes> {
         let mut tenants = TenantTable::default();
         let mut template: hooklug_bundle::Tenant = serde_json::from_str("{}")?;
@@ -100,7 +101,7 @@
         self.submit().await
     }
 
-    /// Submits a bundle in which the limit of one tenant changed.
+    /// Submits a bundle in which a limit of one tenant has changed.
     pub(crate) async fn change_tenant(&mut self, nth: usize) -> anyhow::Result<InstallTimes> {
         let count = self.bundle.tenants.len().max(1);
         if let Some(tenant) = self.bundle.tenants.values_mut().nth(nth % count) {
@@ -109,7 +110,7 @@
         self.submit().await
     }
 
-    /// Submits the bundle as the next version and waits until it is in force at each hollow node.
+    /// Submits the bundle as the next version and waits until it is active on each hollow node.
     async fn submit(&mut self) -> anyhow::Result<InstallTimes> {
         self.bundle.base = self.bundle.version;
         self.bundle.version = self.bundle.version.next();
--- a/crates/bench/src/hollow/mod.rs
+++ b/crates/bench/src/hollow/mod.rs
@@ -1,5 +1,6 @@
-//! Hundreds of hollow nodes before real cores and stores: membership, heartbeats, the fan-out of the view,
-//! bundle changes, restarts and the loss of the core leader, at the size to design for.
+//! Runs hundreds of hollow nodes against real cores and stores, at the size that the system is
+//! designed for: membership, heartbeats, distribution of the view, bundle changes, restarts and the
+//! failure of the core leader.
 
 mod access;
 mod crowd;
@@ -21,50 +22,50 @@
 use crate::slopes::interrupt::interruptible;
 use crate::slopes::report::Report;
 
-/// Longest wait until all nodes see each other.
+/// Maximum time until all nodes see each other.
 const LONGEST_GATHERING: Duration = Duration::from_secs(120);
-/// Pause after a change before a quiet span is measured, so that its effects are over.
+/// Pause after a change, so that its effects end before an idle span is measured.
 const SETTLE: Duration = Duration::from_secs(3);
 
 /// Arguments of `hooklug-bench hollow`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Hollow gateways.
+    /// Number of hollow gateways.
     #[arg(long, default_value_t = 400)]
     gateways: usize,
-    /// Hollow engines; each keeps a lease.
+    /// Number of hollow engines; each holds a lease.
     #[arg(long, default_value_t = 870)]
     engines: usize,
-    /// Programs whose records are put into the shards, each with a session and a turn.
+    /// Number of programs whose records are written to the shards, each with a session and a turn.
     #[arg(long, default_value_t = 49_000)]
     programs: usize,
-    /// Tenants in the bundle.
+    /// Number of tenants in the bundle.
     #[arg(long, default_value_t = 17_000)]
     tenants: usize,
-    /// Bundle changes, one after the other.
+    /// Number of consecutive bundle changes.
     #[arg(long, default_value_t = 6)]
     changes: usize,
-    /// Restarts of hollow nodes.
+    /// Number of restarts of hollow nodes.
     #[arg(long, default_value_t = 300)]
     restarts: usize,
-    /// Restarts a second.
+    /// Restarts per second.
     #[arg(long, default_value_t = 10.0)]
     restart_rate: f64,
-    /// Real stores.
+    /// Number of real stores.
     #[arg(long, default_value_t = 4)]
     stores: usize,
-    /// Real cores.
+    /// Number of real cores.
     #[arg(long, default_value_t = 5)]
     cores: usize,
-    /// Length of each measured quiet span, in seconds.
+    /// Length of each measured idle span, in seconds.
     #[arg(long, default_value_t = 10)]
     span_seconds: u64,
-    /// File that the results are added to as JSON lines.
+    /// File to append the results to, as JSON lines.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Runs the whole scenario and reports each step. Told to stop, it ends its processes first.
+/// Runs the scenario and reports each step. On Ctrl-C or SIGTERM it stops its processes.
 pub async fn run(args: Args) -> anyhow::Result<()> {
     interruptible(scenario(args)).await
 }
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node: the real node agent, rpc server and lease keeper, without a role's work.
+//! A hollow node: the real node agent, RPC server and lease keeper, without the work of its role.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -17,32 +17,32 @@
 
 use super::access::Access;
 
-/// Second half of the addresses of hollow nodes begins here; fleets never use `127.0.*`.
+/// Third octet of the first hollow node's address in `127.0.0.0/16`, which fleets never use.
 const FIRST_NETWORK: usize = 16;
-/// Hollow nodes in one network of 256 addresses.
+/// Hollow nodes per /24 network.
 const NODES_A_NETWORK: usize = 250;
-/// Zones that hollow nodes are spread over (letter: 7).
+/// Number of zones that hollow nodes are spread over (requirement: 7).
 const ZONES: usize = 7;
-/// Services that hollow engines are spread over (letter: 10 models).
+/// Number of services that hollow engines are spread over (requirement: 10 models).
 const SERVICES: usize = 10;
-/// Slots that a hollow engine tells of.
+/// Number of slots that a hollow engine reports.
 const SLOTS: u32 = 64;
 
-/// A hollow node. Dropping it ends it as a kill does.
+/// A running hollow node. Dropping it stops it without a drain, as a kill does.
 #[derive(Debug)]
 pub(crate) struct HollowNode {
     identity: LocalIdentity,
-    /// What its agent feeds.
+    /// Handle of the node's agent.
     pub(crate) handle: NodeHandle,
     halt: CancellationToken,
 }
 
-/// Place and role of a hollow node, the same over its restarts.
+/// Number and role of a hollow node, which stay the same over its restarts.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HollowPlace {
-    /// Its number among all hollow nodes.
+    /// Number of the node among all hollow nodes.
     pub(crate) index: usize,
-    /// Its role.
+    /// Role of the node.
     pub(crate) role: NodeRole,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl HollowNode {
-    /// Starts a node with a new node id and incarnation.
+    /// Starts the node with a new node id and incarnation.
     pub(crate) async fn start(place: HollowPlace, access: &Access) -> anyhow::Result<Self> {
         let listener = RpcServer::bind(SocketAddr::new(place.ip(), 0)).await?;
         let rpc = listener.local_addr()?;
@@ -113,7 +113,7 @@
         Ok(node)
     }
 
-    /// Tells of an engine and keeps its lease, as a real one does.
+    /// Reports an engine and renews its lease, as a real engine does.
     fn host(&self, hosted: HostedEngine, state: Arc<StoreClient>) {
         let incarnation = self.identity.address.incarnation;
         let holder = EngineIncarnation { engine: hosted.engine.clone(), incarnation };
@@ -132,7 +132,7 @@
         });
     }
 
-    /// Changes what the node tells of its engine, so that the view changes.
+    /// Toggles the reported draining state of the engine, which changes the view.
     pub(crate) fn turn_draining(&self) {
         self.handle.report.send_modify(|report| {
             if let Some(engine) = &mut report.engine {
@@ -141,23 +141,23 @@
         });
     }
 
-    /// What its rpc connections carried, its lease included.
+    /// Returns the traffic of all RPC connections of the node, including its lease renewals.
     pub(crate) fn traffic(&self) -> TrafficCounts {
         self.identity.traffic.counts()
     }
 
-    /// Living members in its view.
+    /// Returns the number of live members in the node's view.
     pub(crate) fn members_seen(&self) -> usize {
         self.handle.view.borrow().members.len()
     }
 
-    /// Waits until a bundle version, or a newer one, is in force here.
+    /// Waits until this bundle version, or a newer one, is active on the node.
     pub(crate) async fn installed(&self, version: BundleVersion) {
         let mut bundle = self.handle.bundle.clone();
         let there = |b: &Option<Arc<hooklug_control::InstalledBundle>>| {
             b.as_ref().is_some_and(|b| b.record.version >= version)
         };
-        // The agent holds the sender until this node is dropped.
+        // Cannot fail: the agent holds the sender until this node is dropped.
         let _ = bundle.wait_for(there).await;
     }
 }
--- a/crates/bench/src/hollow/records.rs
+++ b/crates/bench/src/hollow/records.rs
@@ -1,4 +1,4 @@
-//! Records of programs, sessions and turns, written into real shards.
+//! Writes records of programs, sessions and turns to real shards.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,13 +22,13 @@
 use super::{Access, Field};
 use crate::slopes::report::Report;
 
-/// Longest wait for one command.
+/// Timeout of one command.
 const COMMAND_TIME: Duration = Duration::from_secs(20);
-/// Programs in one command.
+/// Number of programs per command.
 const PROGRAMS_A_COMMAND: usize = 64;
-/// Commands under way at once.
+/// Maximum number of commands in flight.
 const COMMANDS_AT_ONCE: usize = 32;
-/// Token events of the turn that each program is given.
+/// Number of token events in the turn of each program.
 const EVENTS_A_PROGRAM: u64 = 8;
 
 /// Writes to the shards as engines and gateways do.
@@ -38,7 +38,7 @@
 }
 
 impl Writer {
-    /// A writer that reaches a fleet's stores.
+    /// Creates a writer that uses a fleet's stores.
     pub(crate) fn new(access: &Access) -> anyhow::Result<Self> {
         let mut rpc = access.settings.rpc;
         rpc.set_ip(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST));
@@ -56,7 +56,7 @@
         Ok(Self { state: Arc::new(StoreClient::new(client, stores.subscribe())) })
     }
 
-    /// Applies a command; a refusal is an error.
+    /// Applies a command. A refusal is an error.
     pub(crate) async fn execute(
         &self,
         group: GroupId,
@@ -75,29 +75,29 @@
     }
 }
 
-/// A program with one session and its commands.
+/// A program with one session and one turn, and the commands that create them.
 #[derive(Debug, Clone)]
 pub(crate) struct ProgramRecords {
-    /// Its name.
+    /// Id of the program.
     pub(crate) program: ProgramId,
     key: SessionKey,
     turn: TurnId,
 }
 
 impl ProgramRecords {
-    /// The n-th program of a series.
+    /// Creates the n-th program of a series.
     pub(crate) fn new(series: &str, n: usize) -> anyhow::Result<Self> {
         let program = ProgramId::new(format!("{series}-{n:07}"))?;
         let key = SessionKey { program: program.clone(), session: SessionId::new("main")? };
         Ok(Self { program, key, turn: TurnId::new("t1")? })
     }
 
-    /// The shard that holds it.
+    /// Returns the shard that the program belongs to.
     pub(crate) fn group(&self) -> GroupId {
         shard_of(self.program.as_str())
     }
 
-    /// Declares the program.
+    /// Returns the command that declares the program.
     pub(crate) fn put(&self) -> anyhow::Result<ShardCommand> {
         Ok(ShardCommand::PutProgram(PutProgram {
             program: self.program.clone(),
@@ -108,7 +108,7 @@
         }))
     }
 
-    /// Opens its session.
+    /// Returns the command that opens the session.
     pub(crate) fn open(&self) -> anyhow::Result<ShardCommand> {
         let engine = EngineId::new("engine-0")?;
         Ok(ShardCommand::OpenSession(OpenSession {
@@ -120,7 +120,7 @@
         }))
     }
 
-    /// Begins its turn.
+    /// Returns the command that starts the turn.
     pub(crate) fn begin(&self) -> ShardCommand {
         ShardCommand::BeginTurn(BeginTurn {
             key: self.key.clone(),
@@ -133,7 +133,8 @@
         })
     }
 
-    /// Appends token events of one token each, from a place on; the turn's own event is the first.
+    /// Returns the command that appends events of one token each, from sequence number `first` on.
+    /// The event of the turn itself has sequence number 1.
     pub(crate) fn append(&self, first: u64, events: u64) -> ShardCommand {
         let body = || EventBody::Tokens { text: " token".to_owned(), count: TokenCount(1) };
         ShardCommand::AppendEvents {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Ends its turn.
+    /// Returns the command that ends the turn.
     pub(crate) fn finish(&self) -> ShardCommand {
         ShardCommand::FinishTurn(FinishTurn {
             key: self.key.clone(),
@@ -161,7 +162,7 @@
     }
 }
 
-/// Puts the records of many programs into the shards and reports what they cost.
+/// Writes the records of `programs` programs to the shards and reports the cost.
 pub(super) async fn fill(report: &Report, field: &Field, programs: usize) -> anyhow::Result<()> {
     let writer = Writer::new(&Access::of(&field.fleet)?)?;
     let mut by_group: std::collections::BTreeMap<GroupId, Vec<ProgramRecords>> =
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,7 +1,8 @@
-//! Load, faults and measurements against a whole fleet on one machine.
+//! Load tests, fault injection and measurements for a complete fleet on one machine.
 //!
-//! [`workload`] plays the callers and operators and writes down what they were told, [`faults`] breaks
-//! the fleet, and [`oracle`] judges the records against the back ends' ledgers, apart from both.
+//! [`workload`] simulates callers and operators and records every response, [`faults`] injects
+//! faults into the fleet, and [`oracle`] checks the records against the ledgers of the backends.
+//! The oracle is independent of the other two.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,5 @@
-//! `hooklug-bench`: load, faults and measurements against a whole fleet on one machine.
+//! `hooklug-bench`: load tests, fault injection and measurements for a complete fleet on one
+//! machine.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -11,7 +12,7 @@
 use clap::{Parser, Subcommand};
 use hooklug_bench::command;
 
-/// Load, faults and measurements against a whole fleet on one machine.
+/// Load tests, fault injection and measurements for a complete fleet on one machine.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
@@ -23,13 +24,13 @@
 enum Command {
     /// Runs a scenario and writes its report.
     Run(command::run::Arguments),
-    /// Runs two scenarios one after the other and shows their figures side by side.
+    /// Runs two scenarios one after the other and reports the ratios of their results.
     Compare(command::compare::Arguments),
-    /// Random faults against a fleet under load, judged by the oracle.
+    /// Injects random faults into a fleet under load and checks the promises with the oracle.
     Chaos(command::chaos::Arguments),
-    /// Measures how the cost of each role grows with what drives it.
+    /// Measures how the resource cost of each role grows with its load.
     Slopes(slopes::Args),
-    /// Runs hundreds of hollow nodes before real cores and stores.
+    /// Runs hundreds of hollow nodes against real cores and stores.
     Hollow(hollow::Args),
 }
 
--- a/crates/bench/src/oracle/answers.rs
+++ b/crates/bench/src/oracle/answers.rs
@@ -1,4 +1,5 @@
-//! Whole-looking answers are the back end's own, of this request, and whole.
+//! Checks that each complete-looking response is the backend's own, belongs to the request and is
+//! complete.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +9,7 @@
 use super::evidence::{CallClaim, CallRecord, Evidence, TurnClaim, TurnRecord};
 use super::{Promise, Verdict};
 
-/// How a model server's ledger marks a generation whose stream carried another request's lines.
+/// Marks a generation in a model server's ledger whose stream carried lines of another request.
 const CROSSED: &str = "crossed";
 
 pub(super) fn check_calls(evidence: &Evidence, verdict: &mut Verdict) {
@@ -37,7 +38,7 @@
     }
 }
 
-/// The engine in `service/engine/incarnation`.
+/// Returns the engine of an identity of the form `service/engine/incarnation`.
 fn engine(identity: &str) -> &str {
     identity.split('/').nth(1).unwrap_or_default()
 }
@@ -60,7 +61,7 @@
     (!known).then(|| format!("no ledger shows that {by:?} ran it"))
 }
 
-/// What model servers made for one turn.
+/// The generations that model servers produced for one turn.
 #[derive(Debug, Default)]
 struct Made<'a> {
     texts: Vec<Generated<'a>>,
@@ -116,7 +117,7 @@
         return (!whole)
             .then(|| format!("finished with {tokens} tokens that no server made whole"));
     }
-    // A model server that was killed wrote no end; what it made cannot be compared.
+    // A model server that was killed recorded no end, so its output cannot be compared.
     let unended = made.began > made.texts.len();
     let begins = shown.is_empty() || unended || own().any(|g| g.text.starts_with(&shown));
     (!begins).then(|| format!("{end} after {tokens} tokens that no server made"))
--- a/crates/bench/src/oracle/budgets.rs
+++ b/crates/bench/src/oracle/budgets.rs
@@ -1,4 +1,5 @@
-//! A program streams at most its budget plus one turn, and its ledger counts what was streamed.
+//! Checks that a program streams at most its budget plus one turn, and that all streamed tokens
+//! were booked.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// Tokens streamed by program: each place of a session counts once.
+/// Sums the streamed tokens by program. An event that several clients received counts once.
 fn streamed(evidence: &Evidence) -> BTreeMap<&str, u64> {
     let mut places: BTreeMap<(&str, u64), u64> = BTreeMap::new();
     for (session, event) in shown(evidence) {
--- a/crates/bench/src/oracle/bundles.rs
+++ b/crates/bench/src/oracle/bundles.rs
@@ -1,13 +1,16 @@
-//! Acknowledged bundles are in force everywhere in time, unique a version, and never lost.
+//! Checks that acknowledged bundles become active on all nodes in time, are unique per version and
+//! are never lost.
 
 use std::collections::BTreeMap;
 
 use super::evidence::{Evidence, InstalledSeen, Millis, SubmissionAnswer, SubmissionRecord};
 use super::{Promise, Verdict};
 
-/// How long a bundle may take to be in force after its acknowledgement, in milliseconds (brief: about 2 s).
+/// Time within which an acknowledged bundle must be active, in milliseconds (requirement: about 2
+/// s).
 const IN_FORCE_TIME_MS: Millis = 2_000;
-/// How long a node that was hit by a fault has to catch up, in milliseconds (brief: service back after 12 s).
+/// Time that a node has to catch up after a fault, in milliseconds (requirement: service recovers
+/// within 12 s).
 const CATCH_UP_TIME_MS: Millis = 12_000;
 
 fn acknowledged(evidence: &Evidence) -> impl Iterator<Item = &SubmissionRecord> {
@@ -31,7 +34,7 @@
     seen: &'a InstalledSeen,
     newest: &mut BTreeMap<&'a str, u64>,
 ) -> Option<String> {
-    // A node that has just started has no bundle yet, and is not ready.
+    // Version 0 is skipped: a node that has just started has no bundle yet and is not ready.
     if seen.version > 0 {
         let before = newest.entry(&seen.node).or_insert(seen.version);
         if seen.version < *before {
@@ -50,7 +53,8 @@
     ))
 }
 
-/// Whether a fault hit the node between two instants, or so shortly before that it may be catching up.
+/// Returns whether a fault affected the node between two instants, or so shortly before that the
+/// node may still be catching up.
 fn disturbed(evidence: &Evidence, node: &str, from: Millis, to: Millis) -> bool {
     evidence.disturbances.iter().any(|disturbance| {
         let hit = disturbance.hit.iter().any(|name| name == node);
--- a/crates/bench/src/oracle/calls.rs
+++ b/crates/bench/src/oracle/calls.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated run at most once, and what is said not to have run did not.
+//! Checks that non-repeatable calls run at most once, and that calls reported as not run did not
+//! run.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use super::evidence::{CallClaim, Evidence};
 use super::{Promise, Verdict};
 
-/// How often each call ran, over all application engines and their restarts.
+/// Counts the runs of each call over all application engines, including their restarts.
 pub(super) fn runs(evidence: &Evidence) -> BTreeMap<&str, usize> {
     let mut runs = BTreeMap::new();
     for line in &evidence.applications {
--- a/crates/bench/src/oracle/engines.rs
+++ b/crates/bench/src/oracle/engines.rs
@@ -1,4 +1,4 @@
-//! Draining engines, harmful versions, and the time until service is back.
+//! Checks draining engines, harmful versions and recovery times.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,14 @@
 use super::evidence::{DrainRecord, Evidence, HarmfulRelease, Millis};
 use super::{Promise, Verdict};
 
-/// How long after a drain is known new work may still come, in milliseconds (brief: about 3 s).
+/// Time after the start of a drain in which new work may still arrive, in milliseconds
+/// (requirement: about 3 s).
 const DRAIN_TIME_MS: Millis = 3_000;
-/// How long after clear harm a version may still get traffic, in milliseconds (brief: about 5 s).
+/// Time for which a version may still receive traffic after enough of its calls have failed, in
+/// milliseconds (requirement: about 5 s).
 const HARM_TIME_MS: Millis = 5_000;
-/// Longest time without service after machines return, in milliseconds (brief: about 12 s).
+/// Maximum time without service after the end of a fault, in milliseconds (requirement: about 12
+/// s).
 const RECOVERY_TIME_MS: Millis = 12_000;
 
 impl DrainRecord {
--- a/crates/bench/src/oracle/evidence.rs
+++ b/crates/bench/src/oracle/evidence.rs
@@ -1,6 +1,8 @@
-//! What a run leaves behind: callers' records, operators' records, faults, and back ends' ledgers.
+//! The input of the oracle: records of callers and operators, injected faults, and ledgers of the
+//! backends.
 //!
-//! All times are milliseconds since 1970 of the one machine that everything runs on.
+//! All times are in milliseconds since 1970, from the clock of the one machine that everything runs
+//! on.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +13,10 @@
 /// Milliseconds since 1970.
 pub type Millis = u64;
 
-/// A session's full name, `program/session`.
+/// Full name of a session, `program/session`.
 pub type SessionName = String;
 
-/// Everything that the oracle judges.
+/// Everything that was recorded in a run.
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
     /// Programs by name.
@@ -27,17 +29,17 @@
     pub calls: Vec<CallRecord>,
     /// Bundles that operators submitted.
     pub submissions: Vec<SubmissionRecord>,
-    /// Bundles read back.
+    /// Bundles that operators read back.
     pub bundle_reads: Vec<BundleRead>,
-    /// Versions in force at nodes, in the order in which they were seen.
+    /// Active bundle versions that nodes reported, in the order of the polls.
     pub installed: Vec<InstalledSeen>,
-    /// Engines told to drain.
+    /// Drains of engines.
     pub drains: Vec<DrainRecord>,
-    /// Releases of versions that do harm.
+    /// Releases of harmful versions.
     pub harmful: Vec<HarmfulRelease>,
-    /// Faults, from their beginning to the return of the machine.
+    /// Injected faults, from their start until the machines are back.
     pub disturbances: Vec<Disturbance>,
-    /// How long service took to come back after faults were over.
+    /// Recoveries of service after faults.
     pub recoveries: Vec<Recovery>,
     /// Ledgers of all application engines.
     pub applications: Vec<LedgerLine>,
@@ -46,7 +48,7 @@
 }
 
 impl Evidence {
-    /// Notes that all machines are back and all drains over, for those that were not before.
+    /// Sets the end of all faults and drains that are still open.
     pub fn all_over(&mut self, at: Millis) {
         for disturbance in &mut self.disturbances {
             disturbance.until.get_or_insert(at);
@@ -57,204 +59,204 @@
     }
 }
 
-/// A program as declared and as its ledger stands at the end.
+/// A program, and its budget accounting at the end of the run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProgramRecord {
-    /// Tokens that it may stream in all.
+    /// Tokens that it may stream in total.
     pub budget: u64,
-    /// Most tokens of any of its turns.
+    /// Maximum number of tokens of one of its turns.
     pub longest_turn: u64,
-    /// Tokens booked at the end, if it could be read.
+    /// Tokens booked or reserved at the end of the run, if they could be read.
     pub booked: Option<u64>,
 }
 
-/// A session as callers saw it.
+/// A session as its callers observed it.
 #[derive(Debug, Clone, Default)]
 pub struct SessionRecord {
-    /// Owners seen.
+    /// Owners that responses reported.
     pub owners: Vec<OwnerSeen>,
-    /// Streams of clients that joined it.
+    /// Events that each joined client received.
     pub joined: Vec<Vec<StreamEvent>>,
-    /// Its whole history, read at the end, if it could be read.
+    /// The complete history, read at the end of the run, if it could be read.
     pub history: Option<Vec<StreamEvent>>,
 }
 
-/// An owner that an answer named.
+/// A session owner that a response reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerSeen {
-    /// The engine.
+    /// The owning engine.
     pub owner: String,
     /// The epoch of its ownership.
     pub epoch: u64,
     /// When the request was sent.
     pub begun: Millis,
-    /// Whether this answer opened the session.
+    /// Whether the request opened the session.
     pub opened: bool,
 }
 
-/// A turn and all that came of it.
+/// A turn, its events and its outcome.
 #[derive(Debug, Clone)]
 pub struct TurnRecord {
-    /// Its session.
+    /// Full name of the session.
     pub session: SessionName,
-    /// Its name.
+    /// Id of the turn.
     pub turn: String,
-    /// The turn that it follows.
+    /// Id of the previous turn, if there is one.
     pub after: Option<String>,
-    /// When it was first sent.
+    /// When the turn was first sent.
     pub begun: Millis,
-    /// When its end was known.
+    /// When its outcome was known.
     pub ended: Millis,
-    /// Events in the order of their arrival, over all resumptions.
+    /// Events in the order of arrival, over all resumptions.
     pub events: Vec<StreamEvent>,
-    /// A stream ended properly without a terminal event.
+    /// Whether a stream ended cleanly without a terminal event.
     pub ended_without_terminal: bool,
-    /// What it was told in the end.
+    /// The final outcome.
     pub claim: TurnClaim,
-    /// Milliseconds to the first token.
+    /// Time to the first token, in milliseconds.
     pub first_token_ms: Option<f64>,
-    /// Milliseconds between tokens.
+    /// Times between tokens, in milliseconds.
     pub gaps_ms: Vec<f64>,
-    /// How often its stream was cut.
+    /// Number of times that its stream was interrupted.
     pub cuts: u32,
 }
 
-/// What a caller was told of a turn.
+/// The outcome of a turn, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TurnClaim {
-    /// Its terminal event came: `finished`, `interrupted`, `aborted` or `failed`.
+    /// Received its terminal event: `finished`, `interrupted`, `aborted` or `failed`.
     Ended(String),
-    /// It was refused for good, with this code.
+    /// Refused permanently, with this error code.
     Refused(String),
-    /// No answer that claims anything came in time.
+    /// No conclusive response arrived in time; holds the last error.
     Nothing(String),
 }
 
-/// A call and all that its caller was told.
+/// A call and all its reported outcomes.
 #[derive(Debug, Clone)]
 pub struct CallRecord {
-    /// `program/call`.
+    /// Full name of the call, `program/call`.
     pub call: String,
-    /// The tool.
+    /// Name of the called tool.
     pub tool: String,
-    /// Its arguments.
+    /// Arguments of the call.
     pub arguments: Value,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub may_repeat: bool,
-    /// When it was first sent.
+    /// When the call was first sent.
     pub begun: Millis,
-    /// When the last answer came.
+    /// When its first outcome was known.
     pub ended: Millis,
-    /// Answers in the order of their arrival.
+    /// Reported outcomes in the order of arrival.
     pub claims: Vec<CallClaim>,
 }
 
-/// What a caller was told of a call.
+/// The outcome of a call, as one response reported it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallClaim {
-    /// The application's answer.
+    /// The application returned a response.
     Answered {
-        /// Its status.
+        /// HTTP status of the response.
         status: u16,
-        /// Its body.
+        /// Body of the response.
         body: Value,
     },
-    /// It did not run and never will.
+    /// The call did not run and never will; holds the error code or state.
     NotRun(String),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// Nothing is claimed.
+    /// The response does not say whether the call ran; holds the error.
     Nothing(String),
 }
 
-/// A bundle sent to one node.
+/// A bundle submitted to one node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubmissionRecord {
-    /// Its version.
+    /// Version of the bundle.
     pub version: u64,
-    /// The version that it was built on.
+    /// Version that the bundle is based on.
     pub base: u64,
-    /// Digest of its content.
+    /// Digest of the bundle's content.
     pub digest: String,
-    /// When it was sent.
+    /// When the bundle was sent.
     pub begun: Millis,
-    /// When the answer came.
+    /// When the response arrived.
     pub answered: Millis,
-    /// What the answer was.
+    /// Outcome of the submission.
     pub answer: SubmissionAnswer,
 }
 
-/// What an operator was told.
+/// The outcome of a bundle submission, as reported to the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmissionAnswer {
-    /// It is committed.
+    /// The bundle was committed.
     Acknowledged,
-    /// It is refused, with this text.
+    /// The bundle was refused, with this reason.
     Refused(String),
-    /// Nothing is claimed.
+    /// The response does not say whether the bundle was committed.
     Nothing,
 }
 
-/// The newest bundle, read at a node.
+/// The newest bundle version that a node returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BundleRead {
-    /// When the read was sent.
+    /// When the request was sent.
     pub begun: Millis,
-    /// The version read.
+    /// The returned version.
     pub version: u64,
 }
 
-/// The version that a node said is in force.
+/// The active bundle version that a node reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstalledSeen {
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// When it was asked.
+    /// When the request was sent.
     pub begun: Millis,
-    /// The version; 0 for none yet.
+    /// The reported version; 0 if the node has no bundle yet.
     pub version: u64,
 }
 
-/// An engine that was told to drain.
+/// A drain of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainRecord {
-    /// The engine.
+    /// Name of the engine.
     pub engine: String,
-    /// From when it is known.
+    /// When the drain started.
     pub known: Millis,
-    /// When it may take work again.
+    /// When the engine accepts work again.
     pub until: Option<Millis>,
 }
 
-/// A version that fails, released on purpose.
+/// A failing version that was released on purpose.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HarmfulRelease {
-    /// Its name.
+    /// Name of the version.
     pub version: String,
-    /// Runs of it, by the ledgers, that make its harm clear.
+    /// Number of runs after which the version must be recognized as harmful.
     pub samples: usize,
 }
 
-/// A fault that hits some nodes.
+/// An injected fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Disturbance {
-    /// What it is.
+    /// Description of the fault.
     pub fault: String,
-    /// Processes that it hits.
+    /// Processes that it affects.
     pub hit: Vec<String>,
-    /// When it began.
+    /// When it started.
     pub from: Millis,
-    /// When the machines were back.
+    /// When all affected machines were back.
     pub until: Option<Millis>,
 }
 
-/// How service came back.
+/// The recovery of service after a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovery {
-    /// What had failed.
+    /// Description of the fault.
     pub after: String,
-    /// When the machines were back.
+    /// When the fault ended.
     pub healed: Millis,
-    /// When every gateway served a whole path again, if it did.
+    /// When all gateways served requests again, or `None` if they did not in time.
     pub served: Option<Millis>,
 }
--- a/crates/bench/src/oracle/mod.rs
+++ b/crates/bench/src/oracle/mod.rs
@@ -1,6 +1,6 @@
-//! The oracle: counts, from the evidence of a run alone, how often each promise was broken.
+//! The oracle: counts the violations of each promise in the evidence of a run.
 //!
-//! Pure: it reads records and ledgers, and neither waits nor asks anyone. One check a promise.
+//! Each promise has one or more checks, which only read the recorded evidence and perform no I/O.
 
 mod answers;
 mod budgets;
@@ -19,40 +19,42 @@
 
 use evidence::Evidence;
 
-/// A promise; each has one check.
+/// A guarantee of the system that the oracle checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Promise {
-    /// A call that may not be repeated runs at most once.
+    /// A non-repeatable call runs at most once.
     AtMostOnce,
-    /// What is said not to have run did not run and never does.
+    /// Work that was reported as not run did not run and never will.
     TrueRefusals,
-    /// A whole-looking answer is the back end's own, of this request, and whole.
+    /// A complete-looking response is the backend's own, belongs to the request and is complete.
     OwnWholeAnswers,
-    /// Streams lose, repeat and splice nothing.
+    /// Streams neither lose, repeat nor mix events.
     ExactStreams,
-    /// A session has one owner an epoch.
+    /// A session has one owner per epoch.
     SingleOwner,
     /// A program streams at most its budget plus one turn.
     TokenBudget,
-    /// A turn whose earlier turn finished within the keep time is not told that there is none.
+    /// A turn that follows a turn that ended within the retention time is not refused as unknown.
     KnownTurns,
-    /// An engine gets no new work more than 3 s after its drain was known.
+    /// An engine receives no new work more than 3 s after the start of its drain.
     DrainedEngines,
-    /// An acknowledged bundle is in force everywhere within 2 s, and no node goes back.
+    /// An acknowledged bundle is active on all nodes within 2 s, and no node reverts to an older
+    /// one.
     BundleInForce,
-    /// One of two racing bundles is accepted, and an acknowledged one again.
+    /// Only one of two conflicting bundles is accepted, and an acknowledged one is accepted again
+    /// when resent.
     BundleRaces,
-    /// A bundle read back is not older than the newest acknowledged one.
+    /// A bundle that is read back is not older than the newest acknowledged one.
     DurableBundles,
-    /// A harmful version gets no traffic 5 s after its harm is clear.
+    /// A harmful version receives no traffic 5 s after enough of its calls have failed.
     HarmfulVersions,
-    /// Service is back 12 s after the machines are.
+    /// Service recovers within 12 s after the machines are back.
     Recovery,
 }
 
 impl Promise {
-    /// All of them.
+    /// All promises.
     pub const ALL: [Self; 13] = [
         Self::AtMostOnce,
         Self::TrueRefusals,
@@ -69,7 +71,7 @@
         Self::Recovery,
     ];
 
-    /// What must never happen.
+    /// Describes what must never happen.
     #[must_use]
     pub fn forbids(self) -> &'static str {
         match self {
@@ -90,14 +92,14 @@
     }
 }
 
-/// One breach of a promise.
+/// One violation of a promise.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The promise.
+    /// The violated promise.
     pub promise: Promise,
-    /// What it is about: a call, a turn, a session, a node.
+    /// The call, turn, session, node or other object concerned.
     pub subject: String,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -107,17 +109,17 @@
     }
 }
 
-/// The verdict on one run.
+/// The result of all checks on one run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// All breaches.
+    /// All violations.
     pub violations: Vec<Violation>,
-    /// How much each check looked at; a check that looked at nothing shows nothing.
+    /// Number of examined records by kind; a check that examined nothing proves nothing.
     pub examined: BTreeMap<&'static str, usize>,
 }
 
 impl Verdict {
-    /// How often each promise was broken, zeros included.
+    /// Returns the number of violations of each promise, including zeros.
     #[must_use]
     pub fn counts(&self) -> Vec<(Promise, usize)> {
         let count = |promise| self.violations.iter().filter(|v| v.promise == promise).count();
@@ -134,7 +136,7 @@
     }
 }
 
-/// Judges a run.
+/// Runs all checks on the evidence of a run.
 #[must_use]
 pub fn judge(evidence: &Evidence) -> Verdict {
     let mut verdict = Verdict::default();
--- a/crates/bench/src/oracle/streams.rs
+++ b/crates/bench/src/oracle/streams.rs
@@ -1,4 +1,5 @@
-//! Streams lose, repeat and splice nothing: places without gaps, one content a place for everyone.
+//! Checks that streams neither lose, repeat nor mix events: ids have no gaps, and all clients
+//! receive the same event under an id.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use super::evidence::{Evidence, SessionRecord, TurnClaim, TurnRecord};
 use super::{Promise, Verdict};
 
-/// Each turn's own stream.
+/// Checks the stream of each turn by itself.
 pub(super) fn check_turns(evidence: &Evidence, verdict: &mut Verdict) {
     for turn in &evidence.turns {
         if turn.events.is_empty() {
@@ -30,13 +31,15 @@
         let transcript = Transcript { events: turn.events.clone(), cuts: turn.cuts };
         return transcript.check(&turn.turn).err().map(|error| error.to_string());
     }
-    // A stream that was given up has no end, but it must have no gap either.
+    // A stream that the caller stopped following has no terminal event, but must have no gap
+    // either.
     let first = turn.events.first()?.id;
     let gap = turn.events.iter().zip(first..).find(|(event, place)| event.id != *place);
     gap.map(|(event, place)| format!("event {} where {place} belongs", event.id))
 }
 
-/// All clients of a session see the same events, and its history holds them all.
+/// Checks that all clients of a session receive the same events, and that its history contains all
+/// of them.
 pub(super) fn check_sessions(evidence: &Evidence, verdict: &mut Verdict) {
     let mut turns: BTreeMap<&str, Vec<&TurnRecord>> = BTreeMap::new();
     for turn in &evidence.turns {
--- a/crates/bench/src/oracle/turns.rs
+++ b/crates/bench/src/oracle/turns.rs
@@ -1,4 +1,4 @@
-//! What is said about turns that were refused.
+//! Checks the reasons that callers were given for refused turns.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use super::evidence::{Evidence, TurnClaim, TurnRecord};
 use super::{Promise, Verdict};
 
-/// Codes that say for good that a turn did not run.
+/// Error codes which mean that a turn did not run and never will.
 const FINAL_REFUSALS: [&str; 2] = ["budget_spent", "program_ended"];
 
 pub(super) fn check_refusals(evidence: &Evidence, verdict: &mut Verdict) {
@@ -35,7 +35,7 @@
 }
 
 pub(super) fn check_known_turns(evidence: &Evidence, verdict: &mut Verdict) {
-    // Runs are far shorter than the keep time, so every turn that ended is within it.
+    // Runs are far shorter than the retention time, so that every turn that ended is retained.
     let ended: BTreeSet<(&str, &str)> = evidence
         .turns
         .iter()
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -1,4 +1,4 @@
-//! A self-contained HTML page: tables and inline plots, nothing loaded from elsewhere.
+//! Renders a self-contained HTML page with tables and inline plots.
 
 use std::fmt::Write;
 
@@ -18,7 +18,7 @@
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>"
     );
-    // Writing into a string has no way to fail.
+    // Writing to a string cannot fail.
     let _ = write!(
         page,
         "<p>hooklug {} ({} build), {} processors ({}), {} MB, kernel {}, load before {}</p>",
--- a/crates/bench/src/report/json.rs
+++ b/crates/bench/src/report/json.rs
@@ -1,4 +1,5 @@
-//! JSON lines: the environment, then one object a line for each figure, count and breach.
+//! Renders JSON lines: the environment, then one object per line for each measurement, count and
+//! violation.
 
 use serde::Serialize;
 
@@ -38,7 +39,7 @@
 }
 
 fn push(text: &mut String, line: &Line<'_>) {
-    // Plain structs with string keys: the writer has no way to fail.
+    // Plain structs with string keys: serialization cannot fail.
     text.push_str(&serde_json::to_string(line).unwrap_or_default());
     text.push('\n');
 }
--- a/crates/bench/src/report/mod.rs
+++ b/crates/bench/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports: JSON lines, a self-contained HTML page, and a short text.
+//! Reports as JSON lines, as a self-contained HTML page and as short text.
 
 mod html;
 mod json;
@@ -13,31 +13,31 @@
 use crate::environment::Environment;
 use crate::scenario::Outcome;
 
-/// A figure of a measurement without callers' records.
+/// A single measured value that is not derived from callers' records.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Measure {
     /// What was measured.
     pub what: String,
-    /// The figure.
+    /// The measured value.
     pub value: f64,
     /// Its unit; empty for a ratio.
     pub unit: &'static str,
-    /// What it is to be at least, or at most, if there is a goal.
+    /// Lower or upper bound that the value should meet, if there is one.
     pub goal: Option<Goal>,
 }
 
-/// A goal of a figure.
+/// Lower or upper bound for a measured value.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Goal {
-    /// At least this.
+    /// The value should be at least this.
     AtLeast(f64),
-    /// At most this.
+    /// The value should be at most this.
     AtMost(f64),
 }
 
 impl Goal {
-    /// Whether a figure meets it.
+    /// Returns whether a value meets the goal.
     #[must_use]
     pub fn is_met(self, value: f64) -> bool {
         match self {
@@ -48,7 +48,7 @@
 }
 
 impl Measure {
-    /// A figure without a goal.
+    /// Creates a measurement without a goal.
     #[must_use]
     pub fn new(what: impl Into<String>, value: f64, unit: &'static str) -> Self {
         Self { what: what.into(), value, unit, goal: None }
@@ -62,23 +62,23 @@
     }
 }
 
-/// A part of a report.
+/// A section of a report.
 #[derive(Debug, Clone)]
 pub enum Section {
-    /// A run of a fleet with callers' records.
+    /// A run of a fleet, with statistics and the verdict on callers' records.
     Run(Box<Outcome>),
-    /// Figures alone.
+    /// Single measured values.
     Measures {
-        /// What they are about.
+        /// Title of the section.
         name: String,
-        /// The figures.
+        /// The measured values.
         measures: Vec<Measure>,
-        /// The load of the machine when they were taken.
+        /// Load averages of the machine at the time of the measurement.
         load: String,
     },
 }
 
-/// A report.
+/// The results of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
     name: String,
@@ -87,13 +87,13 @@
 }
 
 impl Report {
-    /// A report of some sections; the environment was read before the run.
+    /// Creates a report. `environment` was read before the run.
     #[must_use]
     pub fn new(name: &str, environment: Environment, sections: Vec<Section>) -> Self {
         Self { name: name.to_owned(), environment, sections }
     }
 
-    /// Breaches of promises in all its runs.
+    /// Returns the number of violations in all runs.
     #[must_use]
     pub fn violations(&self) -> usize {
         let runs = self.sections.iter().filter_map(|section| match section {
@@ -103,7 +103,7 @@
         runs.sum()
     }
 
-    /// Prints the short text.
+    /// Prints a text summary to standard output.
     pub fn print(&self) {
         print!("{}", text::render(&self.environment, &self.sections));
     }
@@ -111,7 +111,7 @@
     /// Writes `NAME.jsonl` and `NAME.html` into a folder.
     ///
     /// # Errors
-    /// When they can't be written.
+    /// If the files cannot be written.
     pub fn write(&self, folder: &Path) -> std::io::Result<()> {
         fs::create_dir_all(folder)?;
         let lines = json::render(&self.environment, &self.sections);
--- a/crates/bench/src/report/plot.rs
+++ b/crates/bench/src/report/plot.rs
@@ -6,21 +6,21 @@
 const HEIGHT: f64 = 180.0;
 const MARGIN: f64 = 44.0;
 
-/// A span that is shaded, in seconds from the beginning.
+/// A shaded span, in seconds since the start of the run.
 pub(super) struct Band {
     pub(super) from: f64,
     pub(super) to: f64,
     pub(super) label: String,
 }
 
-/// A line over seconds, with shaded spans behind it.
+/// Plots a value per second, with shaded spans behind the line.
 pub(super) fn seconds(title: &str, values: &[f64], bands: &[Band]) -> String {
     let most = values.iter().copied().fold(1.0, f64::max);
     let last = (values.len().max(2) - 1) as f64;
     let x = |second: f64| MARGIN + (second.clamp(0.0, last) / last) * (WIDTH - MARGIN - 8.0);
     let y = |value: f64| HEIGHT - 22.0 - (value / most) * (HEIGHT - 44.0);
     let mut svg = format!("<figure><figcaption>{}</figcaption>", escape(title));
-    // Writing into a string has no way to fail.
+    // Writing to a string cannot fail.
     let _ = write!(svg, "<svg viewBox=\"0 0 {WIDTH} {HEIGHT}\" role=\"img\">");
     for band in bands {
         let (from, to) = (x(band.from), x(band.to.max(band.from + 0.5)));
@@ -45,7 +45,7 @@
     svg
 }
 
-/// Text safe inside HTML.
+/// Escapes text for HTML.
 pub(super) fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
--- a/crates/bench/src/report/text.rs
+++ b/crates/bench/src/report/text.rs
@@ -1,4 +1,4 @@
-//! The short text printed at the end of a run.
+//! Renders the text summary that is printed at the end of a run.
 
 use std::fmt::Write;
 
@@ -7,12 +7,12 @@
 use crate::figures::{Figures, Percentiles};
 use crate::scenario::Outcome;
 
-/// Breaches shown one by one (all are in the JSON lines).
+/// Maximum number of violations that are printed; the JSON lines contain all of them.
 const SHOWN: usize = 20;
 
 pub(super) fn render(environment: &Environment, sections: &[Section]) -> String {
     let mut text = String::new();
-    // Writing into a string has no way to fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(
         text,
         "{} processors, {} build, load before {}",
--- a/crates/bench/src/scenario/call_rate.rs
+++ b/crates/bench/src/scenario/call_rate.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, a second, over a whole fleet with synced stores.
+//! Measures the rate of non-repeatable calls of a complete fleet whose stores sync their logs.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 use crate::report::{Goal, Measure, Section};
 use crate::workload::Profile;
 
-/// Calls a second that the fleet is to take at least (issue 6).
+/// Minimum number of calls per second that the fleet should answer (issue 6).
 const GOAL: f64 = 2_000.0;
-/// Programs over which calls spread, so that all shards take part (ours).
+/// Number of programs that the calls are spread over, so that all shards take part.
 const PROGRAMS: usize = 64;
-/// Length of the warming-up (ours).
+/// Length of the warm-up.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Measures it.
+/// Measures the rate of non-repeatable calls.
 ///
 /// # Errors
-/// When the fleet can't be started or does not take the calls' programs.
+/// If the fleet cannot be started or refuses the programs of the calls.
 pub async fn run(
     topology: Topology,
     callers: usize,
--- a/crates/bench/src/scenario/chaos.rs
+++ b/crates/bench/src/scenario/chaos.rs
@@ -1,4 +1,4 @@
-//! Load, operators and random faults together.
+//! Runs load, operators and random faults together.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -13,27 +13,28 @@
     Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
 };
 
-/// Time for leases to run out and late work to show before everything is read (ours).
+/// Time for leases to expire and late work to finish before the results are read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Time over which programs begin (ours).
+/// Time over which the starts of programs are spread.
 const RAMP: Duration = Duration::from_secs(2);
 
 /// A run with random faults.
 #[derive(Debug, Clone)]
 pub struct Chaos {
-    /// The fleet.
+    /// Topology of the fleet.
     pub topology: Topology,
-    /// How long faults go on.
+    /// Time during which faults are injected.
     pub time: Duration,
     /// Seed of faults, load and operators.
     pub seed: u64,
-    /// Programs at once.
+    /// Number of concurrent programs.
     pub programs: usize,
-    /// Folder of the fleet; drawn and removed when none is named.
+    /// Data folder of the fleet. If `None`, a temporary one is used.
     pub data: Option<PathBuf>,
 }
 
-/// Four stores, three cores, three gateways, four session-host engines, six application engines.
+/// Returns a topology of four stores, three cores, three gateways, four session-host engines and
+/// six application engines.
 #[must_use]
 pub fn default_topology() -> Topology {
     let mut topology = Topology::small();
@@ -48,10 +49,10 @@
 }
 
 impl Chaos {
-    /// Runs it and judges it.
+    /// Runs the scenario and checks its evidence.
     ///
     /// # Errors
-    /// When the fleet can't be started, broken or mended as drawn.
+    /// If the fleet cannot be started or a fault cannot be injected or ended.
     pub async fn run(&self, progress: &dyn ChaosProgress) -> Result<Outcome, FleetError> {
         let options = FleetOptions { data: self.data.clone() };
         let fleet = Arc::new(Fleet::start_with(self.topology.clone(), options).await?);
@@ -75,7 +76,7 @@
         let rounds = run_rounds(&fleet, &client, &profile, options, progress).await;
         let to = now();
         stop.cancel();
-        // Panics of these tasks are faults of the bench itself.
+        // A panic in one of these tasks is a bug of the load tool.
         let joined = tokio::join!(load, operators, observer);
         joined.0.and(joined.1).and(joined.2).map_err(|e| FleetError::Unexpected(e.to_string()))?;
         rounds?;
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! What is run: fleets under load, with and without faults, and measurements of single paths.
+//! Scenarios: fleets under load, with and without faults, and measurements of single request paths.
 
 pub mod call_rate;
 pub mod chaos;
--- a/crates/bench/src/scenario/outcome.rs
+++ b/crates/bench/src/scenario/outcome.rs
@@ -1,29 +1,29 @@
-//! What a run of a fleet came to.
+//! The results of a fleet run.
 
 use crate::figures::{Figures, Timeline};
 use crate::oracle::evidence::{Disturbance, Evidence, Millis};
 use crate::oracle::{Verdict, judge};
 use crate::report::Section;
 
-/// What a run of a fleet came to.
+/// The results of a fleet run.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Its name in reports.
+    /// Name of the run in reports.
     pub name: String,
-    /// The oracle's verdict.
+    /// Verdict of the oracle.
     pub verdict: Verdict,
-    /// Figures of the whole run, and of parts of it by name.
+    /// Statistics of the complete run, and of its parts by name.
     pub figures: Vec<(String, Figures)>,
-    /// Second by second.
+    /// Throughput per second.
     pub timeline: Timeline,
-    /// Faults.
+    /// Injected faults.
     pub disturbances: Vec<Disturbance>,
-    /// The load of the machine at the end of the run.
+    /// Load averages of the machine at the end of the run.
     pub load: String,
 }
 
 impl Outcome {
-    /// Judges a run and counts it up. `parts` are spans of it by name.
+    /// Checks the evidence of a run and computes its statistics. `parts` are named spans of it.
     #[must_use]
     pub fn of(
         name: &str,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The report's section about it.
+    /// Converts the results to a section of a report.
     #[must_use]
     pub fn into_section(self) -> Section {
         Section::Run(Box::new(self))
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -1,4 +1,5 @@
-//! What hooklug adds to streams: the same model servers through it and asked directly, in one run.
+//! Measures the latency that hooklug adds to streams: the same model servers are used through
+//! hooklug and directly.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,18 +19,19 @@
 use crate::report::{Goal, Measure, Section};
 use crate::workload::{Client, Profile, Recorder};
 
-/// First token's overhead at most, median and 95th percentile, in milliseconds (issue 5).
+/// Maximum overhead of the first token, median and 95th percentile, in milliseconds (issue 5).
 const FIRST_TOKEN_GOALS: (f64, f64) = (10.0, 25.0);
-/// Time between tokens at most, 95th percentile, by the direct one (issue 5).
+/// Maximum ratio of the time between tokens through hooklug to that of direct streams, 95th
+/// percentile (issue 5).
 const BETWEEN_GOAL: f64 = 1.15;
-/// Tokens of a turn (ours).
+/// Tokens of each turn.
 const TOKENS: u64 = 60;
-/// Turns of each stream one after another; the first warms up (ours).
+/// Consecutive turns of each stream; the first is a warm-up.
 const TURNS: u32 = 3;
-/// Time over which streams begin (ours).
+/// Time over which the starts of streams are spread.
 const RAMP: Duration = Duration::from_secs(2);
 
-/// Times of streams.
+/// Latencies of a set of streams.
 #[derive(Debug, Default)]
 struct Times {
     first_ms: Vec<f64>,
@@ -37,10 +39,11 @@
     failed: u64,
 }
 
-/// Measures it: so many streams at once through hooklug, then as many directly.
+/// Measures the overhead with `streams` concurrent streams through hooklug, then as many direct
+/// ones.
 ///
 /// # Errors
-/// When the fleet can't be started.
+/// If the fleet cannot be started.
 pub async fn run(mut topology: Topology, streams: usize) -> Result<Section, FleetError> {
     let engines: usize = topology.models.iter().map(|g| g.engines).sum();
     let slots = streams.div_ceil(engines.max(1)) * 2;
@@ -79,7 +82,7 @@
     times
 }
 
-/// The turns of one session after its first.
+/// Runs the turns of one session and returns the records of all but the first.
 async fn one_through(client: &Client, number: usize, model: &str) -> Vec<TurnRecord> {
     let session = SessionRef::new(&format!("stream-{number}"), "s");
     let budget = TOKENS * u64::from(TURNS) * 2;
@@ -151,7 +154,7 @@
     times
 }
 
-/// One generation read directly; its text, unless it failed.
+/// Reads one generation directly from a model server. Returns its text, or `None` if it failed.
 async fn generate(
     http: &HttpClient,
     server: SocketAddr,
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -1,4 +1,5 @@
-//! A gateway alone against a plain proxy of ours in the same run, both in front of the same stand-ins.
+//! Compares the throughput of a single gateway with that of a minimal HTTP proxy in front of the
+//! same emulated backends.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,16 +26,16 @@
 use crate::report::{Goal, Measure, Section};
 use crate::workload::Profile;
 
-/// Share of the plain proxy's throughput that a gateway is to reach at least (issue 6).
+/// Minimum throughput of a gateway relative to the plain proxy (issue 6).
 const GOAL: f64 = 0.7;
-/// Length of the warming-up (ours).
+/// Length of the warm-up.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How often both are measured, in turn, so that a passing load of the machine hits both (ours).
+/// Number of alternating measurements of both, so that other load on the machine affects both.
 const TURNS: u32 = 3;
 
 type Upstream = Client<HttpConnector, Incoming>;
 
-/// Passes each request on to the next back end; nothing more.
+/// An HTTP proxy that forwards each request to the next backend and does nothing else.
 struct PlainProxy {
     client: Upstream,
     backends: Vec<SocketAddr>,
@@ -57,7 +58,7 @@
                     let serve = service_fn(move |request| proxy.clone().pass_on(request));
                     let served = hyper::server::conn::http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), serve);
-                    // A connection that breaks is its caller's to notice.
+                    // The client notices a failed connection, so the result is ignored.
                     let _ = served.await;
                 });
             }
@@ -86,10 +87,10 @@
     }
 }
 
-/// Measures it.
+/// Measures the throughput of a gateway and of the plain proxy.
 ///
 /// # Errors
-/// When the fleet can't be started.
+/// If the fleet cannot be started.
 pub async fn run(
     mut topology: Topology,
     callers: usize,
@@ -124,7 +125,7 @@
     Ok(section(callers, &through, &plain))
 }
 
-/// The application engines that serve a tool.
+/// Returns the addresses of the application engines that serve a tool.
 fn serving(fleet: &Fleet, tool: &str) -> Result<Vec<SocketAddr>, FleetError> {
     let groups = &fleet.topology().applications;
     let services = groups.iter().flat_map(|g| std::iter::repeat_n(g, g.engines));
--- a/crates/bench/src/scenario/rate.rs
+++ b/crates/bench/src/scenario/rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a second a path takes, with so many callers at once.
+//! Measures the request rate of a given number of concurrent callers.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 
 use crate::figures::Percentiles;
 
-/// A measured rate.
+/// A measured request rate.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Rate {
-    /// Requests that succeeded, a second.
+    /// Successful requests per second.
     pub per_second: f64,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Times of those that succeeded.
+    /// Response times of successful requests.
     pub times_ms: Percentiles,
 }
 
-/// Runs `request` in a loop from so many callers for a time. It gets the caller's number and the number
-/// of the request.
+/// Runs `request` in a closed loop from `callers` concurrent callers for a time. `request` receives
+/// the number of the caller and of the request.
 pub(super) async fn measure<F, Fut>(callers: usize, time: Duration, request: F) -> Rate
 where
     F: Fn(usize, u64) -> Fut + Send + Sync + 'static,
@@ -49,7 +49,7 @@
     }
     let (mut times, mut failed) = (Vec::new(), 0);
     while let Some(ended) = running.join_next().await {
-        // A caller that panicked measured nothing.
+        // Measurements of a caller that panicked are lost.
         let Ok((more, also_failed)) = ended else { continue };
         times.extend::<Vec<f64>>(more);
         failed += also_failed;
--- a/crates/bench/src/scenario/scene.rs
+++ b/crates/bench/src/scenario/scene.rs
@@ -1,4 +1,5 @@
-//! Runs a scene: steady state, then all of a zone's users in one second, engines replaced meanwhile.
+//! Runs a scenario of two phases: a steady load, then a burst in which all users of a zone arrive
+//! within one second while engines are replaced.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -23,38 +24,38 @@
     CallStream, Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
 };
 
-/// Time for late work to show before everything is read (ours).
+/// Time for late work to finish before the results are read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// All of a zone's users come within this time (brief).
+/// Time within which all users of a zone arrive (requirement: 1 s).
 const BURST_TIME: Duration = Duration::from_secs(1);
-/// Pause between two kills (ours).
+/// Pause between two kills.
 const BETWEEN_KILLS: Duration = Duration::from_secs(6);
-/// How long a killed node is away (ours).
+/// Time for which a killed node stays down.
 const AWAY: Duration = Duration::from_secs(3);
-/// Requests a second and at once that a tenant may make at one gateway: the scenes measure capacity, not
-/// tenants' limits.
+/// Requests per second and concurrent requests that a tenant may make at one gateway. Effectively
+/// unlimited, because these scenarios measure capacity rather than tenant limits.
 const TENANT_LIMIT: u32 = 100_000;
 
-/// A scene to be run.
+/// A burst scenario and the parameters of its run.
 #[derive(Debug, Clone)]
 pub struct SceneRun {
-    /// The scene, its mode and its scale.
+    /// The scenario, the gateway mode and the scale.
     pub specification: Specification,
-    /// The fleet.
+    /// Topology of the fleet.
     pub topology: Topology,
-    /// Length of the steady part and of the burst, each.
+    /// Length of the steady phase and of the burst phase, each.
     pub part: Duration,
     /// Seed of load, operators and kills.
     pub seed: u64,
-    /// Folder of the fleet; drawn and removed when none is named.
+    /// Data folder of the fleet. If `None`, a temporary one is used.
     pub data: Option<PathBuf>,
 }
 
 impl SceneRun {
-    /// Runs it and judges it.
+    /// Runs the scenario and checks its evidence.
     ///
     /// # Errors
-    /// When the fleet can't be started or what happens to it can't be done.
+    /// If the fleet cannot be started or a node cannot be killed or restarted.
     pub async fn run(&self, progress: &dyn ChaosProgress) -> Result<Outcome, FleetError> {
         let mut topology = self.topology.clone();
         topology.gateway_mode = self.specification.mode;
@@ -80,10 +81,10 @@
     }
 }
 
-/// Submits the topology's bundle again with tenants' limits out of the way.
+/// Submits the topology's bundle again with tenant limits that the load does not reach.
 ///
 /// # Errors
-/// When no node takes it.
+/// If no node accepts the bundle.
 pub async fn lift_tenant_limits(fleet: &Fleet) -> Result<(), FleetError> {
     let made = fleet.topology().bundle(BundleVersion(2), BundleVersion(1));
     let mut bundle: Bundle = made.map_err(|e| FleetError::Unexpected(e.to_string()))?;
@@ -94,7 +95,7 @@
     fleet.submit_bundle(&bundle).await.map(drop)
 }
 
-/// A running scene.
+/// A scenario that is being run.
 struct Stage {
     fleet: Arc<Fleet>,
     client: Client,
@@ -106,7 +107,7 @@
     seed: u64,
     stop: CancellationToken,
     tasks: tokio::sync::Mutex<JoinSet<()>>,
-    /// Whether engines are being replaced, one after another.
+    /// Whether engines are being replaced one after another.
     replacing: AtomicBool,
 }
 
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Plays both parts; tells when the burst began.
+    /// Runs both phases and returns the start time of the burst.
     async fn play(&self, progress: &dyn ChaosProgress) -> Result<u64, FleetError> {
         let recorder = self.client.recorder();
         {
@@ -185,7 +186,8 @@
         });
     }
 
-    /// Adds calls of devices, at a share of what each service's engines run, by the scale.
+    /// Adds device calls at `share` of the call rate that each service's engines can serve, times
+    /// the scale.
     async fn add_device_calls(&self, share: f64, part: u64) {
         for (place, group) in self.fleet.topology().applications.iter().enumerate() {
             let at_once = group.engines as f64 * f64::from(group.slots);
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Engines are replaced one after another, as the platform does it.
+    /// Restarts engines one after another, as the platform does to replace them.
     async fn restart_engines(
         &self,
         end: Instant,
@@ -221,7 +223,7 @@
         Ok(())
     }
 
-    /// Kills nodes at random, one at a time, and brings them back.
+    /// Kills random nodes, one at a time, and restarts them.
     async fn kill_until(
         &self,
         end: Instant,
@@ -234,7 +236,8 @@
             sleep(BETWEEN_KILLS).await;
             let kind = *kinds.choose(&mut random).unwrap_or(&Core);
             if kind == Engine && self.replacing.load(Ordering::SeqCst) {
-                // Whoever replaces it would wait for its end and its start.
+                // The replacement of an engine waits for its exit and restart, which a kill would
+                // disturb.
                 continue;
             }
             let names = self.fleet.names(kind);
@@ -271,7 +274,7 @@
         self.stop.cancel();
         let mut tasks = self.tasks.lock().await;
         while let Some(ended) = tasks.join_next().await {
-            // A panic of such a task is a fault of the bench itself.
+            // A panic in one of these tasks is a bug of the load tool.
             ended.map_err(|e| FleetError::Unexpected(e.to_string()))?;
         }
         Ok(())
--- a/crates/bench/src/scenario/specification.rs
+++ b/crates/bench/src/scenario/specification.rs
@@ -1,4 +1,5 @@
-//! What the scenarios are, as numbers: a steady part, a burst of all users of a zone, urgent calls.
+//! Load parameters of the burst scenarios: a steady phase, a burst of all users of a zone, and
+//! device calls.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,55 +7,57 @@
 
 use hooklug_settings::GatewayMode;
 
-/// A district's hard hour.
+/// A scenario with a steady phase and a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scene {
-    /// Growers ask at once whether to vent or heat; alarms come in bursts.
+    /// Growers ask at the same time whether to vent or heat, and alarms arrive in bursts.
     FrostNight,
     /// Long sessions with many sensor readings.
     SowingMorning,
-    /// Dispatchers during a storm: the highest load, engines replaced, nodes killed.
+    /// Dispatchers during a storm: the highest load, with engines replaced and nodes killed.
     StormWarning,
 }
 
-/// A scene, its gateway mode and its load, written `frost-night`, `frost-night@plain` or `frost-night@plainx3`.
+/// A scenario, its gateway mode and its scale, written as `frost-night`, `frost-night@plain` or
+/// `frost-night@plainx3`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Specification {
-    /// The scene.
+    /// The scenario.
     pub scene: Scene,
-    /// Gateways as designed, or the baseline.
+    /// Full gateways or baseline gateways.
     pub mode: GatewayMode,
-    /// Factor on the load of the steady part and the burst.
+    /// Factor applied to the load of both phases.
     pub scale: f64,
 }
 
-/// The load of a scene, in programs by slot of the fleet's engines.
+/// The load of a scenario. Program counts are relative to the number of session slots in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Programs of the steady part.
+    /// Programs of the steady phase, per slot.
     pub steady: f64,
-    /// Programs that arrive in one second.
+    /// Additional programs of the burst, per slot, which arrive within one second.
     pub burst: f64,
-    /// Calls of devices a second, as a share of what application engines can run: all along, and on top
-    /// of it once all of a zone's users have come.
+    /// Rate of device calls as a share of what application engines can serve: throughout the run,
+    /// and the additional share from the start of the burst.
     pub device_calls: (f64, f64),
-    /// Time that an application engine runs a call.
+    /// Time for which an application engine runs a call.
     pub run: Duration,
-    /// Calls that an application engine runs at once: few enough for one machine to ask for more.
+    /// Concurrent calls of an application engine. Small enough that the callers of one machine can
+    /// exceed it.
     pub application_slots: u32,
-    /// Share of calls that may not be repeated.
+    /// Share of calls that are non-repeatable.
     pub once_share: f64,
-    /// Most calls between two turns.
+    /// Maximum number of calls between two turns.
     pub calls: u32,
-    /// Tokens of a turn, shortest and longest.
+    /// Minimum and maximum number of tokens of a turn.
     pub turn_tokens: (u64, u64),
-    /// Turns of a session.
+    /// Number of turns of a session.
     pub turns: u32,
-    /// Longest pause between turns.
+    /// Maximum pause between turns.
     pub think: Duration,
     /// Whether engines are replaced during the burst.
     pub replace_engines: bool,
-    /// Whether nodes are killed at random all along.
+    /// Whether random nodes are killed throughout the run.
     pub kills: bool,
 }
 
@@ -65,7 +68,8 @@
         (Self::StormWarning, "storm-warning"),
     ];
 
-    /// Its load (ours; the shape is the issue's: steady, then all of a zone's users in one second).
+    /// Returns the load of the scenario: a steady phase, then all users of a zone within one
+    /// second.
     #[must_use]
     pub fn load(self) -> Load {
         let frost = Load {
@@ -114,7 +118,7 @@
     }
 }
 
-/// A text that names no scenario.
+/// A text that does not name a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "{0:?} is no scenario; expected frost-night, sowing-morning or storm-warning, then @plain and xN at will"
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -1,4 +1,5 @@
-//! How long sessions are without an owner while engines are killed, frozen and drained one after another.
+//! Measures how long sessions are without an owner while engines are killed, frozen and drained one
+//! after another.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -18,18 +19,18 @@
 use crate::report::{Goal, Measure, Section};
 use crate::workload::{Client, Profile, Recorder, now, observe, read_finally, run_programs};
 
-/// Takeover time at most, median, in milliseconds (ours; the promise is less than 6 s for each).
+/// Maximum median takeover time, in milliseconds. The promise is less than 6 s for each takeover.
 const TAKEOVER_GOAL_MS: f64 = 5_000.0;
-/// How long a killed or frozen engine is away (ours: longer than any lease lasts).
+/// Time for which a killed or frozen engine stays down. Must exceed the lease time.
 const AWAY: Duration = Duration::from_secs(8);
-/// Quiet time between two faults (ours).
+/// Pause between two faults.
 const BETWEEN_FAULTS: Duration = Duration::from_secs(2);
-/// Time over which sessions begin (ours).
+/// Time over which the starts of sessions are spread.
 const RAMP: Duration = Duration::from_secs(2);
-/// Time for late work to show before everything is read (ours).
+/// Time for late work to finish before the results are read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What happens to an engine.
+/// A fault of an engine that causes takeovers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Loss {
     Kill,
@@ -49,26 +50,28 @@
     }
 }
 
-/// A run in which engines are lost.
+/// A run in which engines fail one after another.
 #[derive(Debug, Clone)]
 pub struct Takeover {
-    /// The fleet; its engines get slots enough for all sessions while one of them is away.
+    /// Topology of the fleet. Its engines get enough slots for all sessions while one of them is
+    /// down.
     pub topology: Topology,
-    /// How long engines are lost; each kind of loss happens once at least.
+    /// Time during which engines fail; each kind of fault is injected at least once.
     pub time: Duration,
-    /// Programs at once, most of them with one session.
+    /// Number of concurrent programs, most of them with one session.
     pub programs: usize,
     /// Seed of the load.
     pub seed: u64,
-    /// Folder of the fleet; drawn and removed when none is named.
+    /// Data folder of the fleet. If `None`, a temporary one is used.
     pub data: Option<PathBuf>,
 }
 
 impl Takeover {
-    /// Runs it; the verdict on the run, and the takeover times.
+    /// Runs the scenario. Returns the section with the verdict and the section with the takeover
+    /// times.
     ///
     /// # Errors
-    /// When the fleet can't be started, broken or mended.
+    /// If the fleet cannot be started or a fault cannot be injected or ended.
     pub async fn run(mut self, progress: &dyn ChaosProgress) -> Result<Vec<Section>, FleetError> {
         self.make_room();
         let options = FleetOptions { data: self.data.clone() };
@@ -91,7 +94,7 @@
         let lost = losses.run(self.time).await;
         let to = now();
         stop.cancel();
-        // Panics of these tasks are faults of the bench itself.
+        // A panic in one of these tasks is a bug of the load tool.
         let joined = tokio::join!(load, observer);
         joined.0.and(joined.1).map_err(|e| FleetError::Unexpected(e.to_string()))?;
         lost?;
@@ -111,7 +114,7 @@
     }
 }
 
-/// Programs that only run turns, one right after another.
+/// Returns a profile of programs that only run turns, with short pauses.
 fn turns_alone(topology: &Topology) -> Profile {
     Profile {
         turn_tokens: (20, 60),
@@ -132,7 +135,8 @@
 }
 
 impl Losses<'_> {
-    /// Loses engines one after another, until the time is over and each kind of loss has happened.
+    /// Injects faults one after another, until the time is over and each kind has been injected
+    /// once.
     async fn run(&self, time: Duration) -> Result<(), FleetError> {
         let end = Instant::now() + time;
         let engines = self.fleet.names(ProcessKind::Engine);
@@ -183,8 +187,9 @@
     }
 }
 
-/// Times from losses whose fault begins with a word to the first token of a next turn that came to its end,
-/// in milliseconds, of each session that the lost engine owned.
+/// Returns the takeover times of all faults whose description starts with `word`, in milliseconds.
+/// A takeover time is measured for each session that the failed engine owned, from the fault to the
+/// first token of the next turn that finished.
 #[must_use]
 pub fn takeover_times(evidence: &Evidence, word: &str) -> Vec<f64> {
     let losses = evidence.disturbances.iter().filter(|loss| loss.fault.starts_with(word));
@@ -199,14 +204,14 @@
     losses.flat_map(of_loss).collect()
 }
 
-/// The owner that was seen last before an instant.
+/// Returns the owner that was last observed before an instant.
 fn owner_at(session: &SessionRecord, at: Millis) -> Option<&str> {
     let before = session.owners.iter().filter(|seen| seen.begun < at);
     before.max_by_key(|seen| (seen.begun, seen.epoch)).map(|seen| seen.owner.as_str())
 }
 
-/// When the first token came of the first turn that began to stream after an instant and finished: a turn that
-/// the lost engine had begun cannot finish.
+/// Returns when the first token arrived of the first finished turn that started to stream after an
+/// instant. A turn that the failed engine had started cannot finish.
 fn first_token_after(evidence: &Evidence, session: &SessionName, at: Millis) -> Option<f64> {
     let turns = evidence.turns.iter().filter(|turn| {
         turn.session == *session && turn.claim == TurnClaim::Ended("finished".to_owned())
--- a/crates/bench/src/slopes/control_plane.rs
+++ b/crates/bench/src/slopes/control_plane.rs
@@ -1,5 +1,5 @@
-//! Hollow nodes before real cores and stores: cost by the number of nodes, of changes of the view, and of
-//! bundle changes with several numbers of tenants.
+//! Measures the cost of the control plane with hollow nodes and real cores and stores, by the
+//! number of nodes, the rate of view changes and the number of tenants in a bundle.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use super::report_slope;
 use crate::hollow::{Field, PerNode};
 
-/// Hollow nodes of each step; a third are gateways, the others engines with leases.
+/// Hollow nodes of each step; a third are gateways, the others are engines with leases.
 const NODE_STEPS: [usize; 5] = [40, 80, 160, 240, 320];
-/// Changes of the view a second in the second half of each step.
+/// View changes per second in the second measurement of each step.
 const CHANGES_A_SECOND: f64 = 4.0;
-/// Tenants of each step.
+/// Number of tenants of each step.
 const TENANT_STEPS: [usize; 5] = [100, 2_000, 5_000, 10_000, 17_000];
-/// Hollow nodes that install bundles.
+/// Number of hollow nodes that install the bundles.
 const INSTALLING_NODES: usize = 24;
 /// Bundle changes at each number of tenants.
 const BUNDLE_CHANGES: usize = 3;
-/// Pause before a quiet span is measured.
+/// Pause before an idle span is measured.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Longest wait until all nodes see each other.
+/// Maximum time until all nodes see each other.
 const LONGEST_GATHERING: Duration = Duration::from_secs(60);
 const STORES: usize = 3;
 const CORES: usize = 3;
@@ -35,7 +35,7 @@
     real: Span,
 }
 
-/// Cost of each role by the number of nodes, quiet and with changes of the view.
+/// Measures the cost of each role by the number of nodes, idle and with view changes.
 pub(super) async fn nodes(report: &Report, span: Duration) -> anyhow::Result<()> {
     let mut field = Field::start(STORES, CORES).await?;
     let mut all = Vec::new();
@@ -66,7 +66,7 @@
     if rate > 0.0 {
         let end = tokio::time::Instant::now() + span;
         while tokio::time::Instant::now() < end {
-            // The last nodes of a step are engines.
+            // The last nodes of each step are engines.
             field.crowd.turn_draining(nodes - 1 - changes % 16);
             changes += 1;
             tokio::time::sleep(Duration::from_secs_f64(1.0 / rate)).await;
@@ -82,7 +82,7 @@
 fn report_nodes(report: &Report, all: &[Measured]) -> anyhow::Result<()> {
     let rate = |m: &Measured| m.changes / m.real.seconds;
     let fitted = |role: &str, cost: &str, drivers: &[&str; 2], of: &dyn Fn(&Measured) -> f64| {
-        // What a change costs all nodes together grows with their number.
+        // The total cost of a change, over all nodes, is proportional to their number.
         let observe = |m: &Measured| {
             let second = if drivers[1] == PER_NODE_CHANGE { rate(m) } else { rate(m) * m.nodes };
             Observation { drivers: vec![m.nodes, second], cost: of(m) }
@@ -112,7 +112,7 @@
 
 const PER_NODE_CHANGE: &str = "view change a second";
 
-/// Cost of one bundle change at a node by the number of tenants.
+/// Measures the cost of a bundle change at a node by the number of tenants.
 pub(super) async fn bundles(report: &Report) -> anyhow::Result<()> {
     let mut field = Field::start(STORES, CORES).await?;
     field.crowd.grow(INSTALLING_NODES / 3, INSTALLING_NODES - INSTALLING_NODES / 3).await?;
@@ -131,7 +131,7 @@
         let busy = field.crowd.look()?.since(&crowd);
         let real = field.look().await?.since(&before);
         let changes = BUNDLE_CHANGES as f64;
-        // What the nodes spend on other things is taken off.
+        // Subtracts the usage of an idle node.
         let of_change =
             |busy_rate: f64, quiet_rate: f64| (busy_rate - quiet_rate) * busy.seconds / changes;
         let cost = [
--- a/crates/bench/src/slopes/data_plane.rs
+++ b/crates/bench/src/slopes/data_plane.rs
@@ -1,4 +1,5 @@
-//! A real gateway and engine under turns and tokens, and with many open sessions and streams.
+//! Measures a real gateway and engine with turns and tokens, and with many open sessions and
+//! streams.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,7 +20,7 @@
 use super::report_slope;
 
 const EXPERIMENT: &str = "data plane";
-/// Streams at once and tokens of each turn.
+/// Number of concurrent streams and of tokens per turn, for each measurement.
 const LOADS: [(usize, u64); 11] = [
     (4, 4),
     (16, 4),
@@ -33,17 +34,17 @@
     (64, 200),
     (96, 200),
 ];
-/// Time before a span is measured.
+/// Warm-up before a span is measured.
 const WARM_UP: Duration = Duration::from_millis(1_500);
-/// Sessions opened one step after the other.
+/// Number of open sessions at each step.
 const SESSION_STEPS: [usize; 5] = [0, 500, 1_000, 2_000, 4_000];
-/// Streams opened one step after the other.
+/// Number of open streams at each step.
 const STREAM_STEPS: [usize; 5] = [0, 64, 128, 256, 400];
-/// Tokens of a turn whose stream is held open.
+/// Tokens of a turn whose stream is kept open.
 const LONG_TURN_TOKENS: u64 = 4_000;
-/// Requests under way at once.
+/// Maximum number of concurrent requests.
 const AT_ONCE: usize = 32;
-/// Tenants that the load is spread over, so that none meets its limits.
+/// Number of tenants that the load is spread over, so that none reaches its limits.
 const TENANTS: usize = 64;
 const MODEL: &str = "model-0";
 const SLOTS: u32 = 1_024;
@@ -88,7 +89,7 @@
     })
 }
 
-/// Runs turns in closed loops; fits the cost of a turn and of a token for each role.
+/// Runs turns in closed loops and fits the cost of a turn and of a token for each role.
 pub(super) async fn run(report: &Report, span: Duration) -> anyhow::Result<()> {
     let pace = ModelPace { first_token_ms: 20, between_tokens_ms: 20, uncached_token_micros: 0 };
     let fleet = Fleet::start(topology(pace)?).await?;
@@ -166,7 +167,7 @@
     })
 }
 
-/// Runs one turn after the other; counts each token as it comes.
+/// Runs one turn after another and counts tokens as they arrive.
 async fn turns(
     caller: Caller,
     session: SessionRef,
@@ -193,7 +194,7 @@
     Ok(())
 }
 
-/// Opens sessions, then streams, step by step; fits the memory of each role.
+/// Opens sessions, then streams, in steps, and fits the memory of each role.
 pub(super) async fn sessions(report: &Report) -> anyhow::Result<()> {
     let pace = ModelPace { first_token_ms: 20, between_tokens_ms: 500, uncached_token_micros: 0 };
     let fleet = Fleet::start(topology(pace)?).await?;
--- a/crates/bench/src/slopes/fit.rs
+++ b/crates/bench/src/slopes/fit.rs
@@ -1,8 +1,9 @@
-//! Least squares with several drivers and a constant, with the standard error of each slope. Pure.
+//! Linear least squares with several drivers and a constant, with the standard error of each slope.
+//! Performs no I/O.
 
 use serde::Serialize;
 
-/// What was fitted.
+/// Result of a least-squares fit.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct Fit {
     /// Cost without any driver.
@@ -15,25 +16,26 @@
     pub(crate) r_squared: f64,
 }
 
-/// A fitted value.
+/// An estimated coefficient.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub(crate) struct Estimate {
-    /// The value.
+    /// The estimated value.
     pub(crate) value: f64,
-    /// Its standard error; none without a degree of freedom.
+    /// Its standard error; `None` without a degree of freedom.
     pub(crate) standard_error: Option<f64>,
 }
 
-/// One observation: the drivers and the cost.
+/// One observation: amounts of the drivers, and the cost.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Observation {
-    /// How much there was of each driver.
+    /// Amount of each driver.
     pub(crate) drivers: Vec<f64>,
-    /// What it cost.
+    /// Measured cost.
     pub(crate) cost: f64,
 }
 
-/// Fits `cost = constant + sum(slope * driver)`; none when the observations do not determine it.
+/// Fits `cost = constant + sum(slope * driver)`. Returns `None` if the observations do not
+/// determine it.
 pub(crate) fn fit(observations: &[Observation]) -> Option<Fit> {
     let drivers = observations.first()?.drivers.len();
     let width = drivers + 1;
@@ -71,7 +73,8 @@
     })
 }
 
-/// Inverts a matrix by Gauss and Jordan with scaled pivots; none when it is singular.
+/// Inverts a matrix by Gauss-Jordan elimination with scaled pivots. Returns `None` if it is
+/// singular.
 fn invert(mut matrix: Vec<Vec<f64>>) -> Option<Vec<Vec<f64>>> {
     let size = matrix.len();
     let scale: Vec<f64> = (0..size).map(|i| matrix[i][i].sqrt().max(f64::MIN_POSITIVE)).collect();
--- a/crates/bench/src/slopes/fit/tests.rs
+++ b/crates/bench/src/slopes/fit/tests.rs
@@ -1,4 +1,5 @@
-//! The fit finds what made the observations, and says how sure it is.
+//! Tests that the fit returns the coefficients that generated the observations, and their standard
+//! errors.
 
 use super::{Observation, fit};
 
--- a/crates/bench/src/slopes/interrupt.rs
+++ b/crates/bench/src/slopes/interrupt.rs
@@ -1,11 +1,11 @@
-//! Ends a run on Ctrl-C or SIGTERM by dropping it, so that its fleet ends its processes.
+//! Stops a run on Ctrl-C or SIGTERM by dropping it, so that its fleet stops its processes.
 
 use std::future::Future;
 
 use anyhow::bail;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs to the end, or until the process is told to stop.
+/// Runs a future to completion, or returns an error on Ctrl-C or SIGTERM.
 pub(crate) async fn interruptible(
     run: impl Future<Output = anyhow::Result<()>>,
 ) -> anyhow::Result<()> {
--- a/crates/bench/src/slopes/machine.rs
+++ b/crates/bench/src/slopes/machine.rs
@@ -1,4 +1,5 @@
-//! The shard's state machine alone, in this process: memory, snapshot bytes and processor time by record.
+//! Measures the shard's state machine alone, in this process: memory, snapshot size and processor
+//! time per record.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +15,8 @@
 
 const EXPERIMENT: &str = "machine";
 const ROLE: &str = "store";
-/// Programs with a session and an open turn, and token events of each.
+/// Number of programs (each with a session and an open turn) and of token events per program, for
+/// each measurement.
 const SIZES: [(usize, u64); 9] = [
     (1_000, 0),
     (4_000, 0),
@@ -26,7 +28,7 @@
     (100, 10_000),
     (16_000, 50),
 ];
-/// Token events of one command.
+/// Token events per command.
 const EVENTS_A_COMMAND: u64 = 50;
 
 struct Measured {
@@ -38,8 +40,8 @@
     events_seconds: f64,
 }
 
-/// Builds machines of several sizes; each is kept until the end, so that memory freed by one is not mistaken
-/// for memory that the next does not need.
+/// Builds state machines of several sizes. All of them are retained until the end: memory freed by
+/// one would be reused by the next, whose resident memory would then appear too small.
 pub(super) fn run(report: &Report) -> anyhow::Result<()> {
     let mut machines = Vec::new();
     let mut all = Vec::new();
--- a/crates/bench/src/slopes/meter.rs
+++ b/crates/bench/src/slopes/meter.rs
@@ -1,4 +1,4 @@
-//! What the processes of a fleet used between two looks, summed by role.
+//! Measures the resource usage of a fleet's processes, summed by role.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,24 +11,24 @@
 
 use super::process::Usage;
 
-/// Sums over all processes of a role, or over this process.
+/// Resource usage, summed over all processes of a role.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub(crate) struct Counted {
-    /// Processes that were looked at.
+    /// Number of processes that were measured.
     pub(crate) processes: usize,
     /// Processor time, in seconds.
     pub(crate) cpu_seconds: f64,
     /// Resident memory, in bytes.
     pub(crate) resident_bytes: f64,
-    /// Bytes sent by rpc.
+    /// Bytes sent by RPC.
     pub(crate) rpc_sent_bytes: f64,
-    /// Bytes received by rpc.
+    /// Bytes received by RPC.
     pub(crate) rpc_received_bytes: f64,
-    /// Frames sent and received by rpc.
+    /// Frames sent and received by RPC.
     pub(crate) rpc_frames: f64,
     /// Bytes written to the log.
     pub(crate) log_bytes: f64,
-    /// Syncs of the log.
+    /// Number of syncs of the log.
     pub(crate) syncs: f64,
 }
 
@@ -60,25 +60,25 @@
     }
 }
 
-/// One look at a fleet.
+/// Resource usage of a fleet at one instant.
 #[derive(Debug, Clone)]
 pub(crate) struct Look {
     at: Instant,
-    /// By role.
+    /// Usage by role.
     pub(crate) roles: BTreeMap<&'static str, Counted>,
 }
 
-/// What happened between two looks.
+/// Resource usage over a span.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Span {
-    /// Its length, in seconds.
+    /// Length of the span, in seconds.
     pub(crate) seconds: f64,
-    /// By role.
+    /// Usage by role.
     pub(crate) roles: BTreeMap<&'static str, Counted>,
 }
 
 impl Look {
-    /// Looks at all hooklug processes of a fleet that run, all at once.
+    /// Reads the usage of all running hooklug processes of a fleet concurrently.
     pub(crate) async fn at(fleet: &Fleet, http: &HttpClient) -> anyhow::Result<Self> {
         let nodes = fleet.status().into_iter().filter(|status| status.name.kind.is_node());
         let looks = nodes.filter(|status| status.pid.is_some()).map(|status| async move {
@@ -93,7 +93,7 @@
         Ok(Self { at: Instant::now(), roles })
     }
 
-    /// What happened since an earlier look.
+    /// Returns the usage since an earlier reading.
     pub(crate) fn since(&self, earlier: &Self) -> Span {
         let before = |role: &str| earlier.roles.get(role).copied().unwrap_or_default();
         let roles = self.roles.iter().map(|(role, now)| (*role, now.since(before(role))));
@@ -102,7 +102,7 @@
 }
 
 impl Span {
-    /// A role's figures.
+    /// Returns the usage of a role.
     pub(crate) fn role(&self, role: &str) -> Counted {
         self.roles.get(role).copied().unwrap_or_default()
     }
@@ -125,7 +125,7 @@
     })
 }
 
-/// Sum of all series whose text begins with a name.
+/// Returns the sum of all series that start with `name`, which may include the first labels.
 fn sum_of(metrics: &str, name: &str) -> f64 {
     let matching = metrics.lines().filter(|line| line.starts_with(name));
     matching.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,5 +1,5 @@
-//! How the cost of each role grows with what drives it: observations at several sizes, and a least-squares
-//! fit with its error for each cost.
+//! Measures how the cost of each role grows with its load: observations at several sizes, and a
+//! least-squares fit with its error for each cost.
 
 mod control_plane;
 mod data_plane;
@@ -21,29 +21,29 @@
 /// Arguments of `hooklug-bench slopes`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// What to measure; all when not given.
+    /// Experiments to run; all if not given.
     #[arg(long, value_enum)]
     only: Vec<Experiment>,
     /// Length of each measured span, in seconds.
     #[arg(long, default_value_t = 5)]
     span_seconds: u64,
-    /// File that the results are added to as JSON lines.
+    /// File to append the results to, as JSON lines.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// One experiment.
+/// An experiment that measures one group of costs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 enum Experiment {
-    /// The shard's state machine in this process: memory and bytes of its records.
+    /// Memory and size of the shard state machine's records, in this process.
     Machine,
-    /// Real stores under commits of several sizes.
+    /// Real stores with commits of several sizes.
     Stores,
-    /// A real gateway and engine under turns and tokens.
+    /// A real gateway and engine with turns and tokens.
     DataPlane,
-    /// Open sessions and streams: memory.
+    /// Memory of open sessions and streams.
     Sessions,
-    /// Hollow nodes before real cores: cost by the number of nodes, and of changes of the view.
+    /// Hollow nodes with real cores: cost by the number of nodes and of view changes.
     Nodes,
     /// Bundle changes with several numbers of tenants.
     Bundles,
@@ -54,7 +54,7 @@
         [Self::Machine, Self::Stores, Self::DataPlane, Self::Sessions, Self::Nodes, Self::Bundles];
 }
 
-/// Runs the experiments one after the other. Told to stop, it ends its processes first.
+/// Runs the experiments one after another. On Ctrl-C or SIGTERM it stops its processes.
 pub async fn run(args: Args) -> anyhow::Result<()> {
     interrupt::interruptible(experiments(args)).await
 }
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// A fitted cost, as it is reported.
+/// A fitted cost, in the form that is reported.
 #[derive(Debug, Serialize)]
 struct Slope<'a> {
     experiment: &'a str,
@@ -86,7 +86,7 @@
     fit: Option<fit::Fit>,
 }
 
-/// Fits a cost and reports it, also when the observations do not determine it.
+/// Fits a cost and reports the result, even if the observations do not determine it.
 fn report_slope(
     report: &Report,
     (experiment, role, cost): (&str, &str, &str),
--- a/crates/bench/src/slopes/process.rs
+++ b/crates/bench/src/slopes/process.rs
@@ -1,19 +1,19 @@
-//! What a process has used, as the kernel counts it.
+//! Reads the resource usage of a process from `/proc`.
 
 use std::time::Duration;
 
 use anyhow::{Context, anyhow};
 
-/// Clock ticks a second in `/proc/PID/stat`; fixed by Linux's user-space interface.
+/// Clock ticks per second in `/proc/PID/stat`, a constant of Linux's user-space interface.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Size of a page in `/proc/PID/statm`, in bytes.
+/// Page size of `/proc/PID/statm`, in bytes.
 const PAGE_BYTES: u64 = 4096;
 
-/// What a process has used until now.
+/// Resource usage of a process since its start.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Usage {
-    /// Processor time in user and kernel mode, of all threads; steps of 10 ms.
+    /// Processor time of all threads in user and kernel mode, with a resolution of 10 ms.
     pub(crate) cpu: Duration,
     /// Resident memory, in bytes.
     pub(crate) resident_bytes: u64,
@@ -23,7 +23,7 @@
     /// Reads the usage of a process.
     pub(crate) fn of(pid: u32) -> anyhow::Result<Self> {
         let stat = read(pid, "stat")?;
-        // The command's name may hold spaces; fields are counted after its closing bracket.
+        // The command name may contain spaces, so fields are counted after its closing parenthesis.
         let after = stat.rsplit_once(')').map(|(_, rest)| rest).ok_or(anyhow!("odd stat"))?;
         let fields: Vec<&str> = after.split_whitespace().collect();
         let ticks = |place: usize| -> anyhow::Result<f64> {
--- a/crates/bench/src/slopes/report.rs
+++ b/crates/bench/src/slopes/report.rs
@@ -1,4 +1,4 @@
-//! Results as JSON lines, on standard output and, where asked for, in a file.
+//! Writes results as JSON lines to standard output and optionally to a file.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -10,14 +10,14 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// Where results go.
+/// Output of an experiment's results.
 #[derive(Debug)]
 pub(crate) struct Report {
     file: Option<Mutex<File>>,
 }
 
 impl Report {
-    /// A report that begins with the environment and the run's command.
+    /// Creates a report. Its first line holds the environment and the arguments of the run.
     pub(crate) fn begin(file: Option<&Path>) -> anyhow::Result<Self> {
         let open = |path: &Path| {
             let opened = OpenOptions::new().create(true).append(true).open(path);
@@ -28,7 +28,7 @@
         Ok(report)
     }
 
-    /// Writes one line: its kind, the load average at this time, and the fields.
+    /// Writes one line with its kind, the current load average and `fields`.
     pub(crate) fn line(&self, kind: &str, fields: &impl Serialize) -> anyhow::Result<()> {
         let mut line = json!({"kind": kind, "load_average": load_average()});
         if let (Value::Object(line), Value::Object(fields)) =
@@ -45,7 +45,7 @@
     }
 }
 
-/// The machine's load average over the last minute.
+/// Reads the machine's load average over the last minute.
 pub(crate) fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/crates/bench/src/slopes/stores.rs
+++ b/crates/bench/src/slopes/stores.rs
@@ -1,4 +1,4 @@
-//! Real stores under commits of several sizes: processor time, syncs, log bytes and memory.
+//! Measures real stores with commits of several sizes: processor time, syncs, log bytes and memory.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,10 +16,10 @@
 use crate::hollow::{Access, Field, ProgramRecords, Writer};
 
 const EXPERIMENT: &str = "stores";
-/// Writers at once and token events in each of their commits.
+/// Number of concurrent writers and of token events in each of their commits, for each measurement.
 const LOADS: [(usize, u64); 9] =
     [(1, 1), (4, 1), (16, 1), (64, 1), (4, 16), (16, 16), (64, 16), (16, 64), (64, 64)];
-/// Time before a span is measured.
+/// Warm-up before a span is measured.
 const WARM_UP: Duration = Duration::from_millis(700);
 
 struct Measured {
@@ -28,7 +28,7 @@
     span: Span,
 }
 
-/// Runs writers in closed loops against three stores.
+/// Runs writers in closed loops against three stores and fits the costs.
 pub(super) async fn run(report: &Report, span: Duration) -> anyhow::Result<()> {
     let field = Field::start(3, 1).await?;
     let writer = Writer::new(&Access::of(&field.fleet)?)?;
@@ -65,7 +65,8 @@
     fitted("resident bytes", &|m| m.span.role("store").resident_bytes)
 }
 
-/// Commits share syncs the better the more there are, so that processor time follows the syncs too.
+/// Fits processor time with syncs as a driver too: the more commits run at once, the more of them
+/// share a sync.
 fn fit_syncs(report: &Report, all: &[Measured]) -> anyhow::Result<()> {
     let observe = |m: &Measured| {
         let store = m.span.role("store");
--- a/crates/bench/src/workload/call_stream.rs
+++ b/crates/bench/src/workload/call_stream.rs
@@ -1,5 +1,6 @@
-//! Calls that come at a fixed rate, whether or not earlier ones are answered: alarms and readings of
-//! devices. Programs make their calls one after another, so they alone never ask for more than engines run.
+//! Device calls (alarms and sensor readings) at a fixed rate, whether or not earlier calls were
+//! answered. Programs call in closed loops, so that they alone never exceed the capacity of the
+//! application engines.
 
 use std::time::Duration;
 
@@ -16,28 +17,28 @@
 use super::calls::PlannedCall;
 use super::client::Client;
 
-/// How long a device waits for its call (ours): a late answer is of no use to it.
+/// Time that a device waits for the result of its call; a later one is of no use to it.
 const PATIENCE: Duration = Duration::from_secs(1);
-/// How often the calls that are due are sent (ours).
+/// Interval at which due calls are sent.
 const STEP: Duration = Duration::from_millis(10);
-/// Programs that the calls of a stream belong to (ours): they spread over the shards.
+/// Number of programs that the calls of a stream are spread over, so that all shards take part.
 const PROGRAMS: u64 = 16;
-/// Budget of the devices' programs; calls stream no tokens.
+/// Token budget of the devices' programs; calls stream no tokens.
 const BUDGET: u64 = 1;
 
-/// Calls of one service.
+/// A stream of calls to one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallStream {
-    /// First part of the names of the devices' programs.
+    /// Prefix of the names of the devices' programs.
     pub name: String,
-    /// Tools that are called, at random.
+    /// Tools to call, chosen at random.
     pub tools: Vec<Tool>,
-    /// Calls a second.
+    /// Calls per second.
     pub per_second: f64,
 }
 
 impl CallStream {
-    /// Makes the calls until told to stop, and waits for those under way.
+    /// Sends calls until `stop` is cancelled, then waits for the calls in flight.
     pub async fn run(self, client: Client, seed: u64, stop: CancellationToken) {
         for number in 0..PROGRAMS {
             if client.declare(0, &self.program(number), BUDGET, BUDGET).await.is_err() {
--- a/crates/bench/src/workload/calls.rs
+++ b/crates/bench/src/workload/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: made, made again after lost answers, settled, and written down.
+//! Sends tool calls, retries them after lost responses, resolves unknown outcomes and records them.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use super::now;
 use crate::oracle::evidence::{CallClaim, CallRecord};
 
-/// Longest time in which a program sends a call again (ours).
+/// Time within which a program retries a call.
 pub(super) const CALL_TIME: Duration = Duration::from_secs(20);
-/// Longest time for a question about a call (ours).
+/// Time within which a program retries a request for the state of a call.
 const QUESTION_TIME: Duration = Duration::from_secs(10);
 
-/// A call as a program makes it.
+/// A call that a program is about to make.
 #[derive(Debug, Clone)]
 pub struct PlannedCall {
-    /// Its program.
+    /// Id of the program.
     pub program: String,
-    /// Its id.
+    /// Id of the call.
     pub call: String,
     /// The tool and its arguments.
     pub request: CallRequest,
-    /// Whether the route lets it run more than once.
+    /// Whether the route allows the call to run more than once.
     pub may_repeat: bool,
-    /// Whether to send it once more at another gateway after its answer.
+    /// Whether to send the call again through another gateway after it was answered.
     pub send_again: bool,
-    /// How long it is sent again while the answers claim nothing.
+    /// Time within which the call is retried while responses are inconclusive.
     pub patience: Duration,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Client {
-    /// Makes a call, writes it down and tells the application's answer, if there is one.
+    /// Makes a call, records it and returns the application's response, if there is one.
     pub async fn run_call(&self, gateway: usize, planned: &PlannedCall) -> Option<Value> {
         let begun = now();
         let ask = Ask::json(Method::PUT, planned.path(), &planned.request);
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Asks what became of a call.
+    /// Reads the recorded state of a call whose outcome is unknown.
     async fn state(&self, gateway: usize, planned: &PlannedCall) -> CallClaim {
         let ask = Ask::new(Method::GET, planned.path());
         self.recorded(gateway, &ask).await
     }
 
-    /// Seals a call of which nothing is known.
+    /// Seals a call after inconclusive responses, so that it never runs unless it already has.
     async fn seal(&self, gateway: usize, planned: &PlannedCall) -> CallClaim {
         let request = &planned.request;
         let body = json!({"tool": request.tool, "arguments": request.arguments});
@@ -107,7 +107,7 @@
     CallClaim::Answered { status: answer.status.as_u16(), body }
 }
 
-/// What the record of a call says.
+/// Returns the outcome that the record of a call shows.
 fn recorded_claim(answer: &Answer) -> CallClaim {
     let view: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     match view["state"].as_str() {
--- a/crates/bench/src/workload/client.rs
+++ b/crates/bench/src/workload/client.rs
@@ -1,4 +1,4 @@
-//! One caller: knows the gateways of the moment and retries as docs/API.md says.
+//! A caller that knows the current gateways and retries requests as docs/API.md specifies.
 
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
@@ -10,12 +10,12 @@
 
 use super::recorder::Recorder;
 
-/// Pause before a request is sent again when the answer names none (ours).
+/// Pause before a retry if the response specifies none.
 const PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause that a caller accepts (ours).
+/// Maximum pause before a retry.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
 
-/// A caller of all gateways that writes down what it is told. Cheap to clone.
+/// A caller that uses all gateways and records the responses. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Client {
     caller: Arc<RwLock<Caller>>,
@@ -23,17 +23,17 @@
     pub(super) recorder: Recorder,
 }
 
-/// An answer and when the request that got it was sent.
+/// A response and the send time of the request that it belongs to.
 #[derive(Debug)]
 pub(super) struct Answered {
     pub answer: Answer,
-    /// Whether the very first try got it.
+    /// Whether the first attempt returned it.
     pub first_try: bool,
     pub begun: u64,
 }
 
 impl Client {
-    /// A caller of the fleet's gateways.
+    /// Creates a client of the fleet's gateways.
     #[must_use]
     pub fn new(fleet: &Fleet, recorder: Recorder) -> Self {
         let tenant = fleet.topology().tenants.first().map(ToString::to_string).unwrap_or_default();
@@ -41,25 +41,26 @@
         Self { caller: Arc::new(RwLock::new(caller)), tenant, recorder }
     }
 
-    /// Learns the gateways anew, after one was replaced.
+    /// Updates the gateway addresses, after a gateway was replaced.
     pub fn learn_gateways(&self, fleet: &Fleet) {
         let caller = Caller::new(fleet.gateways(), &self.tenant);
         *self.caller.write().unwrap_or_else(PoisonError::into_inner) = caller;
     }
 
-    /// Where it writes down what it is told.
+    /// Returns the recorder that responses are written to.
     #[must_use]
     pub fn recorder(&self) -> Recorder {
         self.recorder.clone()
     }
 
-    /// The caller of the moment.
+    /// Returns the caller with the current gateway addresses.
     #[must_use]
     pub fn caller(&self) -> Caller {
         self.caller.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Sends a request, at the next gateway again while the answer claims nothing, for a time.
+    /// Sends a request and retries it at the next gateway for a time, while responses are
+    /// inconclusive.
     pub(super) async fn ask(
         &self,
         mut gateway: usize,
@@ -83,7 +84,7 @@
     }
 }
 
-/// How long to wait before the request is sent again.
+/// Returns the pause before a retry.
 pub(super) fn pause_after(error: &CallerError) -> Duration {
     let named = match error {
         CallerError::Problem(problem) => problem.retry_after_ms.map(Duration::from_millis),
--- a/crates/bench/src/workload/final_reading.rs
+++ b/crates/bench/src/workload/final_reading.rs
@@ -1,4 +1,5 @@
-//! What is read once the load is over: histories, programs' ledgers, and back ends' ledgers.
+//! Reads the final state after the load has ended: histories, token accounting of programs, and
+//! ledgers of backends.
 
 use futures::StreamExt;
 use hooklug_fleet::caller::SessionRef;
@@ -6,15 +7,15 @@
 
 use super::client::Client;
 
-/// Reads at once (ours).
+/// Maximum number of concurrent reads.
 const READS: usize = 16;
-/// Tries for one read, each at another gateway (ours).
+/// Attempts for each history, each at another gateway.
 const TRIES: usize = 5;
 
 /// Reads all histories, programs and ledgers into the evidence.
 ///
 /// # Errors
-/// When a ledger does not decode.
+/// If a ledger cannot be decoded.
 pub async fn read_finally(fleet: &Fleet, client: &Client) -> Result<(), FleetError> {
     let (sessions, programs): (Vec<String>, Vec<String>) = {
         let evidence = client.recorder.lock();
--- a/crates/bench/src/workload/mod.rs
+++ b/crates/bench/src/workload/mod.rs
@@ -1,4 +1,4 @@
-//! Callers, operators and observers that write down all that they are told.
+//! Simulated callers, operators and observers that record all responses.
 
 mod call_stream;
 mod calls;
--- a/crates/bench/src/workload/observer.rs
+++ b/crates/bench/src/workload/observer.rs
@@ -1,4 +1,4 @@
-//! Looks at which bundle version each node has in force.
+//! Polls the active bundle version of each node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use super::recorder::{Recorder, now};
 use crate::oracle::evidence::InstalledSeen;
 
-/// Pause between two rounds (ours).
+/// Pause between two rounds of polls.
 const PAUSE: Duration = Duration::from_millis(400);
-/// Longest wait for one node (ours).
+/// Timeout of the poll of one node.
 const LOOK_TIME: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Deserialize)]
@@ -23,7 +23,7 @@
     installed_bundle: u64,
 }
 
-/// Looks at all nodes, round by round, until told to stop.
+/// Polls all nodes repeatedly until `stop` is cancelled.
 pub async fn observe(fleet: Arc<Fleet>, recorder: Recorder, stop: CancellationToken) {
     let http = HttpClient::default();
     while !stop.is_cancelled() {
--- a/crates/bench/src/workload/operators.rs
+++ b/crates/bench/src/workload/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: submit bundles, race, send acknowledged ones again, and read back.
+//! Simulated operators: submit bundles, submit conflicting ones concurrently, resend acknowledged
+//! ones, and read them back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +18,9 @@
 use super::recorder::{Recorder, now};
 use crate::oracle::evidence::{BundleRead, SubmissionAnswer, SubmissionRecord};
 
-/// Longest wait for a read (ours).
+/// Timeout of a read.
 const READ_TIME: Duration = Duration::from_secs(5);
-/// Pause between two submissions, shortest and longest, in milliseconds (ours).
+/// Range of the pause between two actions, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 1_500..5_000;
 
 #[derive(Debug, Deserialize)]
@@ -27,7 +28,7 @@
     bundle: Bundle,
 }
 
-/// Operates the fleet until told to stop.
+/// Runs an operator until `stop` is cancelled.
 pub async fn operate(fleet: Arc<Fleet>, recorder: Recorder, seed: u64, stop: CancellationToken) {
     let mut operator = Operator {
         http: HttpClient::default(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// A bundle built on the one seen, with some limit changed.
+    /// Creates a bundle based on `seen`, with changed limits.
     fn changed(&mut self, seen: &Bundle) -> Bundle {
         let mut next = seen.clone();
         next.base = seen.version;
@@ -93,7 +94,7 @@
     async fn race(&mut self, seen: &Bundle) {
         let (first, mut second) = (self.changed(seen), self.changed(seen));
         for tenant in second.tenants.values_mut() {
-            // Surely another content.
+            // Ensures that the contents of the two bundles differ.
             tenant.limits.concurrency += 1_000;
         }
         let (Some(here), Some(there)) = (self.node(), self.node()) else { return };
@@ -112,7 +113,7 @@
     }
 }
 
-/// Reads the newest bundle at a node and writes down its version.
+/// Reads the newest bundle from a node and records its version.
 pub(crate) async fn read_back(
     fleet: &Fleet,
     http: &HttpClient,
@@ -129,7 +130,7 @@
     Some(content.bundle)
 }
 
-/// Submits a bundle at a node and writes down the answer; tells whether it was acknowledged.
+/// Submits a bundle to a node and records the outcome. Returns whether it was acknowledged.
 pub(crate) async fn submit(
     fleet: &Fleet,
     recorder: &Recorder,
--- a/crates/bench/src/workload/profile.rs
+++ b/crates/bench/src/workload/profile.rs
@@ -1,38 +1,38 @@
-//! What programs do, as numbers.
+//! Parameters of the programs that generate load.
 
 use std::time::Duration;
 
 use hooklug_fleet::Topology;
 
-/// What programs do.
+/// Parameters of the programs that generate load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Profile {
-    /// Model that sessions ask for.
+    /// Model that sessions request.
     pub model: String,
-    /// Tools whose calls may be repeated.
+    /// Tools with repeatable calls.
     pub repeatable: Vec<String>,
-    /// Tools whose calls may not.
+    /// Tools with non-repeatable calls.
     pub once: Vec<String>,
-    /// Tokens of a turn, shortest and longest.
+    /// Minimum and maximum number of tokens of a turn.
     pub turn_tokens: (u64, u64),
-    /// Calls after a turn, most.
+    /// Maximum number of calls after a turn.
     pub calls: u32,
-    /// Share of calls that may not be repeated.
+    /// Share of calls that are non-repeatable.
     pub once_share: f64,
-    /// Share of turns after which a call is made.
+    /// Share of turns that are followed by calls.
     pub call_share: f64,
-    /// Longest pause between turns.
+    /// Maximum pause between turns.
     pub think: Duration,
-    /// Turns of a session, most.
+    /// Maximum number of turns of a session.
     pub turns: u32,
-    /// Share of programs whose budget ends within a few turns.
+    /// Share of programs whose budget suffices only for a few turns.
     pub small_budget_share: f64,
     /// Share of sessions that a second client joins.
     pub join_share: f64,
 }
 
 impl Profile {
-    /// What fits a topology's services, with an even mix.
+    /// Creates a profile for a topology's services, with an even mix of calls.
     #[must_use]
     pub fn of(topology: &Topology) -> Self {
         let tools = || topology.applications.iter().flat_map(|group| &group.tools);
--- a/crates/bench/src/workload/programs.rs
+++ b/crates/bench/src/workload/programs.rs
@@ -1,4 +1,4 @@
-//! Programs of dispatchers and growers: turns, tool calls between them, a new program after the last.
+//! Programs of simulated users: turns with tool calls between them, one program after another.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,13 +16,13 @@
 use super::profile::Profile;
 use crate::oracle::evidence::{TurnClaim, TurnRecord};
 
-/// Tokens of a large budget: more than a program streams (ours).
+/// Tokens of a large budget: more than a program streams.
 const LARGE_BUDGET: u64 = 100_000;
-/// Shared prefixes that programs use (ours).
+/// Number of shared prompt prefixes.
 const PREFIXES: u64 = 4;
 
-/// Runs as many programs at once as asked, each followed by a new one, until told to stop. The first ones
-/// begin spread over `ramp`.
+/// Runs `count` concurrent users, each of which runs one program after another, until `stop` is
+/// cancelled. Their starts are spread over `ramp`.
 pub async fn run_programs(
     client: &Client,
     profile: &Profile,
@@ -49,7 +49,7 @@
     while users.join_next().await.is_some() {}
 }
 
-/// Someone who runs one program after another.
+/// A simulated user that runs one program after another.
 struct User {
     client: Client,
     profile: Arc<Profile>,
@@ -82,7 +82,7 @@
         if self.client.declare(gateway, &program, budget, longest).await.is_err() {
             return;
         }
-        // A small budget is fought over by two sessions at once.
+        // Two sessions compete for a small budget.
         let sessions = if small { 2 } else { 1 };
         let mut running = JoinSet::new();
         for number in 0..sessions {
@@ -99,7 +99,7 @@
     }
 }
 
-/// One session of a program, from its opening to its last turn.
+/// One session of a program, from opening it to its last turn.
 struct OneSession {
     client: Client,
     profile: Arc<Profile>,
@@ -128,7 +128,7 @@
         self.run_turns(&stop).await;
         left.cancel();
         if let Some(joined) = joined {
-            // The task only writes down what it saw.
+            // The task only records events, so its result is ignored.
             let _ = joined.await;
         }
     }
@@ -145,7 +145,7 @@
                 TurnClaim::Refused(_) | TurnClaim::Nothing(_) => return,
             }
             let gateway = self.gateway();
-            // Only what it shows is of interest; a look that fails shows nothing.
+            // The poll only records the owner, so a failed one is ignored.
             let _ = self.client.look(gateway, &self.session).await;
             if self.random.random_bool(self.profile.call_share) {
                 self.run_calls().await;
@@ -178,7 +178,7 @@
 
     async fn tell_result(&mut self, call: &str, answer: &Value) {
         let gateway = self.gateway();
-        // A result that gets lost is no breach; its event shows in the history if it came through.
+        // A lost result violates no promise; if it was accepted, its event appears in the history.
         let _ = self.client.caller().tell_tool_result(gateway, &self.session, call, answer).await;
     }
 
--- a/crates/bench/src/workload/recorder.rs
+++ b/crates/bench/src/workload/recorder.rs
@@ -1,4 +1,4 @@
-//! Where everyone writes down what they were told.
+//! Shared storage for the evidence of a run.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -6,25 +6,25 @@
 
 use crate::oracle::evidence::{Evidence, Millis};
 
-/// The wall clock, in milliseconds since 1970; ledgers use the same one.
+/// Returns the wall-clock time in milliseconds since 1970. Ledgers use the same clock.
 #[must_use]
 pub fn now() -> Millis {
     UnixMillis::now().0
 }
 
-/// Shared evidence in the making. Cheap to clone.
+/// Evidence that several tasks add to. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder {
     evidence: Arc<Mutex<Evidence>>,
 }
 
 impl Recorder {
-    /// The evidence, to be added to.
+    /// Locks the evidence for reading or adding records.
     pub fn lock(&self) -> MutexGuard<'_, Evidence> {
         self.evidence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A copy of all evidence so far.
+    /// Returns a copy of the evidence recorded so far.
     #[must_use]
     pub fn snapshot(&self) -> Evidence {
         self.lock().clone()
--- a/crates/bench/src/workload/sessions.rs
+++ b/crates/bench/src/workload/sessions.rs
@@ -1,4 +1,4 @@
-//! Programs declared, sessions opened, joined, looked at and read back.
+//! Declares programs, and opens, joins and reads sessions.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use super::client::{Answered, Client};
 use crate::oracle::evidence::{OwnerSeen, ProgramRecord};
 
-/// Longest time for a request that opens something (ours).
+/// Time within which requests that declare or open something are retried.
 const OPEN_TIME: Duration = Duration::from_secs(30);
-/// Time that programs have: longer than any run (ours).
+/// Lifetime of programs: longer than any run.
 const PROGRAM_TIME: Duration = Duration::from_secs(86_400);
 
 fn path(session: &SessionRef) -> String {
@@ -30,10 +30,10 @@
 }
 
 impl Client {
-    /// Declares a program.
+    /// Declares a program and records it.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// If the request fails permanently or the retry time is over.
     pub async fn declare(
         &self,
         gateway: usize,
@@ -50,10 +50,10 @@
         Ok(())
     }
 
-    /// Opens a session and writes down its owner.
+    /// Opens a session and records its owner.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// If the request fails permanently or the retry time is over.
     pub async fn open(
         &self,
         gateway: usize,
@@ -64,15 +64,15 @@
         let body = json!({"model": model, "prefix": prefix});
         let ask = Ask::json(Method::PUT, path(session), &body);
         let answered = self.ask(gateway, &ask, OPEN_TIME).await?;
-        // An answer after a lost one may be about a session that the lost one opened.
+        // A retry may return a session that an attempt with a lost response had opened.
         let opened = answered.first_try;
         self.note_owner(session, &answered, opened)
     }
 
-    /// Looks at a session at one gateway and writes down its owner.
+    /// Reads a session through one gateway and records its owner.
     ///
     /// # Errors
-    /// A problem that does not pass.
+    /// If the request fails.
     pub async fn look(&self, gateway: usize, session: &SessionRef) -> Result<(), CallerError> {
         let ask = Ask::new(Method::GET, path(session));
         let answered = self.ask(gateway, &ask, Duration::ZERO).await?;
@@ -95,7 +95,8 @@
         Ok(())
     }
 
-    /// Joins a session as a second client and writes down what it gets until told to stop or cut off.
+    /// Joins a session as a second client and records its events until `stop` is cancelled or the
+    /// stream ends.
     pub async fn join(&self, gateway: usize, session: &SessionRef, stop: CancellationToken) {
         let Ok(mut stream) = self.caller().join(gateway, session, None).await else { return };
         let mut events = Vec::new();
@@ -110,10 +111,10 @@
         evidence.sessions.entry(name(session)).or_default().joined.push(events);
     }
 
-    /// The whole history of a session.
+    /// Reads the complete history of a session.
     ///
     /// # Errors
-    /// A problem, or no answer.
+    /// If the request fails or the stream does not start with a `sync` event.
     pub async fn history(
         &self,
         gateway: usize,
@@ -127,7 +128,7 @@
     }
 }
 
-/// The events in a `sync`.
+/// Returns the events contained in a `sync` event.
 fn sync_events(sync: &StreamEvent) -> Vec<StreamEvent> {
     let events = sync.data["events"].as_array().map(Vec::as_slice).unwrap_or_default();
     events.iter().map(event_in_sync).collect()
--- a/crates/bench/src/workload/turns.rs
+++ b/crates/bench/src/workload/turns.rs
@@ -1,4 +1,4 @@
-//! Turns: sent, followed over cuts, and written down.
+//! Runs turns, resumes interrupted streams and records the events.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use super::now;
 use crate::oracle::evidence::{TurnClaim, TurnRecord};
 
-/// Longest time for a turn with all its resumptions (ours).
+/// Timeout of a turn, including all resumptions.
 const TURN_TIME: Duration = Duration::from_secs(60);
 
 impl Client {
-    /// Sends a turn, follows it to its terminal event over cuts and other gateways, writes it down, and
-    /// tells what came of it.
+    /// Sends a turn, follows its stream to the terminal event, resumes it at other gateways after
+    /// interruptions, and returns its record.
     pub async fn run_turn(
         &self,
         mut gateway: usize,
@@ -29,7 +29,7 @@
                 after => caller.resume_turn(gateway, session, &request.turn, after).await,
             };
             let error = match opened {
-                // Comment lines keep a stream open; a caller gives up all the same.
+                // Comment lines keep a stream open, so the caller needs a timeout of its own.
                 Ok(mut stream) => {
                     match timeout(following.left(), following.read(&mut stream)).await {
                         Ok(read) => read.err(),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// What the turn was told, once that is final.
+    /// Returns the outcome of the turn, once it is final.
     fn settle(&self, error: Option<&CallerError>) -> Option<TurnClaim> {
         if let Some(end) = self.ended() {
             return Some(TurnClaim::Ended(end.to_owned()));
--- a/crates/bench/tests/end_to_end.rs
+++ b/crates/bench/tests/end_to_end.rs
@@ -1,4 +1,5 @@
-//! The oracle over a real fleet: silent while every rule holds, and not while one is broken.
+//! Tests the oracle with a real fleet: it reports no violation while all rules are followed, and
+//! reports one when a rule is broken.
 
 use std::time::Duration;
 
@@ -13,11 +14,11 @@
 
 const SEED: u64 = 3;
 const CALLS: usize = 20;
-/// Turns that stream when engines lose the stores.
+/// Turns that are streaming when engines are cut from the stores.
 const TURNS: usize = 4;
 
-/// Promises that hold at any speed. Those with a bound in seconds are measured by `hooklug-bench chaos`
-/// on a machine of its own: a test must not fail because its machine is busy.
+/// Promises without a time bound. Those with a bound in seconds are measured by `hooklug-bench
+/// chaos` on an otherwise idle machine, because a test must not fail when its machine is busy.
 const UNTIMED: [Promise; 9] = [
     Promise::AtMostOnce,
     Promise::TrueRefusals,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The route lets gateways retry what its callers must not have repeated.
+/// The route lets gateways retry calls that the callers consider non-repeatable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_of_a_call_that_may_not_be_repeated_is_noticed() {
     let mut topology = small();
@@ -93,8 +94,9 @@
     assert!(twice > 0, "{verdict:?}");
 }
 
-/// Turns stream from an engine that can no longer commit. With the feature `broken-rules` it shows
-/// what it has not committed, and that must be noticed; without it nothing may be.
+/// Turns stream from an engine that can no longer commit. With the feature `broken-rules` the
+/// engine shows uncommitted events, which the oracle must report; without the feature it must
+/// report nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn events_shown_before_their_commit_are_noticed() {
     let fleet = Fleet::start(small()).await.unwrap();
@@ -112,7 +114,7 @@
             fleet.cut(engine, store, false).await.unwrap();
         }
     }
-    // Longer than any lease: turns are taken over, or ended by the next owner.
+    // Longer than any lease, so that turns are taken over or ended by the next owner.
     tokio::time::sleep(Duration::from_secs(10)).await;
     fleet.heal().await.unwrap();
     for turn in running {
--- a/crates/bench/tests/oracle/main.rs
+++ b/crates/bench/tests/oracle/main.rs
@@ -1,4 +1,5 @@
-//! The oracle notices every breach: sound records, doctored one at a time.
+//! Tests that the oracle reports each kind of violation: valid records are corrupted in one respect
+//! each.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -19,7 +20,7 @@
 };
 use serde_json::{Value, json};
 
-/// Doctors sound records and expects breaches of exactly one promise.
+/// Corrupts valid records and expects violations of exactly one promise.
 fn breaks(promise: Promise, doctor: impl FnOnce(&mut Evidence)) {
     let mut evidence = sound();
     doctor(&mut evidence);
@@ -113,7 +114,7 @@
     });
 }
 
-/// Replaces an event wherever it was seen.
+/// Replaces an event in every stream that contains it.
 fn replace_event(evidence: &mut Evidence, by: &StreamEvent) {
     let sessions = evidence.sessions.values_mut();
     let streams = sessions.flat_map(|s| s.joined.iter_mut().chain(s.history.as_mut()));
@@ -128,14 +129,16 @@
 fn lost_repeated_and_spliced_events_are_noticed() {
     breaks(Promise::ExactStreams, |e| {
         e.turns[0].events.remove(1);
-        // The text is short as well; a server that made just that hides it from the check of texts.
+        // The text is shortened too. The ledger is adapted to it, so that the check of texts does
+        // not report it first.
         e.models.truncate(0);
         e.models.extend(generation("model-0", "t1", "now ", 1, "stop"));
     });
     breaks(Promise::ExactStreams, |e| {
         let again = e.turns[0].events[2].clone();
         e.turns[0].events.insert(3, again);
-        // The text doubles as well; a server that made just that hides it from the check of texts.
+        // The text is extended too. The ledger is adapted to it, so that the check of texts does
+        // not report it first.
         e.models.truncate(0);
         e.models.extend(generation("model-0", "t1", "vent now now ", 3, "stop"));
     });
@@ -153,7 +156,8 @@
 #[test]
 fn an_event_shown_before_its_commit_is_noticed() {
     breaks(Promise::ExactStreams, |e| {
-        // The former owner showed a second token that was never committed; the taker put the end there.
+        // The previous owner showed a second token that was never committed; the new owner stored
+        // the end of the turn at its id.
         let session = e.sessions.get_mut(SESSION).unwrap();
         session.joined.clear();
         let end = event(3, "interrupted", json!({"turn": "t1", "tokens": 1}));
@@ -286,7 +290,7 @@
         (record.begun, record.first_token_ms) = (begun, Some(first));
         record
     };
-    // One before the kill, one that the killed engine had begun, two after it.
+    // One turn before the kill, one that the killed engine had started, and two after it.
     evidence.turns.extend([
         timed("t3", 800, 100.0, "finished"),
         timed("t4", 990, 12.0, "interrupted"),
@@ -295,7 +299,7 @@
     ]);
     assert_eq!(takeover_times(&evidence, "kill"), [3_450.0]);
     assert!(takeover_times(&evidence, "freeze").is_empty());
-    // What another engine owned when the fault began is not counted.
+    // Sessions of an engine that was not affected by the fault are not counted.
     evidence.disturbances[0].hit = vec!["engine-1".to_owned()];
     assert!(takeover_times(&evidence, "kill").is_empty());
 }
--- a/crates/bench/tests/oracle/records.rs
+++ b/crates/bench/tests/oracle/records.rs
@@ -1,4 +1,4 @@
-//! Records of a run in which every promise was kept.
+//! Records of a run without violations.
 
 use hooklug_bench::oracle::evidence::{
     BundleRead, CallClaim, CallRecord, Evidence, InstalledSeen, OwnerSeen, ProgramRecord, Recovery,
@@ -92,7 +92,7 @@
     json!({"tool": "send_alarm", "call": CALL, "times": 1, "arguments": {"house": 4}, "engine": "app-0"})
 }
 
-/// Records of a run in which every promise was kept.
+/// Returns the records of a run without violations.
 pub fn sound() -> Evidence {
     let mut evidence = Evidence::default();
     let program = ProgramRecord { budget: 10, longest_turn: 4, booked: Some(2) };
