--- a/crates/bench/src/command/compare.rs
+++ b/crates/bench/src/command/compare.rs
@@ -5,8 +5,8 @@
 
 use super::run::{Common, check, sections};
 use crate::environment::Environment;
-use crate::figures::Figures;
 use crate::report::{Measure, Report, Section};
+use crate::statistics::Figures;
 
 /// Arguments of `compare`.
 #[derive(Debug, Args)]
--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -2,14 +2,14 @@
 
 mod apply;
 mod backends;
-mod draw;
 mod fault;
-mod groups;
+mod harmful_release;
 mod probe;
-mod release;
+mod replication;
+mod round_generator;
 mod rounds;
 
-pub use draw::{Draw, Shape, draw_round};
 pub use fault::{BackendFault, Fault};
 pub use probe::recover;
+pub use round_generator::{Draw, Shape, draw_round};
 pub use rounds::{ChaosOptions, ChaosProgress, run_rounds};
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -8,9 +8,9 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::{Instant, sleep};
 
-use super::draw::{Draw, Shape, draw_round};
 use super::fault::Fault;
-use super::{apply, groups, probe, release};
+use super::round_generator::{Draw, Shape, draw_round};
+use super::{apply, harmful_release, probe, replication};
 use crate::oracle::evidence::{Disturbance, DrainRecord};
 use crate::workload::{Client, Profile, now};
 
@@ -84,7 +84,7 @@
             apply::begin(self.fleet, fault).await?;
             if *fault == Fault::HarmfulRelease {
                 // Without a quorum no release is accepted, so there is none to check.
-                released = release::begin(self.fleet, &self.client.recorder()).await.ok();
+                released = harmful_release::begin(self.fleet, &self.client.recorder()).await.ok();
             }
             hold = hold.max(fault.hold(draw.long));
         }
@@ -100,7 +100,7 @@
     }
 
     async fn wait_whole(&self) -> Result<(), FleetError> {
-        match groups::wait_whole(self.fleet, WHOLE_TIME).await {
+        match replication::wait_whole(self.fleet, WHOLE_TIME).await {
             Some(took) => {
                 self.progress.say(&format!("groups whole after {:.1} s", took.as_secs_f64()));
                 Ok(())
@@ -125,7 +125,7 @@
             apply::end(self.fleet, fault).await?;
         }
         if let Some(engine) = released {
-            release::end(self.fleet, engine).await?;
+            harmful_release::end(self.fleet, engine).await?;
         }
         self.client.learn_gateways(self.fleet);
         Ok(())
--- a/crates/bench/src/hollow/mod.rs
+++ b/crates/bench/src/hollow/mod.rs
@@ -3,10 +3,10 @@
 //! failure of the core leader.
 
 mod access;
-mod crowd;
-mod field;
 mod node;
+mod nodes;
 mod records;
+mod test_cluster;
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -15,9 +15,9 @@
 use serde_json::json;
 
 pub(crate) use access::Access;
-pub(crate) use crowd::PerNode;
-pub(crate) use field::Field;
+pub(crate) use nodes::PerNode;
 pub(crate) use records::{ProgramRecords, Writer};
+pub(crate) use test_cluster::Field;
 
 use crate::slopes::interrupt::interruptible;
 use crate::slopes::report::Report;
--- a/crates/bench/src/hollow/crowd.rs
+++ b/crates/bench/src/hollow/nodes.rs
@@ -10,7 +10,7 @@
 
 use super::access::Access;
 use super::node::{HollowNode, HollowPlace};
-use crate::slopes::process::Usage;
+use crate::slopes::process_usage::Usage;
 
 /// Number of nodes that start concurrently, limited so that their handshakes don't delay each
 /// other.
--- a/crates/bench/src/hollow/field.rs
+++ b/crates/bench/src/hollow/test_cluster.rs
@@ -9,8 +9,8 @@
 use hooklug_types::{BundleVersion, TenantId, ZoneName};
 
 use super::access::Access;
-use super::crowd::Crowd;
-use crate::slopes::meter::Look;
+use super::nodes::Crowd;
+use crate::slopes::fleet_usage::Look;
 
 /// Maximum time until a bundle must be active on all nodes; the run fails after it.
 pub(crate) const LONGEST_INSTALL: Duration = Duration::from_secs(90);
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod command;
 pub mod environment;
 pub mod faults;
-pub mod figures;
 pub mod oracle;
 pub mod report;
 pub mod scenario;
+pub mod statistics;
 pub mod workload;
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -5,8 +5,8 @@
 use super::plot::{Band, escape, seconds};
 use super::{Goal, Measure, Section};
 use crate::environment::Environment;
-use crate::figures::{Figures, Percentiles};
 use crate::scenario::Outcome;
+use crate::statistics::{Figures, Percentiles};
 
 const STYLE: &str = "body{font:15px/1.5 system-ui,sans-serif;max-width:960px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:left}\
--- a/crates/bench/src/report/json.rs
+++ b/crates/bench/src/report/json.rs
@@ -5,9 +5,9 @@
 
 use super::{Measure, Section};
 use crate::environment::Environment;
-use crate::figures::{Figures, Timeline};
 use crate::oracle::{Promise, Violation};
 use crate::scenario::Outcome;
+use crate::statistics::{Figures, Timeline};
 
 #[derive(Debug, Serialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
--- a/crates/bench/src/report/text.rs
+++ b/crates/bench/src/report/text.rs
@@ -4,8 +4,8 @@
 
 use super::{Goal, Measure, Section};
 use crate::environment::Environment;
-use crate::figures::{Figures, Percentiles};
 use crate::scenario::Outcome;
+use crate::statistics::{Figures, Percentiles};
 
 /// Maximum number of violations that are printed; the JSON lines contain all of them.
 const SHOWN: usize = 20;
--- a/crates/bench/src/scenario/call_rate.rs
+++ b/crates/bench/src/scenario/call_rate.rs
@@ -9,8 +9,8 @@
 use http::Method;
 use serde_json::json;
 
+use super::burst::lift_tenant_limits;
 use super::rate::measure;
-use super::scene::lift_tenant_limits;
 use crate::report::{Goal, Measure, Section};
 use crate::workload::Profile;
 
--- a/crates/bench/src/scenario/outcome.rs
+++ b/crates/bench/src/scenario/outcome.rs
@@ -1,9 +1,9 @@
 //! The results of a fleet run.
 
-use crate::figures::{Figures, Timeline};
 use crate::oracle::evidence::{Disturbance, Evidence, Millis};
 use crate::oracle::{Verdict, judge};
 use crate::report::Section;
+use crate::statistics::{Figures, Timeline};
 
 /// The results of a fleet run.
 #[derive(Debug, Clone)]
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -13,10 +13,10 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::scene::lift_tenant_limits;
-use crate::figures::Percentiles;
+use super::burst::lift_tenant_limits;
 use crate::oracle::evidence::{TurnClaim, TurnRecord};
 use crate::report::{Goal, Measure, Section};
+use crate::statistics::Percentiles;
 use crate::workload::{Client, Profile, Recorder};
 
 /// Maximum overhead of the first token, median and 95th percentile, in milliseconds (issue 5).
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -21,8 +21,8 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
+use super::burst::lift_tenant_limits;
 use super::rate::{Rate, measure};
-use super::scene::lift_tenant_limits;
 use crate::report::{Goal, Measure, Section};
 use crate::workload::Profile;
 
--- a/crates/bench/src/scenario/rate.rs
+++ b/crates/bench/src/scenario/rate.rs
@@ -7,7 +7,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::figures::Percentiles;
+use crate::statistics::Percentiles;
 
 /// A measured request rate.
 #[derive(Debug, Clone, Copy)]
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -10,13 +10,13 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Outcome;
-use super::scene::lift_tenant_limits;
+use super::burst::lift_tenant_limits;
 use crate::faults::{ChaosProgress, recover};
-use crate::figures::Percentiles;
 use crate::oracle::evidence::{
     Disturbance, DrainRecord, Evidence, Millis, SessionName, SessionRecord, TurnClaim,
 };
 use crate::report::{Goal, Measure, Section};
+use crate::statistics::Percentiles;
 use crate::workload::{Client, Profile, Recorder, now, observe, read_finally, run_programs};
 
 /// Maximum median takeover time, in milliseconds. The promise is less than 6 s for each takeover.
--- a/crates/bench/src/slopes/control_plane.rs
+++ b/crates/bench/src/slopes/control_plane.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::fit::Observation;
-use super::meter::Span;
+use super::fleet_usage::Span;
 use super::report::Report;
 use super::report_slope;
 use crate::hollow::{Field, PerNode};
--- a/crates/bench/src/slopes/data_plane.rs
+++ b/crates/bench/src/slopes/data_plane.rs
@@ -15,7 +15,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::fit::Observation;
-use super::meter::{Look, Span};
+use super::fleet_usage::{Look, Span};
 use super::report::Report;
 use super::report_slope;
 
--- a/crates/bench/src/slopes/meter.rs
+++ b/crates/bench/src/slopes/fleet_usage.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use serde::Serialize;
 
-use super::process::Usage;
+use super::process_usage::Usage;
 
 /// Resource usage, summed over all processes of a role.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -4,11 +4,11 @@
 mod control_plane;
 mod data_plane;
 mod fit;
+pub(crate) mod fleet_usage;
 pub(crate) mod interrupt;
-mod machine;
-pub(crate) mod meter;
-pub(crate) mod process;
+pub(crate) mod process_usage;
 pub(crate) mod report;
+mod state_machine;
 mod stores;
 
 use std::path::PathBuf;
@@ -65,7 +65,7 @@
     let chosen = if args.only.is_empty() { Experiment::ALL.to_vec() } else { args.only };
     for experiment in chosen {
         match experiment {
-            Experiment::Machine => machine::run(&report)?,
+            Experiment::Machine => state_machine::run(&report)?,
             Experiment::Stores => stores::run(&report, span).await?,
             Experiment::DataPlane => data_plane::run(&report, span).await?,
             Experiment::Sessions => data_plane::sessions(&report).await?,
--- a/crates/bench/src/slopes/machine.rs
+++ b/crates/bench/src/slopes/state_machine.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use super::fit::Observation;
-use super::process::Usage;
+use super::process_usage::Usage;
 use super::report::Report;
 use super::report_slope;
 use crate::hollow::ProgramRecords;
--- a/crates/bench/src/slopes/stores.rs
+++ b/crates/bench/src/slopes/stores.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::fit::Observation;
-use super::meter::Span;
+use super::fleet_usage::Span;
 use super::report::Report;
 use super::report_slope;
 use crate::hollow::{Access, Field, ProgramRecords, Writer};
--- a/crates/bench/src/workload/mod.rs
+++ b/crates/bench/src/workload/mod.rs
@@ -3,22 +3,22 @@
 mod call_stream;
 mod calls;
 mod client;
-mod final_reading;
-mod observer;
+mod final_state;
 mod operators;
 mod profile;
 mod programs;
 mod recorder;
 mod sessions;
 mod turns;
+mod version_observer;
 
 pub use call_stream::CallStream;
 pub use calls::PlannedCall;
 pub use client::Client;
-pub use final_reading::read_finally;
-pub use observer::observe;
+pub use final_state::read_finally;
 pub use operators::operate;
 pub(crate) use operators::{read_back, submit};
 pub use profile::Profile;
 pub use programs::run_programs;
 pub use recorder::{Recorder, now};
+pub use version_observer::observe;
