--- a/crates/bench/src/command/chaos.rs
+++ b/crates/bench/src/command/chaos.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use hooklug_fleet::Topology;
 
-use super::progress::TimeBar;
+use super::progress::TimedProgressBar;
 use crate::environment::Environment;
 use crate::report::Report;
 use crate::scenario::chaos::{Chaos, default_topology};
@@ -53,7 +53,7 @@
     };
     let environment = Environment::read();
     let outcome = super::block_on(async {
-        let bar = TimeBar::start("chaos", chaos.time);
+        let bar = TimedProgressBar::start("chaos", chaos.time);
         Ok(chaos.run(&bar).await?)
     })?;
     let name = format!("chaos-seed{}", arguments.seed);
--- a/crates/bench/src/command/compare.rs
+++ b/crates/bench/src/command/compare.rs
@@ -3,10 +3,10 @@
 
 use clap::Args;
 
-use super::run::{Common, check, sections};
+use super::run::{CommonArguments, check_scenario_name, run_scenario};
 use crate::environment::Environment;
 use crate::report::{Measure, Report, Section};
-use crate::statistics::Figures;
+use crate::statistics::RunStatistics;
 
 /// Arguments of `compare`.
 #[derive(Debug, Args)]
@@ -16,7 +16,7 @@
     /// The second scenario, for example `frost-night@plain` or `frost-nightx3`.
     second: String,
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
 }
 
 /// Runs both scenarios. Violations are reported but do not fail the comparison, because a baseline
@@ -27,12 +27,12 @@
 pub fn run(arguments: &Arguments) -> anyhow::Result<()> {
     // Reject an invalid name before the first run rather than after it.
     for name in [&arguments.first, &arguments.second] {
-        check(name)?;
+        check_scenario_name(name)?;
     }
     let environment = Environment::read();
     let (first, second) = super::block_on(async {
-        let first = sections(&arguments.first, &arguments.common).await?;
-        Ok((first, sections(&arguments.second, &arguments.common).await?))
+        let first = run_scenario(&arguments.first, &arguments.common).await?;
+        Ok((first, run_scenario(&arguments.second, &arguments.common).await?))
     })?;
     let ratios = ratios(&first, &second);
     let all = first.into_iter().chain(second).chain([ratios]).collect();
@@ -48,22 +48,22 @@
     let mut measures = Vec::new();
     if let (Some(Section::Run(first)), Some(Section::Run(second))) = (first.first(), second.first())
     {
-        for ((part, one), (_, other)) in first.figures.iter().zip(&second.figures) {
-            measures.extend(ratios_of(part, one, other));
+        for ((part, baseline), (_, compared)) in first.statistics.iter().zip(&second.statistics) {
+            measures.extend(ratios_of(part, baseline, compared));
         }
     }
     let name = "the second by the first".to_owned();
-    Section::Measures { name, measures, load: crate::environment::load() }
+    Section::Measures { name, measures, load: crate::environment::load_averages() }
 }
 
-fn ratios_of(part: &str, one: &Figures, other: &Figures) -> [Measure; 4] {
-    let ratio = |what: &str, one: f64, other: f64| {
-        Measure::new(format!("{part}: {what}"), other / one.max(f64::MIN_POSITIVE), "")
+fn ratios_of(part: &str, baseline: &RunStatistics, compared: &RunStatistics) -> [Measure; 4] {
+    let ratio = |what: &str, baseline: f64, compared: f64| {
+        Measure::new(format!("{part}: {what}"), compared / baseline.max(f64::MIN_POSITIVE), "")
     };
     [
-        ratio("turns finished a second", one.turns_per_second, other.turns_per_second),
-        ratio("calls answered a second", one.calls_per_second, other.calls_per_second),
-        ratio("first token, p95", one.first_token_ms.p95, other.first_token_ms.p95),
-        ratio("call, p95", one.call_ms.p95, other.call_ms.p95),
+        ratio("turns finished a second", baseline.turns_per_second, compared.turns_per_second),
+        ratio("calls answered a second", baseline.calls_per_second, compared.calls_per_second),
+        ratio("first token, p95", baseline.first_token_ms.p95, compared.first_token_ms.p95),
+        ratio("call, p95", baseline.call_ms.p95, compared.call_ms.p95),
     ]
 }
--- a/crates/bench/src/command/progress.rs
+++ b/crates/bench/src/command/progress.rs
@@ -5,36 +5,38 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use tokio::task::JoinHandle;
 
-use crate::faults::ChaosProgress;
+use crate::faults::RunProgress;
 
-const TICK: Duration = Duration::from_millis(500);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A progress bar that advances with time and is cleared when it is dropped.
-pub(super) struct TimeBar {
+pub(super) struct TimedProgressBar {
     bar: ProgressBar,
-    ticking: JoinHandle<()>,
+    updater: JoinHandle<()>,
 }
 
-impl TimeBar {
+impl TimedProgressBar {
     pub(super) fn start(what: &str, time: Duration) -> Self {
         let bar = ProgressBar::new(time.as_secs());
         if let Ok(style) = ProgressStyle::with_template("{prefix} [{bar:40}] {pos}/{len} s {msg}") {
             bar.set_style(style);
         }
         bar.set_prefix(what.to_owned());
-        let shown = bar.clone();
-        let ticking = tokio::spawn(async move {
+        let shown_bar = bar.clone();
+        let updater = tokio::spawn(async move {
             loop {
-                tokio::time::sleep(TICK).await;
-                shown.set_position(shown.elapsed().as_secs().min(shown.length().unwrap_or(0)));
+                tokio::time::sleep(UPDATE_INTERVAL).await;
+                shown_bar.set_position(
+                    shown_bar.elapsed().as_secs().min(shown_bar.length().unwrap_or(0)),
+                );
             }
         });
-        Self { bar, ticking }
+        Self { bar, updater }
     }
 }
 
-impl ChaosProgress for TimeBar {
-    fn say(&self, line: &str) {
+impl RunProgress for TimedProgressBar {
+    fn report_line(&self, line: &str) {
         if self.bar.is_hidden() {
             println!("{line}");
         } else {
@@ -43,9 +45,9 @@
     }
 }
 
-impl Drop for TimeBar {
+impl Drop for TimedProgressBar {
     fn drop(&mut self) {
-        self.ticking.abort();
+        self.updater.abort();
         self.bar.finish_and_clear();
     }
 }
--- a/crates/bench/src/command/run.rs
+++ b/crates/bench/src/command/run.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use hooklug_fleet::Topology;
 
-use super::progress::TimeBar;
+use super::progress::TimedProgressBar;
 use crate::environment::Environment;
 use crate::report::{Report, Section};
 use crate::scenario::burst::SceneRun;
@@ -17,7 +17,7 @@
 
 /// Time for starting a fleet and reading the results, in addition to the load itself. Used only for
 /// the progress bar.
-const AROUND: Duration = Duration::from_secs(15);
+const SETUP_TIME: Duration = Duration::from_secs(15);
 
 /// Arguments of `run`.
 #[derive(Debug, Args)]
@@ -26,12 +26,12 @@
     /// `xN` for N times the load; or `calls`, `proxy`, `overhead`, `takeover`.
     scenario: String,
     #[command(flatten)]
-    pub(super) common: Common,
+    pub(super) common: CommonArguments,
 }
 
 /// Arguments that all scenarios share.
 #[derive(Debug, Args)]
-pub struct Common {
+pub struct CommonArguments {
     /// Factor applied to the load.
     #[arg(long, default_value_t = 1.0)]
     scale: f64,
@@ -56,7 +56,7 @@
     data: Option<PathBuf>,
 }
 
-impl Common {
+impl CommonArguments {
     fn topology(&self) -> anyhow::Result<Topology> {
         match &self.topology {
             Some(path) => Ok(Topology::read(path)?),
@@ -64,15 +64,15 @@
         }
     }
 
-    fn part(&self) -> Duration {
+    fn part_duration(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 }
 
 /// Default number of concurrent callers.
-const CALLERS: usize = 64;
+const DEFAULT_CALLERS: usize = 64;
 /// Default number of concurrent streams for `overhead` and `takeover` (issue 5).
-const STREAMS: usize = 200;
+const DEFAULT_STREAMS: usize = 200;
 
 /// Runs a scenario, then prints and writes its report.
 ///
@@ -81,7 +81,7 @@
 pub fn run(arguments: &Arguments) -> anyhow::Result<()> {
     let environment = Environment::read();
     let scenario = arguments.scenario.as_str();
-    let sections = super::block_on(sections(scenario, &arguments.common))?;
+    let sections = super::block_on(run_scenario(scenario, &arguments.common))?;
     let report = Report::new(scenario, environment, sections);
     report.print();
     report.write(&arguments.common.reports)?;
@@ -90,7 +90,7 @@
 }
 
 /// Returns an error if no scenario has this name.
-pub(super) fn check(scenario: &str) -> anyhow::Result<()> {
+pub(super) fn check_scenario_name(scenario: &str) -> anyhow::Result<()> {
     if !matches!(scenario, "calls" | "proxy" | "overhead" | "takeover") {
         scenario.parse::<Specification>()?;
     }
@@ -99,11 +99,14 @@
 
 /// Runs one scenario and returns the sections of its report. The section of a fleet run, if any, is
 /// the first.
-pub(super) async fn sections(scenario: &str, common: &Common) -> anyhow::Result<Vec<Section>> {
-    let (topology, part) = (common.topology()?, common.part());
-    let callers = common.callers.unwrap_or(CALLERS);
-    let streams = common.callers.unwrap_or(STREAMS);
-    let bar = TimeBar::start(scenario, part + AROUND);
+pub(super) async fn run_scenario(
+    scenario: &str,
+    common: &CommonArguments,
+) -> anyhow::Result<Vec<Section>> {
+    let (topology, part) = (common.topology()?, common.part_duration());
+    let callers = common.callers.unwrap_or(DEFAULT_CALLERS);
+    let streams = common.callers.unwrap_or(DEFAULT_STREAMS);
+    let bar = TimedProgressBar::start(scenario, part + SETUP_TIME);
     match scenario {
         "calls" => Ok(vec![call_rate::run(topology, callers, part).await?]),
         "proxy" => Ok(vec![proxy::run(topology, callers, part).await?]),
@@ -115,19 +118,23 @@
         }
         _ => {
             drop(bar);
-            Ok(vec![scene(scenario.parse()?, common, topology).await?])
+            Ok(vec![run_burst(scenario.parse()?, common, topology).await?])
         }
     }
 }
 
-async fn scene(
+async fn run_burst(
     mut specification: Specification,
-    common: &Common,
+    common: &CommonArguments,
     topology: Topology,
 ) -> anyhow::Result<Section> {
     specification.scale *= common.scale;
     let data = common.data.clone();
-    let run = SceneRun { specification, topology, part: common.part(), seed: common.seed, data };
-    let bar = TimeBar::start(&specification.to_string(), common.part() * 2 + AROUND);
+    let run =
+        SceneRun { specification, topology, part: common.part_duration(), seed: common.seed, data };
+    let bar = TimedProgressBar::start(
+        &specification.to_string(),
+        common.part_duration() * 2 + SETUP_TIME,
+    );
     Ok(run.run(&bar).await?.into_section())
 }
--- a/crates/bench/src/environment.rs
+++ b/crates/bench/src/environment.rs
@@ -33,30 +33,30 @@
             profile: if cfg!(debug_assertions) { "debug" } else { "release" },
             at: UnixMillis::now().0,
             processors: std::thread::available_parallelism().map_or(0, usize::from),
-            processor: field("/proc/cpuinfo", "model name"),
-            memory_kb: field("/proc/meminfo", "MemTotal")
+            processor: proc_field("/proc/cpuinfo", "model name"),
+            memory_kb: proc_field("/proc/meminfo", "MemTotal")
                 .trim_end_matches(" kB")
                 .parse()
                 .unwrap_or(0),
-            load: load(),
-            kernel: text("/proc/sys/kernel/osrelease"),
+            load: load_averages(),
+            kernel: read_trimmed("/proc/sys/kernel/osrelease"),
         }
     }
 }
 
 /// Reads the load averages over 1, 5 and 15 minutes.
 #[must_use]
-pub fn load() -> String {
-    text("/proc/loadavg").split(' ').take(3).collect::<Vec<_>>().join(" ")
+pub fn load_averages() -> String {
+    read_trimmed("/proc/loadavg").split(' ').take(3).collect::<Vec<_>>().join(" ")
 }
 
-fn text(path: &str) -> String {
+fn read_trimmed(path: &str) -> String {
     std::fs::read_to_string(path).unwrap_or_default().trim().to_owned()
 }
 
 /// Returns the value of the first line of a `/proc` file that starts with `name`.
-fn field(path: &str, name: &str) -> String {
-    let text = text(path);
+fn proc_field(path: &str, name: &str) -> String {
+    let text = read_trimmed(path);
     let line = text.lines().find(|line| line.starts_with(name));
     line.and_then(|line| line.split_once(':')).map_or("", |(_, value)| value.trim()).to_owned()
 }
--- a/crates/bench/src/faults/apply.rs
+++ b/crates/bench/src/faults/apply.rs
@@ -15,19 +15,19 @@
 ///
 /// # Errors
 /// If the fleet cannot perform it.
-pub(super) async fn begin(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
+pub(super) async fn start(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
         Fault::Kill(names) => names.iter().try_for_each(|name| fleet.kill(*name)),
-        Fault::KillInTurn(names) => kill_in_turn(fleet, names).await,
+        Fault::KillSequentially(names) => kill_sequentially(fleet, names).await,
         Fault::Freeze(name) => fleet.freeze(*name),
-        Fault::CutOff(name) => fleet.cut_off(*name).await,
-        Fault::CutOneWay(from, to) if from == to => Ok(()),
-        Fault::CutOneWay(from, to) => fleet.cut(*from, *to, true).await,
+        Fault::Isolate(name) => fleet.cut_off(*name).await,
+        Fault::DropOneWay(from, to) if from == to => Ok(()),
+        Fault::DropOneWay(from, to) => fleet.cut(*from, *to, true).await,
         Fault::Replace(name) => fleet.replace(*name).await,
         Fault::LoseDisk(name) => fleet.lose_disk(*name).await,
         Fault::Drain(name) => fleet.drain(*name).await,
         Fault::RollingRestart(kind) => fleet.rolling_restart(&[*kind]).await,
-        Fault::Backend(name, fault) => backends::misbehave(fleet, *name, *fault).await,
+        Fault::Backend(name, fault) => backends::set_fault(fleet, *name, *fault).await,
         Fault::RestartBackend(name) => backends::restart(fleet, *name).await,
         Fault::HarmfulRelease => Ok(()),
     }
@@ -39,16 +39,18 @@
 /// If the fleet cannot perform it.
 pub(super) async fn end(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
-        Fault::Kill(names) | Fault::KillInTurn(names) => restart_all(fleet, names).await,
+        Fault::Kill(names) | Fault::KillSequentially(names) => restart_all(fleet, names).await,
         Fault::Freeze(name) => fleet.wake(*name),
-        Fault::Drain(name) if name.kind == ProcessKind::App => backends::behave(fleet, *name).await,
+        Fault::Drain(name) if name.kind == ProcessKind::App => {
+            backends::clear_faults(fleet, *name).await
+        }
         Fault::Drain(name) => fleet.restart(*name).await,
-        Fault::Backend(name, _) => backends::behave(fleet, *name).await,
+        Fault::Backend(name, _) => backends::clear_faults(fleet, *name).await,
         _ => Ok(()),
     }
 }
 
-async fn kill_in_turn(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
+async fn kill_sequentially(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
     for name in names {
         fleet.kill(*name)?;
         tokio::time::sleep(TAKEOVER_TIME).await;
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -22,13 +22,13 @@
     Kill(Vec<ProcessName>),
     /// Kills engines one after another, each as soon as sessions of the previous one are being
     /// taken over.
-    KillInTurn(Vec<ProcessName>),
+    KillSequentially(Vec<ProcessName>),
     /// Suspends a process and resumes it.
     Freeze(ProcessName),
     /// Isolates a node from all others.
-    CutOff(ProcessName),
+    Isolate(ProcessName),
     /// Drops all messages from one node to another.
-    CutOneWay(ProcessName, ProcessName),
+    DropOneWay(ProcessName, ProcessName),
     /// Replaces a machine by an empty one at a new address.
     Replace(ProcessName),
     /// Erases the disk of a store, which restarts at the same address.
@@ -48,21 +48,21 @@
 
 /// Duration of long faults, which must exceed the lease time (requirement: isolation of 20 s or
 /// more).
-const LONG_HOLD: Duration = Duration::from_secs(22);
-const SHORT_HOLD: Duration = Duration::from_secs(4);
+const LONG_FAULT_TIME: Duration = Duration::from_secs(22);
+const SHORT_FAULT_TIME: Duration = Duration::from_secs(4);
 /// Duration of a harmful release. A rollout step takes 5 s, and the failures show in the second or
 /// third (bundle defaults).
-const RELEASE_HOLD: Duration = Duration::from_secs(30);
+const RELEASE_TIME: Duration = Duration::from_secs(30);
 
 impl Fault {
     /// Returns the processes that the fault is applied to.
     #[must_use]
-    pub fn hit(&self) -> Vec<ProcessName> {
+    pub fn targets(&self) -> Vec<ProcessName> {
         match self {
-            Self::Kill(names) | Self::KillInTurn(names) => names.clone(),
-            Self::CutOneWay(from, to) => vec![*from, *to],
+            Self::Kill(names) | Self::KillSequentially(names) => names.clone(),
+            Self::DropOneWay(from, to) => vec![*from, *to],
             Self::Freeze(name)
-            | Self::CutOff(name)
+            | Self::Isolate(name)
             | Self::Replace(name)
             | Self::LoseDisk(name)
             | Self::Drain(name)
@@ -84,21 +84,21 @@
 
     /// Returns whether the fault affects any store.
     #[must_use]
-    pub fn hits_stores(&self) -> bool {
+    pub fn affects_stores(&self) -> bool {
         matches!(self, Self::RollingRestart(ProcessKind::Store))
-            || self.hit().iter().any(|name| name.kind == ProcessKind::Store)
+            || self.targets().iter().any(|name| name.kind == ProcessKind::Store)
     }
 
     /// Returns how long the fault lasts. `long` extends faults in which the lease of an
     /// unresponsive node must expire.
     #[must_use]
-    pub fn hold(&self, long: bool) -> Duration {
+    pub fn duration(&self, long: bool) -> Duration {
         match self {
-            Self::HarmfulRelease => RELEASE_HOLD,
-            Self::Freeze(_) | Self::CutOff(_) if long => LONG_HOLD,
+            Self::HarmfulRelease => RELEASE_TIME,
+            Self::Freeze(_) | Self::Isolate(_) if long => LONG_FAULT_TIME,
             Self::Replace(_) | Self::LoseDisk(_) | Self::RestartBackend(_) => Duration::ZERO,
             Self::RollingRestart(_) => Duration::ZERO,
-            _ => SHORT_HOLD,
+            _ => SHORT_FAULT_TIME,
         }
     }
 }
@@ -110,13 +110,13 @@
                 let names: Vec<String> = names.iter().map(ToString::to_string).collect();
                 write!(f, "kill {}", names.join(" "))
             }
-            Self::KillInTurn(names) => {
+            Self::KillSequentially(names) => {
                 let names: Vec<String> = names.iter().map(ToString::to_string).collect();
                 write!(f, "kill {}", names.join(" then "))
             }
             Self::Freeze(name) => write!(f, "freeze {name}"),
-            Self::CutOff(name) => write!(f, "cut off {name}"),
-            Self::CutOneWay(from, to) => write!(f, "cut {from} to {to}, one way"),
+            Self::Isolate(name) => write!(f, "cut off {name}"),
+            Self::DropOneWay(from, to) => write!(f, "cut {from} to {to}, one way"),
             Self::Replace(name) => write!(f, "replace {name}"),
             Self::LoseDisk(name) => write!(f, "lose the disk of {name}"),
             Self::Drain(name) => write!(f, "drain {name}"),
--- a/crates/bench/src/faults/mod.rs
+++ b/crates/bench/src/faults/mod.rs
@@ -10,6 +10,6 @@
 mod rounds;
 
 pub use fault::{BackendFault, Fault};
-pub use probe::recover;
-pub use round_generator::{Draw, Shape, draw_round};
-pub use rounds::{ChaosOptions, ChaosProgress, run_rounds};
+pub use probe::measure_recovery;
+pub use round_generator::{FaultRound, FaultTargets, generate_round};
+pub use rounds::{ChaosOptions, RunProgress, run_rounds};
--- a/crates/bench/src/faults/probe.rs
+++ b/crates/bench/src/faults/probe.rs
@@ -14,16 +14,21 @@
 use crate::workload::{Profile, now};
 
 /// Maximum time to wait for recovery; far longer than the promised time.
-const LONGEST: Duration = Duration::from_secs(40);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 /// Timeout of one probe.
-const TRY_TIME: Duration = Duration::from_secs(4);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause between two probes.
-const PAUSE: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Token budget of a probe's program.
 const BUDGET: u64 = 100;
 
 /// Measures the time from `healed` until a probe through each gateway succeeds.
-pub async fn recover(fleet: &Fleet, profile: &Profile, after: String, healed: Millis) -> Recovery {
+pub async fn measure_recovery(
+    fleet: &Fleet,
+    profile: &Profile,
+    after: String,
+    healed: Millis,
+) -> Recovery {
     let tenant = fleet.topology().tenants.first().map(ToString::to_string).unwrap_or_default();
     let gateways = fleet.gateways().into_iter();
     let probes = gateways.map(|gateway| probe(gateway, &tenant, profile));
@@ -32,19 +37,19 @@
 }
 
 async fn probe(gateway: SocketAddr, tenant: &str, profile: &Profile) -> Option<Millis> {
-    let deadline = Instant::now() + LONGEST;
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
     while Instant::now() < deadline {
         let caller = Caller::new(vec![gateway], tenant);
-        if let Ok(Ok(())) = timeout(TRY_TIME, walk(&caller, profile)).await {
+        if let Ok(Ok(())) = timeout(PROBE_TIMEOUT, probe_once(&caller, profile)).await {
             return Some(now());
         }
-        sleep(PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
     }
     None
 }
 
 /// Probes a gateway with a new program, session, turn and non-repeatable call.
-async fn walk(caller: &Caller, profile: &Profile) -> Result<(), CallerError> {
+async fn probe_once(caller: &Caller, profile: &Profile) -> Result<(), CallerError> {
     let program = format!("probe-{:016x}", rand::random::<u64>());
     let end = UnixMillis::now().plus(Duration::from_secs(600)).0;
     caller.put_program(0, &program, BUDGET, end).await?;
--- a/crates/bench/src/faults/replication.rs
+++ b/crates/bench/src/faults/replication.rs
@@ -11,9 +11,9 @@
 /// Replicas of a group (design document).
 const REPLICAS: usize = 3;
 /// Log entries that a caught-up replica may lag behind, because entries are in flight under load.
-const MOST_LAG: u64 = 500;
+const MAX_LAG: u64 = 500;
 /// Pause between two polls.
-const PAUSE: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Deserialize)]
 struct Shard {
@@ -27,34 +27,34 @@
 }
 
 impl Shard {
-    fn is_whole(&self) -> bool {
+    fn is_fully_replicated(&self) -> bool {
         let voters = || self.replicas.iter().filter(|replica| replica.member == "voter");
-        let current = |replica: &Replica| replica.lag.is_some_and(|lag| lag <= MOST_LAG);
+        let current = |replica: &Replica| replica.lag.is_some_and(|lag| lag <= MAX_LAG);
         voters().count() >= REPLICAS && voters().all(current)
     }
 }
 
 /// Waits until all groups are fully replicated. Returns the time that it took, or `None` on
 /// timeout.
-pub(super) async fn wait_whole(fleet: &Fleet, time: Duration) -> Option<Duration> {
+pub(super) async fn wait_fully_replicated(fleet: &Fleet, time: Duration) -> Option<Duration> {
     let http = HttpClient::default();
     let began = Instant::now();
     while began.elapsed() < time {
-        if are_whole(fleet, &http).await {
+        if are_fully_replicated(fleet, &http).await {
             return Some(began.elapsed());
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-async fn are_whole(fleet: &Fleet, http: &HttpClient) -> bool {
+async fn are_fully_replicated(fleet: &Fleet, http: &HttpClient) -> bool {
     let ask = Ask::new(Method::GET, "/admin/v1/shards");
     for name in fleet.names(ProcessKind::Gateway) {
         let Ok(address) = fleet.http_address(name) else { continue };
         let Ok(answer) = http.ask(address, &ask).await else { continue };
         let Ok(shards) = answer.json::<Vec<Shard>>() else { continue };
-        return !shards.is_empty() && shards.iter().all(Shard::is_whole);
+        return !shards.is_empty() && shards.iter().all(Shard::is_fully_replicated);
     }
     false
 }
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -9,15 +9,15 @@
 use tokio::time::{Instant, sleep};
 
 use super::fault::Fault;
-use super::round_generator::{Draw, Shape, draw_round};
+use super::round_generator::{FaultRound, FaultTargets, generate_round};
 use super::{apply, harmful_release, probe, replication};
 use crate::oracle::evidence::{Disturbance, DrainRecord};
 use crate::workload::{Client, Profile, now};
 
 /// Maximum time to wait until all groups are fully replicated, before another disk may be lost.
-const WHOLE_TIME: Duration = Duration::from_secs(90);
+const REPLICATION_TIMEOUT: Duration = Duration::from_secs(90);
 /// Pause between two rounds.
-const BETWEEN_ROUNDS: Duration = Duration::from_secs(2);
+const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Duration and seed of a chaos run.
 #[derive(Debug, Clone, Copy)]
@@ -29,9 +29,9 @@
 }
 
 /// Receives progress messages of a run.
-pub trait ChaosProgress: Send + Sync {
+pub trait RunProgress: Send + Sync {
     /// Reports one line of progress.
-    fn say(&self, line: &str);
+    fn report_line(&self, line: &str);
 }
 
 /// Injects faults round by round. Load and recording run in other tasks.
@@ -43,70 +43,72 @@
     client: &Client,
     profile: &Profile,
     options: ChaosOptions,
-    progress: &dyn ChaosProgress,
+    progress: &dyn RunProgress,
 ) -> Result<usize, FleetError> {
-    let shape = Shape::of(fleet);
+    let fault_targets = FaultTargets::of(fleet);
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
-    let rounds = Rounds { fleet, client, profile, progress };
+    let runner = RoundRunner { fleet, client, profile, progress };
     let began = Instant::now();
     let mut number = 0;
     while began.elapsed() < options.time {
-        let draw = draw_round(&shape, &mut random);
-        let times = if draw.twice { 2 } else { 1 };
+        let round = generate_round(&fault_targets, &mut random);
+        let times = if round.repeated { 2 } else { 1 };
         for _ in 0..times {
             number += 1;
-            rounds.run(number, &draw).await?;
+            runner.run(number, &round).await?;
         }
-        sleep(BETWEEN_ROUNDS).await;
+        sleep(ROUND_INTERVAL).await;
     }
     Ok(number)
 }
 
-struct Rounds<'a> {
+struct RoundRunner<'a> {
     fleet: &'a Arc<Fleet>,
     client: &'a Client,
     profile: &'a Profile,
-    progress: &'a dyn ChaosProgress,
+    progress: &'a dyn RunProgress,
 }
 
-impl Rounds<'_> {
-    async fn run(&self, number: usize, draw: &Draw) -> Result<(), FleetError> {
-        let names: Vec<String> = draw.faults.iter().map(ToString::to_string).collect();
+impl RoundRunner<'_> {
+    async fn run(&self, number: usize, round: &FaultRound) -> Result<(), FleetError> {
+        let names: Vec<String> = round.faults.iter().map(ToString::to_string).collect();
         let names = names.join(" + ");
-        self.progress.say(&format!("round {number}: {names}"));
-        if draw.faults.iter().any(Fault::loses_disk) {
-            self.wait_whole().await?;
+        self.progress.report_line(&format!("round {number}: {names}"));
+        if round.faults.iter().any(Fault::loses_disk) {
+            self.wait_fully_replicated().await?;
         }
-        let mut released = None;
-        let mut hold = Duration::ZERO;
-        for fault in &draw.faults {
-            self.note_beginning(fault);
-            apply::begin(self.fleet, fault).await?;
+        let mut released_engine = None;
+        let mut duration = Duration::ZERO;
+        for fault in &round.faults {
+            self.record_start(fault);
+            apply::start(self.fleet, fault).await?;
             if *fault == Fault::HarmfulRelease {
                 // Without a quorum no release is accepted, so there is none to check.
-                released = harmful_release::begin(self.fleet, &self.client.recorder()).await.ok();
+                released_engine =
+                    harmful_release::start(self.fleet, &self.client.recorder()).await.ok();
             }
-            hold = hold.max(fault.hold(draw.long));
+            duration = duration.max(fault.duration(round.long_outages));
         }
-        sleep(hold).await;
-        self.end(draw, released).await?;
+        sleep(duration).await;
+        self.end(round, released_engine).await?;
         let healed = now();
         self.client.recorder().lock().all_over(healed);
-        let recovery = probe::recover(self.fleet, self.profile, names, healed).await;
+        let recovery = probe::measure_recovery(self.fleet, self.profile, names, healed).await;
         let took = recovery.served.map_or(-1.0, |at| at.saturating_sub(healed) as f64 / 1e3);
-        self.progress.say(&format!("round {number}: served again after {took:.1} s"));
+        self.progress.report_line(&format!("round {number}: served again after {took:.1} s"));
         self.client.recorder().lock().recoveries.push(recovery);
         Ok(())
     }
 
-    async fn wait_whole(&self) -> Result<(), FleetError> {
-        match replication::wait_whole(self.fleet, WHOLE_TIME).await {
+    async fn wait_fully_replicated(&self) -> Result<(), FleetError> {
+        match replication::wait_fully_replicated(self.fleet, REPLICATION_TIMEOUT).await {
             Some(took) => {
-                self.progress.say(&format!("groups whole after {:.1} s", took.as_secs_f64()));
+                self.progress
+                    .report_line(&format!("groups whole after {:.1} s", took.as_secs_f64()));
                 Ok(())
             }
             None => {
-                let seconds = WHOLE_TIME.as_secs();
+                let seconds = REPLICATION_TIMEOUT.as_secs();
                 let what = "all groups are whole".to_owned();
                 let last = "some replica is missing or behind".to_owned();
                 Err(FleetError::TimedOut { what, seconds, last })
@@ -114,27 +116,31 @@
         }
     }
 
-    async fn end(&self, draw: &Draw, released: Option<ProcessName>) -> Result<(), FleetError> {
+    async fn end(
+        &self,
+        round: &FaultRound,
+        released_engine: Option<ProcessName>,
+    ) -> Result<(), FleetError> {
         // Resume frozen processes first, then heal all cuts, so that restarted nodes start without
         // cuts.
-        for fault in draw.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
+        for fault in round.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
         self.fleet.heal().await?;
-        for fault in draw.faults.iter().filter(|fault| !matches!(fault, Fault::Freeze(_))) {
+        for fault in round.faults.iter().filter(|fault| !matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
-        if let Some(engine) = released {
+        if let Some(engine) = released_engine {
             harmful_release::end(self.fleet, engine).await?;
         }
         self.client.learn_gateways(self.fleet);
         Ok(())
     }
 
-    fn note_beginning(&self, fault: &Fault) {
+    fn record_start(&self, fault: &Fault) {
         let hit = match fault {
             Fault::RollingRestart(kind) => self.fleet.names(*kind),
-            _ => fault.hit(),
+            _ => fault.targets(),
         };
         let recorder = self.client.recorder();
         let mut evidence = recorder.lock();
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -2,11 +2,11 @@
 
 use std::fmt::Write;
 
-use super::plot::{Band, escape, seconds};
+use super::plot::{Band, escape, plot_per_second};
 use super::{Goal, Measure, Section};
 use crate::environment::Environment;
 use crate::scenario::Outcome;
-use crate::statistics::{Figures, Percentiles};
+use crate::statistics::{Percentiles, RunStatistics};
 
 const STYLE: &str = "body{font:15px/1.5 system-ui,sans-serif;max-width:960px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:left}\
@@ -32,7 +32,7 @@
     );
     for section in sections {
         match section {
-            Section::Run(outcome) => page.push_str(&run(outcome)),
+            Section::Run(outcome) => page.push_str(&run_section(outcome)),
             Section::Measures { name, measures, load } => {
                 page.push_str(&measures_table(name, measures, load));
             }
@@ -42,7 +42,7 @@
     page
 }
 
-fn run(outcome: &Outcome) -> String {
+fn run_section(outcome: &Outcome) -> String {
     let mut page = format!("<h2>{}</h2>", escape(&outcome.name));
     page.push_str("<h3>Promises</h3><table><tr><th>must never happen</th><th>times</th></tr>");
     for (promise, times) in outcome.verdict.counts() {
@@ -55,15 +55,15 @@
         let _ = write!(page, "<tr><td>{what}</td><td class=\"n\">{number}</td></tr>");
     }
     page.push_str("</table>");
-    page.push_str(&violations(outcome));
-    page.push_str(&plots(outcome));
-    for (part, figures) in &outcome.figures {
-        page.push_str(&figures_table(part, figures));
+    page.push_str(&violations_list(outcome));
+    page.push_str(&plots_html(outcome));
+    for (part, statistics) in &outcome.statistics {
+        page.push_str(&statistics_table(part, statistics));
     }
     page
 }
 
-fn violations(outcome: &Outcome) -> String {
+fn violations_list(outcome: &Outcome) -> String {
     if outcome.verdict.violations.is_empty() {
         return String::new();
     }
@@ -75,7 +75,7 @@
     list
 }
 
-fn plots(outcome: &Outcome) -> String {
+fn plots_html(outcome: &Outcome) -> String {
     let timeline = &outcome.timeline;
     let at = |millis: u64| millis.saturating_sub(timeline.from) as f64 / 1e3;
     let bands: Vec<Band> = outcome
@@ -92,45 +92,45 @@
         ("calls answered a second", &timeline.calls),
         ("tokens of ended turns a second", &timeline.tokens),
     ];
-    let drawn = plots.into_iter().map(|(title, values)| seconds(title, values, &bands));
+    let drawn = plots.into_iter().map(|(title, values)| plot_per_second(title, values, &bands));
     drawn.collect::<String>() + "<p>Shaded: faults (point at one to see which).</p>"
 }
 
-fn figures_table(part: &str, figures: &Figures) -> String {
+fn statistics_table(part: &str, statistics: &RunStatistics) -> String {
     let mut table = format!("<h3>Figures: {}</h3><table>", escape(part));
     let rates = [
-        ("length, s", figures.seconds),
-        ("turns finished a second", figures.turns_per_second),
-        ("tokens a second", figures.tokens_per_second),
-        ("calls answered a second", figures.calls_per_second),
-        ("streams cut and resumed", figures.cuts as f64),
+        ("length, s", statistics.seconds),
+        ("turns finished a second", statistics.turns_per_second),
+        ("tokens a second", statistics.tokens_per_second),
+        ("calls answered a second", statistics.calls_per_second),
+        ("streams cut and resumed", statistics.cuts as f64),
     ];
     for (what, value) in rates {
         let _ = write!(table, "<tr><td>{what}</td><td class=\"n\">{value:.1}</td></tr>");
     }
-    for (word, number) in figures
+    for (label, number) in statistics
         .turns
         .iter()
-        .map(|(w, n)| (format!("turns {w}"), n))
-        .chain(figures.calls.iter().map(|(w, n)| (format!("calls {w}"), n)))
+        .map(|(outcome, n)| (format!("turns {outcome}"), n))
+        .chain(statistics.calls.iter().map(|(outcome, n)| (format!("calls {outcome}"), n)))
     {
-        let word = escape(&word);
-        let _ = write!(table, "<tr><td>{word}</td><td class=\"n\">{number}</td></tr>");
+        let label = escape(&label);
+        let _ = write!(table, "<tr><td>{label}</td><td class=\"n\">{number}</td></tr>");
     }
     table.push_str("</table>");
-    table.push_str(&percentiles_table(figures));
+    table.push_str(&percentiles_table(statistics));
     table
 }
 
-fn percentiles_table(figures: &Figures) -> String {
+fn percentiles_table(statistics: &RunStatistics) -> String {
     let mut table =
         "<table><tr><th>ms</th><th>n</th><th>p50</th><th>p95</th><th>p99</th><th>max</th></tr>"
             .to_owned();
     let rows = [
-        ("first token", figures.first_token_ms),
-        ("between tokens", figures.between_tokens_ms),
-        ("call", figures.call_ms),
-        ("recovery", figures.recovery_ms),
+        ("first token", statistics.first_token_ms),
+        ("between tokens", statistics.between_tokens_ms),
+        ("call", statistics.call_ms),
+        ("recovery", statistics.recovery_ms),
     ];
     for (what, Percentiles { count, p50, p95, p99, max }) in rows {
         let _ = write!(
--- a/crates/bench/src/report/json.rs
+++ b/crates/bench/src/report/json.rs
@@ -7,13 +7,13 @@
 use crate::environment::Environment;
 use crate::oracle::{Promise, Violation};
 use crate::scenario::Outcome;
-use crate::statistics::{Figures, Timeline};
+use crate::statistics::{RunStatistics, Timeline};
 
 #[derive(Debug, Serialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
 enum Line<'a> {
     Environment { environment: &'a Environment },
-    Figures { run: &'a str, part: &'a str, figures: &'a Figures },
+    Figures { run: &'a str, part: &'a str, figures: &'a RunStatistics },
     Promise { run: &'a str, promise: Promise, forbids: &'a str, violations: usize },
     Examined { run: &'a str, what: &'a str, number: usize },
     Violation { run: &'a str, violation: &'a Violation },
@@ -46,8 +46,8 @@
 
 fn push_run(text: &mut String, outcome: &Outcome) {
     let run = outcome.name.as_str();
-    for (part, figures) in &outcome.figures {
-        push(text, &Line::Figures { run, part, figures });
+    for (part, statistics) in &outcome.statistics {
+        push(text, &Line::Figures { run, part, figures: statistics });
     }
     for (promise, violations) in outcome.verdict.counts() {
         push(text, &Line::Promise { run, promise, forbids: promise.forbids(), violations });
--- a/crates/bench/src/report/plot.rs
+++ b/crates/bench/src/report/plot.rs
@@ -14,7 +14,7 @@
 }
 
 /// Plots a value per second, with shaded spans behind the line.
-pub(super) fn seconds(title: &str, values: &[f64], bands: &[Band]) -> String {
+pub(super) fn plot_per_second(title: &str, values: &[f64], bands: &[Band]) -> String {
     let most = values.iter().copied().fold(1.0, f64::max);
     let last = (values.len().max(2) - 1) as f64;
     let x = |second: f64| MARGIN + (second.clamp(0.0, last) / last) * (WIDTH - MARGIN - 8.0);
--- a/crates/bench/src/report/text.rs
+++ b/crates/bench/src/report/text.rs
@@ -5,10 +5,10 @@
 use super::{Goal, Measure, Section};
 use crate::environment::Environment;
 use crate::scenario::Outcome;
-use crate::statistics::{Figures, Percentiles};
+use crate::statistics::{Percentiles, RunStatistics};
 
 /// Maximum number of violations that are printed; the JSON lines contain all of them.
-const SHOWN: usize = 20;
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 pub(super) fn render(environment: &Environment, sections: &[Section]) -> String {
     let mut text = String::new();
@@ -20,11 +20,11 @@
     );
     for section in sections {
         match section {
-            Section::Run(outcome) => text.push_str(&run(outcome)),
+            Section::Run(outcome) => text.push_str(&run_text(outcome)),
             Section::Measures { name, measures, load } => {
                 let _ = writeln!(text, "\n{name} (load {load})");
                 for measure in measures {
-                    let _ = writeln!(text, "  {}", line(measure));
+                    let _ = writeln!(text, "  {}", measure_line(measure));
                 }
             }
         }
@@ -32,7 +32,7 @@
     text
 }
 
-fn line(measure: &Measure) -> String {
+fn measure_line(measure: &Measure) -> String {
     let goal = measure.goal.map_or_else(String::new, |goal| {
         let met = if goal.is_met(measure.value) { "met" } else { "missed" };
         match goal {
@@ -43,10 +43,10 @@
     format!("{:<58} {:>10.3} {}{goal}", measure.what, measure.value, measure.unit)
 }
 
-fn run(outcome: &Outcome) -> String {
+fn run_text(outcome: &Outcome) -> String {
     let mut text = format!("\n{} (load after {})\n", outcome.name, outcome.load);
-    for (part, figures) in &outcome.figures {
-        text.push_str(&figures_text(part, figures));
+    for (part, statistics) in &outcome.statistics {
+        text.push_str(&statistics_text(part, statistics));
     }
     for (what, number) in &outcome.verdict.examined {
         let _ = writeln!(text, "  examined {number:>8} {what}");
@@ -54,36 +54,36 @@
     for (promise, violations) in outcome.verdict.counts() {
         let _ = writeln!(text, "  violations {violations:>6} {}", promise.forbids());
     }
-    for violation in outcome.verdict.violations.iter().take(SHOWN) {
+    for violation in outcome.verdict.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         let _ = writeln!(text, "  ! {violation}");
     }
     text
 }
 
-fn figures_text(part: &str, figures: &Figures) -> String {
+fn statistics_text(part: &str, statistics: &RunStatistics) -> String {
     let mut text = format!(
         "  {part}: {:.1} s, {:.1} turns/s, {:.1} tokens/s, {:.1} calls/s, {} cuts\n",
-        figures.seconds,
-        figures.turns_per_second,
-        figures.tokens_per_second,
-        figures.calls_per_second,
-        figures.cuts
+        statistics.seconds,
+        statistics.turns_per_second,
+        statistics.tokens_per_second,
+        statistics.calls_per_second,
+        statistics.cuts
     );
     let times = [
-        ("first token", figures.first_token_ms),
-        ("between tokens", figures.between_tokens_ms),
-        ("call", figures.call_ms),
-        ("recovery", figures.recovery_ms),
+        ("first token", statistics.first_token_ms),
+        ("between tokens", statistics.between_tokens_ms),
+        ("call", statistics.call_ms),
+        ("recovery", statistics.recovery_ms),
     ];
     for (what, times) in times {
-        let _ = writeln!(text, "    {what:<15} {}", percentiles(times));
+        let _ = writeln!(text, "    {what:<15} {}", percentiles_text(times));
     }
-    let _ = writeln!(text, "    turns {:?}", figures.turns);
-    let _ = writeln!(text, "    calls {:?}", figures.calls);
+    let _ = writeln!(text, "    turns {:?}", statistics.turns);
+    let _ = writeln!(text, "    calls {:?}", statistics.calls);
     text
 }
 
-fn percentiles(times: Percentiles) -> String {
+fn percentiles_text(times: Percentiles) -> String {
     format!(
         "p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms, max {:.1} ms (n {})",
         times.p50, times.p95, times.p99, times.max, times.count
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -18,7 +18,7 @@
 
 use super::Outcome;
 use super::specification::{Load, Specification};
-use crate::faults::{ChaosProgress, recover};
+use crate::faults::{RunProgress, measure_recovery};
 use crate::oracle::evidence::{Disturbance, DrainRecord};
 use crate::workload::{
     CallStream, Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// If the fleet cannot be started or a node cannot be killed or restarted.
-    pub async fn run(&self, progress: &dyn ChaosProgress) -> Result<Outcome, FleetError> {
+    pub async fn run(&self, progress: &dyn RunProgress) -> Result<Outcome, FleetError> {
         let mut topology = self.topology.clone();
         topology.gateway_mode = self.specification.mode;
         let load = self.specification.scene.load();
@@ -67,7 +67,7 @@
         let fleet = Arc::new(Fleet::start_with(topology, options).await?);
         lift_tenant_limits(&fleet).await?;
         let name = self.specification.to_string();
-        progress.say(&format!("{name}: {} processes serve", fleet.all_names().len()));
+        progress.report_line(&format!("{name}: {} processes serve", fleet.all_names().len()));
         let stage = Stage::new(self, fleet);
         let from = now();
         let burst = stage.play(progress).await?;
@@ -141,7 +141,7 @@
     }
 
     /// Runs both phases and returns the start time of the burst.
-    async fn play(&self, progress: &dyn ChaosProgress) -> Result<u64, FleetError> {
+    async fn play(&self, progress: &dyn RunProgress) -> Result<u64, FleetError> {
         let recorder = self.client.recorder();
         {
             let mut tasks = self.tasks.lock().await;
@@ -159,7 +159,7 @@
         let parts = async {
             sleep(self.part).await;
             let burst = now();
-            progress.say("all users of a zone arrive");
+            progress.report_line("all users of a zone arrive");
             self.add_programs(self.load.burst, BURST_TIME, 2).await;
             self.add_device_calls(self.load.device_calls.1, 2).await;
             let end = Instant::now() + self.part;
@@ -207,13 +207,13 @@
     async fn restart_engines(
         &self,
         end: Instant,
-        progress: &dyn ChaosProgress,
+        progress: &dyn RunProgress,
     ) -> Result<(), FleetError> {
         for name in self.fleet.names(ProcessKind::Engine) {
             if Instant::now() >= end {
                 break;
             }
-            progress.say(&format!("{name} is replaced"));
+            progress.report_line(&format!("{name} is replaced"));
             self.begin(format!("replace {name}"), vec![name.to_string()]);
             let drain = DrainRecord { engine: name.word(), known: now(), until: None };
             self.client.recorder().lock().drains.push(drain);
@@ -224,11 +224,7 @@
     }
 
     /// Kills random nodes, one at a time, and restarts them.
-    async fn kill_until(
-        &self,
-        end: Instant,
-        progress: &dyn ChaosProgress,
-    ) -> Result<(), FleetError> {
+    async fn kill_until(&self, end: Instant, progress: &dyn RunProgress) -> Result<(), FleetError> {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         use ProcessKind::{Core, Engine, Gateway, Store};
         let kinds = [Store, Core, Gateway, Engine];
@@ -242,13 +238,14 @@
             }
             let names = self.fleet.names(kind);
             let Some(name) = names.choose(&mut random).copied() else { continue };
-            progress.say(&format!("{name} is killed"));
+            progress.report_line(&format!("{name} is killed"));
             self.begin(format!("kill {name}"), vec![name.to_string()]);
             self.fleet.kill(name)?;
             sleep(AWAY).await;
             self.fleet.restart(name).await?;
             self.end(&format!("kill {name}"), "");
-            let recovery = recover(&self.fleet, &self.profile, format!("kill {name}"), now()).await;
+            let recovery =
+                measure_recovery(&self.fleet, &self.profile, format!("kill {name}"), now()).await;
             self.client.recorder().lock().recoveries.push(recovery);
         }
         Ok(())
--- a/crates/bench/src/scenario/call_rate.rs
+++ b/crates/bench/src/scenario/call_rate.rs
@@ -63,6 +63,6 @@
         Measure::new("time of a call, p95", rate.times_ms.p95, "ms"),
         Measure::new("lines in the application engines' ledgers", ran as f64, "lines"),
     ];
-    let load = crate::environment::load();
+    let load = crate::environment::load_averages();
     Ok(Section::Measures { name: "calls that may not be repeated".to_owned(), measures, load })
 }
--- a/crates/bench/src/scenario/chaos.rs
+++ b/crates/bench/src/scenario/chaos.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Outcome;
-use crate::faults::{ChaosOptions, ChaosProgress, run_rounds};
+use crate::faults::{ChaosOptions, RunProgress, run_rounds};
 use crate::workload::{
     Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
 };
@@ -53,10 +53,10 @@
     ///
     /// # Errors
     /// If the fleet cannot be started or a fault cannot be injected or ended.
-    pub async fn run(&self, progress: &dyn ChaosProgress) -> Result<Outcome, FleetError> {
+    pub async fn run(&self, progress: &dyn RunProgress) -> Result<Outcome, FleetError> {
         let options = FleetOptions { data: self.data.clone() };
         let fleet = Arc::new(Fleet::start_with(self.topology.clone(), options).await?);
-        progress.say(&format!("{} processes serve", fleet.all_names().len()));
+        progress.report_line(&format!("{} processes serve", fleet.all_names().len()));
         let recorder = Recorder::default();
         let client = Client::new(&fleet, recorder.clone());
         let profile = Profile::of(&self.topology);
--- a/crates/bench/src/scenario/outcome.rs
+++ b/crates/bench/src/scenario/outcome.rs
@@ -3,7 +3,7 @@
 use crate::oracle::evidence::{Disturbance, Evidence, Millis};
 use crate::oracle::{Verdict, judge};
 use crate::report::Section;
-use crate::statistics::{Figures, Timeline};
+use crate::statistics::{RunStatistics, Timeline};
 
 /// The results of a fleet run.
 #[derive(Debug, Clone)]
@@ -13,7 +13,7 @@
     /// Verdict of the oracle.
     pub verdict: Verdict,
     /// Statistics of the complete run, and of its parts by name.
-    pub figures: Vec<(String, Figures)>,
+    pub statistics: Vec<(String, RunStatistics)>,
     /// Throughput per second.
     pub timeline: Timeline,
     /// Injected faults.
@@ -31,17 +31,17 @@
         span: (Millis, Millis),
         parts: &[(String, Millis, Millis)],
     ) -> Self {
-        let mut figures = vec![("all".to_owned(), Figures::of(evidence, span.0, span.1))];
+        let mut statistics = vec![("all".to_owned(), RunStatistics::of(evidence, span.0, span.1))];
         for (part, from, to) in parts {
-            figures.push((part.clone(), Figures::of(evidence, *from, *to)));
+            statistics.push((part.clone(), RunStatistics::of(evidence, *from, *to)));
         }
         Self {
             name: name.to_owned(),
             verdict: judge(evidence),
-            figures,
+            statistics,
             timeline: Timeline::of(evidence, span.0, span.1),
             disturbances: evidence.disturbances.clone(),
-            load: crate::environment::load(),
+            load: crate::environment::load_averages(),
         }
     }
 
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -210,6 +210,6 @@
         Measure::new("turns that failed directly", direct.failed as f64, "turns"),
         Measure::new("turns measured through hooklug", first.count as f64, "turns"),
     ];
-    let load = crate::environment::load();
+    let load = crate::environment::load_averages();
     Section::Measures { name: "streams through hooklug and directly".to_owned(), measures, load }
 }
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -180,6 +180,6 @@
         Measure::new("calls that failed at the plain proxy", failed(plain), "calls"),
         Measure::new("callers at once", callers as f64, ""),
     ];
-    let load = crate::environment::load();
+    let load = crate::environment::load_averages();
     Section::Measures { name: "gateway and plain proxy".to_owned(), measures, load }
 }
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -11,7 +11,7 @@
 
 use super::Outcome;
 use super::burst::lift_tenant_limits;
-use crate::faults::{ChaosProgress, recover};
+use crate::faults::{RunProgress, measure_recovery};
 use crate::oracle::evidence::{
     Disturbance, DrainRecord, Evidence, Millis, SessionName, SessionRecord, TurnClaim,
 };
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// If the fleet cannot be started or a fault cannot be injected or ended.
-    pub async fn run(mut self, progress: &dyn ChaosProgress) -> Result<Vec<Section>, FleetError> {
+    pub async fn run(mut self, progress: &dyn RunProgress) -> Result<Vec<Section>, FleetError> {
         self.make_room();
         let options = FleetOptions { data: self.data.clone() };
         let fleet = Arc::new(Fleet::start_with(self.topology.clone(), options).await?);
@@ -131,7 +131,7 @@
     fleet: &'a Fleet,
     client: &'a Client,
     profile: &'a Profile,
-    progress: &'a dyn ChaosProgress,
+    progress: &'a dyn RunProgress,
 }
 
 impl Losses<'_> {
@@ -153,7 +153,7 @@
 
     async fn lose(&self, loss: Loss, engine: ProcessName) -> Result<(), FleetError> {
         let fault = format!("{} {engine}", loss.word());
-        self.progress.say(&fault);
+        self.progress.report_line(&fault);
         self.begin(loss, engine, &fault);
         match loss {
             Loss::Kill => {
@@ -170,7 +170,7 @@
         }
         let healed = now();
         self.client.recorder().lock().all_over(healed);
-        let recovery = recover(self.fleet, self.profile, fault, healed).await;
+        let recovery = measure_recovery(self.fleet, self.profile, fault, healed).await;
         self.client.recorder().lock().recoveries.push(recovery);
         Ok(())
     }
@@ -239,6 +239,6 @@
             "",
         ));
     }
-    let load = crate::environment::load();
+    let load = crate::environment::load_averages();
     Section::Measures { name: "takeover".to_owned(), measures, load }
 }
--- a/crates/bench/src/statistics.rs
+++ b/crates/bench/src/statistics.rs
@@ -50,7 +50,7 @@
 
 /// Throughput, outcome counts and latencies of a span of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Figures {
+pub struct RunStatistics {
     /// Length of the measured span, in seconds.
     pub seconds: f64,
     /// Turns finished per second.
@@ -75,7 +75,7 @@
     pub recovery_ms: Percentiles,
 }
 
-impl Figures {
+impl RunStatistics {
     /// Computes the statistics of a span of a run.
     #[must_use]
     pub fn of(evidence: &Evidence, from: Millis, to: Millis) -> Self {
@@ -94,8 +94,8 @@
             turns_per_second: finished().count() as f64 / seconds,
             tokens_per_second: tokens as f64 / seconds,
             calls_per_second: answered().count() as f64 / seconds,
-            turns: count(turns().map(turn_word)),
-            calls: count(calls().filter_map(|call| call.claims.first()).map(call_word)),
+            turns: count_labels(turns().map(turn_outcome)),
+            calls: count_labels(calls().filter_map(|call| call.claims.first()).map(call_outcome)),
             cuts: turns().map(|turn| u64::from(turn.cuts)).sum(),
             first_token_ms: Percentiles::of(turns().filter_map(|turn| turn.first_token_ms)),
             between_tokens_ms: Percentiles::of(turns().flat_map(|turn| turn.gaps_ms.clone())),
@@ -107,15 +107,15 @@
     }
 }
 
-fn turn_word(turn: &TurnRecord) -> String {
+fn turn_outcome(turn: &TurnRecord) -> String {
     let code = turn.events.last().and_then(|event| event.data["code"].as_str());
     match (&turn.claim, code) {
         (TurnClaim::Ended(end), Some(code)) => format!("{end}: {code}"),
-        (claim, _) => claim_word(claim),
+        (claim, _) => turn_claim_label(claim),
     }
 }
 
-fn claim_word(claim: &TurnClaim) -> String {
+fn turn_claim_label(claim: &TurnClaim) -> String {
     match claim {
         TurnClaim::Ended(end) => end.clone(),
         TurnClaim::Refused(code) => format!("refused: {code}"),
@@ -123,7 +123,7 @@
     }
 }
 
-fn call_word(claim: &CallClaim) -> String {
+fn call_outcome(claim: &CallClaim) -> String {
     match claim {
         CallClaim::Answered { .. } => "answered".to_owned(),
         CallClaim::NotRun(code) => format!("not run: {code}"),
@@ -135,10 +135,10 @@
     }
 }
 
-fn count(words: impl Iterator<Item = String>) -> BTreeMap<String, u64> {
+fn count_labels(labels: impl Iterator<Item = String>) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for word in words {
-        *counts.entry(word).or_insert(0) += 1;
+    for label in labels {
+        *counts.entry(label).or_insert(0) += 1;
     }
     counts
 }
@@ -169,16 +169,16 @@
         };
         let second = |at: Millis| usize::try_from(at.checked_sub(from)? / 1_000).ok();
         for turn in &evidence.turns {
-            let Some(place) = second(turn.ended).filter(|place| *place < seconds) else { continue };
+            let Some(index) = second(turn.ended).filter(|index| *index < seconds) else { continue };
             let finished = turn.claim == TurnClaim::Ended("finished".to_owned());
-            timeline.turns[place] += f64::from(u8::from(finished));
+            timeline.turns[index] += f64::from(u8::from(finished));
             let tokens = turn.events.iter().filter_map(|e| e.data["count"].as_u64()).sum::<u64>();
-            timeline.tokens[place] += tokens as f64;
+            timeline.tokens[index] += tokens as f64;
         }
         for call in &evidence.calls {
-            let Some(place) = second(call.ended).filter(|place| *place < seconds) else { continue };
+            let Some(index) = second(call.ended).filter(|index| *index < seconds) else { continue };
             let answered = matches!(call.claims.first(), Some(CallClaim::Answered { .. }));
-            timeline.calls[place] += f64::from(u8::from(answered));
+            timeline.calls[index] += f64::from(u8::from(answered));
         }
         timeline
     }
--- a/crates/bench/tests/end_to_end.rs
+++ b/crates/bench/tests/end_to_end.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hooklug_bench::faults::ChaosProgress;
+use hooklug_bench::faults::RunProgress;
 use hooklug_bench::oracle::{Promise, judge};
 use hooklug_bench::scenario::chaos::{Chaos, default_topology};
 use hooklug_bench::workload::{Client, PlannedCall, Recorder, read_finally};
@@ -33,8 +33,8 @@
 
 struct Printed;
 
-impl ChaosProgress for Printed {
-    fn say(&self, line: &str) {
+impl RunProgress for Printed {
+    fn report_line(&self, line: &str) {
         println!("{line}");
     }
 }
