--- a/crates/bench/src/faults/harmful_release.rs
+++ b/crates/bench/src/faults/harmful_release.rs
@@ -46,7 +46,7 @@
             // The rollout judges samples by route.
             let samples = least_samples * group.tools.len().max(1);
             let release = HarmfulRelease { version: version.to_string(), samples };
-            recorder.lock().harmful.push(release);
+            recorder.lock().harmful_releases.push(release);
             return Ok(engine);
         }
     }
--- a/crates/bench/src/faults/probe.rs
+++ b/crates/bench/src/faults/probe.rs
@@ -22,18 +22,18 @@
 /// Token budget of a probe's program.
 const BUDGET: u64 = 100;
 
-/// Measures the time from `healed` until a probe through each gateway succeeds.
+/// Measures the time from `fault_ended_at` until a probe through each gateway succeeds.
 pub async fn measure_recovery(
     fleet: &Fleet,
     profile: &Profile,
-    after: String,
-    healed: Millis,
+    fault: String,
+    fault_ended_at: Millis,
 ) -> Recovery {
     let tenant = fleet.topology().tenants.first().map(ToString::to_string).unwrap_or_default();
     let gateways = fleet.gateways().into_iter();
     let probes = gateways.map(|gateway| probe(gateway, &tenant, profile));
-    let served: Option<Vec<Millis>> = join_all(probes).await.into_iter().collect();
-    Recovery { after, healed, served: served.and_then(|all| all.into_iter().max()) }
+    let served_at: Option<Vec<Millis>> = join_all(probes).await.into_iter().collect();
+    Recovery { fault, fault_ended_at, served_at: served_at.and_then(|all| all.into_iter().max()) }
 }
 
 async fn probe(gateway: SocketAddr, tenant: &str, profile: &Profile) -> Option<Millis> {
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -11,7 +11,7 @@
 use super::fault::Fault;
 use super::round_generator::{FaultRound, FaultTargets, generate_round};
 use super::{apply, harmful_release, probe, replication};
-use crate::oracle::evidence::{Disturbance, DrainRecord};
+use crate::oracle::evidence::{DrainRecord, InjectedFault};
 use crate::workload::{Client, Profile, now};
 
 /// Maximum time to wait until all groups are fully replicated, before another disk may be lost.
@@ -91,10 +91,12 @@
         }
         sleep(duration).await;
         self.end(round, released_engine).await?;
-        let healed = now();
-        self.client.recorder().lock().all_over(healed);
-        let recovery = probe::measure_recovery(self.fleet, self.profile, names, healed).await;
-        let took = recovery.served.map_or(-1.0, |at| at.saturating_sub(healed) as f64 / 1e3);
+        let fault_ended_at = now();
+        self.client.recorder().lock().end_open_faults(fault_ended_at);
+        let recovery =
+            probe::measure_recovery(self.fleet, self.profile, names, fault_ended_at).await;
+        let took =
+            recovery.served_at.map_or(-1.0, |at| at.saturating_sub(fault_ended_at) as f64 / 1e3);
         self.progress.report_line(&format!("round {number}: served again after {took:.1} s"));
         self.client.recorder().lock().recoveries.push(recovery);
         Ok(())
@@ -138,22 +140,22 @@
     }
 
     fn record_start(&self, fault: &Fault) {
-        let hit = match fault {
+        let targets = match fault {
             Fault::RollingRestart(kind) => self.fleet.names(*kind),
             _ => fault.targets(),
         };
         let recorder = self.client.recorder();
         let mut evidence = recorder.lock();
-        evidence.disturbances.push(Disturbance {
-            fault: fault.to_string(),
-            hit: hit.iter().map(ToString::to_string).collect(),
-            from: now(),
-            until: None,
+        evidence.injected_faults.push(InjectedFault {
+            description: fault.to_string(),
+            targets: targets.iter().map(ToString::to_string).collect(),
+            started_at: now(),
+            ended_at: None,
         });
         if let Fault::Drain(name) = fault
             && matches!(name.kind, ProcessKind::Engine | ProcessKind::App)
         {
-            let drain = DrainRecord { engine: name.word(), known: now(), until: None };
+            let drain = DrainRecord { engine: name.word(), started_at: now(), ended_at: None };
             evidence.drains.push(drain);
         }
     }
--- a/crates/bench/src/oracle/answers.rs
+++ b/crates/bench/src/oracle/answers.rs
@@ -14,7 +14,7 @@
 
 pub(super) fn check_calls(evidence: &Evidence, verdict: &mut Verdict) {
     let ran: BTreeSet<(&str, &str)> = evidence
-        .applications
+        .application_ledgers
         .iter()
         .filter_map(|line| match &line.entry {
             LedgerEntry::CallRan { call, .. } => Some((call.as_str(), engine(&line.identity))),
@@ -25,13 +25,13 @@
         let mut first: Option<&Value> = None;
         for claim in &call.claims {
             let CallClaim::Answered { status, body } = claim else { continue };
-            verdict.examined("answers to calls", 1);
-            if let Some(fault) = fault_of_answer(call, *status, body, &ran) {
-                verdict.add(Promise::OwnWholeAnswers, &call.call, fault);
+            verdict.add_examined("answers to calls", 1);
+            if let Some(error) = find_response_error(call, *status, body, &ran) {
+                verdict.add_violation(Promise::OwnWholeAnswers, &call.call, error);
             }
             if !call.may_repeat && first.is_some_and(|first| first != body) {
                 let detail = format!("two answers: {first:?} and {body}");
-                verdict.add(Promise::OwnWholeAnswers, &call.call, detail);
+                verdict.add_violation(Promise::OwnWholeAnswers, &call.call, detail);
             }
             first = first.or(Some(body));
         }
@@ -43,7 +43,7 @@
     identity.split('/').nth(1).unwrap_or_default()
 }
 
-fn fault_of_answer(
+fn find_response_error(
     call: &CallRecord,
     status: u16,
     body: &Value,
@@ -52,73 +52,79 @@
     if status != 200 {
         return Some(format!("status {status} shown as the application's own answer: {body}"));
     }
-    let same = body["call"] == call.call && body["tool"] == call.tool;
-    if !same || body["arguments"] != call.arguments {
+    let is_same_call = body["call"] == call.call && body["tool"] == call.tool;
+    if !is_same_call || body["arguments"] != call.arguments {
         return Some(format!("the answer belongs to another call: {body}"));
     }
-    let by = body["engine"].as_str().unwrap_or_default();
-    let known = ran.contains(&(call.call.as_str(), by));
-    (!known).then(|| format!("no ledger shows that {by:?} ran it"))
+    let engine = body["engine"].as_str().unwrap_or_default();
+    let is_in_ledger = ran.contains(&(call.call.as_str(), engine));
+    (!is_in_ledger).then(|| format!("no ledger shows that {engine:?} ran it"))
 }
 
 /// The generations that model servers produced for one turn.
 #[derive(Debug, Default)]
-struct Made<'a> {
-    texts: Vec<Generated<'a>>,
-    began: usize,
+struct TurnGenerations<'a> {
+    ended: Vec<Generation<'a>>,
+    started: usize,
 }
 
 #[derive(Debug)]
-struct Generated<'a> {
+struct Generation<'a> {
     text: &'a str,
     tokens: u64,
     end: &'a str,
 }
 
 pub(super) fn check_texts(evidence: &Evidence, verdict: &mut Verdict) {
-    let made = made(evidence);
+    let generations = generations_by_turn(evidence);
     for turn in &evidence.turns {
         let TurnClaim::Ended(end) = &turn.claim else { continue };
-        verdict.examined("texts of turns", 1);
-        let made = made.get(&(turn.session.as_str(), turn.turn.as_str()));
-        if let Some(fault) = fault_of_text(turn, end, made) {
+        verdict.add_examined("texts of turns", 1);
+        let generations = generations.get(&(turn.session.as_str(), turn.turn.as_str()));
+        if let Some(error) = find_text_error(turn, end, generations) {
             let subject = format!("{}/{}", turn.session, turn.turn);
-            verdict.add(Promise::OwnWholeAnswers, subject, fault);
+            verdict.add_violation(Promise::OwnWholeAnswers, subject, error);
         }
     }
 }
 
-fn made(evidence: &Evidence) -> BTreeMap<(&str, &str), Made<'_>> {
-    let mut made: BTreeMap<(&str, &str), Made<'_>> = BTreeMap::new();
-    for line in &evidence.models {
+fn generations_by_turn(evidence: &Evidence) -> BTreeMap<(&str, &str), TurnGenerations<'_>> {
+    let mut generations: BTreeMap<(&str, &str), TurnGenerations<'_>> = BTreeMap::new();
+    for line in &evidence.model_ledgers {
         match &line.entry {
             LedgerEntry::GenerationBegan { session, turn, .. } => {
-                made.entry((session, turn)).or_default().began += 1;
+                generations.entry((session, turn)).or_default().started += 1;
             }
             LedgerEntry::GenerationEnded { session, turn, text, tokens, end, .. } => {
-                let generated = Generated { text, tokens: *tokens, end };
-                made.entry((session, turn)).or_default().texts.push(generated);
+                let generation = Generation { text, tokens: *tokens, end };
+                generations.entry((session, turn)).or_default().ended.push(generation);
             }
             _ => {}
         }
     }
-    made
+    generations
 }
 
-fn fault_of_text(turn: &TurnRecord, end: &str, made: Option<&Made<'_>>) -> Option<String> {
-    let shown: String = turn.events.iter().filter_map(|e| e.data["text"].as_str()).collect();
+fn find_text_error(
+    turn: &TurnRecord,
+    end: &str,
+    generations: Option<&TurnGenerations<'_>>,
+) -> Option<String> {
+    let shown_text: String = turn.events.iter().filter_map(|e| e.data["text"].as_str()).collect();
     let tokens: u64 = turn.events.iter().filter_map(|e| e.data["count"].as_u64()).sum();
-    let empty = Made::default();
-    let made = made.unwrap_or(&empty);
-    let own = || made.texts.iter().filter(|generated| generated.end != CROSSED);
+    let empty = TurnGenerations::default();
+    let generations = generations.unwrap_or(&empty);
+    let own = || generations.ended.iter().filter(|generation| generation.end != CROSSED);
     if end == "finished" {
-        let whole = own()
-            .any(|g| g.text == shown && g.tokens == tokens && matches!(g.end, "stop" | "length"));
-        return (!whole)
+        let is_complete = own().any(|g| {
+            g.text == shown_text && g.tokens == tokens && matches!(g.end, "stop" | "length")
+        });
+        return (!is_complete)
             .then(|| format!("finished with {tokens} tokens that no server made whole"));
     }
     // A model server that was killed recorded no end, so its output cannot be compared.
-    let unended = made.began > made.texts.len();
-    let begins = shown.is_empty() || unended || own().any(|g| g.text.starts_with(&shown));
-    (!begins).then(|| format!("{end} after {tokens} tokens that no server made"))
+    let has_unended = generations.started > generations.ended.len();
+    let is_prefix =
+        shown_text.is_empty() || has_unended || own().any(|g| g.text.starts_with(&shown_text));
+    (!is_prefix).then(|| format!("{end} after {tokens} tokens that no server made"))
 }
--- a/crates/bench/src/oracle/budgets.rs
+++ b/crates/bench/src/oracle/budgets.rs
@@ -9,39 +9,39 @@
 use super::{Promise, Verdict};
 
 pub(super) fn check(evidence: &Evidence, verdict: &mut Verdict) {
-    let streamed = streamed(evidence);
+    let streamed = streamed_tokens(evidence);
     for (name, program) in &evidence.programs {
-        verdict.examined("budgets", 1);
+        verdict.add_examined("budgets", 1);
         let streamed = streamed.get(name.as_str()).copied().unwrap_or(0);
-        let most = program.budget + program.longest_turn;
-        if streamed > most {
+        let limit = program.budget + program.max_turn_tokens;
+        if streamed > limit {
             let detail = format!("{streamed} tokens of {} and one turn", program.budget);
-            verdict.add(Promise::TokenBudget, name, detail);
+            verdict.add_violation(Promise::TokenBudget, name, detail);
         }
         if let Some(booked) = program.booked.filter(|booked| *booked < streamed) {
             let detail = format!("{streamed} tokens streamed, {booked} booked");
-            verdict.add(Promise::TokenBudget, name, detail);
+            verdict.add_violation(Promise::TokenBudget, name, detail);
         }
     }
 }
 
 /// Sums the streamed tokens by program. An event that several clients received counts once.
-fn streamed(evidence: &Evidence) -> BTreeMap<&str, u64> {
-    let mut places: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    for (session, event) in shown(evidence) {
+fn streamed_tokens(evidence: &Evidence) -> BTreeMap<&str, u64> {
+    let mut token_counts: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+    for (session, event) in all_events(evidence) {
         if let Some(tokens) = event.data["count"].as_u64() {
-            places.insert((session, event.id), tokens);
+            token_counts.insert((session, event.id), tokens);
         }
     }
     let mut programs = BTreeMap::new();
-    for ((session, _), tokens) in places {
+    for ((session, _), tokens) in token_counts {
         let program = session.split('/').next().unwrap_or_default();
         *programs.entry(program).or_insert(0) += tokens;
     }
     programs
 }
 
-fn shown(evidence: &Evidence) -> impl Iterator<Item = (&str, &StreamEvent)> {
+fn all_events(evidence: &Evidence) -> impl Iterator<Item = (&str, &StreamEvent)> {
     let turns = evidence.turns.iter().map(|turn| (turn.session.as_str(), &turn.events));
     let sessions = evidence.sessions.iter().flat_map(|(name, session)| {
         session.joined.iter().chain(&session.history).map(move |events| (name.as_str(), events))
--- a/crates/bench/src/oracle/calls.rs
+++ b/crates/bench/src/oracle/calls.rs
@@ -9,9 +9,9 @@
 use super::{Promise, Verdict};
 
 /// Counts the runs of each call over all application engines, including their restarts.
-pub(super) fn runs(evidence: &Evidence) -> BTreeMap<&str, usize> {
+pub(super) fn count_runs(evidence: &Evidence) -> BTreeMap<&str, usize> {
     let mut runs = BTreeMap::new();
-    for line in &evidence.applications {
+    for line in &evidence.application_ledgers {
         if let LedgerEntry::CallRan { call, .. } = &line.entry {
             *runs.entry(call.as_str()).or_insert(0) += 1;
         }
@@ -20,27 +20,27 @@
 }
 
 pub(super) fn check_at_most_once(evidence: &Evidence, verdict: &mut Verdict) {
-    let runs = runs(evidence);
-    let once = || evidence.calls.iter().filter(|call| !call.may_repeat);
-    verdict.examined("calls that may not be repeated", once().count());
-    for call in once() {
+    let runs = count_runs(evidence);
+    let non_repeatable = || evidence.calls.iter().filter(|call| !call.may_repeat);
+    verdict.add_examined("calls that may not be repeated", non_repeatable().count());
+    for call in non_repeatable() {
         let times = runs.get(call.call.as_str()).copied().unwrap_or(0);
         if times > 1 {
             let detail = format!("{} ran {times} times; told {:?}", call.tool, call.claims);
-            verdict.add(Promise::AtMostOnce, &call.call, detail);
+            verdict.add_violation(Promise::AtMostOnce, &call.call, detail);
         }
     }
 }
 
 pub(super) fn check_refusals(evidence: &Evidence, verdict: &mut Verdict) {
-    let runs = runs(evidence);
+    let runs = count_runs(evidence);
     for call in &evidence.calls {
         for claim in &call.claims {
             let CallClaim::NotRun(code) = claim else { continue };
-            verdict.examined("claims that a call did not run", 1);
+            verdict.add_examined("claims that a call did not run", 1);
             if let Some(times) = runs.get(call.call.as_str()) {
                 let detail = format!("told {code}, ran {times} times");
-                verdict.add(Promise::TrueRefusals, &call.call, detail);
+                verdict.add_violation(Promise::TrueRefusals, &call.call, detail);
             }
         }
     }
--- a/crates/bench/src/oracle/engines.rs
+++ b/crates/bench/src/oracle/engines.rs
@@ -12,14 +12,14 @@
 const DRAIN_TIME_MS: Millis = 3_000;
 /// Time for which a version may still receive traffic after enough of its calls have failed, in
 /// milliseconds (requirement: about 5 s).
-const HARM_TIME_MS: Millis = 5_000;
+const HARMFUL_TRAFFIC_TIME_MS: Millis = 5_000;
 /// Maximum time without service after the end of a fault, in milliseconds (requirement: about 12
 /// s).
 const RECOVERY_TIME_MS: Millis = 12_000;
 
 impl DrainRecord {
-    fn forbids_at(&self, at: Millis) -> bool {
-        at > self.known + DRAIN_TIME_MS && self.until.is_none_or(|until| at < until)
+    fn forbids_work_at(&self, at: Millis) -> bool {
+        at > self.started_at + DRAIN_TIME_MS && self.ended_at.is_none_or(|ended_at| at < ended_at)
     }
 }
 
@@ -28,19 +28,19 @@
     for drain in &evidence.drains {
         drains.entry(&drain.engine).or_default().push(drain);
     }
-    verdict.examined("drains", evidence.drains.len());
+    verdict.add_examined("drains", evidence.drains.len());
     let late = |engine: &str, at: Millis| {
-        drains.get(engine).is_some_and(|all| all.iter().any(|drain| drain.forbids_at(at)))
+        drains.get(engine).is_some_and(|all| all.iter().any(|drain| drain.forbids_work_at(at)))
     };
     for (name, session) in &evidence.sessions {
-        for seen in session.owners.iter().filter(|seen| seen.opened) {
-            if late(&seen.owner, seen.begun) {
-                let detail = format!("opened at {} more than 3 s into its drain", seen.owner);
-                verdict.add(Promise::DrainedEngines, name, detail);
+        for observed in session.owners.iter().filter(|observed| observed.opened) {
+            if late(&observed.owner, observed.sent_at) {
+                let detail = format!("opened at {} more than 3 s into its drain", observed.owner);
+                verdict.add_violation(Promise::DrainedEngines, name, detail);
             }
         }
     }
-    for line in &evidence.applications {
+    for line in &evidence.application_ledgers {
         let engine = line.identity.split('/').nth(1).unwrap_or_default();
         let work = match &line.entry {
             LedgerEntry::CallRan { call, .. } => call,
@@ -49,29 +49,31 @@
         };
         if late(engine, line.at.0) {
             let detail = format!("a call reached {engine} more than 3 s into its drain");
-            verdict.add(Promise::DrainedEngines, work, detail);
+            verdict.add_violation(Promise::DrainedEngines, work, detail);
         }
     }
 }
 
 pub(super) fn check_harmful_versions(evidence: &Evidence, verdict: &mut Verdict) {
-    for release in &evidence.harmful {
-        let runs = runs_of(evidence, release);
-        verdict.examined("runs of harmful versions", runs.len());
-        let Some(clear) = release.samples.checked_sub(1).and_then(|last| runs.get(last)) else {
+    for release in &evidence.harmful_releases {
+        let runs = run_times(evidence, release);
+        verdict.add_examined("runs of harmful versions", runs.len());
+        let Some(recognizable_at) = release.samples.checked_sub(1).and_then(|last| runs.get(last))
+        else {
             continue;
         };
-        let late = runs.iter().filter(|at| **at > clear + HARM_TIME_MS).count();
+        let late =
+            runs.iter().filter(|at| **at > recognizable_at + HARMFUL_TRAFFIC_TIME_MS).count();
         if late > 0 {
-            let last = runs.last().copied().unwrap_or_default().saturating_sub(*clear);
+            let last = runs.last().copied().unwrap_or_default().saturating_sub(*recognizable_at);
             let detail = format!("{late} runs later than 5 s, the last after {last} ms");
-            verdict.add(Promise::HarmfulVersions, &release.version, detail);
+            verdict.add_violation(Promise::HarmfulVersions, &release.version, detail);
         }
     }
 }
 
-fn runs_of(evidence: &Evidence, release: &HarmfulRelease) -> Vec<Millis> {
-    let lines = evidence.applications.iter().filter(|line| {
+fn run_times(evidence: &Evidence, release: &HarmfulRelease) -> Vec<Millis> {
+    let lines = evidence.application_ledgers.iter().filter(|line| {
         line.version == release.version && matches!(line.entry, LedgerEntry::CallRan { .. })
     });
     let mut runs: Vec<Millis> = lines.map(|line| line.at.0).collect();
@@ -80,12 +82,13 @@
 }
 
 pub(super) fn check_recoveries(evidence: &Evidence, verdict: &mut Verdict) {
-    verdict.examined("recoveries", evidence.recoveries.len());
+    verdict.add_examined("recoveries", evidence.recoveries.len());
     for recovery in &evidence.recoveries {
-        let took = recovery.served.map(|served| served.saturating_sub(recovery.healed));
-        if took.is_none_or(|took| took > RECOVERY_TIME_MS) {
-            let detail = took.map_or_else(|| "not back".to_owned(), |t| format!("{t} ms"));
-            verdict.add(Promise::Recovery, &recovery.after, detail);
+        let recovery_ms =
+            recovery.served_at.map(|served_at| served_at.saturating_sub(recovery.fault_ended_at));
+        if recovery_ms.is_none_or(|recovery_ms| recovery_ms > RECOVERY_TIME_MS) {
+            let detail = recovery_ms.map_or_else(|| "not back".to_owned(), |t| format!("{t} ms"));
+            verdict.add_violation(Promise::Recovery, &recovery.fault, detail);
         }
     }
 }
--- a/crates/bench/src/oracle/evidence.rs
+++ b/crates/bench/src/oracle/evidence.rs
@@ -32,29 +32,29 @@
     /// Bundles that operators read back.
     pub bundle_reads: Vec<BundleRead>,
     /// Active bundle versions that nodes reported, in the order of the polls.
-    pub installed: Vec<InstalledSeen>,
+    pub installed_versions: Vec<VersionObservation>,
     /// Drains of engines.
     pub drains: Vec<DrainRecord>,
     /// Releases of harmful versions.
-    pub harmful: Vec<HarmfulRelease>,
+    pub harmful_releases: Vec<HarmfulRelease>,
     /// Injected faults, from their start until the machines are back.
-    pub disturbances: Vec<Disturbance>,
+    pub injected_faults: Vec<InjectedFault>,
     /// Recoveries of service after faults.
     pub recoveries: Vec<Recovery>,
     /// Ledgers of all application engines.
-    pub applications: Vec<LedgerLine>,
+    pub application_ledgers: Vec<LedgerLine>,
     /// Ledgers of all model servers.
-    pub models: Vec<LedgerLine>,
+    pub model_ledgers: Vec<LedgerLine>,
 }
 
 impl Evidence {
     /// Sets the end of all faults and drains that are still open.
-    pub fn all_over(&mut self, at: Millis) {
-        for disturbance in &mut self.disturbances {
-            disturbance.until.get_or_insert(at);
+    pub fn end_open_faults(&mut self, at: Millis) {
+        for injected in &mut self.injected_faults {
+            injected.ended_at.get_or_insert(at);
         }
         for drain in &mut self.drains {
-            drain.until.get_or_insert(at);
+            drain.ended_at.get_or_insert(at);
         }
     }
 }
@@ -65,7 +65,7 @@
     /// Tokens that it may stream in total.
     pub budget: u64,
     /// Maximum number of tokens of one of its turns.
-    pub longest_turn: u64,
+    pub max_turn_tokens: u64,
     /// Tokens booked or reserved at the end of the run, if they could be read.
     pub booked: Option<u64>,
 }
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct SessionRecord {
     /// Owners that responses reported.
-    pub owners: Vec<OwnerSeen>,
+    pub owners: Vec<OwnerObservation>,
     /// Events that each joined client received.
     pub joined: Vec<Vec<StreamEvent>>,
     /// The complete history, read at the end of the run, if it could be read.
@@ -83,13 +83,13 @@
 
 /// A session owner that a response reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OwnerSeen {
+pub struct OwnerObservation {
     /// The owning engine.
     pub owner: String,
     /// The epoch of its ownership.
     pub epoch: u64,
     /// When the request was sent.
-    pub begun: Millis,
+    pub sent_at: Millis,
     /// Whether the request opened the session.
     pub opened: bool,
 }
@@ -104,9 +104,9 @@
     /// Id of the previous turn, if there is one.
     pub after: Option<String>,
     /// When the turn was first sent.
-    pub begun: Millis,
+    pub sent_at: Millis,
     /// When its outcome was known.
-    pub ended: Millis,
+    pub ended_at: Millis,
     /// Events in the order of arrival, over all resumptions.
     pub events: Vec<StreamEvent>,
     /// Whether a stream ended cleanly without a terminal event.
@@ -129,7 +129,7 @@
     /// Refused permanently, with this error code.
     Refused(String),
     /// No conclusive response arrived in time; holds the last error.
-    Nothing(String),
+    Inconclusive(String),
 }
 
 /// A call and all its reported outcomes.
@@ -144,9 +144,9 @@
     /// Whether the call may run more than once.
     pub may_repeat: bool,
     /// When the call was first sent.
-    pub begun: Millis,
+    pub sent_at: Millis,
     /// When its first outcome was known.
-    pub ended: Millis,
+    pub ended_at: Millis,
     /// Reported outcomes in the order of arrival.
     pub claims: Vec<CallClaim>,
 }
@@ -166,7 +166,7 @@
     /// The call may have run.
     Unknown,
     /// The response does not say whether the call ran; holds the error.
-    Nothing(String),
+    Inconclusive(String),
 }
 
 /// A bundle submitted to one node.
@@ -179,40 +179,40 @@
     /// Digest of the bundle's content.
     pub digest: String,
     /// When the bundle was sent.
-    pub begun: Millis,
+    pub sent_at: Millis,
     /// When the response arrived.
-    pub answered: Millis,
+    pub answered_at: Millis,
     /// Outcome of the submission.
-    pub answer: SubmissionAnswer,
+    pub outcome: SubmissionOutcome,
 }
 
 /// The outcome of a bundle submission, as reported to the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SubmissionAnswer {
+pub enum SubmissionOutcome {
     /// The bundle was committed.
     Acknowledged,
     /// The bundle was refused, with this reason.
     Refused(String),
     /// The response does not say whether the bundle was committed.
-    Nothing,
+    Inconclusive,
 }
 
 /// The newest bundle version that a node returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BundleRead {
     /// When the request was sent.
-    pub begun: Millis,
+    pub sent_at: Millis,
     /// The returned version.
     pub version: u64,
 }
 
 /// The active bundle version that a node reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InstalledSeen {
+pub struct VersionObservation {
     /// Name of the node.
     pub node: String,
     /// When the request was sent.
-    pub begun: Millis,
+    pub sent_at: Millis,
     /// The reported version; 0 if the node has no bundle yet.
     pub version: u64,
 }
@@ -223,9 +223,9 @@
     /// Name of the engine.
     pub engine: String,
     /// When the drain started.
-    pub known: Millis,
+    pub started_at: Millis,
     /// When the engine accepts work again.
-    pub until: Option<Millis>,
+    pub ended_at: Option<Millis>,
 }
 
 /// A failing version that was released on purpose.
@@ -239,24 +239,24 @@
 
 /// An injected fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Disturbance {
+pub struct InjectedFault {
     /// Description of the fault.
-    pub fault: String,
+    pub description: String,
     /// Processes that it affects.
-    pub hit: Vec<String>,
+    pub targets: Vec<String>,
     /// When it started.
-    pub from: Millis,
+    pub started_at: Millis,
     /// When all affected machines were back.
-    pub until: Option<Millis>,
+    pub ended_at: Option<Millis>,
 }
 
 /// The recovery of service after a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovery {
     /// Description of the fault.
-    pub after: String,
+    pub fault: String,
     /// When the fault ended.
-    pub healed: Millis,
+    pub fault_ended_at: Millis,
     /// When all gateways served requests again, or `None` if they did not in time.
-    pub served: Option<Millis>,
+    pub served_at: Option<Millis>,
 }
--- a/crates/bench/src/oracle/mod.rs
+++ b/crates/bench/src/oracle/mod.rs
@@ -126,12 +126,17 @@
         Promise::ALL.into_iter().map(|promise| (promise, count(promise))).collect()
     }
 
-    fn add(&mut self, promise: Promise, subject: impl Into<String>, detail: impl Into<String>) {
+    fn add_violation(
+        &mut self,
+        promise: Promise,
+        subject: impl Into<String>,
+        detail: impl Into<String>,
+    ) {
         let (subject, detail) = (subject.into(), detail.into());
         self.violations.push(Violation { promise, subject, detail });
     }
 
-    fn examined(&mut self, what: &'static str, number: usize) {
+    fn add_examined(&mut self, what: &'static str, number: usize) {
         *self.examined.entry(what).or_insert(0) += number;
     }
 }
@@ -153,7 +158,7 @@
     engines::check_drains(evidence, &mut verdict);
     engines::check_harmful_versions(evidence, &mut verdict);
     engines::check_recoveries(evidence, &mut verdict);
-    bundles::check_in_force(evidence, &mut verdict);
+    bundles::check_installed_versions(evidence, &mut verdict);
     bundles::check_races(evidence, &mut verdict);
     bundles::check_read_back(evidence, &mut verdict);
     verdict
--- a/crates/bench/src/oracle/streams.rs
+++ b/crates/bench/src/oracle/streams.rs
@@ -14,19 +14,19 @@
         if turn.events.is_empty() {
             continue;
         }
-        verdict.examined("streams of turns", 1);
+        verdict.add_examined("streams of turns", 1);
         let subject = || format!("{}/{}", turn.session, turn.turn);
         if turn.ended_without_terminal {
             let detail = "a stream ended properly without a terminal event";
-            verdict.add(Promise::ExactStreams, subject(), detail);
+            verdict.add_violation(Promise::ExactStreams, subject(), detail);
         }
-        if let Some(fault) = fault_of_turn(turn) {
-            verdict.add(Promise::ExactStreams, subject(), fault);
+        if let Some(error) = find_stream_error(turn) {
+            verdict.add_violation(Promise::ExactStreams, subject(), error);
         }
     }
 }
 
-fn fault_of_turn(turn: &TurnRecord) -> Option<String> {
+fn find_stream_error(turn: &TurnRecord) -> Option<String> {
     if matches!(turn.claim, TurnClaim::Ended(_)) {
         let transcript = Transcript { events: turn.events.clone(), cuts: turn.cuts };
         return transcript.check(&turn.turn).err().map(|error| error.to_string());
@@ -34,8 +34,8 @@
     // A stream that the caller stopped following has no terminal event, but must have no gap
     // either.
     let first = turn.events.first()?.id;
-    let gap = turn.events.iter().zip(first..).find(|(event, place)| event.id != *place);
-    gap.map(|(event, place)| format!("event {} where {place} belongs", event.id))
+    let gap = turn.events.iter().zip(first..).find(|(event, expected)| event.id != *expected);
+    gap.map(|(event, expected)| format!("event {} where {expected} belongs", event.id))
 }
 
 /// Checks that all clients of a session receive the same events, and that its history contains all
@@ -48,37 +48,37 @@
     for (name, session) in &evidence.sessions {
         let none = Vec::new();
         let turns = turns.get(name.as_str()).unwrap_or(&none);
-        if let Some(fault) = fault_of_session(session, turns) {
-            verdict.add(Promise::ExactStreams, name, fault);
+        if let Some(error) = find_session_error(session, turns) {
+            verdict.add_violation(Promise::ExactStreams, name, error);
         }
-        verdict.examined("sessions read back whole", usize::from(session.history.is_some()));
-        verdict.examined("streams of joined clients", session.joined.len());
+        verdict.add_examined("sessions read back whole", usize::from(session.history.is_some()));
+        verdict.add_examined("streams of joined clients", session.joined.len());
     }
 }
 
-fn fault_of_session(session: &SessionRecord, turns: &[&TurnRecord]) -> Option<String> {
+fn find_session_error(session: &SessionRecord, turns: &[&TurnRecord]) -> Option<String> {
     for joined in &session.joined {
         let gap = joined.windows(2).find(|pair| pair[1].id != pair[0].id + 1);
         if let Some(pair) = gap {
             return Some(format!("a joined client got {} after {}", pair[1].id, pair[0].id));
         }
     }
-    let mut known: BTreeMap<u64, &StreamEvent> = BTreeMap::new();
+    let mut events_by_id: BTreeMap<u64, &StreamEvent> = BTreeMap::new();
     if let Some(history) = &session.history {
-        let gap = history.iter().zip(1..).find(|(event, place)| event.id != *place);
-        if let Some((event, place)) = gap {
-            return Some(format!("the history has event {} where {place} belongs", event.id));
+        let gap = history.iter().zip(1..).find(|(event, expected)| event.id != *expected);
+        if let Some((event, expected)) = gap {
+            return Some(format!("the history has event {} where {expected} belongs", event.id));
         }
-        known.extend(history.iter().map(|event| (event.id, event)));
+        events_by_id.extend(history.iter().map(|event| (event.id, event)));
     }
     let streams = turns.iter().map(|turn| &turn.events).chain(&session.joined);
     for event in streams.flatten() {
-        let first = match known.get(&event.id) {
+        let first = match events_by_id.get(&event.id) {
             Some(first) => first,
             None if session.history.is_some() => {
                 return Some(format!("event {} was shown and is not in the history", event.id));
             }
-            None => *known.entry(event.id).or_insert(event),
+            None => *events_by_id.entry(event.id).or_insert(event),
         };
         if first.event != event.event || first.data != event.data {
             return Some(format!("event {} shown as {first:?} and as {event:?}", event.id));
--- a/crates/bench/src/oracle/turns.rs
+++ b/crates/bench/src/oracle/turns.rs
@@ -11,8 +11,8 @@
 const FINAL_REFUSALS: [&str; 2] = ["budget_spent", "program_ended"];
 
 pub(super) fn check_refusals(evidence: &Evidence, verdict: &mut Verdict) {
-    let began: BTreeSet<(&str, &str)> = evidence
-        .models
+    let started: BTreeSet<(&str, &str)> = evidence
+        .model_ledgers
         .iter()
         .filter_map(|line| match &line.entry {
             LedgerEntry::GenerationBegan { session, turn, .. } => {
@@ -25,11 +25,15 @@
         if !FINAL_REFUSALS.contains(&code) {
             continue;
         }
-        verdict.examined("final refusals of turns", 1);
-        let ran = began.contains(&(turn.session.as_str(), turn.turn.as_str()));
-        if ran || !turn.events.is_empty() {
+        verdict.add_examined("final refusals of turns", 1);
+        let was_started = started.contains(&(turn.session.as_str(), turn.turn.as_str()));
+        if was_started || !turn.events.is_empty() {
             let subject = format!("{}/{}", turn.session, turn.turn);
-            verdict.add(Promise::TrueRefusals, subject, format!("told {code}, but it ran"));
+            verdict.add_violation(
+                Promise::TrueRefusals,
+                subject,
+                format!("told {code}, but it ran"),
+            );
         }
     }
 }
@@ -42,14 +46,17 @@
         .filter(|turn| matches!(turn.claim, TurnClaim::Ended(_)))
         .map(|turn| (turn.session.as_str(), turn.turn.as_str()))
         .collect();
-    let following = evidence.turns.iter().filter(|turn| turn.after.is_some()).count();
-    verdict.examined("turns that follow another", following);
+    let following_turns = evidence.turns.iter().filter(|turn| turn.after.is_some()).count();
+    verdict.add_examined("turns that follow another", following_turns);
     for (turn, code) in refused(evidence) {
-        let known = turn.after.as_deref().is_some_and(|a| ended.contains(&(&turn.session, a)));
-        if known && matches!(code, "no_such_turn" | "no_session" | "no_turn" | "no_program") {
+        let follows_ended_turn =
+            turn.after.as_deref().is_some_and(|a| ended.contains(&(&turn.session, a)));
+        if follows_ended_turn
+            && matches!(code, "no_such_turn" | "no_session" | "no_turn" | "no_program")
+        {
             let subject = format!("{}/{}", turn.session, turn.turn);
             let detail = format!("told {code}, though {:?} had ended", turn.after);
-            verdict.add(Promise::KnownTurns, subject, detail);
+            verdict.add_violation(Promise::KnownTurns, subject, detail);
         }
     }
 }
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -79,12 +79,12 @@
     let timeline = &outcome.timeline;
     let at = |millis: u64| millis.saturating_sub(timeline.from) as f64 / 1e3;
     let bands: Vec<Band> = outcome
-        .disturbances
+        .injected_faults
         .iter()
         .map(|fault| Band {
-            from: at(fault.from),
-            to: at(fault.until.unwrap_or(fault.from)),
-            label: fault.fault.clone(),
+            from: at(fault.started_at),
+            to: at(fault.ended_at.unwrap_or(fault.started_at)),
+            label: fault.description.clone(),
         })
         .collect();
     let plots = [
--- a/crates/bench/src/report/json.rs
+++ b/crates/bench/src/report/json.rs
@@ -58,8 +58,13 @@
     for violation in &outcome.verdict.violations {
         push(text, &Line::Violation { run, violation });
     }
-    for fault in &outcome.disturbances {
-        let line = Line::Fault { run, fault: &fault.fault, from: fault.from, until: fault.until };
+    for fault in &outcome.injected_faults {
+        let line = Line::Fault {
+            run,
+            fault: &fault.description,
+            from: fault.started_at,
+            until: fault.ended_at,
+        };
         push(text, &line);
     }
     push(text, &Line::Timeline { run, timeline: &outcome.timeline });
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -19,7 +19,7 @@
 use super::Outcome;
 use super::specification::{Load, Specification};
 use crate::faults::{RunProgress, measure_recovery};
-use crate::oracle::evidence::{Disturbance, DrainRecord};
+use crate::oracle::evidence::{DrainRecord, InjectedFault};
 use crate::workload::{
     CallStream, Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
 };
@@ -214,11 +214,11 @@
                 break;
             }
             progress.report_line(&format!("{name} is replaced"));
-            self.begin(format!("replace {name}"), vec![name.to_string()]);
-            let drain = DrainRecord { engine: name.word(), known: now(), until: None };
+            self.record_start(format!("replace {name}"), vec![name.to_string()]);
+            let drain = DrainRecord { engine: name.word(), started_at: now(), ended_at: None };
             self.client.recorder().lock().drains.push(drain);
             self.fleet.restart(name).await?;
-            self.end(&format!("replace {name}"), &name.word());
+            self.record_end(&format!("replace {name}"), &name.word());
         }
         Ok(())
     }
@@ -239,11 +239,11 @@
             let names = self.fleet.names(kind);
             let Some(name) = names.choose(&mut random).copied() else { continue };
             progress.report_line(&format!("{name} is killed"));
-            self.begin(format!("kill {name}"), vec![name.to_string()]);
+            self.record_start(format!("kill {name}"), vec![name.to_string()]);
             self.fleet.kill(name)?;
             sleep(AWAY).await;
             self.fleet.restart(name).await?;
-            self.end(&format!("kill {name}"), "");
+            self.record_end(&format!("kill {name}"), "");
             let recovery =
                 measure_recovery(&self.fleet, &self.profile, format!("kill {name}"), now()).await;
             self.client.recorder().lock().recoveries.push(recovery);
@@ -251,19 +251,23 @@
         Ok(())
     }
 
-    fn begin(&self, fault: String, hit: Vec<String>) {
-        let disturbance = Disturbance { fault, hit, from: now(), until: None };
-        self.client.recorder().lock().disturbances.push(disturbance);
+    fn record_start(&self, description: String, targets: Vec<String>) {
+        let injected = InjectedFault { description, targets, started_at: now(), ended_at: None };
+        self.client.recorder().lock().injected_faults.push(injected);
     }
 
-    fn end(&self, fault: &str, drained: &str) {
+    fn record_end(&self, description: &str, drained_engine: &str) {
         let recorder = self.client.recorder();
         let mut evidence = recorder.lock();
-        for disturbance in evidence.disturbances.iter_mut().filter(|d| d.fault == fault) {
-            disturbance.until.get_or_insert(now());
+        for injected in evidence
+            .injected_faults
+            .iter_mut()
+            .filter(|injected| injected.description == description)
+        {
+            injected.ended_at.get_or_insert(now());
         }
-        for drain in evidence.drains.iter_mut().filter(|drain| drain.engine == drained) {
-            drain.until.get_or_insert(now());
+        for drain in evidence.drains.iter_mut().filter(|drain| drain.engine == drained_engine) {
+            drain.ended_at.get_or_insert(now());
         }
     }
 
--- a/crates/bench/src/scenario/outcome.rs
+++ b/crates/bench/src/scenario/outcome.rs
@@ -1,6 +1,6 @@
 //! The results of a fleet run.
 
-use crate::oracle::evidence::{Disturbance, Evidence, Millis};
+use crate::oracle::evidence::{Evidence, InjectedFault, Millis};
 use crate::oracle::{Verdict, judge};
 use crate::report::Section;
 use crate::statistics::{RunStatistics, Timeline};
@@ -17,7 +17,7 @@
     /// Throughput per second.
     pub timeline: Timeline,
     /// Injected faults.
-    pub disturbances: Vec<Disturbance>,
+    pub injected_faults: Vec<InjectedFault>,
     /// Load averages of the machine at the end of the run.
     pub load: String,
 }
@@ -40,7 +40,7 @@
             verdict: judge(evidence),
             statistics,
             timeline: Timeline::of(evidence, span.0, span.1),
-            disturbances: evidence.disturbances.clone(),
+            injected_faults: evidence.injected_faults.clone(),
             load: crate::environment::load_averages(),
         }
     }
--- a/crates/bench/src/statistics.rs
+++ b/crates/bench/src/statistics.rs
@@ -80,8 +80,8 @@
     #[must_use]
     pub fn of(evidence: &Evidence, from: Millis, to: Millis) -> Self {
         let within = |at: Millis| (from..to).contains(&at);
-        let turns = || evidence.turns.iter().filter(|turn| within(turn.ended));
-        let calls = || evidence.calls.iter().filter(|call| within(call.ended));
+        let turns = || evidence.turns.iter().filter(|turn| within(turn.ended_at));
+        let calls = || evidence.calls.iter().filter(|call| within(call.ended_at));
         let seconds = (to.saturating_sub(from) as f64 / 1e3).max(1e-3);
         let finished = || turns().filter(|t| t.claim == TurnClaim::Ended("finished".to_owned()));
         let tokens: u64 =
@@ -99,9 +99,12 @@
             cuts: turns().map(|turn| u64::from(turn.cuts)).sum(),
             first_token_ms: Percentiles::of(turns().filter_map(|turn| turn.first_token_ms)),
             between_tokens_ms: Percentiles::of(turns().flat_map(|turn| turn.gaps_ms.clone())),
-            call_ms: Percentiles::of(answered().map(|c| c.ended.saturating_sub(c.begun) as f64)),
+            call_ms: Percentiles::of(
+                answered().map(|c| c.ended_at.saturating_sub(c.sent_at) as f64),
+            ),
             recovery_ms: Percentiles::of(
-                recoveries.filter_map(|r| Some(r.served?.saturating_sub(r.healed) as f64)),
+                recoveries
+                    .filter_map(|r| Some(r.served_at?.saturating_sub(r.fault_ended_at) as f64)),
             ),
         }
     }
@@ -119,7 +122,7 @@
     match claim {
         TurnClaim::Ended(end) => end.clone(),
         TurnClaim::Refused(code) => format!("refused: {code}"),
-        TurnClaim::Nothing(_) => "given up".to_owned(),
+        TurnClaim::Inconclusive(_) => "given up".to_owned(),
     }
 }
 
@@ -128,10 +131,12 @@
         CallClaim::Answered { .. } => "answered".to_owned(),
         CallClaim::NotRun(code) => format!("not run: {code}"),
         CallClaim::Unknown => "unknown".to_owned(),
-        CallClaim::Nothing(code) if code.chars().all(|c| c.is_ascii_lowercase() || c == '_') => {
+        CallClaim::Inconclusive(code)
+            if code.chars().all(|c| c.is_ascii_lowercase() || c == '_') =>
+        {
             format!("given up: {code}")
         }
-        CallClaim::Nothing(_) => "given up".to_owned(),
+        CallClaim::Inconclusive(_) => "given up".to_owned(),
     }
 }
 
@@ -169,14 +174,18 @@
         };
         let second = |at: Millis| usize::try_from(at.checked_sub(from)? / 1_000).ok();
         for turn in &evidence.turns {
-            let Some(index) = second(turn.ended).filter(|index| *index < seconds) else { continue };
+            let Some(index) = second(turn.ended_at).filter(|index| *index < seconds) else {
+                continue;
+            };
             let finished = turn.claim == TurnClaim::Ended("finished".to_owned());
             timeline.turns[index] += f64::from(u8::from(finished));
             let tokens = turn.events.iter().filter_map(|e| e.data["count"].as_u64()).sum::<u64>();
             timeline.tokens[index] += tokens as f64;
         }
         for call in &evidence.calls {
-            let Some(index) = second(call.ended).filter(|index| *index < seconds) else { continue };
+            let Some(index) = second(call.ended_at).filter(|index| *index < seconds) else {
+                continue;
+            };
             let answered = matches!(call.claims.first(), Some(CallClaim::Answered { .. }));
             timeline.calls[index] += f64::from(u8::from(answered));
         }
--- a/crates/bench/src/workload/call_stream.rs
+++ b/crates/bench/src/workload/call_stream.rs
@@ -47,11 +47,11 @@
         }
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut calls = JoinSet::new();
-        let (begun, mut sent) = (Instant::now(), 0_u64);
+        let (started, mut sent) = (Instant::now(), 0_u64);
         let mut steps = interval(STEP);
         steps.set_missed_tick_behavior(MissedTickBehavior::Skip);
         while stop.run_until_cancelled(steps.tick()).await.is_some() {
-            let due = (begun.elapsed().as_secs_f64() * self.per_second) as u64;
+            let due = (started.elapsed().as_secs_f64() * self.per_second) as u64;
             for number in sent..due {
                 let Some(planned) = self.plan(number, &mut random) else { return };
                 let (client, gateway) = (client.clone(), random.random_range(0..64));
--- a/crates/bench/src/workload/calls.rs
+++ b/crates/bench/src/workload/calls.rs
@@ -42,17 +42,17 @@
 impl Client {
     /// Makes a call, records it and returns the application's response, if there is one.
     pub async fn run_call(&self, gateway: usize, planned: &PlannedCall) -> Option<Value> {
-        let begun = now();
+        let sent_at = now();
         let ask = Ask::json(Method::PUT, planned.path(), &planned.request);
         let mut claims = vec![self.claim(gateway, &ask, planned.patience).await];
-        let ended = now();
+        let ended_at = now();
         if !planned.may_repeat {
             match &claims[0] {
                 CallClaim::Answered { .. } if planned.send_again => {
                     claims.push(self.claim(gateway + 1, &ask, planned.patience).await);
                 }
                 CallClaim::Unknown => claims.push(self.state(gateway + 1, planned).await),
-                CallClaim::Nothing(_) => claims.push(self.seal(gateway + 1, planned).await),
+                CallClaim::Inconclusive(_) => claims.push(self.seal(gateway + 1, planned).await),
                 _ => {}
             }
         }
@@ -65,8 +65,8 @@
             tool: planned.request.tool.clone(),
             arguments: planned.request.arguments.clone(),
             may_repeat: planned.may_repeat,
-            begun,
-            ended,
+            sent_at,
+            ended_at,
             claims,
         });
         answer
@@ -117,13 +117,13 @@
         },
         Some(state @ ("not_run" | "refused")) => CallClaim::NotRun(state.to_owned()),
         Some("unknown") => CallClaim::Unknown,
-        other => CallClaim::Nothing(other.unwrap_or("no state").to_owned()),
+        other => CallClaim::Inconclusive(other.unwrap_or("no state").to_owned()),
     }
 }
 
 fn claim_of(error: &CallerError) -> CallClaim {
     let CallerError::Problem(problem) = error else {
-        return CallClaim::Nothing(error.to_string());
+        return CallClaim::Inconclusive(error.to_string());
     };
     let not_run = problem.outcome.as_deref() == Some("not_run");
     match problem.code.as_str() {
@@ -131,6 +131,6 @@
         code if not_run || matches!(code, "call_refused" | "call_sealed") => {
             CallClaim::NotRun(code.to_owned())
         }
-        code => CallClaim::Nothing(code.to_owned()),
+        code => CallClaim::Inconclusive(code.to_owned()),
     }
 }
--- a/crates/bench/src/workload/client.rs
+++ b/crates/bench/src/workload/client.rs
@@ -29,7 +29,7 @@
     pub answer: Answer,
     /// Whether the first attempt returned it.
     pub first_try: bool,
-    pub begun: u64,
+    pub sent_at: u64,
 }
 
 impl Client {
@@ -70,9 +70,9 @@
         let deadline = Instant::now() + time;
         let mut first_try = true;
         loop {
-            let begun = super::now();
+            let sent_at = super::now();
             match self.caller().ask_once(gateway, ask).await {
-                Ok(answer) => return Ok(Answered { answer, first_try, begun }),
+                Ok(answer) => return Ok(Answered { answer, first_try, sent_at }),
                 Err(error) if error.is_passing() && Instant::now() < deadline => {
                     first_try = false;
                     gateway += 1;
--- a/crates/bench/src/workload/final_state.rs
+++ b/crates/bench/src/workload/final_state.rs
@@ -30,8 +30,8 @@
     let applications = fleet.ledgers(ProcessKind::App)?;
     let models = fleet.ledgers(ProcessKind::Model)?;
     let mut evidence = client.recorder.lock();
-    evidence.applications = applications;
-    evidence.models = models;
+    evidence.application_ledgers = applications;
+    evidence.model_ledgers = models;
     Ok(())
 }
 
--- a/crates/bench/src/workload/operators.rs
+++ b/crates/bench/src/workload/operators.rs
@@ -16,7 +16,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::recorder::{Recorder, now};
-use crate::oracle::evidence::{BundleRead, SubmissionAnswer, SubmissionRecord};
+use crate::oracle::evidence::{BundleRead, SubmissionOutcome, SubmissionRecord};
 
 /// Timeout of a read.
 const READ_TIME: Duration = Duration::from_secs(5);
@@ -120,13 +120,13 @@
     recorder: &Recorder,
     node: ProcessName,
 ) -> Option<Bundle> {
-    let begun = now();
+    let sent_at = now();
     let ask = Ask::new(Method::GET, "/admin/v1/bundles/current");
     let address = fleet.http_address(node).ok()?;
     let answer = http.ask_within(address, &ask, READ_TIME).await.ok()?;
     let content: Content = answer.json().ok()?;
     let version = content.bundle.version.0;
-    recorder.lock().bundle_reads.push(BundleRead { begun, version });
+    recorder.lock().bundle_reads.push(BundleRead { sent_at, version });
     Some(content.bundle)
 }
 
@@ -137,24 +137,24 @@
     node: ProcessName,
     bundle: &Bundle,
 ) -> bool {
-    let begun = now();
-    let answer = match fleet.submit_bundle_at(node, bundle).await {
-        Ok(_) => SubmissionAnswer::Acknowledged,
+    let sent_at = now();
+    let outcome = match fleet.submit_bundle_at(node, bundle).await {
+        Ok(_) => SubmissionOutcome::Acknowledged,
         Err(FleetError::Http(HttpError::Status { status, body, .. }))
             if (400..500).contains(&status) =>
         {
-            SubmissionAnswer::Refused(body)
+            SubmissionOutcome::Refused(body)
         }
-        Err(_) => SubmissionAnswer::Nothing,
+        Err(_) => SubmissionOutcome::Inconclusive,
     };
-    let acknowledged = answer == SubmissionAnswer::Acknowledged;
+    let acknowledged = outcome == SubmissionOutcome::Acknowledged;
     recorder.lock().submissions.push(SubmissionRecord {
         version: bundle.version.0,
         base: bundle.base.0,
         digest: hooklug_bundle::digest(bundle).to_string(),
-        begun,
-        answered: now(),
-        answer,
+        sent_at,
+        answered_at: now(),
+        outcome,
     });
     acknowledged
 }
--- a/crates/bench/src/workload/programs.rs
+++ b/crates/bench/src/workload/programs.rs
@@ -142,7 +142,7 @@
             let record = self.run_turn(number, after.as_deref()).await;
             match &record.claim {
                 TurnClaim::Ended(_) => after = Some(record.turn.clone()),
-                TurnClaim::Refused(_) | TurnClaim::Nothing(_) => return,
+                TurnClaim::Refused(_) | TurnClaim::Inconclusive(_) => return,
             }
             let gateway = self.gateway();
             // The poll only records the owner, so a failed one is ignored.
--- a/crates/bench/src/workload/sessions.rs
+++ b/crates/bench/src/workload/sessions.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::client::{Answered, Client};
-use crate::oracle::evidence::{OwnerSeen, ProgramRecord};
+use crate::oracle::evidence::{OwnerObservation, ProgramRecord};
 
 /// Time within which requests that declare or open something are retried.
 const OPEN_TIME: Duration = Duration::from_secs(30);
@@ -39,13 +39,13 @@
         gateway: usize,
         program: &str,
         budget: u64,
-        longest_turn: u64,
+        max_turn_tokens: u64,
     ) -> Result<(), CallerError> {
         let end = UnixMillis::now().plus(PROGRAM_TIME).0;
         let body = json!({"token_budget": budget, "end_time_ms": end});
         let ask = Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body);
         self.ask(gateway, &ask, OPEN_TIME).await?;
-        let record = ProgramRecord { budget, longest_turn, booked: None };
+        let record = ProgramRecord { budget, max_turn_tokens, booked: None };
         self.recorder.lock().programs.insert(program.to_owned(), record);
         Ok(())
     }
@@ -89,7 +89,8 @@
         let mut evidence = self.recorder.lock();
         let record = evidence.sessions.entry(name(session)).or_default();
         if let Some(owner) = view.owner {
-            let seen = OwnerSeen { owner, epoch: view.epoch, begun: answered.begun, opened };
+            let seen =
+                OwnerObservation { owner, epoch: view.epoch, sent_at: answered.sent_at, opened };
             record.owners.push(seen);
         }
         Ok(())
--- a/crates/bench/src/workload/turns.rs
+++ b/crates/bench/src/workload/turns.rs
@@ -62,11 +62,11 @@
             session: format!("{}/{}", session.program, session.session),
             turn: request.turn.clone(),
             after: request.after.clone(),
-            begun: now(),
-            ended: 0,
+            sent_at: now(),
+            ended_at: 0,
             events: Vec::new(),
             ended_without_terminal: false,
-            claim: TurnClaim::Nothing(String::new()),
+            claim: TurnClaim::Inconclusive(String::new()),
             first_token_ms: None,
             gaps_ms: Vec::new(),
             cuts: 0,
@@ -129,16 +129,16 @@
         match error {
             Some(error) if !error.is_passing() => Some(match error.code() {
                 Some(code) => TurnClaim::Refused(code.to_owned()),
-                None => TurnClaim::Nothing(error.to_string()),
+                None => TurnClaim::Inconclusive(error.to_string()),
             }),
-            Some(error) if over => Some(TurnClaim::Nothing(error.to_string())),
-            None if over => Some(TurnClaim::Nothing("no terminal event".to_owned())),
+            Some(error) if over => Some(TurnClaim::Inconclusive(error.to_string())),
+            None if over => Some(TurnClaim::Inconclusive("no terminal event".to_owned())),
             _ => None,
         }
     }
 
     fn finish(mut self, claim: TurnClaim) -> TurnRecord {
-        self.record.ended = now();
+        self.record.ended_at = now();
         self.record.claim = claim;
         self.record
     }
--- a/crates/bench/src/workload/version_observer.rs
+++ b/crates/bench/src/workload/version_observer.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::recorder::{Recorder, now};
-use crate::oracle::evidence::InstalledSeen;
+use crate::oracle::evidence::VersionObservation;
 
 /// Pause between two rounds of polls.
 const PAUSE: Duration = Duration::from_millis(400);
@@ -29,17 +29,17 @@
     while !stop.is_cancelled() {
         let nodes = fleet.all_names().into_iter().filter(|name| name.kind.is_node());
         let looks = nodes.map(|name| look(&fleet, &http, name));
-        let seen: Vec<InstalledSeen> = join_all(looks).await.into_iter().flatten().collect();
-        recorder.lock().installed.extend(seen);
+        let seen: Vec<VersionObservation> = join_all(looks).await.into_iter().flatten().collect();
+        recorder.lock().installed_versions.extend(seen);
         stop.run_until_cancelled(tokio::time::sleep(PAUSE)).await;
     }
 }
 
-async fn look(fleet: &Fleet, http: &HttpClient, name: ProcessName) -> Option<InstalledSeen> {
+async fn look(fleet: &Fleet, http: &HttpClient, name: ProcessName) -> Option<VersionObservation> {
     let address = fleet.http_address(name).ok()?;
-    let begun = now();
+    let sent_at = now();
     let ask = Ask::new(Method::GET, "/admin/v1/view");
     let answer = http.ask_within(address, &ask, LOOK_TIME).await.ok()?;
     let view: View = answer.json().ok()?;
-    Some(InstalledSeen { node: name.to_string(), begun, version: view.installed_bundle })
+    Some(VersionObservation { node: name.to_string(), sent_at, version: view.installed_bundle })
 }
--- a/crates/bench/tests/oracle/main.rs
+++ b/crates/bench/tests/oracle/main.rs
@@ -7,8 +7,8 @@
 mod records;
 
 use hooklug_bench::oracle::evidence::{
-    CallClaim, Disturbance, DrainRecord, Evidence, HarmfulRelease, OwnerSeen, SubmissionAnswer,
-    TurnClaim,
+    CallClaim, DrainRecord, Evidence, HarmfulRelease, InjectedFault, OwnerObservation,
+    SubmissionOutcome, TurnClaim,
 };
 use hooklug_bench::oracle::{Promise, judge};
 use hooklug_bench::scenario::takeover::takeover_times;
@@ -16,14 +16,15 @@
 use hooklug_fleet::caller::StreamEvent;
 use hooklug_types::UnixMillis;
 use records::{
-    CALL, SESSION, answer_body, event, events, generation, line, ran, seen, sound, turn,
+    CALL, SESSION, answer_body, call_ran, event, events, generation, installed_version,
+    ledger_line, turn, valid_evidence,
 };
 use serde_json::{Value, json};
 
 /// Corrupts valid records and expects violations of exactly one promise.
-fn breaks(promise: Promise, doctor: impl FnOnce(&mut Evidence)) {
-    let mut evidence = sound();
-    doctor(&mut evidence);
+fn assert_violates(promise: Promise, corrupt: impl FnOnce(&mut Evidence)) {
+    let mut evidence = valid_evidence();
+    corrupt(&mut evidence);
     let verdict = judge(&evidence);
     assert!(!verdict.violations.is_empty(), "{promise:?} was broken unnoticed");
     for violation in verdict.violations {
@@ -33,7 +34,7 @@
 
 #[test]
 fn sound_records_break_nothing_and_every_check_looked_at_something() {
-    let verdict = judge(&sound());
+    let verdict = judge(&valid_evidence());
     assert_eq!(verdict.violations, []);
     for what in ["calls that may not be repeated", "answers to calls", "texts of turns", "budgets"]
     {
@@ -43,36 +44,38 @@
 
 #[test]
 fn a_second_run_is_noticed() {
-    breaks(Promise::AtMostOnce, |e| e.applications.push(ran(9_000, "app-1", "v1", CALL)));
+    assert_violates(Promise::AtMostOnce, |e| {
+        e.application_ledgers.push(call_ran(9_000, "app-1", "v1", CALL))
+    });
 }
 
 #[test]
 fn a_false_not_run_is_noticed_also_when_it_runs_later() {
-    breaks(Promise::TrueRefusals, |e| {
+    assert_violates(Promise::TrueRefusals, |e| {
         e.calls[0].claims = vec![CallClaim::NotRun("not_run".to_owned())];
-        e.applications[0].at = UnixMillis(90_000);
+        e.application_ledgers[0].at = UnixMillis(90_000);
     });
 }
 
 #[test]
 fn a_false_budget_spent_is_noticed() {
-    breaks(Promise::TrueRefusals, |e| {
-        e.models.extend(generation("model-0", "t2", "", 0, "aborted"));
+    assert_violates(Promise::TrueRefusals, |e| {
+        e.model_ledgers.extend(generation("model-0", "t2", "", 0, "aborted"));
     });
 }
 
 #[test]
 fn foreign_crossed_and_cut_answers_of_calls_are_noticed() {
-    let doctored: [fn(&mut Value); 4] = [
+    let corruptions: [fn(&mut Value); 4] = [
         |body| body["call"] = "p/c2".into(),
         |body| body["arguments"] = json!({}),
         |body| body["engine"] = "app-9".into(),
         |body| *body = Value::String("{\"tool\": \"send_al".to_owned()),
     ];
-    for doctor in doctored {
-        breaks(Promise::OwnWholeAnswers, |e| {
+    for corrupt in corruptions {
+        assert_violates(Promise::OwnWholeAnswers, |e| {
             let mut body = answer_body();
-            doctor(&mut body);
+            corrupt(&mut body);
             e.calls[0].claims = vec![CallClaim::Answered { status: 200, body }];
         });
     }
@@ -80,7 +83,7 @@
 
 #[test]
 fn a_second_answer_that_differs_is_noticed() {
-    breaks(Promise::OwnWholeAnswers, |e| {
+    assert_violates(Promise::OwnWholeAnswers, |e| {
         let mut body = answer_body();
         body["times"] = 2.into();
         e.calls[0].claims.push(CallClaim::Answered { status: 200, body });
@@ -89,25 +92,25 @@
 
 #[test]
 fn a_text_cut_short_but_shown_as_finished_is_noticed() {
-    breaks(Promise::OwnWholeAnswers, |e| {
-        e.models.truncate(0);
-        e.models.extend(generation("model-0", "t1", "vent now wait ", 3, "stop"));
+    assert_violates(Promise::OwnWholeAnswers, |e| {
+        e.model_ledgers.truncate(0);
+        e.model_ledgers.extend(generation("model-0", "t1", "vent now wait ", 3, "stop"));
     });
-    breaks(Promise::OwnWholeAnswers, |e| {
-        e.models.truncate(0);
-        e.models.extend(generation("model-0", "t1", "vent now ", 2, "aborted"));
+    assert_violates(Promise::OwnWholeAnswers, |e| {
+        e.model_ledgers.truncate(0);
+        e.model_ledgers.extend(generation("model-0", "t1", "vent now ", 2, "aborted"));
     });
 }
 
 #[test]
 fn another_requests_text_is_noticed() {
-    breaks(Promise::OwnWholeAnswers, |e| {
-        e.models.truncate(0);
-        e.models.extend(generation("model-0", "t1", "vent now ", 2, "crossed"));
+    assert_violates(Promise::OwnWholeAnswers, |e| {
+        e.model_ledgers.truncate(0);
+        e.model_ledgers.extend(generation("model-0", "t1", "vent now ", 2, "crossed"));
     });
-    breaks(Promise::OwnWholeAnswers, |e| {
-        e.models.truncate(0);
-        e.models.extend(generation("model-0", "t1", "heat up ", 2, "aborted"));
+    assert_violates(Promise::OwnWholeAnswers, |e| {
+        e.model_ledgers.truncate(0);
+        e.model_ledgers.extend(generation("model-0", "t1", "heat up ", 2, "aborted"));
         let end = event(4, "interrupted", json!({"turn": "t1", "tokens": 2}));
         replace_event(e, &end);
         e.turns[0].claim = TurnClaim::Ended("interrupted".to_owned());
@@ -127,22 +130,22 @@
 
 #[test]
 fn lost_repeated_and_spliced_events_are_noticed() {
-    breaks(Promise::ExactStreams, |e| {
+    assert_violates(Promise::ExactStreams, |e| {
         e.turns[0].events.remove(1);
         // The text is shortened too. The ledger is adapted to it, so that the check of texts does
         // not report it first.
-        e.models.truncate(0);
-        e.models.extend(generation("model-0", "t1", "now ", 1, "stop"));
+        e.model_ledgers.truncate(0);
+        e.model_ledgers.extend(generation("model-0", "t1", "now ", 1, "stop"));
     });
-    breaks(Promise::ExactStreams, |e| {
+    assert_violates(Promise::ExactStreams, |e| {
         let again = e.turns[0].events[2].clone();
         e.turns[0].events.insert(3, again);
         // The text is extended too. The ledger is adapted to it, so that the check of texts does
         // not report it first.
-        e.models.truncate(0);
-        e.models.extend(generation("model-0", "t1", "vent now now ", 3, "stop"));
+        e.model_ledgers.truncate(0);
+        e.model_ledgers.extend(generation("model-0", "t1", "vent now now ", 3, "stop"));
     });
-    breaks(Promise::ExactStreams, |e| {
+    assert_violates(Promise::ExactStreams, |e| {
         e.turns[0].events[2].data["turn"] = "t0".into();
         e.sessions.clear();
     });
@@ -150,12 +153,12 @@
 
 #[test]
 fn a_stream_that_ends_without_its_end_is_noticed() {
-    breaks(Promise::ExactStreams, |e| e.turns[0].ended_without_terminal = true);
+    assert_violates(Promise::ExactStreams, |e| e.turns[0].ended_without_terminal = true);
 }
 
 #[test]
 fn an_event_shown_before_its_commit_is_noticed() {
-    breaks(Promise::ExactStreams, |e| {
+    assert_violates(Promise::ExactStreams, |e| {
         // The previous owner showed a second token that was never committed; the new owner stored
         // the end of the turn at its id.
         let session = e.sessions.get_mut(SESSION).unwrap();
@@ -163,18 +166,18 @@
         let end = event(3, "interrupted", json!({"turn": "t1", "tokens": 1}));
         session.history = Some(vec![events()[0].clone(), events()[1].clone(), end]);
         e.turns[0].events.truncate(3);
-        e.turns[0].claim = TurnClaim::Nothing("cut".to_owned());
+        e.turns[0].claim = TurnClaim::Inconclusive("cut".to_owned());
     });
 }
 
 #[test]
 fn clients_that_see_different_events_are_noticed() {
-    breaks(Promise::ExactStreams, |e| {
+    assert_violates(Promise::ExactStreams, |e| {
         let session = e.sessions.get_mut(SESSION).unwrap();
         session.history = None;
         session.joined[0][1].data["text"] = "heat ".into();
     });
-    breaks(Promise::ExactStreams, |e| {
+    assert_violates(Promise::ExactStreams, |e| {
         let session = e.sessions.get_mut(SESSION).unwrap();
         session.joined[0].remove(2);
     });
@@ -182,112 +185,123 @@
 
 #[test]
 fn two_owners_are_noticed() {
-    breaks(Promise::SingleOwner, |e| {
+    assert_violates(Promise::SingleOwner, |e| {
         let session = e.sessions.get_mut(SESSION).unwrap();
         let owner = "engine-1".to_owned();
-        session.owners.push(OwnerSeen { owner, epoch: 1, begun: 60, opened: false });
+        session.owners.push(OwnerObservation { owner, epoch: 1, sent_at: 60, opened: false });
     });
-    breaks(Promise::SingleOwner, |e| {
-        e.models.extend(generation("model-1", "t1", "vent ", 1, "aborted"));
+    assert_violates(Promise::SingleOwner, |e| {
+        e.model_ledgers.extend(generation("model-1", "t1", "vent ", 1, "aborted"));
     });
 }
 
 #[test]
 fn tokens_over_the_budget_and_unbooked_ones_are_noticed() {
-    breaks(Promise::TokenBudget, |e| {
+    assert_violates(Promise::TokenBudget, |e| {
         e.programs.get_mut("p").unwrap().budget = 0;
-        e.programs.get_mut("p").unwrap().longest_turn = 1;
+        e.programs.get_mut("p").unwrap().max_turn_tokens = 1;
     });
-    breaks(Promise::TokenBudget, |e| e.programs.get_mut("p").unwrap().booked = Some(1));
+    assert_violates(Promise::TokenBudget, |e| e.programs.get_mut("p").unwrap().booked = Some(1));
 }
 
 #[test]
 fn a_false_no_such_turn_is_noticed() {
-    breaks(Promise::KnownTurns, |e| {
+    assert_violates(Promise::KnownTurns, |e| {
         e.turns[1].claim = TurnClaim::Refused("no_such_turn".to_owned());
     });
 }
 
 #[test]
 fn work_at_a_draining_engine_is_noticed() {
-    let drain = |engine: &str, known| DrainRecord { engine: engine.into(), known, until: None };
-    breaks(Promise::DrainedEngines, |e| {
-        e.sessions.get_mut(SESSION).unwrap().owners[0].begun = 3_002;
+    let drain = |engine: &str, started_at| DrainRecord {
+        engine: engine.into(),
+        started_at,
+        ended_at: None,
+    };
+    assert_violates(Promise::DrainedEngines, |e| {
+        e.sessions.get_mut(SESSION).unwrap().owners[0].sent_at = 3_002;
         e.drains.push(drain("engine-0", 1));
     });
-    breaks(Promise::DrainedEngines, |e| {
+    assert_violates(Promise::DrainedEngines, |e| {
         e.drains.push(drain("app-0", 1));
         let refused = LedgerEntry::Refused { call: "p/c9".into(), reason: "draining".into() };
-        e.applications.push(line(3_002, "app-0", "v1", refused));
+        e.application_ledgers.push(ledger_line(3_002, "app-0", "v1", refused));
     });
 }
 
 #[test]
 fn a_bundle_that_is_late_somewhere_is_noticed_unless_a_fault_hit_the_node() {
-    let late = |e: &mut Evidence| e.installed.push(seen(2_400, 1));
-    breaks(Promise::BundleInForce, |e| {
-        e.installed.clear();
+    let late = |e: &mut Evidence| e.installed_versions.push(installed_version(2_400, 1));
+    assert_violates(Promise::BundleInForce, |e| {
+        e.installed_versions.clear();
         late(e);
     });
-    let mut evidence = sound();
-    evidence.installed.clear();
+    let mut evidence = valid_evidence();
+    evidence.installed_versions.clear();
     late(&mut evidence);
-    evidence.disturbances.push(Disturbance {
-        fault: "freeze gateway:0".to_owned(),
-        hit: vec!["gateway:0".to_owned()],
-        from: 90,
-        until: None,
+    evidence.injected_faults.push(InjectedFault {
+        description: "freeze gateway:0".to_owned(),
+        targets: vec!["gateway:0".to_owned()],
+        started_at: 90,
+        ended_at: None,
     });
     assert_eq!(judge(&evidence).violations, []);
 }
 
 #[test]
 fn a_node_that_goes_back_is_noticed() {
-    breaks(Promise::BundleInForce, |e| {
-        e.installed.insert(1, seen(130, 2));
-        e.installed.insert(2, seen(140, 1));
+    assert_violates(Promise::BundleInForce, |e| {
+        e.installed_versions.insert(1, installed_version(130, 2));
+        e.installed_versions.insert(2, installed_version(140, 1));
     });
 }
 
 #[test]
 fn two_accepted_racers_and_a_refused_resend_are_noticed() {
-    breaks(Promise::BundleRaces, |e| e.submissions[1].answer = SubmissionAnswer::Acknowledged);
-    breaks(Promise::BundleRaces, |e| {
-        e.submissions[2].answer = SubmissionAnswer::Refused("stale base".to_owned());
+    assert_violates(Promise::BundleRaces, |e| {
+        e.submissions[1].outcome = SubmissionOutcome::Acknowledged
+    });
+    assert_violates(Promise::BundleRaces, |e| {
+        e.submissions[2].outcome = SubmissionOutcome::Refused("stale base".to_owned());
     });
 }
 
 #[test]
 fn an_old_bundle_read_back_is_noticed() {
-    breaks(Promise::DurableBundles, |e| e.bundle_reads[0].version = 1);
+    assert_violates(Promise::DurableBundles, |e| e.bundle_reads[0].version = 1);
 }
 
 #[test]
 fn late_traffic_to_a_harmful_version_is_noticed() {
-    breaks(Promise::HarmfulVersions, |e| {
-        e.harmful.push(HarmfulRelease { version: "bad".to_owned(), samples: 2 });
+    assert_violates(Promise::HarmfulVersions, |e| {
+        e.harmful_releases.push(HarmfulRelease { version: "bad".to_owned(), samples: 2 });
         for (at, call) in [(1_000, "p/x"), (2_000, "p/y"), (7_001, "p/z")] {
-            e.applications.push(ran(at, "app-5", "bad", call));
+            e.application_ledgers.push(call_ran(at, "app-5", "bad", call));
         }
     });
 }
 
 #[test]
 fn late_and_missing_recoveries_are_noticed() {
-    breaks(Promise::Recovery, |e| e.recoveries[0].served = Some(12_001));
-    breaks(Promise::Recovery, |e| e.recoveries[0].served = None);
+    assert_violates(Promise::Recovery, |e| e.recoveries[0].served_at = Some(12_001));
+    assert_violates(Promise::Recovery, |e| e.recoveries[0].served_at = None);
 }
 
 #[test]
 fn a_takeover_lasts_until_the_next_turns_first_token() {
-    let mut evidence = sound();
-    let hit = vec!["engine-0".to_owned()];
-    let kill = Disturbance { fault: "kill engine:0".to_owned(), hit, from: 1_000, until: None };
-    evidence.disturbances = vec![kill];
-    let timed = |name: &str, begun: u64, first: f64, end: &str| {
+    let mut evidence = valid_evidence();
+    let targets = vec!["engine-0".to_owned()];
+    let kill = InjectedFault {
+        description: "kill engine:0".to_owned(),
+        targets,
+        started_at: 1_000,
+        ended_at: None,
+    };
+    evidence.injected_faults = vec![kill];
+    let timed = |name: &str, sent_at: u64, first: f64, end: &str| {
         let ended = TurnClaim::Ended(end.to_owned());
         let mut record = turn(name, None, events(), ended);
-        (record.begun, record.first_token_ms) = (begun, Some(first));
+        (record.sent_at, record.first_token_ms) = (sent_at, Some(first));
         record
     };
     // One turn before the kill, one that the killed engine had started, and two after it.
@@ -300,6 +314,6 @@
     assert_eq!(takeover_times(&evidence, "kill"), [3_450.0]);
     assert!(takeover_times(&evidence, "freeze").is_empty());
     // Sessions of an engine that was not affected by the fault are not counted.
-    evidence.disturbances[0].hit = vec!["engine-1".to_owned()];
+    evidence.injected_faults[0].targets = vec!["engine-1".to_owned()];
     assert!(takeover_times(&evidence, "kill").is_empty());
 }
--- a/crates/bench/tests/oracle/records.rs
+++ b/crates/bench/tests/oracle/records.rs
@@ -1,8 +1,8 @@
 //! Records of a run without violations.
 
 use hooklug_bench::oracle::evidence::{
-    BundleRead, CallClaim, CallRecord, Evidence, InstalledSeen, OwnerSeen, ProgramRecord, Recovery,
-    SessionRecord, SubmissionAnswer, SubmissionRecord, TurnClaim, TurnRecord,
+    BundleRead, CallClaim, CallRecord, Evidence, OwnerObservation, ProgramRecord, Recovery,
+    SessionRecord, SubmissionOutcome, SubmissionRecord, TurnClaim, TurnRecord, VersionObservation,
 };
 use hooklug_emulator::{LedgerEntry, LedgerLine};
 use hooklug_fleet::caller::StreamEvent;
@@ -12,15 +12,20 @@
 pub const CALL: &str = "p/c1";
 pub const SESSION: &str = "p/s";
 
-pub fn line(at: u64, engine: &str, version: &str, entry: LedgerEntry) -> LedgerLine {
+pub fn ledger_line(at: u64, engine: &str, version: &str, entry: LedgerEntry) -> LedgerLine {
     let identity = format!("service/{engine}/7");
     LedgerLine { at: UnixMillis(at), identity, version: version.to_owned(), entry }
 }
 
-pub fn ran(at: u64, engine: &str, version: &str, call: &str) -> LedgerLine {
+pub fn call_ran(at: u64, engine: &str, version: &str, call: &str) -> LedgerLine {
     let (call, attempt) = (call.to_owned(), "1".to_owned());
     let (tool, request) = ("send_alarm".to_owned(), "r".to_owned());
-    line(at, engine, version, LedgerEntry::CallRan { call, attempt, tool, request, times: 1 })
+    ledger_line(
+        at,
+        engine,
+        version,
+        LedgerEntry::CallRan { call, attempt, tool, request, times: 1 },
+    )
 }
 
 pub fn generation(engine: &str, turn: &str, text: &str, tokens: u64, end: &str) -> [LedgerLine; 2] {
@@ -41,7 +46,7 @@
         tokens,
         end: end.to_owned(),
     };
-    [line(10, engine, "v1", began), line(20, engine, "v1", ended)]
+    [ledger_line(10, engine, "v1", began), ledger_line(20, engine, "v1", ended)]
 }
 
 pub fn event(id: u64, event: &str, data: Value) -> StreamEvent {
@@ -67,8 +72,8 @@
         session: SESSION.to_owned(),
         turn: name.to_owned(),
         after: after.map(str::to_owned),
-        begun: 5,
-        ended: 30,
+        sent_at: 5,
+        ended_at: 30,
         events,
         ended_without_terminal: false,
         claim,
@@ -82,10 +87,10 @@
     version: u64,
     digest: &str,
     at: u64,
-    answer: SubmissionAnswer,
+    outcome: SubmissionOutcome,
 ) -> SubmissionRecord {
     let (base, digest) = (version - 1, digest.to_owned());
-    SubmissionRecord { version, base, digest, begun: at, answered: at + 10, answer }
+    SubmissionRecord { version, base, digest, sent_at: at, answered_at: at + 10, outcome }
 }
 
 pub fn answer_body() -> Value {
@@ -93,11 +98,12 @@
 }
 
 /// Returns the records of a run without violations.
-pub fn sound() -> Evidence {
+pub fn valid_evidence() -> Evidence {
     let mut evidence = Evidence::default();
-    let program = ProgramRecord { budget: 10, longest_turn: 4, booked: Some(2) };
+    let program = ProgramRecord { budget: 10, max_turn_tokens: 4, booked: Some(2) };
     evidence.programs.insert("p".to_owned(), program);
-    let owner = OwnerSeen { owner: "engine-0".to_owned(), epoch: 1, begun: 4, opened: true };
+    let owner =
+        OwnerObservation { owner: "engine-0".to_owned(), epoch: 1, sent_at: 4, opened: true };
     let history = Some(events());
     let session = SessionRecord { owners: vec![owner], joined: vec![events()], history };
     evidence.sessions.insert(SESSION.to_owned(), session);
@@ -109,22 +115,26 @@
         tool: "send_alarm".to_owned(),
         arguments: json!({"house": 4}),
         may_repeat: false,
-        begun: 40,
-        ended: 50,
+        sent_at: 40,
+        ended_at: 50,
         claims: vec![CallClaim::Answered { status: 200, body: answer_body() }],
     });
-    evidence.applications.push(ran(45, "app-0", "v1", CALL));
-    evidence.models.extend(generation("model-0", "t1", "vent now ", 2, "stop"));
-    evidence.submissions.push(submission(2, "a", 100, SubmissionAnswer::Acknowledged));
-    evidence.submissions.push(submission(2, "b", 105, SubmissionAnswer::Refused("race".into())));
-    evidence.submissions.push(submission(2, "a", 150, SubmissionAnswer::Acknowledged));
-    evidence.installed.push(seen(120, 1));
-    evidence.installed.push(seen(2_200, 2));
-    evidence.bundle_reads.push(BundleRead { begun: 200, version: 2 });
-    evidence.recoveries.push(Recovery { after: "x".into(), healed: 0, served: Some(11_000) });
+    evidence.application_ledgers.push(call_ran(45, "app-0", "v1", CALL));
+    evidence.model_ledgers.extend(generation("model-0", "t1", "vent now ", 2, "stop"));
+    evidence.submissions.push(submission(2, "a", 100, SubmissionOutcome::Acknowledged));
+    evidence.submissions.push(submission(2, "b", 105, SubmissionOutcome::Refused("race".into())));
+    evidence.submissions.push(submission(2, "a", 150, SubmissionOutcome::Acknowledged));
+    evidence.installed_versions.push(installed_version(120, 1));
+    evidence.installed_versions.push(installed_version(2_200, 2));
+    evidence.bundle_reads.push(BundleRead { sent_at: 200, version: 2 });
+    evidence.recoveries.push(Recovery {
+        fault: "x".into(),
+        fault_ended_at: 0,
+        served_at: Some(11_000),
+    });
     evidence
 }
 
-pub fn seen(begun: u64, version: u64) -> InstalledSeen {
-    InstalledSeen { node: "gateway:0".to_owned(), begun, version }
+pub fn installed_version(sent_at: u64, version: u64) -> VersionObservation {
+    VersionObservation { node: "gateway:0".to_owned(), sent_at, version }
 }
