--- a/crates/bench/src/command/run.rs
+++ b/crates/bench/src/command/run.rs
@@ -9,7 +9,7 @@
 use super::progress::TimedProgressBar;
 use crate::environment::Environment;
 use crate::report::{Report, Section};
-use crate::scenario::burst::SceneRun;
+use crate::scenario::burst::BurstRun;
 use crate::scenario::chaos::default_topology;
 use crate::scenario::specification::Specification;
 use crate::scenario::takeover::Takeover;
@@ -64,7 +64,7 @@
         }
     }
 
-    fn part_duration(&self) -> Duration {
+    fn measured_time(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 }
@@ -103,17 +103,17 @@
     scenario: &str,
     common: &CommonArguments,
 ) -> anyhow::Result<Vec<Section>> {
-    let (topology, part) = (common.topology()?, common.part_duration());
+    let (topology, time) = (common.topology()?, common.measured_time());
     let callers = common.callers.unwrap_or(DEFAULT_CALLERS);
     let streams = common.callers.unwrap_or(DEFAULT_STREAMS);
-    let bar = TimedProgressBar::start(scenario, part + SETUP_TIME);
+    let bar = TimedProgressBar::start(scenario, time + SETUP_TIME);
     match scenario {
-        "calls" => Ok(vec![call_rate::run(topology, callers, part).await?]),
-        "proxy" => Ok(vec![proxy::run(topology, callers, part).await?]),
+        "calls" => Ok(vec![call_rate::run(topology, callers, time).await?]),
+        "proxy" => Ok(vec![proxy::run(topology, callers, time).await?]),
         "overhead" => Ok(vec![overhead::run(topology, streams).await?]),
         "takeover" => {
             let (data, seed) = (common.data.clone(), common.seed);
-            let run = Takeover { topology, time: part, programs: streams, seed, data };
+            let run = Takeover { topology, time, programs: streams, seed, data };
             Ok(run.run(&bar).await?)
         }
         _ => {
@@ -130,11 +130,16 @@
 ) -> anyhow::Result<Section> {
     specification.scale *= common.scale;
     let data = common.data.clone();
-    let run =
-        SceneRun { specification, topology, part: common.part_duration(), seed: common.seed, data };
+    let run = BurstRun {
+        specification,
+        topology,
+        phase_time: common.measured_time(),
+        seed: common.seed,
+        data,
+    };
     let bar = TimedProgressBar::start(
         &specification.to_string(),
-        common.part_duration() * 2 + SETUP_TIME,
+        common.measured_time() * 2 + SETUP_TIME,
     );
     Ok(run.run(&bar).await?.into_section())
 }
--- a/crates/bench/src/faults/harmful_release.rs
+++ b/crates/bench/src/faults/harmful_release.rs
@@ -7,7 +7,7 @@
 use hooklug_types::{BundleVersion, ServiceVersion};
 
 use crate::oracle::evidence::HarmfulRelease;
-use crate::workload::{Recorder, read_back, submit};
+use crate::workload::{Recorder, read_newest_bundle, submit};
 
 /// Share of responses that the new version loses, far above the default failure threshold of 0.1.
 const LOST_RESPONSE_SHARE: f64 = 0.6;
@@ -31,7 +31,9 @@
     let nodes: Vec<ProcessName> =
         fleet.all_names().into_iter().filter(|name| name.kind.is_node()).collect();
     for node in nodes.iter().cycle().take(ATTEMPTS) {
-        let Some(mut bundle) = read_back(fleet, &http, recorder, *node).await else { continue };
+        let Some(mut bundle) = read_newest_bundle(fleet, &http, recorder, *node).await else {
+            continue;
+        };
         bundle.base = bundle.version;
         bundle.version = BundleVersion(bundle.version.0 + 1);
         let Some(service) = bundle.services.get_mut(&group.service) else {
--- a/crates/bench/src/faults/probe.rs
+++ b/crates/bench/src/faults/probe.rs
@@ -58,7 +58,7 @@
     let turn = TurnRequest::new("t", None, "[tokens 2]", 8);
     let transcript = caller.run_turn(0, &session, &turn).await?;
     transcript.check("t")?;
-    if let Some(tool) = profile.once.first() {
+    if let Some(tool) = profile.non_repeatable.first() {
         let request = CallRequest::new(tool, json!({"probe": program}));
         caller.call(0, &program, "c", &request).await?;
     }
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -135,7 +135,7 @@
         if let Some(engine) = released_engine {
             harmful_release::end(self.fleet, engine).await?;
         }
-        self.client.learn_gateways(self.fleet);
+        self.client.refresh_gateways(self.fleet);
         Ok(())
     }
 
--- a/crates/bench/src/hollow/access.rs
+++ b/crates/bench/src/hollow/access.rs
@@ -8,7 +8,7 @@
 
 /// Settings and addresses that a node needs to join a fleet.
 #[derive(Debug, Clone)]
-pub(crate) struct Access {
+pub(crate) struct ClusterAccess {
     /// Settings of a core of the fleet. Hollow nodes use other addresses, zones and seeds.
     pub(crate) settings: Settings,
     /// RPC addresses of the stores.
@@ -17,7 +17,7 @@
     pub(crate) cores: Vec<SocketAddr>,
 }
 
-impl Access {
+impl ClusterAccess {
     /// Reads the settings of a fleet's processes.
     pub(crate) fn of(fleet: &Fleet) -> anyhow::Result<Self> {
         let of_kind = |kind| -> anyhow::Result<Vec<Settings>> {
--- a/crates/bench/src/hollow/mod.rs
+++ b/crates/bench/src/hollow/mod.rs
@@ -14,18 +14,18 @@
 use hooklug_fleet::ProcessKind;
 use serde_json::json;
 
-pub(crate) use access::Access;
-pub(crate) use nodes::PerNode;
-pub(crate) use records::{ProgramRecords, Writer};
-pub(crate) use test_cluster::Field;
+pub(crate) use access::ClusterAccess;
+pub(crate) use nodes::NodeUsage;
+pub(crate) use records::{ProgramRecords, RecordWriter};
+pub(crate) use test_cluster::TestCluster;
 
 use crate::slopes::interrupt::interruptible;
 use crate::slopes::report::Report;
 
 /// Maximum time until all nodes see each other.
-const LONGEST_GATHERING: Duration = Duration::from_secs(120);
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(120);
 /// Pause after a change, so that its effects end before an idle span is measured.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Arguments of `hooklug-bench hollow`.
 #[derive(Debug, clap::Args)]
@@ -72,49 +72,62 @@
 
 async fn scenario(args: Args) -> anyhow::Result<()> {
     let report = Report::begin(args.out.as_deref())?;
-    let mut field = Field::start(args.stores, args.cores).await?;
-    gather(&args, &report, &mut field).await?;
-    quiet(&args, &report, &field, "quiet, one tenant").await?;
-    let times = field.set_tenants(args.tenants).await?;
+    let mut cluster = TestCluster::start(args.stores, args.cores).await?;
+    start_nodes(&args, &report, &mut cluster).await?;
+    measure_idle_usage(&args, &report, &cluster, "quiet, one tenant").await?;
+    let times = cluster.set_tenants(args.tenants).await?;
     report.line(
         "bundle",
         &json!({"step": "all tenants at once", "tenants": args.tenants, "seconds": times}),
     )?;
-    tokio::time::sleep(SETTLE).await;
-    quiet(&args, &report, &field, "quiet, all tenants").await?;
-    change_bundles(&args, &report, &mut field).await?;
-    lose_leader(&report, &mut field).await?;
-    restart(&args, &report, &mut field).await?;
-    records::fill(&report, &field, args.programs).await
+    tokio::time::sleep(SETTLE_TIME).await;
+    measure_idle_usage(&args, &report, &cluster, "quiet, all tenants").await?;
+    change_bundles(&args, &report, &mut cluster).await?;
+    kill_core_leader(&report, &mut cluster).await?;
+    restart_nodes(&args, &report, &mut cluster).await?;
+    records::write_records(&report, &cluster, args.programs).await
 }
 
-async fn gather(args: &Args, report: &Report, field: &mut Field) -> anyhow::Result<()> {
+async fn start_nodes(
+    args: &Args,
+    report: &Report,
+    cluster: &mut TestCluster,
+) -> anyhow::Result<()> {
     let began = Instant::now();
-    field.crowd.grow(args.gateways, args.engines).await?;
+    cluster.nodes.start_more(args.gateways, args.engines).await?;
     let started = began.elapsed();
-    let all = field.real_nodes() + args.gateways + args.engines;
-    field.crowd.see_all(all, LONGEST_GATHERING).await?;
+    let all = cluster.real_nodes() + args.gateways + args.engines;
+    cluster.nodes.wait_for_members(all, MEMBERSHIP_TIMEOUT).await?;
     let seconds =
         json!({"started": started.as_secs_f64(), "all_seen": began.elapsed().as_secs_f64()});
     report.line("gathering", &json!({"members": all, "seconds": seconds}))?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
 }
 
-async fn quiet(args: &Args, report: &Report, field: &Field, step: &str) -> anyhow::Result<()> {
-    let before = field.look().await?;
-    let node = field.crowd.watch(Duration::from_secs(args.span_seconds)).await?;
-    let real = field.look().await?.since(&before);
+async fn measure_idle_usage(
+    args: &Args,
+    report: &Report,
+    cluster: &TestCluster,
+    step: &str,
+) -> anyhow::Result<()> {
+    let before = cluster.read_usage().await?;
+    let node = cluster.nodes.measure_idle(Duration::from_secs(args.span_seconds)).await?;
+    let real = cluster.read_usage().await?.since(&before);
     report.line("span", &json!({"step": step, "hollow_node": node, "real": real}))
 }
 
-async fn change_bundles(args: &Args, report: &Report, field: &mut Field) -> anyhow::Result<()> {
+async fn change_bundles(
+    args: &Args,
+    report: &Report,
+    cluster: &mut TestCluster,
+) -> anyhow::Result<()> {
     for change in 0..args.changes {
-        let (before, crowd) = (field.look().await?, field.crowd.look()?);
-        let times = field.change_tenant(change * 977).await?;
-        tokio::time::sleep(SETTLE).await;
-        let node = field.crowd.look()?.since(&crowd);
-        let real = field.look().await?.since(&before);
+        let (before, nodes_before) = (cluster.read_usage().await?, cluster.nodes.read_usage()?);
+        let times = cluster.change_tenant_limit(change * 977).await?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        let node = cluster.nodes.read_usage()?.since(&nodes_before);
+        let real = cluster.read_usage().await?.since(&before);
         let fields = json!({
             "step": "one tenant changed",
             "seconds": times,
@@ -126,34 +139,39 @@
     Ok(())
 }
 
-async fn lose_leader(report: &Report, field: &mut Field) -> anyhow::Result<()> {
-    let leader = field.fleet.core_leader().await?;
-    field.fleet.kill(leader)?;
-    let times = field.change_tenant(1).await?;
+async fn kill_core_leader(report: &Report, cluster: &mut TestCluster) -> anyhow::Result<()> {
+    let leader = cluster.fleet.core_leader().await?;
+    cluster.fleet.kill(leader)?;
+    let times = cluster.change_tenant_limit(1).await?;
     report.line("bundle", &json!({"step": "core leader killed just before", "seconds": times}))?;
-    field.fleet.restart(leader).await?;
-    tokio::time::sleep(SETTLE).await;
+    cluster.fleet.restart(leader).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
 }
 
-async fn restart(args: &Args, report: &Report, field: &mut Field) -> anyhow::Result<()> {
-    let (before, crowd, began) = (field.look().await?, field.crowd.look()?, Instant::now());
+async fn restart_nodes(
+    args: &Args,
+    report: &Report,
+    cluster: &mut TestCluster,
+) -> anyhow::Result<()> {
+    let (before, nodes_before, began) =
+        (cluster.read_usage().await?, cluster.nodes.read_usage()?, Instant::now());
     let pause = Duration::from_secs_f64(1.0 / args.restart_rate);
     for n in 0..args.restarts {
-        field.crowd.restart(n * 17).await?;
+        cluster.nodes.restart(n * 17).await?;
         tokio::time::sleep(pause).await;
     }
     let restarted = began.elapsed();
-    let all = field.real_nodes() + args.gateways + args.engines;
-    field.crowd.see_all(all, LONGEST_GATHERING).await?;
-    let node = field.crowd.look()?.since(&crowd);
-    let real = field.look().await?.since(&before);
+    let all = cluster.real_nodes() + args.gateways + args.engines;
+    cluster.nodes.wait_for_members(all, MEMBERSHIP_TIMEOUT).await?;
+    let node = cluster.nodes.read_usage()?.since(&nodes_before);
+    let real = cluster.read_usage().await?.since(&before);
     let fields = json!({
         "restarts": args.restarts,
         "seconds": {"restarted": restarted.as_secs_f64(), "all_seen": began.elapsed().as_secs_f64()},
         "hollow_node": node,
         "real": real,
-        "cores_running": field.fleet.names(ProcessKind::Core).len(),
+        "cores_running": cluster.fleet.names(ProcessKind::Core).len(),
     });
     report.line("restarts", &fields)
 }
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -15,12 +15,12 @@
 use rand::RngExt;
 use tokio_util::sync::CancellationToken;
 
-use super::access::Access;
+use super::access::ClusterAccess;
 
 /// Third octet of the first hollow node's address in `127.0.0.0/16`, which fleets never use.
-const FIRST_NETWORK: usize = 16;
+const FIRST_OCTET: usize = 16;
 /// Hollow nodes per /24 network.
-const NODES_A_NETWORK: usize = 250;
+const NODES_PER_NETWORK: usize = 250;
 /// Number of zones that hollow nodes are spread over (requirement: 7).
 const ZONES: usize = 7;
 /// Number of services that hollow engines are spread over (requirement: 10 models).
@@ -34,22 +34,22 @@
     identity: LocalIdentity,
     /// Handle of the node's agent.
     pub(crate) handle: NodeHandle,
-    halt: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 /// Number and role of a hollow node, which stay the same over its restarts.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct HollowPlace {
+pub(crate) struct HollowNodeSpec {
     /// Number of the node among all hollow nodes.
     pub(crate) index: usize,
     /// Role of the node.
     pub(crate) role: NodeRole,
 }
 
-impl HollowPlace {
+impl HollowNodeSpec {
     fn ip(self) -> IpAddr {
-        let network = u8::try_from(FIRST_NETWORK + self.index / NODES_A_NETWORK);
-        let host = u8::try_from(1 + self.index % NODES_A_NETWORK);
+        let network = u8::try_from(FIRST_OCTET + self.index / NODES_PER_NETWORK);
+        let host = u8::try_from(1 + self.index % NODES_PER_NETWORK);
         IpAddr::V4(Ipv4Addr::new(127, 0, network.unwrap_or(u8::MAX), host.unwrap_or(u8::MAX)))
     }
 
@@ -57,7 +57,7 @@
         Ok(EngineId::new(format!("hollow-{}", self.index))?)
     }
 
-    fn hosted(self) -> anyhow::Result<Option<HostedEngine>> {
+    fn hosted_engine(self) -> anyhow::Result<Option<HostedEngine>> {
         if self.role != NodeRole::Engine {
             return Ok(None);
         }
@@ -74,18 +74,21 @@
 
 impl HollowNode {
     /// Starts the node with a new node id and incarnation.
-    pub(crate) async fn start(place: HollowPlace, access: &Access) -> anyhow::Result<Self> {
-        let listener = RpcServer::bind(SocketAddr::new(place.ip(), 0)).await?;
+    pub(crate) async fn start(
+        spec: HollowNodeSpec,
+        access: &ClusterAccess,
+    ) -> anyhow::Result<Self> {
+        let listener = RpcServer::bind(SocketAddr::new(spec.ip(), 0)).await?;
         let rpc = listener.local_addr()?;
         let mut settings = access.settings.clone();
         settings.rpc = rpc;
-        settings.http = SocketAddr::new(place.ip(), 1);
-        settings.zone = ZoneName::new(format!("z{}", 1 + place.index % ZONES))?;
-        settings.seeds = access.seeds(place.index);
+        settings.http = SocketAddr::new(spec.ip(), 1);
+        settings.zone = ZoneName::new(format!("z{}", 1 + spec.index % ZONES))?;
+        settings.seeds = access.seeds(spec.index);
         let address = NodeAddress {
             node: NodeId(rand::rng().random()),
             incarnation: Incarnation::at_start(),
-            role: place.role,
+            role: spec.role,
             rpc,
             http: settings.http,
             zone: settings.zone.clone(),
@@ -103,22 +106,22 @@
             handle.statistics.clone(),
             handle.readiness.clone(),
         );
-        let halt = CancellationToken::new();
-        let node = Self { identity: identity.clone(), handle, halt: halt.clone() };
-        tokio::spawn(RpcServer::new(listener, identity, agent.rpc_router()).run(halt.clone()));
-        tokio::spawn(agent.run(halt.clone()));
-        if let Some(hosted) = place.hosted()? {
-            node.host(hosted, state);
+        let shutdown = CancellationToken::new();
+        let node = Self { identity: identity.clone(), handle, shutdown: shutdown.clone() };
+        tokio::spawn(RpcServer::new(listener, identity, agent.rpc_router()).run(shutdown.clone()));
+        tokio::spawn(agent.run(shutdown.clone()));
+        if let Some(hosted) = spec.hosted_engine()? {
+            node.report_engine(hosted, state);
         }
         Ok(node)
     }
 
     /// Reports an engine and renews its lease, as a real engine does.
-    fn host(&self, hosted: HostedEngine, state: Arc<StoreClient>) {
+    fn report_engine(&self, hosted: HostedEngine, state: Arc<StoreClient>) {
         let incarnation = self.identity.address.incarnation;
         let holder = EngineIncarnation { engine: hosted.engine.clone(), incarnation };
-        let halt = self.halt.clone();
-        tokio::spawn(async move { LeaseKeeper::new(state, holder).run(halt, || {}).await });
+        let shutdown = self.shutdown.clone();
+        tokio::spawn(async move { LeaseKeeper::new(state, holder).run(shutdown, || {}).await });
         self.handle.report.send_modify(|report| {
             report.engine = Some(hosted);
             report.load = Some(EngineLoad {
@@ -133,7 +136,7 @@
     }
 
     /// Toggles the reported draining state of the engine, which changes the view.
-    pub(crate) fn turn_draining(&self) {
+    pub(crate) fn toggle_draining(&self) {
         self.handle.report.send_modify(|report| {
             if let Some(engine) = &mut report.engine {
                 engine.draining = !engine.draining;
@@ -152,18 +155,18 @@
     }
 
     /// Waits until this bundle version, or a newer one, is active on the node.
-    pub(crate) async fn installed(&self, version: BundleVersion) {
+    pub(crate) async fn wait_installed(&self, version: BundleVersion) {
         let mut bundle = self.handle.bundle.clone();
-        let there = |b: &Option<Arc<hooklug_control::InstalledBundle>>| {
+        let is_installed = |b: &Option<Arc<hooklug_control::InstalledBundle>>| {
             b.as_ref().is_some_and(|b| b.record.version >= version)
         };
         // Cannot fail: the agent holds the sender until this node is dropped.
-        let _ = bundle.wait_for(there).await;
+        let _ = bundle.wait_for(is_installed).await;
     }
 }
 
 impl Drop for HollowNode {
     fn drop(&mut self) {
-        self.halt.cancel();
+        self.shutdown.cancel();
     }
 }
--- a/crates/bench/src/hollow/nodes.rs
+++ b/crates/bench/src/hollow/nodes.rs
@@ -8,28 +8,28 @@
 use hooklug_types::{BundleVersion, NodeRole};
 use serde::Serialize;
 
-use super::access::Access;
-use super::node::{HollowNode, HollowPlace};
+use super::access::ClusterAccess;
+use super::node::{HollowNode, HollowNodeSpec};
 use crate::slopes::process_usage::Usage;
 
 /// Number of nodes that start concurrently, limited so that their handshakes don't delay each
 /// other.
-const STARTED_AT_ONCE: usize = 50;
+const MAX_CONCURRENT_STARTS: usize = 50;
 /// Pause between two polls.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The hollow nodes of this process and their specifications.
 #[derive(Debug)]
-pub(crate) struct Crowd {
-    access: Access,
-    nodes: Vec<(HollowPlace, HollowNode)>,
+pub(crate) struct HollowNodes {
+    access: ClusterAccess,
+    nodes: Vec<(HollowNodeSpec, HollowNode)>,
     /// RPC traffic of nodes that were stopped.
-    gone: Totals,
+    stopped_traffic: RpcTraffic,
 }
 
 /// RPC traffic of all hollow nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub(crate) struct Totals {
+pub(crate) struct RpcTraffic {
     /// Bytes sent.
     pub(crate) sent_bytes: u64,
     /// Bytes received.
@@ -38,7 +38,7 @@
     pub(crate) frames: u64,
 }
 
-impl Totals {
+impl RpcTraffic {
     fn add(&mut self, counts: TrafficCounts) {
         self.sent_bytes += counts.sent_bytes;
         self.received_bytes += counts.received_bytes;
@@ -48,16 +48,16 @@
 
 /// Resource usage of this process and its hollow nodes at one instant.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CrowdLook {
+pub(crate) struct NodesReading {
     at: Instant,
     usage: Usage,
-    totals: Totals,
+    traffic: RpcTraffic,
     nodes: usize,
 }
 
 /// Average resource usage of one hollow node over a span.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub(crate) struct PerNode {
+pub(crate) struct NodeUsage {
     /// Number of hollow nodes.
     pub(crate) nodes: usize,
     /// Length of the span, in seconds.
@@ -74,48 +74,52 @@
     pub(crate) resident_bytes: f64,
 }
 
-impl CrowdLook {
+impl NodesReading {
     /// Returns the average usage of a node since an earlier reading, divided by the current number
     /// of nodes.
-    pub(crate) fn since(&self, earlier: &Self) -> PerNode {
+    pub(crate) fn since(&self, earlier: &Self) -> NodeUsage {
         let nodes = self.nodes as f64;
         let seconds = (self.at - earlier.at).as_secs_f64();
         let rate = |now: u64, before: u64| now.saturating_sub(before) as f64 / nodes / seconds;
         let cpu = (self.usage.cpu - earlier.usage.cpu).as_secs_f64();
-        PerNode {
+        NodeUsage {
             nodes: self.nodes,
             seconds,
             cpu_percent: 100.0 * cpu / seconds / nodes,
-            sent_bytes_a_second: rate(self.totals.sent_bytes, earlier.totals.sent_bytes),
+            sent_bytes_a_second: rate(self.traffic.sent_bytes, earlier.traffic.sent_bytes),
             received_bytes_a_second: rate(
-                self.totals.received_bytes,
-                earlier.totals.received_bytes,
+                self.traffic.received_bytes,
+                earlier.traffic.received_bytes,
             ),
-            frames_a_second: rate(self.totals.frames, earlier.totals.frames),
+            frames_a_second: rate(self.traffic.frames, earlier.traffic.frames),
             resident_bytes: self.usage.resident_bytes as f64 / nodes,
         }
     }
 }
 
-impl Crowd {
+impl HollowNodes {
     /// Creates an empty set of nodes.
-    pub(crate) fn new(access: Access) -> Self {
-        Self { access, nodes: Vec::new(), gone: Totals::default() }
+    pub(crate) fn new(access: ClusterAccess) -> Self {
+        Self { access, nodes: Vec::new(), stopped_traffic: RpcTraffic::default() }
     }
 
     /// Starts more nodes: first the gateways, then the engines.
-    pub(crate) async fn grow(&mut self, gateways: usize, engines: usize) -> anyhow::Result<()> {
+    pub(crate) async fn start_more(
+        &mut self,
+        gateways: usize,
+        engines: usize,
+    ) -> anyhow::Result<()> {
         let roles = std::iter::repeat_n(NodeRole::Gateway, gateways)
             .chain(std::iter::repeat_n(NodeRole::Engine, engines));
-        let places: Vec<HollowPlace> = roles
+        let specs: Vec<HollowNodeSpec> = roles
             .enumerate()
-            .map(|(n, role)| HollowPlace { index: self.nodes.len() + n, role })
+            .map(|(n, role)| HollowNodeSpec { index: self.nodes.len() + n, role })
             .collect();
-        for some in places.chunks(STARTED_AT_ONCE) {
+        for chunk in specs.chunks(MAX_CONCURRENT_STARTS) {
             let access = &self.access;
-            let started = try_join_all(some.iter().map(|place| HollowNode::start(*place, access)));
-            self.nodes.extend(some.iter().copied().zip(started.await?));
-            tokio::time::sleep(POLL).await;
+            let started = try_join_all(chunk.iter().map(|spec| HollowNode::start(*spec, access)));
+            self.nodes.extend(chunk.iter().copied().zip(started.await?));
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -123,34 +127,38 @@
     /// Stops the n-th node without a drain, as a kill does, and starts it again.
     pub(crate) async fn restart(&mut self, index: usize) -> anyhow::Result<()> {
         let count = self.nodes.len();
-        let (place, node) = &mut self.nodes[index % count];
-        self.gone.add(node.traffic());
-        *node = HollowNode::start(*place, &self.access).await?;
+        let (spec, node) = &mut self.nodes[index % count];
+        self.stopped_traffic.add(node.traffic());
+        *node = HollowNode::start(*spec, &self.access).await?;
         Ok(())
     }
 
     /// Toggles the draining state of the n-th node's engine, which changes the view.
-    pub(crate) fn turn_draining(&self, index: usize) {
-        self.nodes[index % self.nodes.len()].1.turn_draining();
+    pub(crate) fn toggle_draining(&self, index: usize) {
+        self.nodes[index % self.nodes.len()].1.toggle_draining();
     }
 
     /// Reads the resource usage of this process and its nodes.
-    pub(crate) fn look(&self) -> anyhow::Result<CrowdLook> {
-        let mut totals = self.gone;
-        self.nodes.iter().for_each(|(_, node)| totals.add(node.traffic()));
+    pub(crate) fn read_usage(&self) -> anyhow::Result<NodesReading> {
+        let mut traffic = self.stopped_traffic;
+        self.nodes.iter().for_each(|(_, node)| traffic.add(node.traffic()));
         let nodes = self.nodes.len();
-        Ok(CrowdLook { at: Instant::now(), usage: Usage::own()?, totals, nodes })
+        Ok(NodesReading { at: Instant::now(), usage: Usage::own()?, traffic, nodes })
     }
 
     /// Measures the average usage of a node over an idle span.
-    pub(crate) async fn watch(&self, span: Duration) -> anyhow::Result<PerNode> {
-        let before = self.look()?;
+    pub(crate) async fn measure_idle(&self, span: Duration) -> anyhow::Result<NodeUsage> {
+        let before = self.read_usage()?;
         tokio::time::sleep(span).await;
-        Ok(self.look()?.since(&before))
+        Ok(self.read_usage()?.since(&before))
     }
 
     /// Waits until each node sees at least `members` members. Returns the time that it took.
-    pub(crate) async fn see_all(&self, members: usize, most: Duration) -> anyhow::Result<Duration> {
+    pub(crate) async fn wait_for_members(
+        &self,
+        members: usize,
+        most: Duration,
+    ) -> anyhow::Result<Duration> {
         let began = Instant::now();
         loop {
             let least = self.nodes.iter().map(|(_, n)| n.members_seen()).min();
@@ -161,20 +169,20 @@
             if began.elapsed() > most {
                 bail!("a node sees {least} of {members} members after {most:?}");
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Waits until a bundle is active on each node. Returns the sorted times from `since` until
     /// then.
-    pub(crate) async fn installed(
+    pub(crate) async fn wait_installed(
         &self,
         version: BundleVersion,
         since: Instant,
         most: Duration,
     ) -> anyhow::Result<Vec<Duration>> {
         let waits = self.nodes.iter().map(|(_, node)| async move {
-            node.installed(version).await;
+            node.wait_installed(version).await;
             since.elapsed()
         });
         let mut times = tokio::time::timeout(most, join_all(waits))
--- a/crates/bench/src/hollow/records.rs
+++ b/crates/bench/src/hollow/records.rs
@@ -19,27 +19,27 @@
 use rand::RngExt;
 use serde_json::json;
 
-use super::{Access, Field};
+use super::{ClusterAccess, TestCluster};
 use crate::slopes::report::Report;
 
 /// Timeout of one command.
-const COMMAND_TIME: Duration = Duration::from_secs(20);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
 /// Number of programs per command.
-const PROGRAMS_A_COMMAND: usize = 64;
+const PROGRAMS_PER_COMMAND: usize = 64;
 /// Maximum number of commands in flight.
-const COMMANDS_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_COMMANDS: usize = 32;
 /// Number of token events in the turn of each program.
-const EVENTS_A_PROGRAM: u64 = 8;
+const EVENTS_PER_PROGRAM: u64 = 8;
 
 /// Writes to the shards as engines and gateways do.
 #[derive(Debug, Clone)]
-pub(crate) struct Writer {
+pub(crate) struct RecordWriter {
     state: Arc<StoreClient>,
 }
 
-impl Writer {
+impl RecordWriter {
     /// Creates a writer that uses a fleet's stores.
-    pub(crate) fn new(access: &Access) -> anyhow::Result<Self> {
+    pub(crate) fn new(access: &ClusterAccess) -> anyhow::Result<Self> {
         let mut rpc = access.settings.rpc;
         rpc.set_ip(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST));
         let address = NodeAddress {
@@ -62,11 +62,11 @@
         group: GroupId,
         command: &ShardCommand,
     ) -> anyhow::Result<()> {
-        let deadline = tokio::time::Instant::now() + COMMAND_TIME;
+        let deadline = tokio::time::Instant::now() + COMMAND_TIMEOUT;
         let reply = self.state.execute_shard(group, command, deadline).await?;
         let replies = match reply {
             ShardReply::Batch(replies) => replies,
-            one => vec![one],
+            single => vec![single],
         };
         match replies.into_iter().find(|reply| matches!(reply, ShardReply::Refused(_))) {
             Some(refused) => bail!("{group} refused: {refused:?}"),
@@ -98,7 +98,7 @@
     }
 
     /// Returns the command that declares the program.
-    pub(crate) fn put(&self) -> anyhow::Result<ShardCommand> {
+    pub(crate) fn put_program(&self) -> anyhow::Result<ShardCommand> {
         Ok(ShardCommand::PutProgram(PutProgram {
             program: self.program.clone(),
             tenant: TenantId::new("first")?,
@@ -109,7 +109,7 @@
     }
 
     /// Returns the command that opens the session.
-    pub(crate) fn open(&self) -> anyhow::Result<ShardCommand> {
+    pub(crate) fn open_session(&self) -> anyhow::Result<ShardCommand> {
         let engine = EngineId::new("engine-0")?;
         Ok(ShardCommand::OpenSession(OpenSession {
             key: self.key.clone(),
@@ -121,7 +121,7 @@
     }
 
     /// Returns the command that starts the turn.
-    pub(crate) fn begin(&self) -> ShardCommand {
+    pub(crate) fn begin_turn(&self) -> ShardCommand {
         ShardCommand::BeginTurn(BeginTurn {
             key: self.key.clone(),
             epoch: SessionEpoch(1),
@@ -135,7 +135,7 @@
 
     /// Returns the command that appends events of one token each, from sequence number `first` on.
     /// The event of the turn itself has sequence number 1.
-    pub(crate) fn append(&self, first: u64, events: u64) -> ShardCommand {
+    pub(crate) fn append_events(&self, first: u64, events: u64) -> ShardCommand {
         let body = || EventBody::Tokens { text: " token".to_owned(), count: TokenCount(1) };
         ShardCommand::AppendEvents {
             key: self.key.clone(),
@@ -147,7 +147,7 @@
     }
 
     /// Returns the command that ends the turn.
-    pub(crate) fn finish(&self) -> ShardCommand {
+    pub(crate) fn finish_turn(&self) -> ShardCommand {
         ShardCommand::FinishTurn(FinishTurn {
             key: self.key.clone(),
             epoch: SessionEpoch(1),
@@ -156,49 +156,59 @@
         })
     }
 
-    fn all(&self) -> anyhow::Result<[ShardCommand; 5]> {
-        let events = self.append(2, EVENTS_A_PROGRAM);
-        Ok([self.put()?, self.open()?, self.begin(), events, self.finish()])
+    fn all_commands(&self) -> anyhow::Result<[ShardCommand; 5]> {
+        let events = self.append_events(2, EVENTS_PER_PROGRAM);
+        Ok([
+            self.put_program()?,
+            self.open_session()?,
+            self.begin_turn(),
+            events,
+            self.finish_turn(),
+        ])
     }
 }
 
 /// Writes the records of `programs` programs to the shards and reports the cost.
-pub(super) async fn fill(report: &Report, field: &Field, programs: usize) -> anyhow::Result<()> {
-    let writer = Writer::new(&Access::of(&field.fleet)?)?;
+pub(super) async fn write_records(
+    report: &Report,
+    cluster: &TestCluster,
+    programs: usize,
+) -> anyhow::Result<()> {
+    let writer = RecordWriter::new(&ClusterAccess::of(&cluster.fleet)?)?;
     let mut by_group: std::collections::BTreeMap<GroupId, Vec<ProgramRecords>> =
         std::collections::BTreeMap::new();
     for n in 0..programs {
         let records = ProgramRecords::new("fill", n)?;
         by_group.entry(records.group()).or_default().push(records);
     }
-    let (before, began) = (field.look().await?, Instant::now());
+    let (before, began) = (cluster.read_usage().await?, Instant::now());
     let chunks: Vec<(GroupId, Vec<ProgramRecords>)> = by_group
         .into_iter()
         .flat_map(|(group, all)| {
-            let chunks: Vec<_> = all.chunks(PROGRAMS_A_COMMAND).map(<[_]>::to_vec).collect();
+            let chunks: Vec<_> = all.chunks(PROGRAMS_PER_COMMAND).map(<[_]>::to_vec).collect();
             chunks.into_iter().map(move |chunk| (group, chunk))
         })
         .collect();
     let commands = chunks.len();
     futures::stream::iter(chunks.into_iter().map(Ok::<_, anyhow::Error>))
-        .try_for_each_concurrent(COMMANDS_AT_ONCE, |(group, chunk)| {
+        .try_for_each_concurrent(MAX_CONCURRENT_COMMANDS, |(group, chunk)| {
             let writer = writer.clone();
             async move {
                 let mut batch = Vec::new();
                 for records in &chunk {
-                    batch.extend(records.all()?);
+                    batch.extend(records.all_commands()?);
                 }
                 writer.execute(group, &ShardCommand::Batch(batch)).await
             }
         })
         .await?;
     let seconds = began.elapsed().as_secs_f64();
-    let real = field.look().await?.since(&before);
+    let real = cluster.read_usage().await?.since(&before);
     let stores = real.role("store");
     let replicas = 3.0 * programs as f64;
     let fields = json!({
         "programs": programs,
-        "events_a_program": EVENTS_A_PROGRAM + 2,
+        "events_a_program": EVENTS_PER_PROGRAM + 2,
         "commands": commands,
         "seconds": seconds,
         "store_resident_bytes_a_program_and_replica": stores.resident_bytes / replicas,
--- a/crates/bench/src/hollow/test_cluster.rs
+++ b/crates/bench/src/hollow/test_cluster.rs
@@ -8,23 +8,23 @@
 use hooklug_fleet::{Fleet, ModelPace, ProcessKind, ProcessName, SeedChoice, Topology};
 use hooklug_types::{BundleVersion, TenantId, ZoneName};
 
-use super::access::Access;
-use super::nodes::Crowd;
-use crate::slopes::fleet_usage::Look;
+use super::access::ClusterAccess;
+use super::nodes::HollowNodes;
+use crate::slopes::fleet_usage::UsageReading;
 
 /// Maximum time until a bundle must be active on all nodes; the run fails after it.
-pub(crate) const LONGEST_INSTALL: Duration = Duration::from_secs(90);
+pub(crate) const INSTALL_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Length of the digest of a caller's key, so that tenants have a realistic size.
 const KEY_DIGEST_BYTES: usize = 32;
 
 /// A cluster of real processes and hollow nodes.
 #[derive(Debug)]
-pub(crate) struct Field {
+pub(crate) struct TestCluster {
     /// The real processes.
     pub(crate) fleet: Fleet,
     /// The hollow nodes.
-    pub(crate) crowd: Crowd,
+    pub(crate) nodes: HollowNodes,
     /// HTTP client for metrics.
     pub(crate) http: HttpClient,
     bundle: Bundle,
@@ -68,13 +68,13 @@
     })
 }
 
-impl Field {
+impl TestCluster {
     /// Starts the real processes with a bundle of one tenant.
     pub(crate) async fn start(stores: usize, cores: usize) -> anyhow::Result<Self> {
         let fleet = Fleet::start(topology(stores, cores)?).await.context("the fleet")?;
         let bundle = fleet.topology().bundle(BundleVersion(1), BundleVersion(0))?;
-        let access = Access::of(&fleet)?;
-        Ok(Self { fleet, crowd: Crowd::new(access), http: HttpClient::default(), bundle })
+        let access = ClusterAccess::of(&fleet)?;
+        Ok(Self { fleet, nodes: HollowNodes::new(access), http: HttpClient::default(), bundle })
     }
 
     /// Returns the number of running stores, cores and gateways.
@@ -85,8 +85,8 @@
     }
 
     /// Reads the resource usage of the real processes.
-    pub(crate) async fn look(&self) -> anyhow::Result<Look> {
-        Look::at(&self.fleet, &self.http).await
+    pub(crate) async fn read_usage(&self) -> anyhow::Result<UsageReading> {
+        UsageReading::read(&self.fleet, &self.http).await
     }
 
     /// Submits a bundle with `count` tenants, each with its own key and limits.
@@ -102,7 +102,7 @@
     }
 
     /// Submits a bundle in which a limit of one tenant has changed.
-    pub(crate) async fn change_tenant(&mut self, nth: usize) -> anyhow::Result<InstallTimes> {
+    pub(crate) async fn change_tenant_limit(&mut self, nth: usize) -> anyhow::Result<InstallTimes> {
         let count = self.bundle.tenants.len().max(1);
         if let Some(tenant) = self.bundle.tenants.values_mut().nth(nth % count) {
             tenant.limits.concurrency += 1;
@@ -121,12 +121,12 @@
             let submitted = self.fleet.submit_bundle_at(gateway, &self.bundle).await?;
             anyhow::Ok((submitted, began.elapsed()))
         };
-        let installing = self.crowd.installed(version, began, LONGEST_INSTALL);
+        let installing = self.nodes.wait_installed(version, began, INSTALL_TIMEOUT);
         let (submitted, times) = tokio::join!(submitting, installing);
         let ((submitted, answered), times) = (submitted?, times?);
         let at = |share: f64| -> f64 {
-            let place = ((times.len() as f64 * share).ceil() as usize).clamp(1, times.len());
-            times[place - 1].as_secs_f64()
+            let rank = ((times.len() as f64 * share).ceil() as usize).clamp(1, times.len());
+            times[rank - 1].as_secs_f64()
         };
         Ok(InstallTimes {
             answered: answered.as_secs_f64(),
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -21,37 +21,38 @@
 use crate::faults::{RunProgress, measure_recovery};
 use crate::oracle::evidence::{DrainRecord, InjectedFault};
 use crate::workload::{
-    CallStream, Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
+    CallStream, Client, Profile, Recorder, now, poll_versions, read_final_state, run_operator,
+    run_programs,
 };
 
 /// Time for late work to finish before the results are read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Time within which all users of a zone arrive (requirement: 1 s).
-const BURST_TIME: Duration = Duration::from_secs(1);
+const BURST_RAMP_TIME: Duration = Duration::from_secs(1);
 /// Pause between two kills.
-const BETWEEN_KILLS: Duration = Duration::from_secs(6);
+const KILL_INTERVAL: Duration = Duration::from_secs(6);
 /// Time for which a killed node stays down.
-const AWAY: Duration = Duration::from_secs(3);
+const DOWNTIME: Duration = Duration::from_secs(3);
 /// Requests per second and concurrent requests that a tenant may make at one gateway. Effectively
 /// unlimited, because these scenarios measure capacity rather than tenant limits.
 const TENANT_LIMIT: u32 = 100_000;
 
 /// A burst scenario and the parameters of its run.
 #[derive(Debug, Clone)]
-pub struct SceneRun {
+pub struct BurstRun {
     /// The scenario, the gateway mode and the scale.
     pub specification: Specification,
     /// Topology of the fleet.
     pub topology: Topology,
     /// Length of the steady phase and of the burst phase, each.
-    pub part: Duration,
+    pub phase_time: Duration,
     /// Seed of load, operators and kills.
     pub seed: u64,
     /// Data folder of the fleet. If `None`, a temporary one is used.
     pub data: Option<PathBuf>,
 }
 
-impl SceneRun {
+impl BurstRun {
     /// Runs the scenario and checks its evidence.
     ///
     /// # Errors
@@ -59,23 +60,24 @@
     pub async fn run(&self, progress: &dyn RunProgress) -> Result<Outcome, FleetError> {
         let mut topology = self.topology.clone();
         topology.gateway_mode = self.specification.mode;
-        let load = self.specification.scene.load();
+        let load = self.specification.scenario.load();
         for group in &mut topology.applications {
-            (group.run_ms, group.slots) = (load.run.as_millis() as u64, load.application_slots);
+            (group.run_ms, group.slots) =
+                (load.run_time.as_millis() as u64, load.application_slots);
         }
         let options = FleetOptions { data: self.data.clone() };
         let fleet = Arc::new(Fleet::start_with(topology, options).await?);
         lift_tenant_limits(&fleet).await?;
         let name = self.specification.to_string();
         progress.report_line(&format!("{name}: {} processes serve", fleet.all_names().len()));
-        let stage = Stage::new(self, fleet);
+        let running = RunningBurst::new(self, fleet);
         let from = now();
-        let burst = stage.play(progress).await?;
+        let burst = running.run_phases(progress).await?;
         let to = now();
-        stage.stop().await?;
+        running.stop().await?;
         sleep(SETTLE_TIME).await;
-        read_finally(&stage.fleet, &stage.client).await?;
-        let evidence = stage.client.recorder().snapshot();
+        read_final_state(&running.fleet, &running.client).await?;
+        let evidence = running.client.recorder().snapshot();
         let parts = [("steady".to_owned(), from, burst), ("burst".to_owned(), burst, to)];
         Ok(Outcome::of(&name, &evidence, (from, to), &parts))
     }
@@ -96,14 +98,14 @@
 }
 
 /// A scenario that is being run.
-struct Stage {
+struct RunningBurst {
     fleet: Arc<Fleet>,
     client: Client,
     profile: Profile,
     load: Load,
     slots: f64,
     scale: f64,
-    part: Duration,
+    phase_time: Duration,
     seed: u64,
     stop: CancellationToken,
     tasks: tokio::sync::Mutex<JoinSet<()>>,
@@ -111,17 +113,17 @@
     replacing: AtomicBool,
 }
 
-impl Stage {
-    fn new(run: &SceneRun, fleet: Arc<Fleet>) -> Self {
-        let load = run.specification.scene.load();
+impl RunningBurst {
+    fn new(run: &BurstRun, fleet: Arc<Fleet>) -> Self {
+        let load = run.specification.scenario.load();
         let client = Client::new(&fleet, Recorder::default());
         let slots: usize = run.topology.models.iter().map(|g| g.engines * g.slots as usize).sum();
         let profile = Profile {
             turn_tokens: load.turn_tokens,
-            calls: load.calls,
-            once_share: load.once_share,
-            turns: load.turns,
-            think: load.think,
+            max_calls: load.max_calls,
+            non_repeatable_share: load.non_repeatable_share,
+            max_turns: load.max_turns,
+            max_think_time: load.max_think_time,
             small_budget_share: 0.1,
             ..Profile::of(&run.topology)
         };
@@ -132,7 +134,7 @@
             load,
             slots: slots as f64 * run.specification.scale,
             scale: run.specification.scale,
-            part: run.part,
+            phase_time: run.phase_time,
             seed: run.seed,
             stop: CancellationToken::new(),
             tasks: tokio::sync::Mutex::default(),
@@ -141,28 +143,28 @@
     }
 
     /// Runs both phases and returns the start time of the burst.
-    async fn play(&self, progress: &dyn RunProgress) -> Result<u64, FleetError> {
+    async fn run_phases(&self, progress: &dyn RunProgress) -> Result<u64, FleetError> {
         let recorder = self.client.recorder();
         {
             let mut tasks = self.tasks.lock().await;
-            tasks.spawn(operate(
+            tasks.spawn(run_operator(
                 self.fleet.clone(),
                 recorder.clone(),
                 self.seed,
                 self.stop.clone(),
             ));
-            tasks.spawn(observe(self.fleet.clone(), recorder, self.stop.clone()));
+            tasks.spawn(poll_versions(self.fleet.clone(), recorder, self.stop.clone()));
         }
-        self.add_programs(self.load.steady, self.part / 4, 1).await;
+        self.add_programs(self.load.steady, self.phase_time / 4, 1).await;
         self.add_device_calls(self.load.device_calls.0, 1).await;
-        let kills = self.kill_until(Instant::now() + self.part * 2, progress);
+        let kills = self.kill_nodes_until(Instant::now() + self.phase_time * 2, progress);
         let parts = async {
-            sleep(self.part).await;
+            sleep(self.phase_time).await;
             let burst = now();
             progress.report_line("all users of a zone arrive");
-            self.add_programs(self.load.burst, BURST_TIME, 2).await;
+            self.add_programs(self.load.burst, BURST_RAMP_TIME, 2).await;
             self.add_device_calls(self.load.device_calls.1, 2).await;
-            let end = Instant::now() + self.part;
+            let end = Instant::now() + self.phase_time;
             if self.load.replace_engines {
                 self.replacing.store(true, Ordering::SeqCst);
                 self.restart_engines(end, progress).await?;
@@ -176,8 +178,8 @@
         burst
     }
 
-    async fn add_programs(&self, by_slot: f64, ramp: Duration, part: u64) {
-        let count = (self.slots * by_slot).round().max(1.0) as usize;
+    async fn add_programs(&self, programs_per_slot: f64, ramp: Duration, part: u64) {
+        let count = (self.slots * programs_per_slot).round().max(1.0) as usize;
         let (client, profile, stop) =
             (self.client.clone(), self.profile.clone(), self.stop.clone());
         let seed = self.seed.wrapping_mul(31).wrapping_add(part);
@@ -189,15 +191,15 @@
     /// Adds device calls at `share` of the call rate that each service's engines can serve, times
     /// the scale.
     async fn add_device_calls(&self, share: f64, part: u64) {
-        for (place, group) in self.fleet.topology().applications.iter().enumerate() {
+        for (index, group) in self.fleet.topology().applications.iter().enumerate() {
             let at_once = group.engines as f64 * f64::from(group.slots);
-            let capacity = at_once / self.load.run.as_secs_f64();
+            let capacity = at_once / self.load.run_time.as_secs_f64();
             let stream = CallStream {
                 name: format!("devices-{part}-{}", group.service),
                 tools: group.tools.clone(),
                 per_second: capacity * share * self.scale,
             };
-            let seed = self.seed.wrapping_mul(37).wrapping_add(part * 100 + place as u64);
+            let seed = self.seed.wrapping_mul(37).wrapping_add(part * 100 + index as u64);
             let running = stream.run(self.client.clone(), seed, self.stop.clone());
             self.tasks.lock().await.spawn(running);
         }
@@ -224,12 +226,16 @@
     }
 
     /// Kills random nodes, one at a time, and restarts them.
-    async fn kill_until(&self, end: Instant, progress: &dyn RunProgress) -> Result<(), FleetError> {
+    async fn kill_nodes_until(
+        &self,
+        end: Instant,
+        progress: &dyn RunProgress,
+    ) -> Result<(), FleetError> {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         use ProcessKind::{Core, Engine, Gateway, Store};
         let kinds = [Store, Core, Gateway, Engine];
-        while self.load.kills && Instant::now() + BETWEEN_KILLS + AWAY < end {
-            sleep(BETWEEN_KILLS).await;
+        while self.load.kills && Instant::now() + KILL_INTERVAL + DOWNTIME < end {
+            sleep(KILL_INTERVAL).await;
             let kind = *kinds.choose(&mut random).unwrap_or(&Core);
             if kind == Engine && self.replacing.load(Ordering::SeqCst) {
                 // The replacement of an engine waits for its exit and restart, which a kill would
@@ -241,7 +247,7 @@
             progress.report_line(&format!("{name} is killed"));
             self.record_start(format!("kill {name}"), vec![name.to_string()]);
             self.fleet.kill(name)?;
-            sleep(AWAY).await;
+            sleep(DOWNTIME).await;
             self.fleet.restart(name).await?;
             self.record_end(&format!("kill {name}"), "");
             let recovery =
--- a/crates/bench/src/scenario/call_rate.rs
+++ b/crates/bench/src/scenario/call_rate.rs
@@ -15,7 +15,7 @@
 use crate::workload::Profile;
 
 /// Minimum number of calls per second that the fleet should answer (issue 6).
-const GOAL: f64 = 2_000.0;
+const GOAL_PER_SECOND: f64 = 2_000.0;
 /// Number of programs that the calls are spread over, so that all shards take part.
 const PROGRAMS: usize = 64;
 /// Length of the warm-up.
@@ -31,7 +31,7 @@
     time: Duration,
 ) -> Result<Section, FleetError> {
     let profile = Profile::of(&topology);
-    let tool = profile.once.first().cloned().unwrap_or_default();
+    let tool = profile.non_repeatable.first().cloned().unwrap_or_default();
     let fleet = Fleet::start(topology).await?;
     lift_tenant_limits(&fleet).await?;
     let tenant = fleet.topology().tenants.first().map(ToString::to_string).unwrap_or_default();
@@ -41,7 +41,7 @@
         let put = caller.put_program(number, &format!("p{number}"), 1_000, end).await;
         put.map_err(|e| FleetError::Unexpected(e.to_string()))?;
     }
-    let go = |run: &'static str, time| {
+    let measure_calls = |run: &'static str, time| {
         let (caller, tool) = (caller.clone(), tool.clone());
         measure(callers, time, move |from, number| {
             let request = CallRequest::new(&tool, json!({"of": from, "number": number}));
@@ -51,12 +51,12 @@
             async move { caller.ask_once(from, &ask).await.is_ok() }
         })
     };
-    go("warm", WARM_UP).await;
-    let rate = go("run", time).await;
+    measure_calls("warm", WARM_UP).await;
+    let rate = measure_calls("run", time).await;
     let ran = fleet.ledgers(ProcessKind::App)?.len();
     let measures = vec![
         Measure::new("calls that may not be repeated, a second", rate.per_second, "calls/s")
-            .with_goal(Goal::AtLeast(GOAL)),
+            .with_goal(Goal::AtLeast(GOAL_PER_SECOND)),
         Measure::new("callers at once", callers as f64, ""),
         Measure::new("calls that failed or were shed", rate.failed as f64, "calls"),
         Measure::new("time of a call, p50", rate.times_ms.p50, "ms"),
--- a/crates/bench/src/scenario/chaos.rs
+++ b/crates/bench/src/scenario/chaos.rs
@@ -10,13 +10,13 @@
 use super::Outcome;
 use crate::faults::{ChaosOptions, RunProgress, run_rounds};
 use crate::workload::{
-    Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
+    Client, Profile, Recorder, now, poll_versions, read_final_state, run_operator, run_programs,
 };
 
 /// Time for leases to expire and late work to finish before the results are read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Time over which the starts of programs are spread.
-const RAMP: Duration = Duration::from_secs(2);
+const RAMP_TIME: Duration = Duration::from_secs(2);
 
 /// A run with random faults.
 #[derive(Debug, Clone)]
@@ -66,12 +66,12 @@
             let (client, profile, stop) = (client.clone(), profile.clone(), stop.clone());
             let (programs, seed) = (self.programs, self.seed);
             tokio::spawn(async move {
-                run_programs(&client, &profile, programs, RAMP, seed, &stop).await;
+                run_programs(&client, &profile, programs, RAMP_TIME, seed, &stop).await;
             })
         };
         let operators =
-            tokio::spawn(operate(fleet.clone(), recorder.clone(), self.seed, stop.clone()));
-        let observer = tokio::spawn(observe(fleet.clone(), recorder.clone(), stop.clone()));
+            tokio::spawn(run_operator(fleet.clone(), recorder.clone(), self.seed, stop.clone()));
+        let observer = tokio::spawn(poll_versions(fleet.clone(), recorder.clone(), stop.clone()));
         let options = ChaosOptions { time: self.time, seed: self.seed };
         let rounds = run_rounds(&fleet, &client, &profile, options, progress).await;
         let to = now();
@@ -81,7 +81,7 @@
         joined.0.and(joined.1).and(joined.2).map_err(|e| FleetError::Unexpected(e.to_string()))?;
         rounds?;
         tokio::time::sleep(SETTLE_TIME).await;
-        read_finally(&fleet, &client).await?;
+        read_final_state(&fleet, &client).await?;
         let evidence = recorder.snapshot();
         Ok(Outcome::of("chaos", &evidence, (from, to), &[]))
     }
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -20,20 +20,20 @@
 use crate::workload::{Client, Profile, Recorder};
 
 /// Maximum overhead of the first token, median and 95th percentile, in milliseconds (issue 5).
-const FIRST_TOKEN_GOALS: (f64, f64) = (10.0, 25.0);
+const FIRST_TOKEN_GOALS_MS: (f64, f64) = (10.0, 25.0);
 /// Maximum ratio of the time between tokens through hooklug to that of direct streams, 95th
 /// percentile (issue 5).
-const BETWEEN_GOAL: f64 = 1.15;
+const TOKEN_GAP_RATIO_GOAL: f64 = 1.15;
 /// Tokens of each turn.
-const TOKENS: u64 = 60;
+const TURN_TOKENS: u64 = 60;
 /// Consecutive turns of each stream; the first is a warm-up.
 const TURNS: u32 = 3;
 /// Time over which the starts of streams are spread.
-const RAMP: Duration = Duration::from_secs(2);
+const RAMP_TIME: Duration = Duration::from_secs(2);
 
 /// Latencies of a set of streams.
 #[derive(Debug, Default)]
-struct Times {
+struct StreamTimes {
     first_ms: Vec<f64>,
     gaps_ms: Vec<f64>,
     failed: u64,
@@ -53,23 +53,23 @@
     let profile = Profile::of(&topology);
     let fleet = Fleet::start(topology).await?;
     lift_tenant_limits(&fleet).await?;
-    let through = through(&fleet, &profile, streams).await;
-    let direct = direct(&fleet, streams).await?;
+    let through = run_through_hooklug(&fleet, &profile, streams).await;
+    let direct = run_direct(&fleet, streams).await?;
     Ok(section(streams, &through, &direct))
 }
 
-async fn through(fleet: &Fleet, profile: &Profile, streams: usize) -> Times {
+async fn run_through_hooklug(fleet: &Fleet, profile: &Profile, streams: usize) -> StreamTimes {
     let client = Client::new(fleet, Recorder::default());
     let mut running = JoinSet::new();
     for number in 0..streams {
         let (client, model) = (client.clone(), profile.model.clone());
-        let delay = RAMP.mul_f64(number as f64 / streams as f64);
+        let delay = RAMP_TIME.mul_f64(number as f64 / streams as f64);
         running.spawn(async move {
             tokio::time::sleep(delay).await;
-            one_through(&client, number, &model).await
+            run_session(&client, number, &model).await
         });
     }
-    let mut times = Times::default();
+    let mut times = StreamTimes::default();
     while let Some(ended) = running.join_next().await {
         for record in ended.unwrap_or_default() {
             if record.claim != TurnClaim::Ended("finished".to_owned()) {
@@ -83,20 +83,24 @@
 }
 
 /// Runs the turns of one session and returns the records of all but the first.
-async fn one_through(client: &Client, number: usize, model: &str) -> Vec<TurnRecord> {
+async fn run_session(client: &Client, number: usize, model: &str) -> Vec<TurnRecord> {
     let session = SessionRef::new(&format!("stream-{number}"), "s");
-    let budget = TOKENS * u64::from(TURNS) * 2;
+    let budget = TURN_TOKENS * u64::from(TURNS) * 2;
     let mut records = Vec::new();
-    if client.declare(number, &session.program, budget, TOKENS).await.is_err()
-        || client.open(number, &session, model, "p").await.is_err()
+    if client.declare_program(number, &session.program, budget, TURN_TOKENS).await.is_err()
+        || client.open_session(number, &session, model, "p").await.is_err()
     {
         return records;
     }
     let mut after: Option<String> = None;
     for turn in 0..TURNS {
         let name = format!("t{turn}");
-        let request =
-            TurnRequest::new(&name, after.as_deref(), &format!("[tokens {TOKENS}]"), TOKENS);
+        let request = TurnRequest::new(
+            &name,
+            after.as_deref(),
+            &format!("[tokens {TURN_TOKENS}]"),
+            TURN_TOKENS,
+        );
         let record = client.run_turn(number, &session, &request).await;
         if turn > 0 {
             records.push(record);
@@ -106,7 +110,7 @@
     records
 }
 
-async fn direct(fleet: &Fleet, streams: usize) -> Result<Times, FleetError> {
+async fn run_direct(fleet: &Fleet, streams: usize) -> Result<StreamTimes, FleetError> {
     let http = HttpClient::default();
     let servers: Vec<SocketAddr> = fleet
         .names(ProcessKind::Model)
@@ -116,39 +120,39 @@
     let mut running = JoinSet::new();
     for number in 0..streams {
         let (http, server) = (http.clone(), servers[number % servers.len()]);
-        let delay = RAMP.mul_f64(number as f64 / streams as f64);
+        let delay = RAMP_TIME.mul_f64(number as f64 / streams as f64);
         running.spawn(async move {
             tokio::time::sleep(delay).await;
-            one_direct(&http, server, number).await
+            run_direct_session(&http, server, number).await
         });
     }
-    let mut times = Times::default();
+    let mut times = StreamTimes::default();
     while let Some(ended) = running.join_next().await {
-        let one = ended.unwrap_or_default();
-        times.first_ms.extend(one.first_ms);
-        times.gaps_ms.extend(one.gaps_ms);
-        times.failed += one.failed;
+        let single = ended.unwrap_or_default();
+        times.first_ms.extend(single.first_ms);
+        times.gaps_ms.extend(single.gaps_ms);
+        times.failed += single.failed;
     }
     Ok(times)
 }
 
-async fn one_direct(http: &HttpClient, server: SocketAddr, number: usize) -> Times {
-    let mut times = Times::default();
+async fn run_direct_session(http: &HttpClient, server: SocketAddr, number: usize) -> StreamTimes {
+    let mut times = StreamTimes::default();
     let mut context = Vec::new();
-    let input = format!("[tokens {TOKENS}]");
+    let input = format!("[tokens {TURN_TOKENS}]");
     for turn in 0..TURNS {
         let body = json!({"session": format!("direct-{number}/s"), "turn": format!("t{turn}"),
-            "prefix": "p", "max_tokens": TOKENS, "context": context, "input": input});
+            "prefix": "p", "max_tokens": TURN_TOKENS, "context": context, "input": input});
         let ask = Ask::json(Method::POST, "/generate", &body)
             .header("x-hooklug-request", format!("r-{number}-{turn}"));
-        let mut one = Times::default();
-        let text = generate(http, server, &ask, &mut one).await;
+        let mut single = StreamTimes::default();
+        let text = generate(http, server, &ask, &mut single).await;
         context.push(json!({"role": "user", "text": input}));
         context.push(json!({"role": "assistant", "text": text.unwrap_or_default()}));
         if turn > 0 {
-            times.first_ms.extend(one.first_ms);
-            times.gaps_ms.extend(one.gaps_ms);
-            times.failed += one.failed;
+            times.first_ms.extend(single.first_ms);
+            times.gaps_ms.extend(single.gaps_ms);
+            times.failed += single.failed;
         }
     }
     times
@@ -159,7 +163,7 @@
     http: &HttpClient,
     server: SocketAddr,
     ask: &Ask,
-    times: &mut Times,
+    times: &mut StreamTimes,
 ) -> Option<String> {
     let sent = Instant::now();
     let Ok(answer) = http.open(server, ask).await else {
@@ -171,7 +175,7 @@
     while let Some(Ok(frame)) = body.frame().await {
         let Ok(bytes) = frame.into_data() else { continue };
         let at = Instant::now();
-        for _ in bytes.split(|b| *b == b'\n').filter(|l| contains_text(l)) {
+        for _ in bytes.split(|b| *b == b'\n').filter(|l| is_text_line(l)) {
             match last.replace(at) {
                 None => times.first_ms.push((at - sent).as_secs_f64() * 1e3),
                 Some(last) => times.gaps_ms.push((at - last).as_secs_f64() * 1e3),
@@ -184,21 +188,21 @@
     Some(values.filter_map(|value| value["text"].as_str().map(str::to_owned)).collect())
 }
 
-fn contains_text(line: &[u8]) -> bool {
+fn is_text_line(line: &[u8]) -> bool {
     line.windows(7).any(|part| part == b"\"text\":")
 }
 
-fn section(streams: usize, through: &Times, direct: &Times) -> Section {
-    let of = |times: &[f64]| Percentiles::of(times.iter().copied());
-    let (first, first_direct) = (of(&through.first_ms), of(&direct.first_ms));
-    let (gap, gap_direct) = (of(&through.gaps_ms), of(&direct.gaps_ms));
+fn section(streams: usize, through: &StreamTimes, direct: &StreamTimes) -> Section {
+    let percentiles = |times: &[f64]| Percentiles::of(times.iter().copied());
+    let (first, first_direct) = (percentiles(&through.first_ms), percentiles(&direct.first_ms));
+    let (gap, gap_direct) = (percentiles(&through.gaps_ms), percentiles(&direct.gaps_ms));
     let measures = vec![
         Measure::new("first token's overhead, p50", first.p50 - first_direct.p50, "ms")
-            .with_goal(Goal::AtMost(FIRST_TOKEN_GOALS.0)),
+            .with_goal(Goal::AtMost(FIRST_TOKEN_GOALS_MS.0)),
         Measure::new("first token's overhead, p95", first.p95 - first_direct.p95, "ms")
-            .with_goal(Goal::AtMost(FIRST_TOKEN_GOALS.1)),
+            .with_goal(Goal::AtMost(FIRST_TOKEN_GOALS_MS.1)),
         Measure::new("between tokens by direct, p95", gap.p95 / gap_direct.p95, "")
-            .with_goal(Goal::AtMost(BETWEEN_GOAL)),
+            .with_goal(Goal::AtMost(TOKEN_GAP_RATIO_GOAL)),
         Measure::new("first token through hooklug, p50", first.p50, "ms"),
         Measure::new("first token directly, p50", first_direct.p50, "ms"),
         Measure::new("first token through hooklug, p95", first.p95, "ms"),
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -27,11 +27,11 @@
 use crate::workload::Profile;
 
 /// Minimum throughput of a gateway relative to the plain proxy (issue 6).
-const GOAL: f64 = 0.7;
+const THROUGHPUT_RATIO_GOAL: f64 = 0.7;
 /// Length of the warm-up.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// Number of alternating measurements of both, so that other load on the machine affects both.
-const TURNS: u32 = 3;
+const ROUNDS: u32 = 3;
 
 type Upstream = Client<HttpConnector, Incoming>;
 
@@ -55,7 +55,7 @@
                 let _ = stream.set_nodelay(true);
                 let proxy = proxy.clone();
                 tokio::spawn(async move {
-                    let serve = service_fn(move |request| proxy.clone().pass_on(request));
+                    let serve = service_fn(move |request| proxy.clone().forward(request));
                     let served = hyper::server::conn::http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), serve);
                     // The client notices a failed connection, so the result is ignored.
@@ -66,13 +66,13 @@
         Ok(address)
     }
 
-    async fn pass_on(
+    async fn forward(
         self: Arc<Self>,
         mut request: Request<Incoming>,
     ) -> Result<Response<Either<Incoming, Empty<Bytes>>>, Infallible> {
-        let place = self.next.fetch_add(1, Ordering::Relaxed) % self.backends.len().max(1);
+        let index = self.next.fetch_add(1, Ordering::Relaxed) % self.backends.len().max(1);
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
-        if let Ok(uri) = format!("http://{}{path}", self.backends[place]).parse() {
+        if let Ok(uri) = format!("http://{}{path}", self.backends[index]).parse() {
             *request.uri_mut() = uri;
         }
         request.headers_mut().remove(http::header::HOST);
@@ -104,7 +104,7 @@
     let tool = profile.repeatable.first().cloned().unwrap_or_default();
     let fleet = Fleet::start(topology).await?;
     lift_tenant_limits(&fleet).await?;
-    let backends = serving(&fleet, &tool)?;
+    let backends = engine_addresses(&fleet, &tool)?;
     let proxy = PlainProxy::listen(backends).await;
     let proxy = proxy.map_err(|e| FleetError::Unexpected(e.to_string()))?;
     let tenant = fleet.topology().tenants.first().map(ToString::to_string).unwrap_or_default();
@@ -112,21 +112,21 @@
     let end = UnixMillis::now().plus(Duration::from_secs(3_600)).0;
     let put = caller.put_program(0, "p", 1_000, end).await;
     put.map_err(|e| FleetError::Unexpected(e.to_string()))?;
-    let (mut through, mut plain): (Vec<Rate>, Vec<Rate>) = (Vec::new(), Vec::new());
-    for turn in 0..=TURNS {
-        let time = if turn == 0 { WARM_UP } else { time / TURNS };
-        let gateway = by_gateway(&caller, &tool, callers, time, turn).await;
-        let direct = by_proxy(proxy, &tool, callers, time).await;
-        if turn > 0 {
-            through.push(gateway);
-            plain.push(direct);
+    let (mut gateway_rates, mut proxy_rates): (Vec<Rate>, Vec<Rate>) = (Vec::new(), Vec::new());
+    for round in 0..=ROUNDS {
+        let time = if round == 0 { WARM_UP } else { time / ROUNDS };
+        let gateway = measure_gateway(&caller, &tool, callers, time, round).await;
+        let direct = measure_proxy(proxy, &tool, callers, time).await;
+        if round > 0 {
+            gateway_rates.push(gateway);
+            proxy_rates.push(direct);
         }
     }
-    Ok(section(callers, &through, &plain))
+    Ok(section(callers, &gateway_rates, &proxy_rates))
 }
 
 /// Returns the addresses of the application engines that serve a tool.
-fn serving(fleet: &Fleet, tool: &str) -> Result<Vec<SocketAddr>, FleetError> {
+fn engine_addresses(fleet: &Fleet, tool: &str) -> Result<Vec<SocketAddr>, FleetError> {
     let groups = &fleet.topology().applications;
     let services = groups.iter().flat_map(|g| std::iter::repeat_n(g, g.engines));
     let serving = services.zip(fleet.names(ProcessKind::App));
@@ -134,7 +134,7 @@
     of_tool.map(|(_, name)| fleet.http_address(name)).collect()
 }
 
-async fn by_gateway(
+async fn measure_gateway(
     caller: &Caller,
     tool: &str,
     callers: usize,
@@ -151,7 +151,7 @@
     .await
 }
 
-async fn by_proxy(proxy: SocketAddr, tool: &str, callers: usize, time: Duration) -> Rate {
+async fn measure_proxy(proxy: SocketAddr, tool: &str, callers: usize, time: Duration) -> Rate {
     let (http, path) = (HttpClient::default(), format!("/calls/{tool}"));
     measure(callers, time, move |from, number| {
         let body = json!({"of": from, "number": number});
@@ -163,21 +163,29 @@
     .await
 }
 
-fn section(callers: usize, through: &[Rate], plain: &[Rate]) -> Section {
+fn section(callers: usize, gateway_rates: &[Rate], proxy_rates: &[Rate]) -> Section {
     let rate =
         |rates: &[Rate]| rates.iter().map(|r| r.per_second).sum::<f64>() / rates.len() as f64;
     let p50 =
         |rates: &[Rate]| rates.iter().map(|r| r.times_ms.p50).sum::<f64>() / rates.len() as f64;
     let failed = |rates: &[Rate]| rates.iter().map(|r| r.failed).sum::<u64>() as f64;
     let measures = vec![
-        Measure::new("gateway's throughput by the plain proxy's", rate(through) / rate(plain), "")
-            .with_goal(Goal::AtLeast(GOAL)),
-        Measure::new("repeatable calls through the gateway, a second", rate(through), "calls/s"),
-        Measure::new("the same through the plain proxy, a second", rate(plain), "calls/s"),
-        Measure::new("time of a call through the gateway, p50", p50(through), "ms"),
-        Measure::new("time of a call through the plain proxy, p50", p50(plain), "ms"),
-        Measure::new("calls that failed at the gateway", failed(through), "calls"),
-        Measure::new("calls that failed at the plain proxy", failed(plain), "calls"),
+        Measure::new(
+            "gateway's throughput by the plain proxy's",
+            rate(gateway_rates) / rate(proxy_rates),
+            "",
+        )
+        .with_goal(Goal::AtLeast(THROUGHPUT_RATIO_GOAL)),
+        Measure::new(
+            "repeatable calls through the gateway, a second",
+            rate(gateway_rates),
+            "calls/s",
+        ),
+        Measure::new("the same through the plain proxy, a second", rate(proxy_rates), "calls/s"),
+        Measure::new("time of a call through the gateway, p50", p50(gateway_rates), "ms"),
+        Measure::new("time of a call through the plain proxy, p50", p50(proxy_rates), "ms"),
+        Measure::new("calls that failed at the gateway", failed(gateway_rates), "calls"),
+        Measure::new("calls that failed at the plain proxy", failed(proxy_rates), "calls"),
         Measure::new("callers at once", callers as f64, ""),
     ];
     let load = crate::environment::load_averages();
--- a/crates/bench/src/scenario/rate.rs
+++ b/crates/bench/src/scenario/rate.rs
@@ -50,9 +50,9 @@
     let (mut times, mut failed) = (Vec::new(), 0);
     while let Some(ended) = running.join_next().await {
         // Measurements of a caller that panicked are lost.
-        let Ok((more, also_failed)) = ended else { continue };
-        times.extend::<Vec<f64>>(more);
-        failed += also_failed;
+        let Ok((caller_times, caller_failed)) = ended else { continue };
+        times.extend::<Vec<f64>>(caller_times);
+        failed += caller_failed;
     }
     let per_second = times.len() as f64 / began.elapsed().as_secs_f64();
     Rate { per_second, failed, times_ms: Percentiles::of(times) }
--- a/crates/bench/src/scenario/specification.rs
+++ b/crates/bench/src/scenario/specification.rs
@@ -9,7 +9,7 @@
 
 /// A scenario with a steady phase and a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scene {
+pub enum BurstScenario {
     /// Growers ask at the same time whether to vent or heat, and alarms arrive in bursts.
     FrostNight,
     /// Long sessions with many sensor readings.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Specification {
     /// The scenario.
-    pub scene: Scene,
+    pub scenario: BurstScenario,
     /// Full gateways or baseline gateways.
     pub mode: GatewayMode,
     /// Factor applied to the load of both phases.
@@ -41,27 +41,27 @@
     /// and the additional share from the start of the burst.
     pub device_calls: (f64, f64),
     /// Time for which an application engine runs a call.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Concurrent calls of an application engine. Small enough that the callers of one machine can
     /// exceed it.
     pub application_slots: u32,
     /// Share of calls that are non-repeatable.
-    pub once_share: f64,
+    pub non_repeatable_share: f64,
     /// Maximum number of calls between two turns.
-    pub calls: u32,
+    pub max_calls: u32,
     /// Minimum and maximum number of tokens of a turn.
     pub turn_tokens: (u64, u64),
     /// Number of turns of a session.
-    pub turns: u32,
+    pub max_turns: u32,
     /// Maximum pause between turns.
-    pub think: Duration,
+    pub max_think_time: Duration,
     /// Whether engines are replaced during the burst.
     pub replace_engines: bool,
     /// Whether random nodes are killed throughout the run.
     pub kills: bool,
 }
 
-impl Scene {
+impl BurstScenario {
     const ALL: [(Self, &'static str); 3] = [
         (Self::FrostNight, "frost-night"),
         (Self::SowingMorning, "sowing-morning"),
@@ -72,42 +72,42 @@
     /// second.
     #[must_use]
     pub fn load(self) -> Load {
-        let frost = Load {
+        let frost_night = Load {
             steady: 0.5,
             burst: 2.0,
             device_calls: (0.3, 0.5),
-            run: Duration::from_millis(160),
+            run_time: Duration::from_millis(160),
             application_slots: 16,
-            once_share: 0.6,
-            calls: 3,
+            non_repeatable_share: 0.6,
+            max_calls: 3,
             turn_tokens: (8, 40),
-            turns: 8,
-            think: Duration::from_millis(400),
+            max_turns: 8,
+            max_think_time: Duration::from_millis(400),
             replace_engines: true,
             kills: false,
         };
         match self {
-            Self::FrostNight => frost,
+            Self::FrostNight => frost_night,
             Self::SowingMorning => Load {
-                once_share: 0.2,
-                calls: 5,
+                non_repeatable_share: 0.2,
+                max_calls: 5,
                 turn_tokens: (20, 80),
-                turns: 30,
+                max_turns: 30,
                 burst: 1.0,
-                ..frost
+                ..frost_night
             },
-            Self::StormWarning => Load { steady: 0.7, burst: 2.5, kills: true, ..frost },
+            Self::StormWarning => Load { steady: 0.7, burst: 2.5, kills: true, ..frost_night },
         }
     }
 
     fn word(self) -> &'static str {
-        Self::ALL.iter().find(|(scene, _)| *scene == self).map_or("", |(_, word)| word)
+        Self::ALL.iter().find(|(scenario, _)| *scenario == self).map_or("", |(_, word)| word)
     }
 }
 
 impl fmt::Display for Specification {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.scene.word())?;
+        f.write_str(self.scenario.word())?;
         if self.mode == GatewayMode::Plain {
             f.write_str("@plain")?;
         }
@@ -130,9 +130,10 @@
 
     fn from_str(text: &str) -> Result<Self, SpecificationError> {
         let error = || SpecificationError(text.to_owned());
-        let known =
-            Scene::ALL.iter().find_map(|(scene, word)| Some((*scene, text.strip_prefix(word)?)));
-        let (scene, rest) = known.ok_or_else(error)?;
+        let known = BurstScenario::ALL
+            .iter()
+            .find_map(|(scenario, word)| Some((*scenario, text.strip_prefix(word)?)));
+        let (scenario, rest) = known.ok_or_else(error)?;
         let (mode, rest) = match rest.strip_prefix("@plain") {
             Some(rest) => (GatewayMode::Plain, rest),
             None => (GatewayMode::Full, rest),
@@ -142,6 +143,6 @@
             None if rest.is_empty() => 1.0,
             None => return Err(error()),
         };
-        Ok(Self { scene, mode, scale })
+        Ok(Self { scenario, mode, scale })
     }
 }
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -17,7 +17,9 @@
 };
 use crate::report::{Goal, Measure, Section};
 use crate::statistics::Percentiles;
-use crate::workload::{Client, Profile, Recorder, now, observe, read_finally, run_programs};
+use crate::workload::{
+    Client, Profile, Recorder, now, poll_versions, read_final_state, run_programs,
+};
 
 /// Maximum median takeover time, in milliseconds. The promise is less than 6 s for each takeover.
 const MEDIAN_TAKEOVER_GOAL_MS: f64 = 5_000.0;
@@ -88,7 +90,7 @@
                 run_programs(&client, &profile, programs, RAMP_TIME, seed, &stop).await;
             })
         };
-        let observer = tokio::spawn(observe(fleet.clone(), client.recorder(), stop.clone()));
+        let observer = tokio::spawn(poll_versions(fleet.clone(), client.recorder(), stop.clone()));
         sleep(RAMP_TIME + FAULT_INTERVAL).await;
         let injector =
             FaultInjector { fleet: &fleet, client: &client, profile: &profile, progress };
@@ -100,7 +102,7 @@
         joined.0.and(joined.1).map_err(|e| FleetError::Unexpected(e.to_string()))?;
         injected?;
         sleep(SETTLE_TIME).await;
-        read_finally(&fleet, &client).await?;
+        read_final_state(&fleet, &client).await?;
         let evidence = client.recorder().snapshot();
         let outcome = Outcome::of("takeover", &evidence, (from, to), &[]);
         Ok(vec![outcome.into_section(), section(&evidence)])
@@ -120,8 +122,8 @@
     Profile {
         turn_tokens: (20, 60),
         call_share: 0.0,
-        think: Duration::from_millis(20),
-        turns: 40,
+        max_think_time: Duration::from_millis(20),
+        max_turns: 40,
         small_budget_share: 0.1,
         join_share: 0.1,
         ..Profile::of(topology)
--- a/crates/bench/src/slopes/data_plane.rs
+++ b/crates/bench/src/slopes/data_plane.rs
@@ -15,7 +15,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::fit::Observation;
-use super::fleet_usage::{Look, Span};
+use super::fleet_usage::{UsageReading, UsageSpan};
 use super::report::Report;
 use super::report_slope;
 
@@ -43,16 +43,16 @@
 /// Tokens of a turn whose stream is kept open.
 const LONG_TURN_TOKENS: u64 = 4_000;
 /// Maximum number of concurrent requests.
-const AT_ONCE: usize = 32;
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 /// Number of tenants that the load is spread over, so that none reaches its limits.
 const TENANTS: usize = 64;
 const MODEL: &str = "model-0";
 const SLOTS: u32 = 1_024;
 
-struct Measured {
+struct Measurement {
     turns: f64,
     tokens: f64,
-    span: Span,
+    span: UsageSpan,
 }
 
 fn tenant(n: usize) -> String {
@@ -94,7 +94,7 @@
     let pace = ModelPace { first_token_ms: 20, between_tokens_ms: 20, uncached_token_micros: 0 };
     let fleet = Fleet::start(topology(pace)?).await?;
     let http = HttpClient::default();
-    let mut all = Vec::new();
+    let mut measurements = Vec::new();
     for (series, load) in LOADS.into_iter().enumerate() {
         let measured = measure(&fleet, &http, series, load, span).await?;
         let fields = json!({
@@ -106,15 +106,15 @@
             "span": measured.span,
         });
         report.line("observation", &fields)?;
-        all.push(measured);
+        measurements.push(measured);
     }
     for role in ["gateway", "engine", "store", "core"] {
-        let fitted = |cost: &str, of: &dyn Fn(&Measured) -> f64| {
-            let observe = |m: &Measured| Observation {
+        let fitted = |cost: &str, of: &dyn Fn(&Measurement) -> f64| {
+            let to_observation = |m: &Measurement| Observation {
                 drivers: vec![m.turns / m.span.seconds, m.tokens / m.span.seconds],
                 cost: of(m) / m.span.seconds,
             };
-            let observations: Vec<_> = all.iter().map(observe).collect();
+            let observations: Vec<_> = measurements.iter().map(to_observation).collect();
             report_slope(report, (EXPERIMENT, role, cost), &["turn", "token"], &observations)
         };
         fitted("cpu seconds", &|m| m.span.role(role).cpu_seconds)?;
@@ -140,7 +140,7 @@
     series: usize,
     (streams, tokens): (usize, u64),
     span: Duration,
-) -> anyhow::Result<Measured> {
+) -> anyhow::Result<Measurement> {
     let done = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
     let stop = CancellationToken::new();
     let mut tasks = Vec::new();
@@ -148,19 +148,19 @@
         let caller = Caller::new(fleet.gateways(), &tenant(n));
         let session = SessionRef::new(&format!("load-{series}-{n}"), "main");
         open(&caller, &session).await?;
-        let loops = turns(caller, session, tokens, done.clone(), stop.clone());
+        let loops = run_turns(caller, session, tokens, done.clone(), stop.clone());
         tasks.push(tokio::spawn(loops));
     }
     tokio::time::sleep(WARM_UP).await;
     let read = || (done.0.load(Ordering::Relaxed), done.1.load(Ordering::Relaxed));
-    let (before, from) = (Look::at(fleet, http).await?, read());
+    let (before, from) = (UsageReading::read(fleet, http).await?, read());
     tokio::time::sleep(span).await;
-    let (after, to) = (Look::at(fleet, http).await?, read());
+    let (after, to) = (UsageReading::read(fleet, http).await?, read());
     stop.cancel();
     for ended in join_all(tasks).await {
         ended??;
     }
-    Ok(Measured {
+    Ok(Measurement {
         turns: (to.0 - from.0) as f64,
         tokens: (to.1 - from.1) as f64,
         span: after.since(&before),
@@ -168,7 +168,7 @@
 }
 
 /// Runs one turn after another and counts tokens as they arrive.
-async fn turns(
+async fn run_turns(
     caller: Caller,
     session: SessionRef,
     tokens: u64,
@@ -202,19 +202,19 @@
     let callers: Vec<Caller> =
         (0..TENANTS).map(|n| Caller::new(fleet.gateways(), &tenant(n))).collect();
     let name = |n: usize| SessionRef::new(&format!("session-{n}"), "main");
-    let mut looks = Vec::new();
+    let mut readings = Vec::new();
     let mut opened = 0;
     for step in SESSION_STEPS {
         let numbers: Vec<usize> = (opened..step).collect();
-        for some in numbers.chunks(AT_ONCE) {
-            let names: Vec<_> = some.iter().map(|n| (&callers[n % TENANTS], name(*n))).collect();
+        for chunk in numbers.chunks(MAX_CONCURRENT_REQUESTS) {
+            let names: Vec<_> = chunk.iter().map(|n| (&callers[n % TENANTS], name(*n))).collect();
             try_join_all(names.iter().map(|(caller, session)| open(caller, session))).await?;
         }
         opened = step;
-        looks.push((step, Look::at(&fleet, &http).await?));
+        readings.push((step, UsageReading::read(&fleet, &http).await?));
     }
-    memory(report, "open sessions", "session with program and cached owner", &looks)?;
-    let mut looks = Vec::new();
+    report_memory(report, "open sessions", "session with program and cached owner", &readings)?;
+    let mut readings = Vec::new();
     let mut streams = Vec::new();
     for step in STREAM_STEPS {
         for n in streams.len()..step {
@@ -225,30 +225,31 @@
             streams
                 .push(tokio::spawn(async move { while let Ok(Some(_)) = stream.next().await {} }));
         }
-        looks.push((step, Look::at(&fleet, &http).await?));
+        readings.push((step, UsageReading::read(&fleet, &http).await?));
     }
     streams.iter().for_each(tokio::task::JoinHandle::abort);
-    memory(report, "open streams", "open stream", &looks)
+    report_memory(report, "open streams", "open stream", &readings)
 }
 
-fn memory(
+fn report_memory(
     report: &Report,
     experiment: &str,
     driver: &str,
-    looks: &[(usize, Look)],
+    readings: &[(usize, UsageReading)],
 ) -> anyhow::Result<()> {
-    for (count, look) in looks {
-        let fields = json!({"experiment": experiment, "count": count, "roles": look.roles});
+    for (count, reading) in readings {
+        let fields = json!({"experiment": experiment, "count": count, "roles": reading.roles});
         report.line("observation", &fields)?;
     }
     for role in ["gateway", "engine", "store"] {
-        let resident =
-            |look: &Look| look.roles.get(role).map_or(0.0, |counted| counted.resident_bytes);
-        let observe = |(count, look): &(usize, Look)| Observation {
+        let resident = |reading: &UsageReading| {
+            reading.roles.get(role).map_or(0.0, |usage| usage.resident_bytes)
+        };
+        let to_observation = |(count, reading): &(usize, UsageReading)| Observation {
             drivers: vec![*count as f64],
-            cost: resident(look),
+            cost: resident(reading),
         };
-        let observations: Vec<_> = looks.iter().map(observe).collect();
+        let observations: Vec<_> = readings.iter().map(to_observation).collect();
         report_slope(report, (experiment, role, "resident bytes"), &[driver], &observations)?;
     }
     Ok(())
--- a/crates/bench/src/slopes/fit.rs
+++ b/crates/bench/src/slopes/fit.rs
@@ -42,28 +42,29 @@
     let row = |o: &Observation| -> Vec<f64> {
         std::iter::once(1.0).chain(o.drivers.iter().copied()).collect()
     };
-    let mut normal = vec![vec![0.0; width]; width];
-    let mut right = vec![0.0; width];
+    let mut normal_matrix = vec![vec![0.0; width]; width];
+    let mut moments = vec![0.0; width];
     for observation in observations {
         let row = row(observation);
         for i in 0..width {
-            right[i] += row[i] * observation.cost;
+            moments[i] += row[i] * observation.cost;
             for j in 0..width {
-                normal[i][j] += row[i] * row[j];
+                normal_matrix[i][j] += row[i] * row[j];
             }
         }
     }
-    let inverse = invert(normal)?;
+    let inverse = invert(normal_matrix)?;
     let values: Vec<f64> =
-        inverse.iter().map(|line| line.iter().zip(&right).map(|(a, b)| a * b).sum()).collect();
+        inverse.iter().map(|line| line.iter().zip(&moments).map(|(a, b)| a * b).sum()).collect();
     let predicted = |o: &Observation| row(o).iter().zip(&values).map(|(a, b)| a * b).sum::<f64>();
     let residual: f64 = observations.iter().map(|o| (o.cost - predicted(o)).powi(2)).sum();
     let mean = observations.iter().map(|o| o.cost).sum::<f64>() / observations.len() as f64;
     let total: f64 = observations.iter().map(|o| (o.cost - mean).powi(2)).sum();
-    let freedom = observations.len().checked_sub(width).filter(|f| *f > 0);
-    let estimate = |place: usize| Estimate {
-        value: values[place],
-        standard_error: freedom.map(|f| (residual / f as f64 * inverse[place][place]).sqrt()),
+    let degrees_of_freedom = observations.len().checked_sub(width).filter(|f| *f > 0);
+    let estimate = |index: usize| Estimate {
+        value: values[index],
+        standard_error: degrees_of_freedom
+            .map(|f| (residual / f as f64 * inverse[index][index]).sqrt()),
     };
     Some(Fit {
         constant: estimate(0),
--- a/crates/bench/src/slopes/fleet_usage.rs
+++ b/crates/bench/src/slopes/fleet_usage.rs
@@ -13,7 +13,7 @@
 
 /// Resource usage, summed over all processes of a role.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub(crate) struct Counted {
+pub(crate) struct ResourceUsage {
     /// Number of processes that were measured.
     pub(crate) processes: usize,
     /// Processor time, in seconds.
@@ -32,7 +32,7 @@
     pub(crate) syncs: f64,
 }
 
-impl Counted {
+impl ResourceUsage {
     fn plus(self, other: Self) -> Self {
         Self {
             processes: self.processes + other.processes,
@@ -62,58 +62,58 @@
 
 /// Resource usage of a fleet at one instant.
 #[derive(Debug, Clone)]
-pub(crate) struct Look {
+pub(crate) struct UsageReading {
     at: Instant,
     /// Usage by role.
-    pub(crate) roles: BTreeMap<&'static str, Counted>,
+    pub(crate) roles: BTreeMap<&'static str, ResourceUsage>,
 }
 
 /// Resource usage over a span.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct Span {
+pub(crate) struct UsageSpan {
     /// Length of the span, in seconds.
     pub(crate) seconds: f64,
     /// Usage by role.
-    pub(crate) roles: BTreeMap<&'static str, Counted>,
+    pub(crate) roles: BTreeMap<&'static str, ResourceUsage>,
 }
 
-impl Look {
+impl UsageReading {
     /// Reads the usage of all running hooklug processes of a fleet concurrently.
-    pub(crate) async fn at(fleet: &Fleet, http: &HttpClient) -> anyhow::Result<Self> {
+    pub(crate) async fn read(fleet: &Fleet, http: &HttpClient) -> anyhow::Result<Self> {
         let nodes = fleet.status().into_iter().filter(|status| status.name.kind.is_node());
-        let looks = nodes.filter(|status| status.pid.is_some()).map(|status| async move {
-            let counted = count(http, &status).await?;
-            anyhow::Ok((status.name.kind.word(), counted))
+        let readings = nodes.filter(|status| status.pid.is_some()).map(|status| async move {
+            let usage = read_process(http, &status).await?;
+            anyhow::Ok((status.name.kind.word(), usage))
         });
-        let mut roles: BTreeMap<&'static str, Counted> = BTreeMap::new();
-        for (role, counted) in try_join_all(looks).await? {
+        let mut roles: BTreeMap<&'static str, ResourceUsage> = BTreeMap::new();
+        for (role, usage) in try_join_all(readings).await? {
             let sum = roles.entry(role).or_default();
-            *sum = sum.plus(counted);
+            *sum = sum.plus(usage);
         }
         Ok(Self { at: Instant::now(), roles })
     }
 
     /// Returns the usage since an earlier reading.
-    pub(crate) fn since(&self, earlier: &Self) -> Span {
+    pub(crate) fn since(&self, earlier: &Self) -> UsageSpan {
         let before = |role: &str| earlier.roles.get(role).copied().unwrap_or_default();
         let roles = self.roles.iter().map(|(role, now)| (*role, now.since(before(role))));
-        Span { seconds: (self.at - earlier.at).as_secs_f64(), roles: roles.collect() }
+        UsageSpan { seconds: (self.at - earlier.at).as_secs_f64(), roles: roles.collect() }
     }
 }
 
-impl Span {
+impl UsageSpan {
     /// Returns the usage of a role.
-    pub(crate) fn role(&self, role: &str) -> Counted {
+    pub(crate) fn role(&self, role: &str) -> ResourceUsage {
         self.roles.get(role).copied().unwrap_or_default()
     }
 }
 
-async fn count(http: &HttpClient, status: &ProcessStatus) -> anyhow::Result<Counted> {
+async fn read_process(http: &HttpClient, status: &ProcessStatus) -> anyhow::Result<ResourceUsage> {
     let metrics = http.ask(status.http, &Ask::new(Method::GET, "/metrics")).await?;
     let usage = Usage::of(status.pid.unwrap_or_default())?;
     let metrics = String::from_utf8_lossy(&metrics.body).into_owned();
-    let sum = |name: &str| sum_of(&metrics, name);
-    Ok(Counted {
+    let sum = |name: &str| sum_series(&metrics, name);
+    Ok(ResourceUsage {
         processes: 1,
         cpu_seconds: usage.cpu.as_secs_f64(),
         resident_bytes: usage.resident_bytes as f64,
@@ -126,7 +126,7 @@
 }
 
 /// Returns the sum of all series that start with `name`, which may include the first labels.
-fn sum_of(metrics: &str, name: &str) -> f64 {
+fn sum_series(metrics: &str, name: &str) -> f64 {
     let matching = metrics.lines().filter(|line| line.starts_with(name));
     matching.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
--- a/crates/bench/src/slopes/process_usage.rs
+++ b/crates/bench/src/slopes/process_usage.rs
@@ -24,10 +24,11 @@
     pub(crate) fn of(pid: u32) -> anyhow::Result<Self> {
         let stat = read(pid, "stat")?;
         // The command name may contain spaces, so fields are counted after its closing parenthesis.
-        let after = stat.rsplit_once(')').map(|(_, rest)| rest).ok_or(anyhow!("odd stat"))?;
-        let fields: Vec<&str> = after.split_whitespace().collect();
-        let ticks = |place: usize| -> anyhow::Result<f64> {
-            Ok(fields.get(place).ok_or(anyhow!("short stat"))?.parse::<f64>()?)
+        let fields_after_name =
+            stat.rsplit_once(')').map(|(_, rest)| rest).ok_or(anyhow!("odd stat"))?;
+        let fields: Vec<&str> = fields_after_name.split_whitespace().collect();
+        let ticks = |index: usize| -> anyhow::Result<f64> {
+            Ok(fields.get(index).ok_or(anyhow!("short stat"))?.parse::<f64>()?)
         };
         let cpu = Duration::from_secs_f64((ticks(11)? + ticks(12)?) / TICKS_PER_SECOND);
         let statm = read(pid, "statm")?;
--- a/crates/bench/src/slopes/state_machine.rs
+++ b/crates/bench/src/slopes/state_machine.rs
@@ -29,9 +29,9 @@
     (16_000, 50),
 ];
 /// Token events per command.
-const EVENTS_A_COMMAND: u64 = 50;
+const EVENTS_PER_COMMAND: u64 = 50;
 
-struct Measured {
+struct Measurement {
     programs: f64,
     events: f64,
     resident_bytes: f64,
@@ -44,7 +44,7 @@
 /// one would be reused by the next, whose resident memory would then appear too small.
 pub(super) fn run(report: &Report) -> anyhow::Result<()> {
     let mut machines = Vec::new();
-    let mut all = Vec::new();
+    let mut measurements = Vec::new();
     for (programs, events) in SIZES {
         let (machine, measured) = build(programs, events)?;
         let fields = json!({
@@ -58,12 +58,12 @@
         });
         report.line("observation", &fields)?;
         machines.push(machine);
-        all.push(measured);
+        measurements.push(measured);
     }
-    let fitted = |cost: &str, of: &dyn Fn(&Measured) -> f64| {
-        let observe =
-            |m: &Measured| Observation { drivers: vec![m.programs, m.events], cost: of(m) };
-        let observations: Vec<_> = all.iter().map(observe).collect();
+    let fitted = |cost: &str, of: &dyn Fn(&Measurement) -> f64| {
+        let to_observation =
+            |m: &Measurement| Observation { drivers: vec![m.programs, m.events], cost: of(m) };
+        let observations: Vec<_> = measurements.iter().map(to_observation).collect();
         let drivers = ["program with session and open turn", "token event"];
         report_slope(report, (EXPERIMENT, ROLE, cost), &drivers, &observations)
     };
@@ -72,30 +72,31 @@
     fitted("cpu seconds to apply", &|m| m.records_seconds + m.events_seconds)
 }
 
-fn build(programs: usize, events: u64) -> anyhow::Result<(ShardMachine, Measured)> {
+fn build(programs: usize, events: u64) -> anyhow::Result<(ShardMachine, Measurement)> {
     let before = Usage::own()?.resident_bytes;
     let mut machine = ShardMachine::new(Duration::from_secs(86_400));
     let records: Result<Vec<_>, _> =
         (0..programs).map(|n| ProgramRecords::new("machine", n)).collect();
     let records = records?;
     let began = Instant::now();
-    for one in &records {
-        for command in [one.put()?, one.open()?, one.begin()] {
+    for program in &records {
+        for command in [program.put_program()?, program.open_session()?, program.begin_turn()] {
             machine.apply_command(command);
         }
     }
     let records_seconds = began.elapsed().as_secs_f64();
     let began = Instant::now();
-    for one in &records {
-        for first in (0..events).step_by(EVENTS_A_COMMAND as usize) {
-            let command: ShardCommand = one.append(2 + first, EVENTS_A_COMMAND.min(events - first));
+    for program in &records {
+        for first in (0..events).step_by(EVENTS_PER_COMMAND as usize) {
+            let command: ShardCommand =
+                program.append_events(2 + first, EVENTS_PER_COMMAND.min(events - first));
             machine.apply_command(command);
         }
     }
     let events_seconds = began.elapsed().as_secs_f64();
     drop(records);
     let resident = Usage::own()?.resident_bytes.saturating_sub(before);
-    let measured = Measured {
+    let measured = Measurement {
         programs: programs as f64,
         events: (programs as u64 * events) as f64,
         resident_bytes: resident as f64,
--- a/crates/bench/src/workload/calls.rs
+++ b/crates/bench/src/workload/calls.rs
@@ -12,13 +12,13 @@
 use crate::oracle::evidence::{CallClaim, CallRecord};
 
 /// Time within which a program retries a call.
-pub(super) const CALL_TIME: Duration = Duration::from_secs(20);
+pub(super) const CALL_RETRY_TIME: Duration = Duration::from_secs(20);
 /// Time within which a program retries a request for the state of a call.
-const QUESTION_TIME: Duration = Duration::from_secs(10);
+const STATE_RETRY_TIME: Duration = Duration::from_secs(10);
 
 /// A call that a program is about to make.
 #[derive(Debug, Clone)]
-pub struct PlannedCall {
+pub struct CallPlan {
     /// Id of the program.
     pub program: String,
     /// Id of the call.
@@ -30,10 +30,10 @@
     /// Whether to send the call again through another gateway after it was answered.
     pub send_again: bool,
     /// Time within which the call is retried while responses are inconclusive.
-    pub patience: Duration,
+    pub retry_time: Duration,
 }
 
-impl PlannedCall {
+impl CallPlan {
     fn path(&self) -> String {
         format!("/v1/programs/{}/calls/{}", self.program, self.call)
     }
@@ -41,18 +41,18 @@
 
 impl Client {
     /// Makes a call, records it and returns the application's response, if there is one.
-    pub async fn run_call(&self, gateway: usize, planned: &PlannedCall) -> Option<Value> {
+    pub async fn run_call(&self, gateway: usize, plan: &CallPlan) -> Option<Value> {
         let sent_at = now();
-        let ask = Ask::json(Method::PUT, planned.path(), &planned.request);
-        let mut claims = vec![self.claim(gateway, &ask, planned.patience).await];
+        let request = Ask::json(Method::PUT, plan.path(), &plan.request);
+        let mut claims = vec![self.send_call(gateway, &request, plan.retry_time).await];
         let ended_at = now();
-        if !planned.may_repeat {
+        if !plan.may_repeat {
             match &claims[0] {
-                CallClaim::Answered { .. } if planned.send_again => {
-                    claims.push(self.claim(gateway + 1, &ask, planned.patience).await);
+                CallClaim::Answered { .. } if plan.send_again => {
+                    claims.push(self.send_call(gateway + 1, &request, plan.retry_time).await);
                 }
-                CallClaim::Unknown => claims.push(self.state(gateway + 1, planned).await),
-                CallClaim::Inconclusive(_) => claims.push(self.seal(gateway + 1, planned).await),
+                CallClaim::Unknown => claims.push(self.read_state(gateway + 1, plan).await),
+                CallClaim::Inconclusive(_) => claims.push(self.seal(gateway + 1, plan).await),
                 _ => {}
             }
         }
@@ -61,10 +61,10 @@
             _ => None,
         });
         self.recorder.lock().calls.push(CallRecord {
-            call: format!("{}/{}", planned.program, planned.call),
-            tool: planned.request.tool.clone(),
-            arguments: planned.request.arguments.clone(),
-            may_repeat: planned.may_repeat,
+            call: format!("{}/{}", plan.program, plan.call),
+            tool: plan.request.tool.clone(),
+            arguments: plan.request.arguments.clone(),
+            may_repeat: plan.may_repeat,
             sent_at,
             ended_at,
             claims,
@@ -72,43 +72,43 @@
         answer
     }
 
-    async fn claim(&self, gateway: usize, ask: &Ask, time: Duration) -> CallClaim {
-        match self.ask(gateway, ask, time).await {
-            Ok(answered) => own_answer(&answered.answer),
-            Err(error) => claim_of(&error),
+    async fn send_call(&self, gateway: usize, request: &Ask, time: Duration) -> CallClaim {
+        match self.send_with_retries(gateway, request, time).await {
+            Ok(timed) => response_claim(&timed.response),
+            Err(error) => error_claim(&error),
         }
     }
 
     /// Reads the recorded state of a call whose outcome is unknown.
-    async fn state(&self, gateway: usize, planned: &PlannedCall) -> CallClaim {
-        let ask = Ask::new(Method::GET, planned.path());
-        self.recorded(gateway, &ask).await
+    async fn read_state(&self, gateway: usize, plan: &CallPlan) -> CallClaim {
+        let request = Ask::new(Method::GET, plan.path());
+        self.send_state_request(gateway, &request).await
     }
 
     /// Seals a call after inconclusive responses, so that it never runs unless it already has.
-    async fn seal(&self, gateway: usize, planned: &PlannedCall) -> CallClaim {
-        let request = &planned.request;
+    async fn seal(&self, gateway: usize, plan: &CallPlan) -> CallClaim {
+        let request = &plan.request;
         let body = json!({"tool": request.tool, "arguments": request.arguments});
-        let ask = Ask::json(Method::POST, format!("{}/seal", planned.path()), &body);
-        self.recorded(gateway, &ask).await
+        let request = Ask::json(Method::POST, format!("{}/seal", plan.path()), &body);
+        self.send_state_request(gateway, &request).await
     }
 
-    async fn recorded(&self, gateway: usize, ask: &Ask) -> CallClaim {
-        match self.ask(gateway, ask, QUESTION_TIME).await {
-            Ok(answered) => recorded_claim(&answered.answer),
-            Err(error) => claim_of(&error),
+    async fn send_state_request(&self, gateway: usize, request: &Ask) -> CallClaim {
+        match self.send_with_retries(gateway, request, STATE_RETRY_TIME).await {
+            Ok(timed) => state_claim(&timed.response),
+            Err(error) => error_claim(&error),
         }
     }
 }
 
-fn own_answer(answer: &Answer) -> CallClaim {
+fn response_claim(answer: &Answer) -> CallClaim {
     let body = serde_json::from_slice(&answer.body)
         .unwrap_or_else(|_| Value::String(String::from_utf8_lossy(&answer.body).into_owned()));
     CallClaim::Answered { status: answer.status.as_u16(), body }
 }
 
 /// Returns the outcome that the record of a call shows.
-fn recorded_claim(answer: &Answer) -> CallClaim {
+fn state_claim(answer: &Answer) -> CallClaim {
     let view: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     match view["state"].as_str() {
         Some("answered") => CallClaim::Answered {
@@ -121,7 +121,7 @@
     }
 }
 
-fn claim_of(error: &CallerError) -> CallClaim {
+fn error_claim(error: &CallerError) -> CallClaim {
     let CallerError::Problem(problem) = error else {
         return CallClaim::Inconclusive(error.to_string());
     };
--- a/crates/bench/src/workload/client.rs
+++ b/crates/bench/src/workload/client.rs
@@ -11,9 +11,9 @@
 use super::recorder::Recorder;
 
 /// Pause before a retry if the response specifies none.
-const PAUSE: Duration = Duration::from_millis(100);
+const DEFAULT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Maximum pause before a retry.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
 /// A caller that uses all gateways and records the responses. Cheap to clone.
 #[derive(Debug, Clone)]
@@ -25,10 +25,10 @@
 
 /// A response and the send time of the request that it belongs to.
 #[derive(Debug)]
-pub(super) struct Answered {
-    pub answer: Answer,
+pub(super) struct TimedResponse {
+    pub response: Answer,
     /// Whether the first attempt returned it.
-    pub first_try: bool,
+    pub first_attempt: bool,
     pub sent_at: u64,
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// Updates the gateway addresses, after a gateway was replaced.
-    pub fn learn_gateways(&self, fleet: &Fleet) {
+    pub fn refresh_gateways(&self, fleet: &Fleet) {
         let caller = Caller::new(fleet.gateways(), &self.tenant);
         *self.caller.write().unwrap_or_else(PoisonError::into_inner) = caller;
     }
@@ -61,22 +61,22 @@
 
     /// Sends a request and retries it at the next gateway for a time, while responses are
     /// inconclusive.
-    pub(super) async fn ask(
+    pub(super) async fn send_with_retries(
         &self,
         mut gateway: usize,
-        ask: &Ask,
+        request: &Ask,
         time: Duration,
-    ) -> Result<Answered, CallerError> {
+    ) -> Result<TimedResponse, CallerError> {
         let deadline = Instant::now() + time;
-        let mut first_try = true;
+        let mut first_attempt = true;
         loop {
             let sent_at = super::now();
-            match self.caller().ask_once(gateway, ask).await {
-                Ok(answer) => return Ok(Answered { answer, first_try, sent_at }),
+            match self.caller().ask_once(gateway, request).await {
+                Ok(response) => return Ok(TimedResponse { response, first_attempt, sent_at }),
                 Err(error) if error.is_passing() && Instant::now() < deadline => {
-                    first_try = false;
+                    first_attempt = false;
                     gateway += 1;
-                    sleep(pause_after(&error)).await;
+                    sleep(retry_pause(&error)).await;
                 }
                 Err(error) => return Err(error),
             }
@@ -85,10 +85,10 @@
 }
 
 /// Returns the pause before a retry.
-pub(super) fn pause_after(error: &CallerError) -> Duration {
-    let named = match error {
+pub(super) fn retry_pause(error: &CallerError) -> Duration {
+    let requested = match error {
         CallerError::Problem(problem) => problem.retry_after_ms.map(Duration::from_millis),
         _ => None,
     };
-    named.unwrap_or(PAUSE).clamp(Duration::from_millis(10), LONGEST_PAUSE)
+    requested.unwrap_or(DEFAULT_RETRY_PAUSE).clamp(Duration::from_millis(10), MAX_RETRY_PAUSE)
 }
--- a/crates/bench/src/workload/final_state.rs
+++ b/crates/bench/src/workload/final_state.rs
@@ -8,24 +8,24 @@
 use super::client::Client;
 
 /// Maximum number of concurrent reads.
-const READS: usize = 16;
+const MAX_CONCURRENT_READS: usize = 16;
 /// Attempts for each history, each at another gateway.
-const TRIES: usize = 5;
+const ATTEMPTS: usize = 5;
 
 /// Reads all histories, programs and ledgers into the evidence.
 ///
 /// # Errors
 /// If a ledger cannot be decoded.
-pub async fn read_finally(fleet: &Fleet, client: &Client) -> Result<(), FleetError> {
+pub async fn read_final_state(fleet: &Fleet, client: &Client) -> Result<(), FleetError> {
     let (sessions, programs): (Vec<String>, Vec<String>) = {
         let evidence = client.recorder.lock();
         (evidence.sessions.keys().cloned().collect(), evidence.programs.keys().cloned().collect())
     };
     futures::stream::iter(sessions)
-        .for_each_concurrent(READS, |name| read_history(client, name))
+        .for_each_concurrent(MAX_CONCURRENT_READS, |name| read_history(client, name))
         .await;
     futures::stream::iter(programs)
-        .for_each_concurrent(READS, |name| read_program(client, name))
+        .for_each_concurrent(MAX_CONCURRENT_READS, |name| read_program(client, name))
         .await;
     let applications = fleet.ledgers(ProcessKind::App)?;
     let models = fleet.ledgers(ProcessKind::Model)?;
@@ -38,8 +38,8 @@
 async fn read_history(client: &Client, name: String) {
     let Some((program, session)) = name.split_once('/') else { return };
     let session = SessionRef::new(program, session);
-    for gateway in 0..TRIES {
-        if let Ok(events) = client.history(gateway, &session).await {
+    for gateway in 0..ATTEMPTS {
+        if let Ok(events) = client.read_history(gateway, &session).await {
             let mut evidence = client.recorder.lock();
             if let Some(record) = evidence.sessions.get_mut(&name) {
                 record.history = Some(events);
--- a/crates/bench/src/workload/mod.rs
+++ b/crates/bench/src/workload/mod.rs
@@ -13,12 +13,12 @@
 mod version_observer;
 
 pub use call_stream::CallStream;
-pub use calls::PlannedCall;
+pub use calls::CallPlan;
 pub use client::Client;
-pub use final_state::read_finally;
-pub use operators::operate;
-pub(crate) use operators::{read_back, submit};
+pub use final_state::read_final_state;
+pub use operators::run_operator;
+pub(crate) use operators::{read_newest_bundle, submit};
 pub use profile::Profile;
 pub use programs::run_programs;
 pub use recorder::{Recorder, now};
-pub use version_observer::observe;
+pub use version_observer::poll_versions;
--- a/crates/bench/src/workload/operators.rs
+++ b/crates/bench/src/workload/operators.rs
@@ -19,17 +19,22 @@
 use crate::oracle::evidence::{BundleRead, SubmissionOutcome, SubmissionRecord};
 
 /// Timeout of a read.
-const READ_TIME: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Range of the pause between two actions, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 1_500..5_000;
 
 #[derive(Debug, Deserialize)]
-struct Content {
+struct BundleResponse {
     bundle: Bundle,
 }
 
 /// Runs an operator until `stop` is cancelled.
-pub async fn operate(fleet: Arc<Fleet>, recorder: Recorder, seed: u64, stop: CancellationToken) {
+pub async fn run_operator(
+    fleet: Arc<Fleet>,
+    recorder: Recorder,
+    seed: u64,
+    stop: CancellationToken,
+) {
     let mut operator = Operator {
         http: HttpClient::default(),
         random: ChaCha8Rng::seed_from_u64(seed),
@@ -38,7 +43,7 @@
         recorder,
     };
     while !stop.is_cancelled() {
-        operator.act().await;
+        operator.perform_action().await;
         let pause = Duration::from_millis(operator.random.random_range(PAUSE_MS));
         stop.run_until_cancelled(tokio::time::sleep(pause)).await;
     }
@@ -53,78 +58,81 @@
 }
 
 impl Operator {
-    fn node(&mut self) -> Option<ProcessName> {
+    fn random_node(&mut self) -> Option<ProcessName> {
         let names = self.fleet.all_names().into_iter().filter(|name| name.kind.is_node());
         names.collect::<Vec<_>>().choose(&mut self.random).copied()
     }
 
-    async fn act(&mut self) {
-        let Some(node) = self.node() else { return };
-        let Some(seen) = read_back(&self.fleet, &self.http, &self.recorder, node).await else {
+    async fn perform_action(&mut self) {
+        let Some(node) = self.random_node() else { return };
+        let Some(newest) = read_newest_bundle(&self.fleet, &self.http, &self.recorder, node).await
+        else {
             return;
         };
         match self.random.random_range(0..4) {
-            0 => self.race(&seen).await,
-            1 => self.send_again().await,
+            0 => self.submit_conflicting(&newest).await,
+            1 => self.resend().await,
             _ => {
-                let next = self.changed(&seen);
-                self.send(next).await;
+                let next = self.changed_bundle(&newest);
+                self.submit(next).await;
             }
         }
     }
 
-    /// Creates a bundle based on `seen`, with changed limits.
-    fn changed(&mut self, seen: &Bundle) -> Bundle {
-        let mut next = seen.clone();
-        next.base = seen.version;
-        next.version = BundleVersion(seen.version.0 + 1);
+    /// Creates a bundle based on `newest`, with changed limits.
+    fn changed_bundle(&mut self, newest: &Bundle) -> Bundle {
+        let mut next = newest.clone();
+        next.base = newest.version;
+        next.version = BundleVersion(newest.version.0 + 1);
         for tenant in next.tenants.values_mut() {
             tenant.limits.concurrency = self.random.random_range(4_000..5_000);
         }
         next
     }
 
-    async fn send(&mut self, bundle: Bundle) {
-        let Some(node) = self.node() else { return };
+    async fn submit(&mut self, bundle: Bundle) {
+        let Some(node) = self.random_node() else { return };
         if submit(&self.fleet, &self.recorder, node, &bundle).await {
             self.acknowledged.push(bundle);
         }
     }
 
-    async fn race(&mut self, seen: &Bundle) {
-        let (first, mut second) = (self.changed(seen), self.changed(seen));
+    async fn submit_conflicting(&mut self, newest: &Bundle) {
+        let (first, mut second) = (self.changed_bundle(newest), self.changed_bundle(newest));
         for tenant in second.tenants.values_mut() {
             // Ensures that the contents of the two bundles differ.
             tenant.limits.concurrency += 1_000;
         }
-        let (Some(here), Some(there)) = (self.node(), self.node()) else { return };
-        let (one, other) = tokio::join!(
-            submit(&self.fleet, &self.recorder, here, &first),
-            submit(&self.fleet, &self.recorder, there, &second),
+        let (Some(first_node), Some(second_node)) = (self.random_node(), self.random_node()) else {
+            return;
+        };
+        let (first_accepted, second_accepted) = tokio::join!(
+            submit(&self.fleet, &self.recorder, first_node, &first),
+            submit(&self.fleet, &self.recorder, second_node, &second),
         );
-        self.acknowledged.extend(one.then_some(first));
-        self.acknowledged.extend(other.then_some(second));
+        self.acknowledged.extend(first_accepted.then_some(first));
+        self.acknowledged.extend(second_accepted.then_some(second));
     }
 
-    async fn send_again(&mut self) {
-        let again = self.acknowledged.choose(&mut self.random).cloned();
-        let (Some(bundle), Some(node)) = (again, self.node()) else { return };
+    async fn resend(&mut self) {
+        let bundle = self.acknowledged.choose(&mut self.random).cloned();
+        let (Some(bundle), Some(node)) = (bundle, self.random_node()) else { return };
         submit(&self.fleet, &self.recorder, node, &bundle).await;
     }
 }
 
 /// Reads the newest bundle from a node and records its version.
-pub(crate) async fn read_back(
+pub(crate) async fn read_newest_bundle(
     fleet: &Fleet,
     http: &HttpClient,
     recorder: &Recorder,
     node: ProcessName,
 ) -> Option<Bundle> {
     let sent_at = now();
-    let ask = Ask::new(Method::GET, "/admin/v1/bundles/current");
+    let request = Ask::new(Method::GET, "/admin/v1/bundles/current");
     let address = fleet.http_address(node).ok()?;
-    let answer = http.ask_within(address, &ask, READ_TIME).await.ok()?;
-    let content: Content = answer.json().ok()?;
+    let response = http.ask_within(address, &request, READ_TIMEOUT).await.ok()?;
+    let content: BundleResponse = response.json().ok()?;
     let version = content.bundle.version.0;
     recorder.lock().bundle_reads.push(BundleRead { sent_at, version });
     Some(content.bundle)
--- a/crates/bench/src/workload/profile.rs
+++ b/crates/bench/src/workload/profile.rs
@@ -12,19 +12,19 @@
     /// Tools with repeatable calls.
     pub repeatable: Vec<String>,
     /// Tools with non-repeatable calls.
-    pub once: Vec<String>,
+    pub non_repeatable: Vec<String>,
     /// Minimum and maximum number of tokens of a turn.
     pub turn_tokens: (u64, u64),
     /// Maximum number of calls after a turn.
-    pub calls: u32,
+    pub max_calls: u32,
     /// Share of calls that are non-repeatable.
-    pub once_share: f64,
+    pub non_repeatable_share: f64,
     /// Share of turns that are followed by calls.
     pub call_share: f64,
     /// Maximum pause between turns.
-    pub think: Duration,
+    pub max_think_time: Duration,
     /// Maximum number of turns of a session.
-    pub turns: u32,
+    pub max_turns: u32,
     /// Share of programs whose budget suffices only for a few turns.
     pub small_budget_share: f64,
     /// Share of sessions that a second client joins.
@@ -36,19 +36,19 @@
     #[must_use]
     pub fn of(topology: &Topology) -> Self {
         let tools = || topology.applications.iter().flat_map(|group| &group.tools);
-        let named = |may_repeat: bool| -> Vec<String> {
+        let tools_where = |may_repeat: bool| -> Vec<String> {
             tools().filter(|t| t.may_repeat == may_repeat).map(|t| t.name.clone()).collect()
         };
         Self {
             model: topology.models.last().map(|g| g.model.to_string()).unwrap_or_default(),
-            repeatable: named(true),
-            once: named(false),
+            repeatable: tools_where(true),
+            non_repeatable: tools_where(false),
             turn_tokens: (8, 40),
-            calls: 2,
-            once_share: 0.5,
+            max_calls: 2,
+            non_repeatable_share: 0.5,
             call_share: 0.6,
-            think: Duration::from_millis(300),
-            turns: 12,
+            max_think_time: Duration::from_millis(300),
+            max_turns: 12,
             small_budget_share: 0.25,
             join_share: 0.25,
         }
--- a/crates/bench/src/workload/sessions.rs
+++ b/crates/bench/src/workload/sessions.rs
@@ -9,24 +9,24 @@
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-use super::client::{Answered, Client};
+use super::client::{Client, TimedResponse};
 use crate::oracle::evidence::{OwnerObservation, ProgramRecord};
 
 /// Time within which requests that declare or open something are retried.
-const OPEN_TIME: Duration = Duration::from_secs(30);
+const OPEN_RETRY_TIME: Duration = Duration::from_secs(30);
 /// Lifetime of programs: longer than any run.
-const PROGRAM_TIME: Duration = Duration::from_secs(86_400);
+const PROGRAM_LIFETIME: Duration = Duration::from_secs(86_400);
 
-fn path(session: &SessionRef) -> String {
+fn session_path(session: &SessionRef) -> String {
     format!("/v1/programs/{}/sessions/{}", session.program, session.session)
 }
 
-fn name(session: &SessionRef) -> String {
+fn session_name(session: &SessionRef) -> String {
     format!("{}/{}", session.program, session.session)
 }
 
-fn decode(answer: &Answer) -> Result<SessionView, CallerError> {
-    serde_json::from_slice(&answer.body).map_err(|e| CallerError::Broken(e.to_string()))
+fn decode(response: &Answer) -> Result<SessionView, CallerError> {
+    serde_json::from_slice(&response.body).map_err(|e| CallerError::Broken(e.to_string()))
 }
 
 impl Client {
@@ -34,17 +34,17 @@
     ///
     /// # Errors
     /// If the request fails permanently or the retry time is over.
-    pub async fn declare(
+    pub async fn declare_program(
         &self,
         gateway: usize,
         program: &str,
         budget: u64,
         max_turn_tokens: u64,
     ) -> Result<(), CallerError> {
-        let end = UnixMillis::now().plus(PROGRAM_TIME).0;
+        let end = UnixMillis::now().plus(PROGRAM_LIFETIME).0;
         let body = json!({"token_budget": budget, "end_time_ms": end});
-        let ask = Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body);
-        self.ask(gateway, &ask, OPEN_TIME).await?;
+        let request = Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body);
+        self.send_with_retries(gateway, &request, OPEN_RETRY_TIME).await?;
         let record = ProgramRecord { budget, max_turn_tokens, booked: None };
         self.recorder.lock().programs.insert(program.to_owned(), record);
         Ok(())
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// If the request fails permanently or the retry time is over.
-    pub async fn open(
+    pub async fn open_session(
         &self,
         gateway: usize,
         session: &SessionRef,
@@ -62,43 +62,52 @@
         prefix: &str,
     ) -> Result<(), CallerError> {
         let body = json!({"model": model, "prefix": prefix});
-        let ask = Ask::json(Method::PUT, path(session), &body);
-        let answered = self.ask(gateway, &ask, OPEN_TIME).await?;
+        let request = Ask::json(Method::PUT, session_path(session), &body);
+        let timed = self.send_with_retries(gateway, &request, OPEN_RETRY_TIME).await?;
         // A retry may return a session that an attempt with a lost response had opened.
-        let opened = answered.first_try;
-        self.note_owner(session, &answered, opened)
+        let opened = timed.first_attempt;
+        self.record_owner(session, &timed, opened)
     }
 
     /// Reads a session through one gateway and records its owner.
     ///
     /// # Errors
     /// If the request fails.
-    pub async fn look(&self, gateway: usize, session: &SessionRef) -> Result<(), CallerError> {
-        let ask = Ask::new(Method::GET, path(session));
-        let answered = self.ask(gateway, &ask, Duration::ZERO).await?;
-        self.note_owner(session, &answered, false)
+    pub async fn poll_session(
+        &self,
+        gateway: usize,
+        session: &SessionRef,
+    ) -> Result<(), CallerError> {
+        let request = Ask::new(Method::GET, session_path(session));
+        let timed = self.send_with_retries(gateway, &request, Duration::ZERO).await?;
+        self.record_owner(session, &timed, false)
     }
 
-    fn note_owner(
+    fn record_owner(
         &self,
         session: &SessionRef,
-        answered: &Answered,
+        timed: &TimedResponse,
         opened: bool,
     ) -> Result<(), CallerError> {
-        let view = decode(&answered.answer)?;
+        let view = decode(&timed.response)?;
         let mut evidence = self.recorder.lock();
-        let record = evidence.sessions.entry(name(session)).or_default();
+        let record = evidence.sessions.entry(session_name(session)).or_default();
         if let Some(owner) = view.owner {
-            let seen =
-                OwnerObservation { owner, epoch: view.epoch, sent_at: answered.sent_at, opened };
-            record.owners.push(seen);
+            let observation =
+                OwnerObservation { owner, epoch: view.epoch, sent_at: timed.sent_at, opened };
+            record.owners.push(observation);
         }
         Ok(())
     }
 
     /// Joins a session as a second client and records its events until `stop` is cancelled or the
     /// stream ends.
-    pub async fn join(&self, gateway: usize, session: &SessionRef, stop: CancellationToken) {
+    pub async fn join_session(
+        &self,
+        gateway: usize,
+        session: &SessionRef,
+        stop: CancellationToken,
+    ) {
         let Ok(mut stream) = self.caller().join(gateway, session, None).await else { return };
         let mut events = Vec::new();
         while let Some(Ok(Some(event))) = stop.run_until_cancelled(stream.next()).await {
@@ -109,14 +118,14 @@
             }
         }
         let mut evidence = self.recorder.lock();
-        evidence.sessions.entry(name(session)).or_default().joined.push(events);
+        evidence.sessions.entry(session_name(session)).or_default().joined.push(events);
     }
 
     /// Reads the complete history of a session.
     ///
     /// # Errors
     /// If the request fails or the stream does not start with a `sync` event.
-    pub async fn history(
+    pub async fn read_history(
         &self,
         gateway: usize,
         session: &SessionRef,
--- a/crates/bench/src/workload/version_observer.rs
+++ b/crates/bench/src/workload/version_observer.rs
@@ -14,9 +14,9 @@
 use crate::oracle::evidence::VersionObservation;
 
 /// Pause between two rounds of polls.
-const PAUSE: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// Timeout of the poll of one node.
-const LOOK_TIME: Duration = Duration::from_millis(1_000);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 #[derive(Debug, Deserialize)]
 struct View {
@@ -24,22 +24,27 @@
 }
 
 /// Polls all nodes repeatedly until `stop` is cancelled.
-pub async fn observe(fleet: Arc<Fleet>, recorder: Recorder, stop: CancellationToken) {
+pub async fn poll_versions(fleet: Arc<Fleet>, recorder: Recorder, stop: CancellationToken) {
     let http = HttpClient::default();
     while !stop.is_cancelled() {
         let nodes = fleet.all_names().into_iter().filter(|name| name.kind.is_node());
-        let looks = nodes.map(|name| look(&fleet, &http, name));
-        let seen: Vec<VersionObservation> = join_all(looks).await.into_iter().flatten().collect();
-        recorder.lock().installed_versions.extend(seen);
-        stop.run_until_cancelled(tokio::time::sleep(PAUSE)).await;
+        let polls = nodes.map(|name| poll_node(&fleet, &http, name));
+        let observations: Vec<VersionObservation> =
+            join_all(polls).await.into_iter().flatten().collect();
+        recorder.lock().installed_versions.extend(observations);
+        stop.run_until_cancelled(tokio::time::sleep(POLL_INTERVAL)).await;
     }
 }
 
-async fn look(fleet: &Fleet, http: &HttpClient, name: ProcessName) -> Option<VersionObservation> {
+async fn poll_node(
+    fleet: &Fleet,
+    http: &HttpClient,
+    name: ProcessName,
+) -> Option<VersionObservation> {
     let address = fleet.http_address(name).ok()?;
     let sent_at = now();
-    let ask = Ask::new(Method::GET, "/admin/v1/view");
-    let answer = http.ask_within(address, &ask, LOOK_TIME).await.ok()?;
-    let view: View = answer.json().ok()?;
+    let request = Ask::new(Method::GET, "/admin/v1/view");
+    let response = http.ask_within(address, &request, POLL_TIMEOUT).await.ok()?;
+    let view: View = response.json().ok()?;
     Some(VersionObservation { node: name.to_string(), sent_at, version: view.installed_bundle })
 }
--- a/crates/bench/tests/end_to_end.rs
+++ b/crates/bench/tests/end_to_end.rs
@@ -6,7 +6,7 @@
 use hooklug_bench::faults::RunProgress;
 use hooklug_bench::oracle::{Promise, judge};
 use hooklug_bench::scenario::chaos::{Chaos, default_topology};
-use hooklug_bench::workload::{Client, PlannedCall, Recorder, read_finally};
+use hooklug_bench::workload::{CallPlan, Client, Recorder, read_final_state};
 use hooklug_emulator::{FaultKind, FaultRule, Faults, LedgerEntry};
 use hooklug_fleet::caller::{CallRequest, SessionRef, TurnRequest};
 use hooklug_fleet::{Fleet, ProcessKind, Topology};
@@ -78,17 +78,17 @@
     }
     let recorder = Recorder::default();
     let client = Client::new(&fleet, recorder.clone());
-    client.declare(0, "p", 100, 10).await.unwrap();
+    client.declare_program(0, "p", 100, 10).await.unwrap();
     for number in 0..CALLS {
         let call = format!("c{number}");
         let request = CallRequest::new(&tool, json!({"call": call}));
         let program = "p".to_owned();
-        let patience = Duration::from_secs(20);
+        let retry_time = Duration::from_secs(20);
         let (may_repeat, send_again) = (false, false);
-        let planned = PlannedCall { program, call, request, may_repeat, send_again, patience };
-        client.run_call(number, &planned).await;
+        let plan = CallPlan { program, call, request, may_repeat, send_again, retry_time };
+        client.run_call(number, &plan).await;
     }
-    read_finally(&fleet, &client).await.unwrap();
+    read_final_state(&fleet, &client).await.unwrap();
     let verdict = judge(&recorder.snapshot());
     let twice = verdict.violations.iter().filter(|v| v.promise == Promise::AtMostOnce).count();
     assert!(twice > 0, "{verdict:?}");
@@ -120,7 +120,7 @@
     for turn in running {
         turn.await.unwrap();
     }
-    read_finally(&fleet, &client).await.unwrap();
+    read_final_state(&fleet, &client).await.unwrap();
     let verdict = judge(&recorder.snapshot());
     assert!(verdict.examined["streams of turns"] > 0);
     let spliced = verdict.violations.iter().any(|v| v.promise == Promise::ExactStreams);
@@ -129,8 +129,8 @@
 
 async fn stream(client: Client, number: usize) {
     let session = SessionRef::new(&format!("p{number}"), "s");
-    client.declare(number, &session.program, 10_000, 1_000).await.unwrap();
-    client.open(number, &session, "advisor-7b", "prefix").await.unwrap();
+    client.declare_program(number, &session.program, 10_000, 1_000).await.unwrap();
+    client.open_session(number, &session, "advisor-7b", "prefix").await.unwrap();
     let turn = TurnRequest::new("t1", None, "[tokens 800]", 1_000);
     client.run_turn(number, &session, &turn).await;
 }
