--- a/crates/bench/src/command/chaos.rs
+++ b/crates/bench/src/command/chaos.rs
@@ -60,6 +60,10 @@
     let report = Report::new(&name, environment, vec![outcome.into_section()]);
     report.print();
     report.write(&arguments.reports)?;
-    anyhow::ensure!(report.violations() == 0, "{} violations", report.violations());
+    anyhow::ensure!(
+        report.violations() == 0,
+        "the oracle found {} violations",
+        report.violations()
+    );
     Ok(())
 }
--- a/crates/bench/src/command/mod.rs
+++ b/crates/bench/src/command/mod.rs
@@ -14,7 +14,7 @@
     runtime.block_on(async {
         tokio::select! {
             done = work => done,
-            _ = tokio::signal::ctrl_c() => anyhow::bail!("interrupted"),
+            _ = tokio::signal::ctrl_c() => anyhow::bail!("interrupted by Ctrl-C"),
         }
     })
 }
--- a/crates/bench/src/command/run.rs
+++ b/crates/bench/src/command/run.rs
@@ -85,7 +85,11 @@
     let report = Report::new(scenario, environment, sections);
     report.print();
     report.write(&arguments.common.reports)?;
-    anyhow::ensure!(report.violations() == 0, "{} violations", report.violations());
+    anyhow::ensure!(
+        report.violations() == 0,
+        "the oracle found {} violations",
+        report.violations()
+    );
     Ok(())
 }
 
--- a/crates/bench/src/faults/harmful_release.rs
+++ b/crates/bench/src/faults/harmful_release.rs
@@ -19,7 +19,8 @@
 /// # Errors
 /// If the engine cannot be added or no node accepts the bundle.
 pub(super) async fn start(fleet: &Fleet, recorder: &Recorder) -> Result<ProcessName, FleetError> {
-    let no_service = || FleetError::Unexpected("no application services".to_owned());
+    let no_service =
+        || FleetError::Unexpected("the topology has no application services".to_owned());
     let mut group = fleet.topology().applications.first().cloned().ok_or_else(no_service)?;
     let version = ServiceVersion::new(format!("bad-{:08x}", rand::random::<u32>()))
         .map_err(|e| FleetError::Unexpected(e.to_string()))?;
@@ -52,7 +53,7 @@
             return Ok(engine);
         }
     }
-    Err(FleetError::Unexpected("no node took the release".to_owned()))
+    Err(FleetError::Unexpected("no node accepted the bundle of the harmful version".to_owned()))
 }
 
 /// Removes the engine of the harmful version.
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -97,7 +97,7 @@
             probe::measure_recovery(self.fleet, self.profile, names, fault_ended_at).await;
         let took =
             recovery.served_at.map_or(-1.0, |at| at.saturating_sub(fault_ended_at) as f64 / 1e3);
-        self.progress.report_line(&format!("round {number}: served again after {took:.1} s"));
+        self.progress.report_line(&format!("round {number}: service recovered after {took:.1} s"));
         self.client.recorder().lock().recoveries.push(recovery);
         Ok(())
     }
@@ -105,14 +105,16 @@
     async fn wait_fully_replicated(&self) -> Result<(), FleetError> {
         match replication::wait_fully_replicated(self.fleet, REPLICATION_TIMEOUT).await {
             Some(took) => {
-                self.progress
-                    .report_line(&format!("groups whole after {:.1} s", took.as_secs_f64()));
+                self.progress.report_line(&format!(
+                    "groups fully replicated after {:.1} s",
+                    took.as_secs_f64()
+                ));
                 Ok(())
             }
             None => {
                 let seconds = REPLICATION_TIMEOUT.as_secs();
-                let what = "all groups are whole".to_owned();
-                let last = "some replica is missing or behind".to_owned();
+                let what = "all groups are fully replicated".to_owned();
+                let last = "a replica is missing or lags behind".to_owned();
                 Err(FleetError::TimedOut { what, seconds, last })
             }
         }
--- a/crates/bench/src/hollow/access.rs
+++ b/crates/bench/src/hollow/access.rs
@@ -27,7 +27,7 @@
         let stores = of_kind(ProcessKind::Store)?;
         let addresses = |list: &[Settings]| list.iter().map(|s| s.rpc).collect();
         Ok(Self {
-            settings: cores.first().cloned().ok_or_else(|| anyhow!("a fleet without cores"))?,
+            settings: cores.first().cloned().ok_or_else(|| anyhow!("the fleet has no cores"))?,
             stores: addresses(&stores),
             cores: addresses(&cores),
         })
--- a/crates/bench/src/hollow/nodes.rs
+++ b/crates/bench/src/hollow/nodes.rs
@@ -162,7 +162,7 @@
         let began = Instant::now();
         loop {
             let least = self.nodes.iter().map(|(_, n)| n.members_seen()).min();
-            let least = least.ok_or_else(|| anyhow!("no hollow nodes"))?;
+            let least = least.ok_or_else(|| anyhow!("there are no hollow nodes"))?;
             if least >= members {
                 return Ok(began.elapsed());
             }
@@ -185,9 +185,9 @@
             node.wait_installed(version).await;
             since.elapsed()
         });
-        let mut times = tokio::time::timeout(most, join_all(waits))
-            .await
-            .map_err(|_| anyhow!("bundle {version} is not in force everywhere after {most:?}"))?;
+        let mut times = tokio::time::timeout(most, join_all(waits)).await.map_err(|_| {
+            anyhow!("bundle {version} is not active on all hollow nodes after {most:?}")
+        })?;
         times.sort_unstable();
         Ok(times)
     }
--- a/crates/bench/src/hollow/records.rs
+++ b/crates/bench/src/hollow/records.rs
@@ -69,7 +69,7 @@
             single => vec![single],
         };
         match replies.into_iter().find(|reply| matches!(reply, ShardReply::Refused(_))) {
-            Some(refused) => bail!("{group} refused: {refused:?}"),
+            Some(refused) => bail!("{group} refused a command: {refused:?}"),
             None => Ok(()),
         }
     }
@@ -215,7 +215,7 @@
         "real": real,
     });
     if programs == 0 {
-        return Err(anyhow!("no programs"));
+        return Err(anyhow!("the number of programs is zero"));
     }
     report.line("records", &fields)
 }
--- a/crates/bench/src/hollow/test_cluster.rs
+++ b/crates/bench/src/hollow/test_cluster.rs
@@ -71,7 +71,8 @@
 impl TestCluster {
     /// Starts the real processes with a bundle of one tenant.
     pub(crate) async fn start(stores: usize, cores: usize) -> anyhow::Result<Self> {
-        let fleet = Fleet::start(topology(stores, cores)?).await.context("the fleet")?;
+        let fleet =
+            Fleet::start(topology(stores, cores)?).await.context("cannot start the fleet")?;
         let bundle = fleet.topology().bundle(BundleVersion(1), BundleVersion(0))?;
         let access = ClusterAccess::of(&fleet)?;
         Ok(Self { fleet, nodes: HollowNodes::new(access), http: HttpClient::default(), bundle })
--- a/crates/bench/src/oracle/answers.rs
+++ b/crates/bench/src/oracle/answers.rs
@@ -30,7 +30,7 @@
                 verdict.add_violation(Promise::OwnWholeAnswers, &call.call, error);
             }
             if !call.may_repeat && first.is_some_and(|first| first != body) {
-                let detail = format!("two answers: {first:?} and {body}");
+                let detail = format!("two different responses: {first:?} and {body}");
                 verdict.add_violation(Promise::OwnWholeAnswers, &call.call, detail);
             }
             first = first.or(Some(body));
@@ -50,15 +50,17 @@
     ran: &BTreeSet<(&str, &str)>,
 ) -> Option<String> {
     if status != 200 {
-        return Some(format!("status {status} shown as the application's own answer: {body}"));
+        return Some(format!(
+            "status {status} presented as the application's own response: {body}"
+        ));
     }
     let is_same_call = body["call"] == call.call && body["tool"] == call.tool;
     if !is_same_call || body["arguments"] != call.arguments {
-        return Some(format!("the answer belongs to another call: {body}"));
+        return Some(format!("the response belongs to another call: {body}"));
     }
     let engine = body["engine"].as_str().unwrap_or_default();
     let is_in_ledger = ran.contains(&(call.call.as_str(), engine));
-    (!is_in_ledger).then(|| format!("no ledger shows that {engine:?} ran it"))
+    (!is_in_ledger).then(|| format!("no ledger shows that engine {engine:?} ran the call"))
 }
 
 /// The generations that model servers produced for one turn.
@@ -119,12 +121,15 @@
         let is_complete = own().any(|g| {
             g.text == shown_text && g.tokens == tokens && matches!(g.end, "stop" | "length")
         });
-        return (!is_complete)
-            .then(|| format!("finished with {tokens} tokens that no server made whole"));
+        return (!is_complete).then(|| {
+            format!(
+                "finished with {tokens} tokens, but no model server generated this complete text"
+            )
+        });
     }
     // A model server that was killed recorded no end, so its output cannot be compared.
     let has_unended = generations.started > generations.ended.len();
     let is_prefix =
         shown_text.is_empty() || has_unended || own().any(|g| g.text.starts_with(&shown_text));
-    (!is_prefix).then(|| format!("{end} after {tokens} tokens that no server made"))
+    (!is_prefix).then(|| format!("{end} after {tokens} tokens that no model server generated"))
 }
--- a/crates/bench/src/oracle/budgets.rs
+++ b/crates/bench/src/oracle/budgets.rs
@@ -15,11 +15,14 @@
         let streamed = streamed.get(name.as_str()).copied().unwrap_or(0);
         let limit = program.budget + program.max_turn_tokens;
         if streamed > limit {
-            let detail = format!("{streamed} tokens of {} and one turn", program.budget);
+            let detail = format!(
+                "{streamed} tokens streamed, which exceeds the budget of {} plus one turn",
+                program.budget
+            );
             verdict.add_violation(Promise::TokenBudget, name, detail);
         }
         if let Some(booked) = program.booked.filter(|booked| *booked < streamed) {
-            let detail = format!("{streamed} tokens streamed, {booked} booked");
+            let detail = format!("{streamed} tokens streamed, but only {booked} booked");
             verdict.add_violation(Promise::TokenBudget, name, detail);
         }
     }
--- a/crates/bench/src/oracle/bundles.rs
+++ b/crates/bench/src/oracle/bundles.rs
@@ -38,7 +38,7 @@
     if observed.version > 0 {
         let before = newest.entry(&observed.node).or_insert(observed.version);
         if observed.version < *before {
-            return Some(format!("went back from version {before} to {}", observed.version));
+            return Some(format!("reverted from version {before} to {}", observed.version));
         }
         *before = observed.version;
     }
@@ -50,7 +50,7 @@
         })?;
     let late_ms = observed.sent_at - due.answered_at;
     Some(format!(
-        "version {} in force {late_ms} ms after {} was acknowledged",
+        "version {} still active {late_ms} ms after {} was acknowledged",
         observed.version, due.version
     ))
 }
@@ -73,7 +73,7 @@
         let first = *digests.entry(accepted.version).or_insert(accepted);
         let first_on_base = *bases.entry(accepted.base).or_insert(accepted);
         if first.digest != accepted.digest || first_on_base.digest != accepted.digest {
-            let detail = format!("two bundles accepted on version {}", accepted.base);
+            let detail = format!("two bundles with base version {} were accepted", accepted.base);
             verdict.add_violation(
                 Promise::BundleRaces,
                 format!("version {}", accepted.version),
@@ -87,7 +87,7 @@
         let was_acknowledged = acknowledged(evidence)
             .any(|ack| ack.digest == refused.digest && ack.answered_at <= refused.sent_at);
         if was_acknowledged {
-            let detail = format!("sent again after its acknowledgement, refused: {reason}");
+            let detail = format!("resent after its acknowledgement, but refused: {reason}");
             verdict.add_violation(
                 Promise::BundleRaces,
                 format!("version {}", refused.version),
@@ -105,7 +105,7 @@
             .map(|ack| ack.version)
             .max();
         if let Some(newest) = newest.filter(|newest| *newest > read.version) {
-            let detail = format!("version {newest} was acknowledged before");
+            let detail = format!("version {newest} had been acknowledged before the read");
             verdict.add_violation(
                 Promise::DurableBundles,
                 format!("read version {}", read.version),
--- a/crates/bench/src/oracle/calls.rs
+++ b/crates/bench/src/oracle/calls.rs
@@ -26,7 +26,8 @@
     for call in non_repeatable() {
         let times = runs.get(call.call.as_str()).copied().unwrap_or(0);
         if times > 1 {
-            let detail = format!("{} ran {times} times; told {:?}", call.tool, call.claims);
+            let detail =
+                format!("{} ran {times} times; reported outcomes: {:?}", call.tool, call.claims);
             verdict.add_violation(Promise::AtMostOnce, &call.call, detail);
         }
     }
@@ -39,7 +40,7 @@
             let CallClaim::NotRun(code) = claim else { continue };
             verdict.add_examined("claims that a call did not run", 1);
             if let Some(times) = runs.get(call.call.as_str()) {
-                let detail = format!("told {code}, ran {times} times");
+                let detail = format!("reported as {code}, but ran {times} times");
                 verdict.add_violation(Promise::TrueRefusals, &call.call, detail);
             }
         }
--- a/crates/bench/src/oracle/engines.rs
+++ b/crates/bench/src/oracle/engines.rs
@@ -35,7 +35,10 @@
     for (name, session) in &evidence.sessions {
         for observed in session.owners.iter().filter(|observed| observed.opened) {
             if late(&observed.owner, observed.sent_at) {
-                let detail = format!("opened at {} more than 3 s into its drain", observed.owner);
+                let detail = format!(
+                    "opened at {} more than 3 s after the start of its drain",
+                    observed.owner
+                );
                 verdict.add_violation(Promise::DrainedEngines, name, detail);
             }
         }
@@ -48,7 +51,8 @@
             _ => continue,
         };
         if late(engine, line.at.0) {
-            let detail = format!("a call reached {engine} more than 3 s into its drain");
+            let detail =
+                format!("a call reached {engine} more than 3 s after the start of its drain");
             verdict.add_violation(Promise::DrainedEngines, work, detail);
         }
     }
@@ -66,7 +70,9 @@
             runs.iter().filter(|at| **at > recognizable_at + HARMFUL_TRAFFIC_TIME_MS).count();
         if late > 0 {
             let last = runs.last().copied().unwrap_or_default().saturating_sub(*recognizable_at);
-            let detail = format!("{late} runs later than 5 s, the last after {last} ms");
+            let detail = format!(
+                "{late} runs more than 5 s after the version was recognizable as harmful, the last after {last} ms"
+            );
             verdict.add_violation(Promise::HarmfulVersions, &release.version, detail);
         }
     }
@@ -87,7 +93,10 @@
         let recovery_ms =
             recovery.served_at.map(|served_at| served_at.saturating_sub(recovery.fault_ended_at));
         if recovery_ms.is_none_or(|recovery_ms| recovery_ms > RECOVERY_TIME_MS) {
-            let detail = recovery_ms.map_or_else(|| "not back".to_owned(), |t| format!("{t} ms"));
+            let detail = recovery_ms.map_or_else(
+                || "service did not recover".to_owned(),
+                |t| format!("service recovered after {t} ms"),
+            );
             verdict.add_violation(Promise::Recovery, &recovery.fault, detail);
         }
     }
--- a/crates/bench/src/oracle/streams.rs
+++ b/crates/bench/src/oracle/streams.rs
@@ -17,7 +17,7 @@
         verdict.add_examined("streams of turns", 1);
         let subject = || format!("{}/{}", turn.session, turn.turn);
         if turn.ended_without_terminal {
-            let detail = "a stream ended properly without a terminal event";
+            let detail = "a stream ended cleanly without a terminal event";
             verdict.add_violation(Promise::ExactStreams, subject(), detail);
         }
         if let Some(error) = find_stream_error(turn) {
@@ -35,7 +35,7 @@
     // either.
     let first = turn.events.first()?.id;
     let gap = turn.events.iter().zip(first..).find(|(event, expected)| event.id != *expected);
-    gap.map(|(event, expected)| format!("event {} where {expected} belongs", event.id))
+    gap.map(|(event, expected)| format!("event {} instead of event {expected}", event.id))
 }
 
 /// Checks that all clients of a session receive the same events, and that its history contains all
@@ -60,14 +60,20 @@
     for joined in &session.joined {
         let gap = joined.windows(2).find(|pair| pair[1].id != pair[0].id + 1);
         if let Some(pair) = gap {
-            return Some(format!("a joined client got {} after {}", pair[1].id, pair[0].id));
+            return Some(format!(
+                "a joined client received event {} after event {}",
+                pair[1].id, pair[0].id
+            ));
         }
     }
     let mut events_by_id: BTreeMap<u64, &StreamEvent> = BTreeMap::new();
     if let Some(history) = &session.history {
         let gap = history.iter().zip(1..).find(|(event, expected)| event.id != *expected);
         if let Some((event, expected)) = gap {
-            return Some(format!("the history has event {} where {expected} belongs", event.id));
+            return Some(format!(
+                "the history contains event {} instead of event {expected}",
+                event.id
+            ));
         }
         events_by_id.extend(history.iter().map(|event| (event.id, event)));
     }
@@ -76,12 +82,12 @@
         let first = match events_by_id.get(&event.id) {
             Some(first) => first,
             None if session.history.is_some() => {
-                return Some(format!("event {} was shown and is not in the history", event.id));
+                return Some(format!("event {} was streamed, but is not in the history", event.id));
             }
             None => *events_by_id.entry(event.id).or_insert(event),
         };
         if first.event != event.event || first.data != event.data {
-            return Some(format!("event {} shown as {first:?} and as {event:?}", event.id));
+            return Some(format!("event {} was streamed as {first:?} and as {event:?}", event.id));
         }
     }
     None
--- a/crates/bench/src/oracle/turns.rs
+++ b/crates/bench/src/oracle/turns.rs
@@ -32,7 +32,7 @@
             verdict.add_violation(
                 Promise::TrueRefusals,
                 subject,
-                format!("told {code}, but it ran"),
+                format!("refused with {code}, but it ran"),
             );
         }
     }
@@ -55,7 +55,7 @@
             && matches!(code, "no_such_turn" | "no_session" | "no_turn" | "no_program")
         {
             let subject = format!("{}/{}", turn.session, turn.turn);
-            let detail = format!("told {code}, though {:?} had ended", turn.after);
+            let detail = format!("refused with {code}, although turn {:?} had ended", turn.after);
             verdict.add_violation(Promise::KnownTurns, subject, detail);
         }
     }
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -93,7 +93,8 @@
         ("tokens of ended turns a second", &timeline.tokens),
     ];
     let drawn = plots.into_iter().map(|(title, values)| plot_per_second(title, values, &bands));
-    drawn.collect::<String>() + "<p>Shaded: faults (point at one to see which).</p>"
+    drawn.collect::<String>()
+        + "<p>Shaded areas are faults; hover over one for its description.</p>"
 }
 
 fn statistics_table(part: &str, statistics: &RunStatistics) -> String {
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -69,7 +69,7 @@
         let fleet = Arc::new(Fleet::start_with(topology, options).await?);
         lift_tenant_limits(&fleet).await?;
         let name = self.specification.to_string();
-        progress.report_line(&format!("{name}: {} processes serve", fleet.all_names().len()));
+        progress.report_line(&format!("{name}: {} processes are running", fleet.all_names().len()));
         let running = RunningBurst::new(self, fleet);
         let from = now();
         let burst = running.run_phases(progress).await?;
@@ -161,7 +161,7 @@
         let parts = async {
             sleep(self.phase_time).await;
             let burst = now();
-            progress.report_line("all users of a zone arrive");
+            progress.report_line("burst starts: all users of a zone arrive");
             self.add_programs(self.load.burst, BURST_RAMP_TIME, 2).await;
             self.add_device_calls(self.load.device_calls.1, 2).await;
             let end = Instant::now() + self.phase_time;
@@ -215,7 +215,7 @@
             if Instant::now() >= end {
                 break;
             }
-            progress.report_line(&format!("{name} is replaced"));
+            progress.report_line(&format!("replacing {name}"));
             self.record_start(format!("replace {name}"), vec![name.to_string()]);
             let drain = DrainRecord { engine: name.word(), started_at: now(), ended_at: None };
             self.client.recorder().lock().drains.push(drain);
@@ -244,7 +244,7 @@
             }
             let names = self.fleet.names(kind);
             let Some(name) = names.choose(&mut random).copied() else { continue };
-            progress.report_line(&format!("{name} is killed"));
+            progress.report_line(&format!("killing {name}"));
             self.record_start(format!("kill {name}"), vec![name.to_string()]);
             self.fleet.kill(name)?;
             sleep(DOWNTIME).await;
--- a/crates/bench/src/scenario/chaos.rs
+++ b/crates/bench/src/scenario/chaos.rs
@@ -56,7 +56,7 @@
     pub async fn run(&self, progress: &dyn RunProgress) -> Result<Outcome, FleetError> {
         let options = FleetOptions { data: self.data.clone() };
         let fleet = Arc::new(Fleet::start_with(self.topology.clone(), options).await?);
-        progress.report_line(&format!("{} processes serve", fleet.all_names().len()));
+        progress.report_line(&format!("{} processes are running", fleet.all_names().len()));
         let recorder = Recorder::default();
         let client = Client::new(&fleet, recorder.clone());
         let profile = Profile::of(&self.topology);
--- a/crates/bench/src/scenario/specification.rs
+++ b/crates/bench/src/scenario/specification.rs
@@ -121,7 +121,7 @@
 /// A text that does not name a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{0:?} is no scenario; expected frost-night, sowing-morning or storm-warning, then @plain and xN at will"
+    "unknown scenario {0:?}; expected frost-night, sowing-morning or storm-warning, optionally followed by @plain and xN"
 )]
 pub struct SpecificationError(String);
 
--- a/crates/bench/src/slopes/fit/tests.rs
+++ b/crates/bench/src/slopes/fit/tests.rs
@@ -11,7 +11,7 @@
 fn exact_observations_give_the_slopes_that_made_them() {
     let make = |a: f64, b: f64| observation(&[a, b], 3.0 + 2.0 * a - 0.5 * b);
     let observations = [make(1.0, 5e6), make(2.0, 1e6), make(7.0, 3e6), make(4.0, 9e6)];
-    let fit = fit(&observations).expect("determined");
+    let fit = fit(&observations).expect("the observations determine the fit");
     assert!((fit.constant.value - 3.0).abs() < 1e-3, "{fit:?}");
     assert!((fit.slopes[0].value - 2.0).abs() < 1e-6, "{fit:?}");
     assert!((fit.slopes[1].value + 0.5).abs() < 1e-6, "{fit:?}");
@@ -23,7 +23,7 @@
     // x = 1..5, y = 2, 4, 5, 4, 5: slope 0.6, its standard error sqrt(0.8 / 10).
     let points = [(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0), (5.0, 5.0)];
     let observations: Vec<_> = points.iter().map(|(x, y)| observation(&[*x], *y)).collect();
-    let fit = fit(&observations).expect("determined");
+    let fit = fit(&observations).expect("the observations determine the fit");
     let slope = fit.slopes[0];
     assert!((slope.value - 0.6).abs() < 1e-9, "{fit:?}");
     let error = slope.standard_error.expect("three degrees of freedom");
--- a/crates/bench/src/slopes/interrupt.rs
+++ b/crates/bench/src/slopes/interrupt.rs
@@ -13,7 +13,7 @@
     let mut terminated = signal(SignalKind::terminate())?;
     tokio::select! {
         ended = run => ended,
-        _ = interrupted.recv() => bail!("interrupted"),
-        _ = terminated.recv() => bail!("told to stop"),
+        _ = interrupted.recv() => bail!("interrupted by SIGINT"),
+        _ = terminated.recv() => bail!("terminated by SIGTERM"),
     }
 }
--- a/crates/bench/src/slopes/process_usage.rs
+++ b/crates/bench/src/slopes/process_usage.rs
@@ -24,15 +24,23 @@
     pub(crate) fn of(pid: u32) -> anyhow::Result<Self> {
         let stat = read(pid, "stat")?;
         // The command name may contain spaces, so fields are counted after its closing parenthesis.
-        let fields_after_name =
-            stat.rsplit_once(')').map(|(_, rest)| rest).ok_or(anyhow!("odd stat"))?;
+        let fields_after_name = stat
+            .rsplit_once(')')
+            .map(|(_, rest)| rest)
+            .ok_or(anyhow!("/proc/{pid}/stat contains no command name"))?;
         let fields: Vec<&str> = fields_after_name.split_whitespace().collect();
         let ticks = |index: usize| -> anyhow::Result<f64> {
-            Ok(fields.get(index).ok_or(anyhow!("short stat"))?.parse::<f64>()?)
+            Ok(fields
+                .get(index)
+                .ok_or(anyhow!("/proc/{pid}/stat has too few fields"))?
+                .parse::<f64>()?)
         };
         let cpu = Duration::from_secs_f64((ticks(11)? + ticks(12)?) / TICKS_PER_SECOND);
         let statm = read(pid, "statm")?;
-        let pages = statm.split_whitespace().nth(1).ok_or(anyhow!("short statm"))?;
+        let pages = statm
+            .split_whitespace()
+            .nth(1)
+            .ok_or(anyhow!("/proc/{pid}/statm has too few fields"))?;
         Ok(Self { cpu, resident_bytes: pages.parse::<u64>()? * PAGE_BYTES })
     }
 
--- a/crates/bench/src/workload/calls.rs
+++ b/crates/bench/src/workload/calls.rs
@@ -117,7 +117,7 @@
         },
         Some(state @ ("not_run" | "refused")) => CallClaim::NotRun(state.to_owned()),
         Some("unknown") => CallClaim::Unknown,
-        other => CallClaim::Inconclusive(other.unwrap_or("no state").to_owned()),
+        other => CallClaim::Inconclusive(other.unwrap_or("the response has no state").to_owned()),
     }
 }
 
--- a/crates/bench/src/workload/sessions.rs
+++ b/crates/bench/src/workload/sessions.rs
@@ -133,7 +133,9 @@
         let mut stream = self.caller().join(gateway, session, None).await?;
         match stream.next().await? {
             Some(event) if event.event == "sync" => Ok(sync_events(&event)),
-            other => Err(CallerError::Broken(format!("a joined stream began with {other:?}"))),
+            other => Err(CallerError::Broken(format!(
+                "expected a sync event at the start of a joined stream, got {other:?}"
+            ))),
         }
     }
 }
--- a/crates/bench/src/workload/turns.rs
+++ b/crates/bench/src/workload/turns.rs
@@ -132,7 +132,9 @@
                 None => TurnClaim::Inconclusive(error.to_string()),
             }),
             Some(error) if timed_out => Some(TurnClaim::Inconclusive(error.to_string())),
-            None if timed_out => Some(TurnClaim::Inconclusive("no terminal event".to_owned())),
+            None if timed_out => {
+                Some(TurnClaim::Inconclusive("no terminal event before the timeout".to_owned()))
+            }
             _ => None,
         }
     }
--- a/crates/bench/tests/end_to_end.rs
+++ b/crates/bench/tests/end_to_end.rs
@@ -106,9 +106,9 @@
     let tokens = || async {
         let began = fleet.ledgers(ProcessKind::Model).map_err(|e| e.to_string())?;
         let began = began.iter().filter(|l| matches!(l.entry, LedgerEntry::GenerationBegan { .. }));
-        if began.count() >= TURNS { Ok(()) } else { Err("not all turns run".to_owned()) }
+        if began.count() >= TURNS { Ok(()) } else { Err("not all turns are running".to_owned()) }
     };
-    fleet.wait_until("all turns run", Duration::from_secs(60), tokens).await.unwrap();
+    fleet.wait_until("all turns are running", Duration::from_secs(60), tokens).await.unwrap();
     for engine in fleet.names(ProcessKind::Engine) {
         for store in fleet.names(ProcessKind::Store) {
             fleet.cut(engine, store, false).await.unwrap();
--- a/crates/bench/tests/oracle/main.rs
+++ b/crates/bench/tests/oracle/main.rs
@@ -26,7 +26,7 @@
     let mut evidence = valid_evidence();
     corrupt(&mut evidence);
     let verdict = judge(&evidence);
-    assert!(!verdict.violations.is_empty(), "{promise:?} was broken unnoticed");
+    assert!(!verdict.violations.is_empty(), "the oracle reported no violation of {promise:?}");
     for violation in verdict.violations {
         assert_eq!(violation.promise, promise, "{violation}");
     }
@@ -45,7 +45,7 @@
 #[test]
 fn a_second_run_is_noticed() {
     assert_violates(Promise::AtMostOnce, |e| {
-        e.application_ledgers.push(call_ran(9_000, "app-1", "v1", CALL))
+        e.application_ledgers.push(call_ran(9_000, "app-1", "v1", CALL));
     });
 }
 
@@ -259,7 +259,7 @@
 #[test]
 fn two_accepted_racers_and_a_refused_resend_are_noticed() {
     assert_violates(Promise::BundleRaces, |e| {
-        e.submissions[1].outcome = SubmissionOutcome::Acknowledged
+        e.submissions[1].outcome = SubmissionOutcome::Acknowledged;
     });
     assert_violates(Promise::BundleRaces, |e| {
         e.submissions[2].outcome = SubmissionOutcome::Refused("stale base".to_owned());
