--- a/crates/bench/src/faults/replication.rs
+++ b/crates/bench/src/faults/replication.rs
@@ -29,19 +29,19 @@
 impl Shard {
     fn is_fully_replicated(&self) -> bool {
         let voters = || self.replicas.iter().filter(|replica| replica.member == "voter");
-        let current = |replica: &Replica| replica.lag.is_some_and(|lag| lag <= MAX_LAG);
-        voters().count() >= REPLICAS && voters().all(current)
+        let is_caught_up = |replica: &Replica| replica.lag.is_some_and(|lag| lag <= MAX_LAG);
+        voters().count() >= REPLICAS && voters().all(is_caught_up)
     }
 }
 
 /// Waits until all groups are fully replicated. Returns the time that it took, or `None` on
 /// timeout.
-pub(super) async fn wait_fully_replicated(fleet: &Fleet, time: Duration) -> Option<Duration> {
+pub(super) async fn wait_fully_replicated(fleet: &Fleet, timeout: Duration) -> Option<Duration> {
     let http = HttpClient::default();
-    let began = Instant::now();
-    while began.elapsed() < time {
+    let started = Instant::now();
+    while started.elapsed() < timeout {
         if are_fully_replicated(fleet, &http).await {
-            return Some(began.elapsed());
+            return Some(started.elapsed());
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -49,11 +49,11 @@
 }
 
 async fn are_fully_replicated(fleet: &Fleet, http: &HttpClient) -> bool {
-    let ask = Ask::new(Method::GET, "/admin/v1/shards");
+    let request = Ask::new(Method::GET, "/admin/v1/shards");
     for name in fleet.names(ProcessKind::Gateway) {
         let Ok(address) = fleet.http_address(name) else { continue };
-        let Ok(answer) = http.ask(address, &ask).await else { continue };
-        let Ok(shards) = answer.json::<Vec<Shard>>() else { continue };
+        let Ok(response) = http.ask(address, &request).await else { continue };
+        let Ok(shards) = response.json::<Vec<Shard>>() else { continue };
         return !shards.is_empty() && shards.iter().all(Shard::is_fully_replicated);
     }
     false
--- a/crates/bench/src/hollow/mod.rs
+++ b/crates/bench/src/hollow/mod.rs
@@ -71,7 +71,7 @@
 }
 
 async fn scenario(args: Args) -> anyhow::Result<()> {
-    let report = Report::begin(args.out.as_deref())?;
+    let report = Report::start(args.out.as_deref())?;
     let mut cluster = TestCluster::start(args.stores, args.cores).await?;
     start_nodes(&args, &report, &mut cluster).await?;
     measure_idle_usage(&args, &report, &cluster, "quiet, one tenant").await?;
--- a/crates/bench/src/hollow/nodes.rs
+++ b/crates/bench/src/hollow/nodes.rs
@@ -157,7 +157,7 @@
     pub(crate) async fn wait_for_members(
         &self,
         members: usize,
-        most: Duration,
+        max_wait: Duration,
     ) -> anyhow::Result<Duration> {
         let began = Instant::now();
         loop {
@@ -166,8 +166,8 @@
             if least >= members {
                 return Ok(began.elapsed());
             }
-            if began.elapsed() > most {
-                bail!("a node sees {least} of {members} members after {most:?}");
+            if began.elapsed() > max_wait {
+                bail!("a node sees {least} of {members} members after {max_wait:?}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -179,14 +179,14 @@
         &self,
         version: BundleVersion,
         since: Instant,
-        most: Duration,
+        max_wait: Duration,
     ) -> anyhow::Result<Vec<Duration>> {
         let waits = self.nodes.iter().map(|(_, node)| async move {
             node.wait_installed(version).await;
             since.elapsed()
         });
-        let mut times = tokio::time::timeout(most, join_all(waits)).await.map_err(|_| {
-            anyhow!("bundle {version} is not active on all hollow nodes after {most:?}")
+        let mut times = tokio::time::timeout(max_wait, join_all(waits)).await.map_err(|_| {
+            anyhow!("bundle {version} is not active on all hollow nodes after {max_wait:?}")
         })?;
         times.sort_unstable();
         Ok(times)
--- a/crates/bench/src/hollow/test_cluster.rs
+++ b/crates/bench/src/hollow/test_cluster.rs
@@ -33,8 +33,8 @@
 /// Time until a bundle was active on the hollow nodes, measured from its submission.
 #[derive(Debug, Clone, serde::Serialize)]
 pub(crate) struct InstallTimes {
-    /// Seconds until the operator received the response, which waits for all nodes, but at most 2
-    /// s.
+    /// Seconds until the operator received the response, which waits for all nodes but not longer
+    /// than 2 s.
     pub(crate) answered: f64,
     /// Number of nodes with the active bundle, as the response to the operator reports it.
     pub(crate) installed_at_answer: usize,
--- a/crates/bench/src/oracle/engines.rs
+++ b/crates/bench/src/oracle/engines.rs
@@ -29,12 +29,12 @@
         drains.entry(&drain.engine).or_default().push(drain);
     }
     verdict.add_examined("drains", evidence.drains.len());
-    let late = |engine: &str, at: Millis| {
+    let is_late = |engine: &str, at: Millis| {
         drains.get(engine).is_some_and(|all| all.iter().any(|drain| drain.forbids_work_at(at)))
     };
     for (name, session) in &evidence.sessions {
         for observed in session.owners.iter().filter(|observed| observed.opened) {
-            if late(&observed.owner, observed.sent_at) {
+            if is_late(&observed.owner, observed.sent_at) {
                 let detail = format!(
                     "opened at {} more than 3 s after the start of its drain",
                     observed.owner
@@ -45,15 +45,15 @@
     }
     for line in &evidence.application_ledgers {
         let engine = line.identity.split('/').nth(1).unwrap_or_default();
-        let work = match &line.entry {
+        let call_id = match &line.entry {
             LedgerEntry::CallRan { call, .. } => call,
             LedgerEntry::Refused { call, reason } if reason == "draining" => call,
             _ => continue,
         };
-        if late(engine, line.at.0) {
+        if is_late(engine, line.at.0) {
             let detail =
                 format!("a call reached {engine} more than 3 s after the start of its drain");
-            verdict.add_violation(Promise::DrainedEngines, work, detail);
+            verdict.add_violation(Promise::DrainedEngines, call_id, detail);
         }
     }
 }
@@ -66,12 +66,12 @@
         else {
             continue;
         };
-        let late =
+        let late_runs =
             runs.iter().filter(|at| **at > recognizable_at + HARMFUL_TRAFFIC_TIME_MS).count();
-        if late > 0 {
+        if late_runs > 0 {
             let last = runs.last().copied().unwrap_or_default().saturating_sub(*recognizable_at);
             let detail = format!(
-                "{late} runs more than 5 s after the version was recognizable as harmful, the last after {last} ms"
+                "{late_runs} runs more than 5 s after the version was recognizable as harmful, the last after {last} ms"
             );
             verdict.add_violation(Promise::HarmfulVersions, &release.version, detail);
         }
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -88,8 +88,8 @@
 /// # Errors
 /// If no node accepts the bundle.
 pub async fn lift_tenant_limits(fleet: &Fleet) -> Result<(), FleetError> {
-    let made = fleet.topology().bundle(BundleVersion(2), BundleVersion(1));
-    let mut bundle: Bundle = made.map_err(|e| FleetError::Unexpected(e.to_string()))?;
+    let bundle_result = fleet.topology().bundle(BundleVersion(2), BundleVersion(1));
+    let mut bundle: Bundle = bundle_result.map_err(|e| FleetError::Unexpected(e.to_string()))?;
     for tenant in bundle.tenants.values_mut() {
         tenant.limits.requests_per_second = f64::from(TENANT_LIMIT);
         tenant.limits.concurrency = TENANT_LIMIT;
@@ -192,8 +192,8 @@
     /// the scale.
     async fn add_device_calls(&self, share: f64, part: u64) {
         for (index, group) in self.fleet.topology().applications.iter().enumerate() {
-            let at_once = group.engines as f64 * f64::from(group.slots);
-            let capacity = at_once / self.load.run_time.as_secs_f64();
+            let concurrency = group.engines as f64 * f64::from(group.slots);
+            let capacity = concurrency / self.load.run_time.as_secs_f64();
             let stream = CallStream {
                 name: format!("devices-{part}-{}", group.service),
                 tools: group.tools.clone(),
--- a/crates/bench/src/scenario/call_rate.rs
+++ b/crates/bench/src/scenario/call_rate.rs
@@ -47,8 +47,9 @@
             let request = CallRequest::new(&tool, json!({"of": from, "number": number}));
             let program = (from + usize::try_from(number).unwrap_or(0)) % PROGRAMS;
             let path = format!("/v1/programs/p{program}/calls/{run}-{from}-{number}");
-            let (ask, caller) = (Ask::json(Method::PUT, path, &request), caller.clone());
-            async move { caller.ask_once(from, &ask).await.is_ok() }
+            let (request_to_send, caller) =
+                (Ask::json(Method::PUT, path, &request), caller.clone());
+            async move { caller.ask_once(from, &request_to_send).await.is_ok() }
         })
     };
     measure_calls("warm", WARM_UP).await;
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -143,10 +143,10 @@
     for turn in 0..TURNS {
         let body = json!({"session": format!("direct-{number}/s"), "turn": format!("t{turn}"),
             "prefix": "p", "max_tokens": TURN_TOKENS, "context": context, "input": input});
-        let ask = Ask::json(Method::POST, "/generate", &body)
+        let request = Ask::json(Method::POST, "/generate", &body)
             .header("x-hooklug-request", format!("r-{number}-{turn}"));
         let mut single = StreamTimes::default();
-        let text = generate(http, server, &ask, &mut single).await;
+        let text = generate(http, server, &request, &mut single).await;
         context.push(json!({"role": "user", "text": input}));
         context.push(json!({"role": "assistant", "text": text.unwrap_or_default()}));
         if turn > 0 {
@@ -162,15 +162,15 @@
 async fn generate(
     http: &HttpClient,
     server: SocketAddr,
-    ask: &Ask,
+    request: &Ask,
     times: &mut StreamTimes,
 ) -> Option<String> {
     let sent = Instant::now();
-    let Ok(answer) = http.open(server, ask).await else {
+    let Ok(response) = http.open(server, request).await else {
         times.failed += 1;
         return None;
     };
-    let mut body = answer.into_body();
+    let mut body = response.into_body();
     let (mut last, mut all): (Option<Instant>, Vec<u8>) = (None, Vec::new());
     while let Some(Ok(frame)) = body.frame().await {
         let Ok(bytes) = frame.into_data() else { continue };
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -145,8 +145,8 @@
     measure(callers, time, move |from, number| {
         let request = CallRequest::new(&tool, json!({"of": from, "number": number}));
         let path = format!("/v1/programs/p/calls/{turn}-{from}-{number}");
-        let (ask, caller) = (Ask::json(Method::PUT, path, &request), caller.clone());
-        async move { caller.ask_once(0, &ask).await.is_ok() }
+        let (request_to_send, caller) = (Ask::json(Method::PUT, path, &request), caller.clone());
+        async move { caller.ask_once(0, &request_to_send).await.is_ok() }
     })
     .await
 }
@@ -155,10 +155,10 @@
     let (http, path) = (HttpClient::default(), format!("/calls/{tool}"));
     measure(callers, time, move |from, number| {
         let body = json!({"of": from, "number": number});
-        let ask = Ask::json(Method::POST, path.clone(), &body)
+        let request = Ask::json(Method::POST, path.clone(), &body)
             .header("x-hooklug-request", format!("r-{from}-{number}"));
         let http = http.clone();
-        async move { http.ask(proxy, &ask).await.is_ok_and(|answer| answer.status.is_success()) }
+        async move { http.ask(proxy, &request).await.is_ok_and(|response| response.status.is_success()) }
     })
     .await
 }
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -217,8 +217,10 @@
 
 /// Returns the owner that was last observed before an instant.
 fn owner_at(session: &SessionRecord, at: Millis) -> Option<&str> {
-    let before = session.owners.iter().filter(|seen| seen.sent_at < at);
-    before.max_by_key(|seen| (seen.sent_at, seen.epoch)).map(|seen| seen.owner.as_str())
+    let before = session.owners.iter().filter(|observed| observed.sent_at < at);
+    before
+        .max_by_key(|observed| (observed.sent_at, observed.epoch))
+        .map(|observed| observed.owner.as_str())
 }
 
 /// Returns when the first token arrived of the first finished turn that started to stream after an
@@ -227,8 +229,8 @@
     let turns = evidence.turns.iter().filter(|turn| {
         turn.session == *session && turn.claim == TurnClaim::Ended("finished".to_owned())
     });
-    let firsts = turns.filter_map(|turn| Some(turn.sent_at as f64 + turn.first_token_ms?));
-    firsts.filter(|first| *first >= at as f64).min_by(f64::total_cmp)
+    let first_tokens = turns.filter_map(|turn| Some(turn.sent_at as f64 + turn.first_token_ms?));
+    first_tokens.filter(|first| *first >= at as f64).min_by(f64::total_cmp)
 }
 
 fn section(evidence: &Evidence) -> Section {
--- a/crates/bench/src/slopes/data_plane.rs
+++ b/crates/bench/src/slopes/data_plane.rs
@@ -127,7 +127,7 @@
     Ok(())
 }
 
-async fn open(caller: &Caller, session: &SessionRef) -> anyhow::Result<()> {
+async fn open_session(caller: &Caller, session: &SessionRef) -> anyhow::Result<()> {
     let end = UnixMillis::now().plus(Duration::from_secs(3_600)).0;
     caller.put_program(0, &session.program, 1_000_000_000, end).await?;
     caller.open_session(0, session, MODEL, None).await?;
@@ -141,21 +141,21 @@
     (streams, tokens): (usize, u64),
     span: Duration,
 ) -> anyhow::Result<Measurement> {
-    let done = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
+    let completed = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
     let stop = CancellationToken::new();
     let mut tasks = Vec::new();
     for n in 0..streams {
         let caller = Caller::new(fleet.gateways(), &tenant(n));
         let session = SessionRef::new(&format!("load-{series}-{n}"), "main");
-        open(&caller, &session).await?;
-        let loops = run_turns(caller, session, tokens, done.clone(), stop.clone());
-        tasks.push(tokio::spawn(loops));
+        open_session(&caller, &session).await?;
+        let task = run_turns(caller, session, tokens, completed.clone(), stop.clone());
+        tasks.push(tokio::spawn(task));
     }
     tokio::time::sleep(WARM_UP).await;
-    let read = || (done.0.load(Ordering::Relaxed), done.1.load(Ordering::Relaxed));
-    let (before, from) = (UsageReading::read(fleet, http).await?, read());
+    let read_counts = || (completed.0.load(Ordering::Relaxed), completed.1.load(Ordering::Relaxed));
+    let (before, from) = (UsageReading::read(fleet, http).await?, read_counts());
     tokio::time::sleep(span).await;
-    let (after, to) = (UsageReading::read(fleet, http).await?, read());
+    let (after, to) = (UsageReading::read(fleet, http).await?, read_counts());
     stop.cancel();
     for ended in join_all(tasks).await {
         ended??;
@@ -172,7 +172,7 @@
     caller: Caller,
     session: SessionRef,
     tokens: u64,
-    done: Arc<(AtomicU64, AtomicU64)>,
+    completed: Arc<(AtomicU64, AtomicU64)>,
     stop: CancellationToken,
 ) -> anyhow::Result<()> {
     let mut after: Option<String> = None;
@@ -183,12 +183,12 @@
         let request = TurnRequest::new(&name, after.as_deref(), &input, tokens);
         let mut stream = caller.begin_turn(0, &session, &request).await?;
         while let Some(event) = stream.next().await? {
-            done.1.fetch_add(event.data["count"].as_u64().unwrap_or(0), Ordering::Relaxed);
+            completed.1.fetch_add(event.data["count"].as_u64().unwrap_or(0), Ordering::Relaxed);
             if event.ends_turn() {
                 break;
             }
         }
-        done.0.fetch_add(1, Ordering::Relaxed);
+        completed.0.fetch_add(1, Ordering::Relaxed);
         (after, number) = (Some(name), number + 1);
     }
     Ok(())
@@ -208,7 +208,8 @@
         let numbers: Vec<usize> = (opened..step).collect();
         for chunk in numbers.chunks(MAX_CONCURRENT_REQUESTS) {
             let names: Vec<_> = chunk.iter().map(|n| (&callers[n % TENANTS], name(*n))).collect();
-            try_join_all(names.iter().map(|(caller, session)| open(caller, session))).await?;
+            try_join_all(names.iter().map(|(caller, session)| open_session(caller, session)))
+                .await?;
         }
         opened = step;
         readings.push((step, UsageReading::read(&fleet, &http).await?));
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -60,7 +60,7 @@
 }
 
 async fn experiments(args: Args) -> anyhow::Result<()> {
-    let report = Report::begin(args.out.as_deref())?;
+    let report = Report::start(args.out.as_deref())?;
     let span = std::time::Duration::from_secs(args.span_seconds);
     let chosen = if args.only.is_empty() { Experiment::ALL.to_vec() } else { args.only };
     for experiment in chosen {
--- a/crates/bench/src/slopes/report.rs
+++ b/crates/bench/src/slopes/report.rs
@@ -18,7 +18,7 @@
 
 impl Report {
     /// Creates a report. Its first line holds the environment and the arguments of the run.
-    pub(crate) fn begin(file: Option<&Path>) -> anyhow::Result<Self> {
+    pub(crate) fn start(file: Option<&Path>) -> anyhow::Result<Self> {
         let open = |path: &Path| {
             let opened = OpenOptions::new().create(true).append(true).open(path);
             opened.map(Mutex::new).with_context(|| format!("cannot write {}", path.display()))
--- a/crates/bench/src/slopes/stores.rs
+++ b/crates/bench/src/slopes/stores.rs
@@ -95,8 +95,8 @@
             records.begin_turn(),
         ]);
         writer.execute(records.group(), &first).await?;
-        let loops = write(writer.clone(), records, events, commits.clone(), stop.clone());
-        tasks.push(tokio::spawn(loops));
+        let task = write_events(writer.clone(), records, events, commits.clone(), stop.clone());
+        tasks.push(tokio::spawn(task));
     }
     tokio::time::sleep(WARM_UP).await;
     let before = cluster.read_usage().await?;
@@ -111,7 +111,7 @@
     Ok(Measurement { commits: done, events: done * events as f64, span: after.since(&before) })
 }
 
-async fn write(
+async fn write_events(
     writer: RecordWriter,
     records: ProgramRecords,
     events: u64,
--- a/crates/bench/src/workload/programs.rs
+++ b/crates/bench/src/workload/programs.rs
@@ -129,7 +129,7 @@
             return;
         }
         let leave = CancellationToken::new();
-        let joined = self.random.random_bool(self.profile.join_share).then(|| {
+        let join_task = self.random.random_bool(self.profile.join_share).then(|| {
             let (client, session, leave) =
                 (self.client.clone(), self.session.clone(), leave.clone());
             let gateway = gateway + 1;
@@ -137,9 +137,9 @@
         });
         self.run_turns(&stop).await;
         leave.cancel();
-        if let Some(joined) = joined {
+        if let Some(join_task) = join_task {
             // The task only records events, so its result is ignored.
-            let _ = joined.await;
+            let _ = join_task.await;
         }
     }
 
@@ -166,11 +166,11 @@
     }
 
     async fn run_turn(&mut self, number: u32, after: Option<&str>) -> TurnRecord {
-        let (least, most) = self.profile.turn_tokens;
-        let tokens = self.random.random_range(least..=most);
+        let (min_tokens, max_tokens) = self.profile.turn_tokens;
+        let tokens = self.random.random_range(min_tokens..=max_tokens);
         let tool = if self.random.random_bool(0.2) { " [tool read_sensor]" } else { "" };
         let input = format!("Vent or heat, {}? [tokens {tokens}]{tool}", self.session.program);
-        let turn = TurnRequest::new(&format!("t{number}"), after, &input, most);
+        let turn = TurnRequest::new(&format!("t{number}"), after, &input, max_tokens);
         let gateway = self.random_gateway();
         self.client.run_turn(gateway, &self.session, &turn).await
     }
--- a/crates/bench/tests/end_to_end.rs
+++ b/crates/bench/tests/end_to_end.rs
@@ -31,15 +31,15 @@
     Promise::DurableBundles,
 ];
 
-struct Printed;
+struct PrintedProgress;
 
-impl RunProgress for Printed {
+impl RunProgress for PrintedProgress {
     fn report_line(&self, line: &str) {
         println!("{line}");
     }
 }
 
-fn small() -> Topology {
+fn small_topology() -> Topology {
     let mut topology = default_topology();
     topology.gateways = 2;
     topology.cores = 2;
@@ -54,8 +54,8 @@
 async fn random_faults_break_no_promise() {
     println!("seed {SEED}");
     let time = Duration::from_secs(20);
-    let chaos = Chaos { topology: small(), time, seed: SEED, programs: 6, data: None };
-    let outcome = chaos.run(&Printed).await.unwrap();
+    let chaos = Chaos { topology: small_topology(), time, seed: SEED, programs: 6, data: None };
+    let outcome = chaos.run(&PrintedProgress).await.unwrap();
     let broken = outcome.verdict.violations.iter().filter(|v| UNTIMED.contains(&v.promise));
     assert_eq!(broken.collect::<Vec<_>>(), Vec::<&hooklug_bench::oracle::Violation>::new());
     for what in ["texts of turns", "answers to calls", "sessions read back whole"] {
@@ -66,7 +66,7 @@
 /// The route lets gateways retry calls that the callers consider non-repeatable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_of_a_call_that_may_not_be_repeated_is_noticed() {
-    let mut topology = small();
+    let mut topology = small_topology();
     let tool = &mut topology.applications[1].tools[0];
     tool.may_repeat = true;
     let tool = tool.name.clone();
@@ -90,8 +90,8 @@
     }
     read_final_state(&fleet, &client).await.unwrap();
     let verdict = judge(&recorder.snapshot());
-    let twice = verdict.violations.iter().filter(|v| v.promise == Promise::AtMostOnce).count();
-    assert!(twice > 0, "{verdict:?}");
+    let violations = verdict.violations.iter().filter(|v| v.promise == Promise::AtMostOnce).count();
+    assert!(violations > 0, "{verdict:?}");
 }
 
 /// Turns stream from an engine that can no longer commit. With the feature `broken-rules` the
@@ -99,16 +99,21 @@
 /// report nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn events_shown_before_their_commit_are_noticed() {
-    let fleet = Fleet::start(small()).await.unwrap();
+    let fleet = Fleet::start(small_topology()).await.unwrap();
     let recorder = Recorder::default();
     let client = Client::new(&fleet, recorder.clone());
-    let running: Vec<_> = (0..TURNS).map(|n| tokio::spawn(stream(client.clone(), n))).collect();
-    let tokens = || async {
-        let began = fleet.ledgers(ProcessKind::Model).map_err(|e| e.to_string())?;
-        let began = began.iter().filter(|l| matches!(l.entry, LedgerEntry::GenerationBegan { .. }));
-        if began.count() >= TURNS { Ok(()) } else { Err("not all turns are running".to_owned()) }
+    let running: Vec<_> = (0..TURNS).map(|n| tokio::spawn(run_turn(client.clone(), n))).collect();
+    let all_started = || async {
+        let generations = fleet.ledgers(ProcessKind::Model).map_err(|e| e.to_string())?;
+        let generations =
+            generations.iter().filter(|l| matches!(l.entry, LedgerEntry::GenerationBegan { .. }));
+        if generations.count() >= TURNS {
+            Ok(())
+        } else {
+            Err("not all turns are running".to_owned())
+        }
     };
-    fleet.wait_until("all turns are running", Duration::from_secs(60), tokens).await.unwrap();
+    fleet.wait_until("all turns are running", Duration::from_secs(60), all_started).await.unwrap();
     for engine in fleet.names(ProcessKind::Engine) {
         for store in fleet.names(ProcessKind::Store) {
             fleet.cut(engine, store, false).await.unwrap();
@@ -123,11 +128,12 @@
     read_final_state(&fleet, &client).await.unwrap();
     let verdict = judge(&recorder.snapshot());
     assert!(verdict.examined["streams of turns"] > 0);
-    let spliced = verdict.violations.iter().any(|v| v.promise == Promise::ExactStreams);
-    assert_eq!(spliced, cfg!(feature = "broken-rules"), "{:?}", verdict.violations);
+    let has_stream_violation =
+        verdict.violations.iter().any(|v| v.promise == Promise::ExactStreams);
+    assert_eq!(has_stream_violation, cfg!(feature = "broken-rules"), "{:?}", verdict.violations);
 }
 
-async fn stream(client: Client, number: usize) {
+async fn run_turn(client: Client, number: usize) {
     let session = SessionRef::new(&format!("p{number}"), "s");
     client.declare_program(number, &session.program, 10_000, 1_000).await.unwrap();
     client.open_session(number, &session, "advisor-7b", "prefix").await.unwrap();
