--- a/crates/bench/src/faults/round_generator.rs
+++ b/crates/bench/src/faults/round_generator.rs
@@ -3,8 +3,8 @@
 //! At most one store loses its disk in a round, without any other store fault in that round, and
 //! only after all groups are fully replicated again: each group has three replicas, and a majority
 //! of them must not lose their data. Any number of stores that keep their disks may fail. At least
-//! one session-host engine and one gateway stay up in each round, so that requests can be served.
-//! No process is the target of two faults of a round.
+//! one session-host engine and one gateway are left untouched in each round, so that requests can be
+//! served. No process is the target of two faults of a round.
 
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
 pub struct FaultRound {
     /// Faults that are active at the same time.
     pub faults: Vec<Fault>,
-    /// Whether unresponsive nodes stay so for longer than any lease.
+    /// Whether frozen and isolated nodes stay unresponsive for longer than any lease.
     pub long_outages: bool,
     /// Whether the same faults are repeated as soon as service has recovered.
     pub repeated: bool,
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -125,8 +125,8 @@
         round: &FaultRound,
         released_engine: Option<ProcessName>,
     ) -> Result<(), FleetError> {
-        // Resume frozen processes first, then heal all cuts, so that restarted nodes start without
-        // cuts.
+        // All machines return together. Frozen processes resume first; then all cuts are healed, so
+        // that restarted nodes start without cuts.
         for fault in round.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
--- a/crates/bench/src/oracle/engines.rs
+++ b/crates/bench/src/oracle/engines.rs
@@ -71,7 +71,7 @@
         if late_runs > 0 {
             let last = runs.last().copied().unwrap_or_default().saturating_sub(*recognizable_at);
             let detail = format!(
-                "{late_runs} runs more than 5 s after the version was recognizable as harmful, the last after {last} ms"
+                "{late_runs} runs over 5 s after the version proved harmful, the last {last} ms after"
             );
             verdict.add_violation(Promise::HarmfulVersions, &release.version, detail);
         }
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -158,7 +158,7 @@
         let request = Ask::json(Method::POST, path.clone(), &body)
             .header("x-hooklug-request", format!("r-{from}-{number}"));
         let http = http.clone();
-        async move { http.ask(proxy, &request).await.is_ok_and(|response| response.status.is_success()) }
+        async move { http.ask(proxy, &request).await.is_ok_and(|r| r.status.is_success()) }
     })
     .await
 }
