--- a/crates/bench/src/oracle/bundles.rs
+++ b/crates/bench/src/oracle/bundles.rs
@@ -6,8 +6,7 @@
 use super::evidence::{Evidence, Millis, SubmissionOutcome, SubmissionRecord, VersionObservation};
 use super::{Promise, Verdict};
 
-/// Time within which an acknowledged bundle must be active, in milliseconds (requirement: about 2
-/// s).
+/// Milliseconds within which an acknowledged bundle must be active (requirement: about 2 s).
 const INSTALL_TIME_MS: Millis = 2_000;
 /// Time that a node has to catch up after a fault, in milliseconds (requirement: service recovers
 /// within 12 s).
--- a/crates/bench/src/oracle/engines.rs
+++ b/crates/bench/src/oracle/engines.rs
@@ -13,8 +13,7 @@
 /// Time for which a version may still receive traffic after enough of its calls have failed, in
 /// milliseconds (requirement: about 5 s).
 const HARMFUL_TRAFFIC_TIME_MS: Millis = 5_000;
-/// Maximum time without service after the end of a fault, in milliseconds (requirement: about 12
-/// s).
+/// Maximum milliseconds without service after the end of a fault (requirement: about 12 s).
 const RECOVERY_TIME_MS: Millis = 12_000;
 
 impl DrainRecord {
