--- a/crates/bench/src/faults/replication.rs
+++ b/crates/bench/src/faults/replication.rs
@@ -38,10 +38,10 @@
 /// timeout.
 pub(super) async fn wait_fully_replicated(fleet: &Fleet, timeout: Duration) -> Option<Duration> {
     let http = HttpClient::default();
-    let started = Instant::now();
-    while started.elapsed() < timeout {
+    let start_time = Instant::now();
+    while start_time.elapsed() < timeout {
         if are_fully_replicated(fleet, &http).await {
-            return Some(started.elapsed());
+            return Some(start_time.elapsed());
         }
         sleep(POLL_INTERVAL).await;
     }
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -48,9 +48,9 @@
     let fault_targets = FaultTargets::of(fleet);
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let runner = RoundRunner { fleet, client, profile, progress };
-    let began = Instant::now();
+    let start_time = Instant::now();
     let mut number = 0;
-    while began.elapsed() < options.time {
+    while start_time.elapsed() < options.time {
         let round = generate_round(&fault_targets, &mut random);
         let times = if round.repeated { 2 } else { 1 };
         for _ in 0..times {
@@ -95,19 +95,21 @@
         self.client.recorder().lock().end_open_faults(fault_ended_at);
         let recovery =
             probe::measure_recovery(self.fleet, self.profile, names, fault_ended_at).await;
-        let took =
+        let recovery_seconds =
             recovery.served_at.map_or(-1.0, |at| at.saturating_sub(fault_ended_at) as f64 / 1e3);
-        self.progress.report_line(&format!("round {number}: service recovered after {took:.1} s"));
+        self.progress.report_line(&format!(
+            "round {number}: service recovered after {recovery_seconds:.1} s"
+        ));
         self.client.recorder().lock().recoveries.push(recovery);
         Ok(())
     }
 
     async fn wait_fully_replicated(&self) -> Result<(), FleetError> {
         match replication::wait_fully_replicated(self.fleet, REPLICATION_TIMEOUT).await {
-            Some(took) => {
+            Some(wait) => {
                 self.progress.report_line(&format!(
                     "groups fully replicated after {:.1} s",
-                    took.as_secs_f64()
+                    wait.as_secs_f64()
                 ));
                 Ok(())
             }
--- a/crates/bench/src/hollow/mod.rs
+++ b/crates/bench/src/hollow/mod.rs
@@ -93,13 +93,13 @@
     report: &Report,
     cluster: &mut TestCluster,
 ) -> anyhow::Result<()> {
-    let began = Instant::now();
+    let start_time = Instant::now();
     cluster.nodes.start_more(args.gateways, args.engines).await?;
-    let started = began.elapsed();
+    let started = start_time.elapsed();
     let all = cluster.real_nodes() + args.gateways + args.engines;
     cluster.nodes.wait_for_members(all, MEMBERSHIP_TIMEOUT).await?;
     let seconds =
-        json!({"started": started.as_secs_f64(), "all_seen": began.elapsed().as_secs_f64()});
+        json!({"started": started.as_secs_f64(), "all_seen": start_time.elapsed().as_secs_f64()});
     report.line("gathering", &json!({"members": all, "seconds": seconds}))?;
     tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
@@ -154,21 +154,21 @@
     report: &Report,
     cluster: &mut TestCluster,
 ) -> anyhow::Result<()> {
-    let (before, nodes_before, began) =
+    let (before, nodes_before, start_time) =
         (cluster.read_usage().await?, cluster.nodes.read_usage()?, Instant::now());
     let pause = Duration::from_secs_f64(1.0 / args.restart_rate);
     for n in 0..args.restarts {
         cluster.nodes.restart(n * 17).await?;
         tokio::time::sleep(pause).await;
     }
-    let restarted = began.elapsed();
+    let restarted = start_time.elapsed();
     let all = cluster.real_nodes() + args.gateways + args.engines;
     cluster.nodes.wait_for_members(all, MEMBERSHIP_TIMEOUT).await?;
     let node = cluster.nodes.read_usage()?.since(&nodes_before);
     let real = cluster.read_usage().await?.since(&before);
     let fields = json!({
         "restarts": args.restarts,
-        "seconds": {"restarted": restarted.as_secs_f64(), "all_seen": began.elapsed().as_secs_f64()},
+        "seconds": {"restarted": restarted.as_secs_f64(), "all_seen": start_time.elapsed().as_secs_f64()},
         "hollow_node": node,
         "real": real,
         "cores_running": cluster.fleet.names(ProcessKind::Core).len(),
--- a/crates/bench/src/hollow/nodes.rs
+++ b/crates/bench/src/hollow/nodes.rs
@@ -159,14 +159,14 @@
         members: usize,
         max_wait: Duration,
     ) -> anyhow::Result<Duration> {
-        let began = Instant::now();
+        let start_time = Instant::now();
         loop {
             let least = self.nodes.iter().map(|(_, n)| n.members_seen()).min();
             let least = least.ok_or_else(|| anyhow!("there are no hollow nodes"))?;
             if least >= members {
-                return Ok(began.elapsed());
+                return Ok(start_time.elapsed());
             }
-            if began.elapsed() > max_wait {
+            if start_time.elapsed() > max_wait {
                 bail!("a node sees {least} of {members} members after {max_wait:?}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/bench/src/hollow/records.rs
+++ b/crates/bench/src/hollow/records.rs
@@ -181,7 +181,7 @@
         let records = ProgramRecords::new("fill", n)?;
         by_group.entry(records.group()).or_default().push(records);
     }
-    let (before, began) = (cluster.read_usage().await?, Instant::now());
+    let (before, start_time) = (cluster.read_usage().await?, Instant::now());
     let chunks: Vec<(GroupId, Vec<ProgramRecords>)> = by_group
         .into_iter()
         .flat_map(|(group, all)| {
@@ -202,7 +202,7 @@
             }
         })
         .await?;
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = start_time.elapsed().as_secs_f64();
     let real = cluster.read_usage().await?.since(&before);
     let stores = real.role("store");
     let replicas = 3.0 * programs as f64;
--- a/crates/bench/src/hollow/test_cluster.rs
+++ b/crates/bench/src/hollow/test_cluster.rs
@@ -116,13 +116,13 @@
         self.bundle.base = self.bundle.version;
         self.bundle.version = self.bundle.version.next();
         let version = self.bundle.version;
-        let began = Instant::now();
+        let start_time = Instant::now();
         let gateway = ProcessName::new(ProcessKind::Gateway, 0);
         let submitting = async {
             let submitted = self.fleet.submit_bundle_at(gateway, &self.bundle).await?;
-            anyhow::Ok((submitted, began.elapsed()))
+            anyhow::Ok((submitted, start_time.elapsed()))
         };
-        let installing = self.nodes.wait_installed(version, began, INSTALL_TIMEOUT);
+        let installing = self.nodes.wait_installed(version, start_time, INSTALL_TIMEOUT);
         let (submitted, times) = tokio::join!(submitting, installing);
         let ((submitted, answered), times) = (submitted?, times?);
         let at = |share: f64| -> f64 {
--- a/crates/bench/src/oracle/streams.rs
+++ b/crates/bench/src/oracle/streams.rs
@@ -46,8 +46,8 @@
         turns.entry(&turn.session).or_default().push(turn);
     }
     for (name, session) in &evidence.sessions {
-        let none = Vec::new();
-        let turns = turns.get(name.as_str()).unwrap_or(&none);
+        let no_turns = Vec::new();
+        let turns = turns.get(name.as_str()).unwrap_or(&no_turns);
         if let Some(error) = find_session_error(session, turns) {
             verdict.add_violation(Promise::ExactStreams, name, error);
         }
--- a/crates/bench/src/report/html.rs
+++ b/crates/bench/src/report/html.rs
@@ -152,8 +152,8 @@
         let missed = measure.goal.is_some_and(|goal| !goal.is_met(measure.value));
         let goal = match measure.goal {
             None => String::new(),
-            Some(Goal::AtLeast(least)) => format!("at least {least}"),
-            Some(Goal::AtMost(most)) => format!("at most {most}"),
+            Some(Goal::AtLeast(minimum)) => format!("at least {minimum}"),
+            Some(Goal::AtMost(maximum)) => format!("at most {maximum}"),
         };
         let class = if missed { "n bad" } else { "n" };
         let _ = write!(
--- a/crates/bench/src/report/mod.rs
+++ b/crates/bench/src/report/mod.rs
@@ -41,8 +41,8 @@
     #[must_use]
     pub fn is_met(self, value: f64) -> bool {
         match self {
-            Self::AtLeast(least) => value >= least,
-            Self::AtMost(most) => value <= most,
+            Self::AtLeast(minimum) => value >= minimum,
+            Self::AtMost(maximum) => value <= maximum,
         }
     }
 }
--- a/crates/bench/src/report/plot.rs
+++ b/crates/bench/src/report/plot.rs
@@ -15,10 +15,10 @@
 
 /// Plots a value per second, with shaded spans behind the line.
 pub(super) fn plot_per_second(title: &str, values: &[f64], bands: &[Band]) -> String {
-    let most = values.iter().copied().fold(1.0, f64::max);
+    let maximum = values.iter().copied().fold(1.0, f64::max);
     let last = (values.len().max(2) - 1) as f64;
     let x = |second: f64| MARGIN + (second.clamp(0.0, last) / last) * (WIDTH - MARGIN - 8.0);
-    let y = |value: f64| HEIGHT - 22.0 - (value / most) * (HEIGHT - 44.0);
+    let y = |value: f64| HEIGHT - 22.0 - (value / maximum) * (HEIGHT - 44.0);
     let mut svg = format!("<figure><figcaption>{}</figcaption>", escape(title));
     // Writing to a string cannot fail.
     let _ = write!(svg, "<svg viewBox=\"0 0 {WIDTH} {HEIGHT}\" role=\"img\">");
@@ -38,7 +38,7 @@
         .map(|(second, value)| format!("{:.1},{:.1}", x(second as f64), y(*value)))
         .collect();
     let _ = write!(svg, "<polyline points=\"{}\"/>", points.join(" "));
-    let _ = write!(svg, "<text x=\"2\" y=\"{:.1}\">{most:.0}</text>", y(most) + 4.0);
+    let _ = write!(svg, "<text x=\"2\" y=\"{:.1}\">{maximum:.0}</text>", y(maximum) + 4.0);
     let _ = write!(svg, "<text x=\"2\" y=\"{:.1}\">0</text>", y(0.0) + 4.0);
     let _ = write!(svg, "<text x=\"{:.1}\" y=\"{HEIGHT}\">{last:.0} s</text>", WIDTH - 60.0);
     svg.push_str("</svg></figure>");
--- a/crates/bench/src/report/text.rs
+++ b/crates/bench/src/report/text.rs
@@ -36,8 +36,8 @@
     let goal = measure.goal.map_or_else(String::new, |goal| {
         let met = if goal.is_met(measure.value) { "met" } else { "missed" };
         match goal {
-            Goal::AtLeast(least) => format!("  (goal: at least {least}; {met})"),
-            Goal::AtMost(most) => format!("  (goal: at most {most}; {met})"),
+            Goal::AtLeast(minimum) => format!("  (goal: at least {minimum}; {met})"),
+            Goal::AtMost(maximum) => format!("  (goal: at most {maximum}; {met})"),
         }
     });
     format!("{:<58} {:>10.3} {}{goal}", measure.what, measure.value, measure.unit)
--- a/crates/bench/src/scenario/rate.rs
+++ b/crates/bench/src/scenario/rate.rs
@@ -28,8 +28,8 @@
     Fut: Future<Output = bool> + Send,
 {
     let request = Arc::new(request);
-    let began = Instant::now();
-    let end = began + time;
+    let start_time = Instant::now();
+    let end = start_time + time;
     let mut running = JoinSet::new();
     for caller in 0..callers {
         let request = request.clone();
@@ -54,6 +54,6 @@
         times.extend::<Vec<f64>>(caller_times);
         failed += caller_failed;
     }
-    let per_second = times.len() as f64 / began.elapsed().as_secs_f64();
+    let per_second = times.len() as f64 / start_time.elapsed().as_secs_f64();
     Rate { per_second, failed, times_ms: Percentiles::of(times) }
 }
--- a/crates/bench/src/slopes/state_machine.rs
+++ b/crates/bench/src/slopes/state_machine.rs
@@ -78,14 +78,14 @@
     let records: Result<Vec<_>, _> =
         (0..programs).map(|n| ProgramRecords::new("machine", n)).collect();
     let records = records?;
-    let began = Instant::now();
+    let start_time = Instant::now();
     for program in &records {
         for command in [program.put_program()?, program.open_session()?, program.begin_turn()] {
             machine.apply_command(command);
         }
     }
-    let records_seconds = began.elapsed().as_secs_f64();
-    let began = Instant::now();
+    let records_seconds = start_time.elapsed().as_secs_f64();
+    let start_time = Instant::now();
     for program in &records {
         for first in (0..events).step_by(EVENTS_PER_COMMAND as usize) {
             let command: ShardCommand =
@@ -93,7 +93,7 @@
             machine.apply_command(command);
         }
     }
-    let events_seconds = began.elapsed().as_secs_f64();
+    let events_seconds = start_time.elapsed().as_secs_f64();
     drop(records);
     let resident = Usage::own()?.resident_bytes.saturating_sub(before);
     let measured = Measurement {
