--- a/crates/bench/src/command/run.rs
+++ b/crates/bench/src/command/run.rs
@@ -1,4 +1,4 @@
-//! `run`: one scenario.
+//! `run`: runs one scenario.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,41 +6,42 @@
 use clap::Args;
 use hooklug_fleet::Topology;
 
-use super::progress::TimeBar;
+use super::progress::TimedProgressBar;
 use crate::environment::Environment;
 use crate::report::{Report, Section};
+use crate::scenario::burst::BurstRun;
 use crate::scenario::chaos::default_topology;
-use crate::scenario::scene::SceneRun;
 use crate::scenario::specification::Specification;
 use crate::scenario::takeover::Takeover;
 use crate::scenario::{call_rate, overhead, proxy};
 
-/// Starting a fleet and reading everything back, beside the load itself (ours; for the bar only).
-const AROUND: Duration = Duration::from_secs(15);
+/// Time for starting a fleet and reading the results, in addition to the load itself. Used only for
+/// the progress bar.
+const SETUP_TIME: Duration = Duration::from_secs(15);
 
 /// Arguments of `run`.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// `frost-night`, `sowing-morning` or `storm-warning`, with `@plain` for baseline gateways and `xN` for N
-    /// times the load; or `calls`, `proxy`, `overhead`, `takeover`.
+    /// `frost-night`, `sowing-morning` or `storm-warning`, with `@plain` for baseline gateways and
+    /// `xN` for N times the load; or `calls`, `proxy`, `overhead`, `takeover`.
     scenario: String,
     #[command(flatten)]
-    pub(super) common: Common,
+    pub(super) common: CommonArguments,
 }
 
-/// What all scenarios take.
+/// Arguments that all scenarios share.
 #[derive(Debug, Args)]
-pub struct Common {
-    /// Factor on the load.
+pub struct CommonArguments {
+    /// Factor applied to the load.
     #[arg(long, default_value_t = 1.0)]
     scale: f64,
-    /// Length of the steady part and of the burst each, or of the measurement.
+    /// Seconds of the steady part and of the burst, each, or of the measurement.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     /// Seed of load, operators and kills.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Callers or streams at once, for `calls`, `proxy`, `overhead` and `takeover`.
+    /// Concurrent callers or streams, for `calls`, `proxy`, `overhead` and `takeover`.
     #[arg(long)]
     callers: Option<usize>,
     /// Topology file (default: four stores, three cores, three gateways, four engines).
@@ -49,12 +50,13 @@
     /// Folder for the reports.
     #[arg(long, default_value = "bench-reports")]
     pub(super) reports: PathBuf,
-    /// Folder for the fleet's logs, ledgers and disks; kept afterwards (default: drawn, and removed).
+    /// Folder for the fleet's logs, ledgers and disks, which is retained after the run (default: a
+    /// temporary folder).
     #[arg(long)]
     data: Option<PathBuf>,
 }
 
-impl Common {
+impl CommonArguments {
     fn topology(&self) -> anyhow::Result<Topology> {
         match &self.topology {
             Some(path) => Ok(Topology::read(path)?),
@@ -62,69 +64,86 @@
         }
     }
 
-    fn part(&self) -> Duration {
+    fn measured_time(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 }
 
-/// Callers at once unless asked otherwise (ours).
-const CALLERS: usize = 64;
-/// Streams at once at which overhead and takeovers are to be measured (issue 5).
-const STREAMS: usize = 200;
+/// Default number of concurrent callers.
+const DEFAULT_CALLERS: usize = 64;
+/// Default number of concurrent streams for `overhead` and `takeover` (issue 5).
+const DEFAULT_STREAMS: usize = 200;
 
-/// Runs it.
+/// Runs a scenario, then prints and writes its report.
 ///
 /// # Errors
-/// When the fleet fails, or any promise was broken.
+/// If the fleet fails or any promise was broken.
 pub fn run(arguments: &Arguments) -> anyhow::Result<()> {
     let environment = Environment::read();
     let scenario = arguments.scenario.as_str();
-    let sections = super::block_on(sections(scenario, &arguments.common))?;
+    let sections = super::block_on(run_scenario(scenario, &arguments.common))?;
     let report = Report::new(scenario, environment, sections);
     report.print();
     report.write(&arguments.common.reports)?;
-    anyhow::ensure!(report.violations() == 0, "{} violations", report.violations());
+    anyhow::ensure!(
+        report.violations() == 0,
+        "the oracle found {} violations",
+        report.violations()
+    );
     Ok(())
 }
 
-/// Whether a text names a scenario.
-pub(super) fn check(scenario: &str) -> anyhow::Result<()> {
+/// Returns an error if no scenario has this name.
+pub(super) fn check_scenario_name(scenario: &str) -> anyhow::Result<()> {
     if !matches!(scenario, "calls" | "proxy" | "overhead" | "takeover") {
         scenario.parse::<Specification>()?;
     }
     Ok(())
 }
 
-/// Runs one scenario and tells what came of it; a run of a fleet comes first.
-pub(super) async fn sections(scenario: &str, common: &Common) -> anyhow::Result<Vec<Section>> {
-    let (topology, part) = (common.topology()?, common.part());
-    let callers = common.callers.unwrap_or(CALLERS);
-    let streams = common.callers.unwrap_or(STREAMS);
-    let bar = TimeBar::start(scenario, part + AROUND);
+/// Runs one scenario and returns the sections of its report. The section of a fleet run, if any, is
+/// the first.
+pub(super) async fn run_scenario(
+    scenario: &str,
+    common: &CommonArguments,
+) -> anyhow::Result<Vec<Section>> {
+    let (topology, time) = (common.topology()?, common.measured_time());
+    let callers = common.callers.unwrap_or(DEFAULT_CALLERS);
+    let streams = common.callers.unwrap_or(DEFAULT_STREAMS);
+    let bar = TimedProgressBar::start(scenario, time + SETUP_TIME);
     match scenario {
-        "calls" => Ok(vec![call_rate::run(topology, callers, part).await?]),
-        "proxy" => Ok(vec![proxy::run(topology, callers, part).await?]),
+        "calls" => Ok(vec![call_rate::run(topology, callers, time).await?]),
+        "proxy" => Ok(vec![proxy::run(topology, callers, time).await?]),
         "overhead" => Ok(vec![overhead::run(topology, streams).await?]),
         "takeover" => {
             let (data, seed) = (common.data.clone(), common.seed);
-            let run = Takeover { topology, time: part, programs: streams, seed, data };
+            let run = Takeover { topology, time, programs: streams, seed, data };
             Ok(run.run(&bar).await?)
         }
         _ => {
             drop(bar);
-            Ok(vec![scene(scenario.parse()?, common, topology).await?])
+            Ok(vec![run_burst(scenario.parse()?, common, topology).await?])
         }
     }
 }
 
-async fn scene(
+async fn run_burst(
     mut specification: Specification,
-    common: &Common,
+    common: &CommonArguments,
     topology: Topology,
 ) -> anyhow::Result<Section> {
     specification.scale *= common.scale;
     let data = common.data.clone();
-    let run = SceneRun { specification, topology, part: common.part(), seed: common.seed, data };
-    let bar = TimeBar::start(&specification.to_string(), common.part() * 2 + AROUND);
+    let run = BurstRun {
+        specification,
+        topology,
+        phase_time: common.measured_time(),
+        seed: common.seed,
+        data,
+    };
+    let bar = TimedProgressBar::start(
+        &specification.to_string(),
+        common.measured_time() * 2 + SETUP_TIME,
+    );
     Ok(run.run(&bar).await?.into_section())
 }
--- a/crates/bench/src/faults/apply.rs
+++ b/crates/bench/src/faults/apply.rs
@@ -1,4 +1,4 @@
-//! Begins and ends faults on a running fleet.
+//! Starts and ends faults in a running fleet.
 
 use std::time::Duration;
 
@@ -7,47 +7,50 @@
 use super::backends;
 use super::fault::Fault;
 
-/// After this long a dead engine's lease has run out and its sessions are being taken over (design: 3.5 s).
+/// Time after which the lease of a failed engine has expired and the takeover of its sessions has
+/// started (design document: 3.5 s).
 const TAKEOVER_TIME: Duration = Duration::from_millis(3_500);
 
-/// Begins a fault.
+/// Starts a fault.
 ///
 /// # Errors
-/// When the fleet can't do it.
-pub(super) async fn begin(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
+/// If the fleet cannot perform it.
+pub(super) async fn start(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
         Fault::Kill(names) => names.iter().try_for_each(|name| fleet.kill(*name)),
-        Fault::KillInTurn(names) => kill_in_turn(fleet, names).await,
+        Fault::KillSequentially(names) => kill_sequentially(fleet, names).await,
         Fault::Freeze(name) => fleet.freeze(*name),
-        Fault::CutOff(name) => fleet.cut_off(*name).await,
-        Fault::CutOneWay(from, to) if from == to => Ok(()),
-        Fault::CutOneWay(from, to) => fleet.cut(*from, *to, true).await,
+        Fault::Isolate(name) => fleet.cut_off(*name).await,
+        Fault::DropOneWay(from, to) if from == to => Ok(()),
+        Fault::DropOneWay(from, to) => fleet.cut(*from, *to, true).await,
         Fault::Replace(name) => fleet.replace(*name).await,
         Fault::LoseDisk(name) => fleet.lose_disk(*name).await,
         Fault::Drain(name) => fleet.drain(*name).await,
         Fault::RollingRestart(kind) => fleet.rolling_restart(&[*kind]).await,
-        Fault::Backend(name, fault) => backends::misbehave(fleet, *name, *fault).await,
+        Fault::Backend(name, fault) => backends::set_fault(fleet, *name, *fault).await,
         Fault::RestartBackend(name) => backends::restart(fleet, *name).await,
         Fault::HarmfulRelease => Ok(()),
     }
 }
 
-/// Ends a fault. Cuts are healed for all at once by the caller.
+/// Ends a fault, except for network cuts: the caller heals all of them at once.
 ///
 /// # Errors
-/// When the fleet can't do it.
+/// If the fleet cannot perform it.
 pub(super) async fn end(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
-        Fault::Kill(names) | Fault::KillInTurn(names) => restart_all(fleet, names).await,
+        Fault::Kill(names) | Fault::KillSequentially(names) => restart_all(fleet, names).await,
         Fault::Freeze(name) => fleet.wake(*name),
-        Fault::Drain(name) if name.kind == ProcessKind::App => backends::behave(fleet, *name).await,
+        Fault::Drain(name) if name.kind == ProcessKind::App => {
+            backends::clear_faults(fleet, *name).await
+        }
         Fault::Drain(name) => fleet.restart(*name).await,
-        Fault::Backend(name, _) => backends::behave(fleet, *name).await,
+        Fault::Backend(name, _) => backends::clear_faults(fleet, *name).await,
         _ => Ok(()),
     }
 }
 
-async fn kill_in_turn(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
+async fn kill_sequentially(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
     for name in names {
         fleet.kill(*name)?;
         tokio::time::sleep(TAKEOVER_TIME).await;
@@ -55,7 +58,7 @@
     Ok(())
 }
 
-/// Starts machines together, as when power returns.
+/// Starts several processes concurrently, as after a power failure.
 async fn restart_all(fleet: &Fleet, names: &[ProcessName]) -> Result<(), FleetError> {
     let restarts = names.iter().map(|name| fleet.restart(*name));
     futures::future::join_all(restarts).await.into_iter().collect()
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of the brief, each with the processes that it hits.
+//! The kinds of faults that chaos runs inject, and the processes that each one affects.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,59 +6,63 @@
 use hooklug_emulator::FaultKind;
 use hooklug_fleet::{ProcessKind, ProcessName};
 
-/// A fault of a back end's answers.
+/// A fault in the responses of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendFault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Share of the requests that it hits, in percent.
+    /// Share of the requests that are affected, in percent.
     pub percent: u8,
 }
 
-/// One fault.
+/// A fault of a fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// Processes are killed without warning and come back with their disks.
+    /// Kills processes without warning and restarts them with their disks.
     Kill(Vec<ProcessName>),
-    /// Engines are killed one after another, each when sessions of the one before are just taken over.
-    KillInTurn(Vec<ProcessName>),
-    /// A process is frozen and wakes.
+    /// Kills engines one after another, each as soon as sessions of the previous one are being
+    /// taken over.
+    KillSequentially(Vec<ProcessName>),
+    /// Suspends a process and resumes it.
     Freeze(ProcessName),
-    /// A node is cut off from all others.
-    CutOff(ProcessName),
-    /// What one node sends to another is lost.
-    CutOneWay(ProcessName, ProcessName),
-    /// A machine is replaced by an empty one at a new address.
+    /// Isolates a node from all others.
+    Isolate(ProcessName),
+    /// Drops all messages from one node to another.
+    DropOneWay(ProcessName, ProcessName),
+    /// Replaces a machine by an empty one at a new address.
     Replace(ProcessName),
-    /// A store loses its disk and comes back at its address.
+    /// Erases the disk of a store, which restarts at the same address.
     LoseDisk(ProcessName),
-    /// The platform stops a process and starts it again; a stand-in refuses new work for a while.
+    /// Drains a process: the platform stops and restarts it; an emulated application engine refuses
+    /// new work for a while.
     Drain(ProcessName),
-    /// All nodes of a kind are restarted, one after another.
+    /// Restarts all nodes of a kind, one after another.
     RollingRestart(ProcessKind),
-    /// A back end misbehaves for a while.
+    /// Makes a backend return faulty responses for a while.
     Backend(ProcessName, BackendFault),
-    /// A back end restarts in place with a new incarnation.
+    /// Restarts a backend in place with a new incarnation.
     RestartBackend(ProcessName),
-    /// A version that loses most of its answers is released.
+    /// Releases a version that loses most of its responses.
     HarmfulRelease,
 }
 
-/// Longest a process that fails is away, in seconds, by what the fault is (brief: cut-offs of 20 s or more).
-const LONG_HOLD: Duration = Duration::from_secs(22);
-const SHORT_HOLD: Duration = Duration::from_secs(4);
-/// A release has 5 s steps; its harm shows in the second or third (bundle defaults).
-const RELEASE_HOLD: Duration = Duration::from_secs(30);
+/// Duration of long faults, which must exceed the lease time (requirement: isolation of 20 s or
+/// more).
+const LONG_FAULT_TIME: Duration = Duration::from_secs(22);
+const SHORT_FAULT_TIME: Duration = Duration::from_secs(4);
+/// Duration of a harmful release. A rollout step takes 5 s, and the failures show in the second or
+/// third (bundle defaults).
+const RELEASE_TIME: Duration = Duration::from_secs(30);
 
 impl Fault {
-    /// Processes that it hits.
+    /// Returns the processes that the fault is applied to.
     #[must_use]
-    pub fn hit(&self) -> Vec<ProcessName> {
+    pub fn targets(&self) -> Vec<ProcessName> {
         match self {
-            Self::Kill(names) | Self::KillInTurn(names) => names.clone(),
-            Self::CutOneWay(from, to) => vec![*from, *to],
+            Self::Kill(names) | Self::KillSequentially(names) => names.clone(),
+            Self::DropOneWay(from, to) => vec![*from, *to],
             Self::Freeze(name)
-            | Self::CutOff(name)
+            | Self::Isolate(name)
             | Self::Replace(name)
             | Self::LoseDisk(name)
             | Self::Drain(name)
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Whether what a store held is gone for good.
+    /// Returns whether a store loses its data for good.
     #[must_use]
     pub fn loses_disk(&self) -> bool {
         match self {
@@ -78,22 +82,23 @@
         }
     }
 
-    /// Whether it hits a store at all.
+    /// Returns whether the fault affects any store.
     #[must_use]
-    pub fn hits_stores(&self) -> bool {
+    pub fn affects_stores(&self) -> bool {
         matches!(self, Self::RollingRestart(ProcessKind::Store))
-            || self.hit().iter().any(|name| name.kind == ProcessKind::Store)
+            || self.targets().iter().any(|name| name.kind == ProcessKind::Store)
     }
 
-    /// How long it lasts: long where a lease has to run out over a silent node.
+    /// Returns how long the fault lasts. `long` extends faults in which the lease of an
+    /// unresponsive node must expire.
     #[must_use]
-    pub fn hold(&self, long: bool) -> Duration {
+    pub fn duration(&self, long: bool) -> Duration {
         match self {
-            Self::HarmfulRelease => RELEASE_HOLD,
-            Self::Freeze(_) | Self::CutOff(_) if long => LONG_HOLD,
+            Self::HarmfulRelease => RELEASE_TIME,
+            Self::Freeze(_) | Self::Isolate(_) if long => LONG_FAULT_TIME,
             Self::Replace(_) | Self::LoseDisk(_) | Self::RestartBackend(_) => Duration::ZERO,
             Self::RollingRestart(_) => Duration::ZERO,
-            _ => SHORT_HOLD,
+            _ => SHORT_FAULT_TIME,
         }
     }
 }
@@ -105,13 +110,13 @@
                 let names: Vec<String> = names.iter().map(ToString::to_string).collect();
                 write!(f, "kill {}", names.join(" "))
             }
-            Self::KillInTurn(names) => {
+            Self::KillSequentially(names) => {
                 let names: Vec<String> = names.iter().map(ToString::to_string).collect();
                 write!(f, "kill {}", names.join(" then "))
             }
             Self::Freeze(name) => write!(f, "freeze {name}"),
-            Self::CutOff(name) => write!(f, "cut off {name}"),
-            Self::CutOneWay(from, to) => write!(f, "cut {from} to {to}, one way"),
+            Self::Isolate(name) => write!(f, "cut off {name}"),
+            Self::DropOneWay(from, to) => write!(f, "cut {from} to {to}, one way"),
             Self::Replace(name) => write!(f, "replace {name}"),
             Self::LoseDisk(name) => write!(f, "lose the disk of {name}"),
             Self::Drain(name) => write!(f, "drain {name}"),
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of faults: begun, held, ended, and the way back measured.
+//! Runs rounds of faults and measures the recovery after each.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,145 +8,158 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::{Instant, sleep};
 
-use super::draw::{Draw, Shape, draw_round};
 use super::fault::Fault;
-use super::{apply, groups, probe, release};
-use crate::oracle::evidence::{Disturbance, DrainRecord};
+use super::round_generator::{FaultRound, FaultTargets, generate_round};
+use super::{apply, harmful_release, probe, replication};
+use crate::oracle::evidence::{DrainRecord, InjectedFault};
 use crate::workload::{Client, Profile, now};
 
-/// Longest wait for groups to be whole before another disk may be lost (ours).
-const WHOLE_TIME: Duration = Duration::from_secs(90);
-/// Quiet time between two rounds (ours).
-const BETWEEN_ROUNDS: Duration = Duration::from_secs(2);
+/// Maximum time to wait until all groups are fully replicated, before another disk may be lost.
+const REPLICATION_TIMEOUT: Duration = Duration::from_secs(90);
+/// Pause between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long and from which seed.
+/// Duration and seed of a chaos run.
 #[derive(Debug, Clone, Copy)]
 pub struct ChaosOptions {
-    /// Rounds begin until then.
+    /// Time within which rounds start.
     pub time: Duration,
-    /// Seed of the draw.
+    /// Seed of the faults.
     pub seed: u64,
 }
 
-/// Told as rounds go by.
-pub trait ChaosProgress: Send + Sync {
-    /// A line about what happens now.
-    fn say(&self, line: &str);
+/// Receives progress messages of a run.
+pub trait RunProgress: Send + Sync {
+    /// Reports one line of progress.
+    fn report_line(&self, line: &str);
 }
 
-/// Breaks the fleet round by round. The load and the records are other tasks'.
+/// Injects faults round by round. Load and recording run in other tasks.
 ///
 /// # Errors
-/// When the fleet can't do what a fault asks for.
+/// If the fleet cannot perform a fault.
 pub async fn run_rounds(
     fleet: &Arc<Fleet>,
     client: &Client,
     profile: &Profile,
     options: ChaosOptions,
-    progress: &dyn ChaosProgress,
+    progress: &dyn RunProgress,
 ) -> Result<usize, FleetError> {
-    let shape = Shape::of(fleet);
+    let fault_targets = FaultTargets::of(fleet);
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
-    let rounds = Rounds { fleet, client, profile, progress };
-    let began = Instant::now();
+    let runner = RoundRunner { fleet, client, profile, progress };
+    let start_time = Instant::now();
     let mut number = 0;
-    while began.elapsed() < options.time {
-        let draw = draw_round(&shape, &mut random);
-        let times = if draw.twice { 2 } else { 1 };
+    while start_time.elapsed() < options.time {
+        let round = generate_round(&fault_targets, &mut random);
+        let times = if round.repeated { 2 } else { 1 };
         for _ in 0..times {
             number += 1;
-            rounds.run(number, &draw).await?;
+            runner.run(number, &round).await?;
         }
-        sleep(BETWEEN_ROUNDS).await;
+        sleep(ROUND_INTERVAL).await;
     }
     Ok(number)
 }
 
-struct Rounds<'a> {
+struct RoundRunner<'a> {
     fleet: &'a Arc<Fleet>,
     client: &'a Client,
     profile: &'a Profile,
-    progress: &'a dyn ChaosProgress,
+    progress: &'a dyn RunProgress,
 }
 
-impl Rounds<'_> {
-    async fn run(&self, number: usize, draw: &Draw) -> Result<(), FleetError> {
-        let names: Vec<String> = draw.faults.iter().map(ToString::to_string).collect();
+impl RoundRunner<'_> {
+    async fn run(&self, number: usize, round: &FaultRound) -> Result<(), FleetError> {
+        let names: Vec<String> = round.faults.iter().map(ToString::to_string).collect();
         let names = names.join(" + ");
-        self.progress.say(&format!("round {number}: {names}"));
-        if draw.faults.iter().any(Fault::loses_disk) {
-            self.wait_whole().await?;
+        self.progress.report_line(&format!("round {number}: {names}"));
+        if round.faults.iter().any(Fault::loses_disk) {
+            self.wait_fully_replicated().await?;
         }
-        let mut released = None;
-        let mut hold = Duration::ZERO;
-        for fault in &draw.faults {
-            self.note_beginning(fault);
-            apply::begin(self.fleet, fault).await?;
+        let mut released_engine = None;
+        let mut duration = Duration::ZERO;
+        for fault in &round.faults {
+            self.record_start(fault);
+            apply::start(self.fleet, fault).await?;
             if *fault == Fault::HarmfulRelease {
-                // Without a quorum no release is accepted; then there is none to judge.
-                released = release::begin(self.fleet, &self.client.recorder()).await.ok();
+                // Without a quorum no release is accepted, so there is none to check.
+                released_engine =
+                    harmful_release::start(self.fleet, &self.client.recorder()).await.ok();
             }
-            hold = hold.max(fault.hold(draw.long));
+            duration = duration.max(fault.duration(round.long_outages));
         }
-        sleep(hold).await;
-        self.end(draw, released).await?;
-        let healed = now();
-        self.client.recorder().lock().all_over(healed);
-        let recovery = probe::recover(self.fleet, self.profile, names, healed).await;
-        let took = recovery.served.map_or(-1.0, |at| at.saturating_sub(healed) as f64 / 1e3);
-        self.progress.say(&format!("round {number}: served again after {took:.1} s"));
+        sleep(duration).await;
+        self.end(round, released_engine).await?;
+        let fault_ended_at = now();
+        self.client.recorder().lock().end_open_faults(fault_ended_at);
+        let recovery =
+            probe::measure_recovery(self.fleet, self.profile, names, fault_ended_at).await;
+        let recovery_seconds =
+            recovery.served_at.map_or(-1.0, |at| at.saturating_sub(fault_ended_at) as f64 / 1e3);
+        self.progress.report_line(&format!(
+            "round {number}: service recovered after {recovery_seconds:.1} s"
+        ));
         self.client.recorder().lock().recoveries.push(recovery);
         Ok(())
     }
 
-    async fn wait_whole(&self) -> Result<(), FleetError> {
-        match groups::wait_whole(self.fleet, WHOLE_TIME).await {
-            Some(took) => {
-                self.progress.say(&format!("groups whole after {:.1} s", took.as_secs_f64()));
+    async fn wait_fully_replicated(&self) -> Result<(), FleetError> {
+        match replication::wait_fully_replicated(self.fleet, REPLICATION_TIMEOUT).await {
+            Some(wait) => {
+                self.progress.report_line(&format!(
+                    "groups fully replicated after {:.1} s",
+                    wait.as_secs_f64()
+                ));
                 Ok(())
             }
             None => {
-                let seconds = WHOLE_TIME.as_secs();
-                let what = "all groups are whole".to_owned();
-                let last = "some replica is missing or behind".to_owned();
+                let seconds = REPLICATION_TIMEOUT.as_secs();
+                let what = "all groups are fully replicated".to_owned();
+                let last = "a replica is missing or lags behind".to_owned();
                 Err(FleetError::TimedOut { what, seconds, last })
             }
         }
     }
 
-    async fn end(&self, draw: &Draw, released: Option<ProcessName>) -> Result<(), FleetError> {
-        // Machines return together; cuts first, so that restarted nodes are told of none.
-        for fault in draw.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
+    async fn end(
+        &self,
+        round: &FaultRound,
+        released_engine: Option<ProcessName>,
+    ) -> Result<(), FleetError> {
+        // All machines return together. Frozen processes resume first; then all cuts are healed, so
+        // that restarted nodes start without cuts.
+        for fault in round.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
         self.fleet.heal().await?;
-        for fault in draw.faults.iter().filter(|fault| !matches!(fault, Fault::Freeze(_))) {
+        for fault in round.faults.iter().filter(|fault| !matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
-        if let Some(engine) = released {
-            release::end(self.fleet, engine).await?;
+        if let Some(engine) = released_engine {
+            harmful_release::end(self.fleet, engine).await?;
         }
-        self.client.learn_gateways(self.fleet);
+        self.client.refresh_gateways(self.fleet);
         Ok(())
     }
 
-    fn note_beginning(&self, fault: &Fault) {
-        let hit = match fault {
+    fn record_start(&self, fault: &Fault) {
+        let targets = match fault {
             Fault::RollingRestart(kind) => self.fleet.names(*kind),
-            _ => fault.hit(),
+            _ => fault.targets(),
         };
         let recorder = self.client.recorder();
         let mut evidence = recorder.lock();
-        evidence.disturbances.push(Disturbance {
-            fault: fault.to_string(),
-            hit: hit.iter().map(ToString::to_string).collect(),
-            from: now(),
-            until: None,
+        evidence.injected_faults.push(InjectedFault {
+            description: fault.to_string(),
+            targets: targets.iter().map(ToString::to_string).collect(),
+            started_at: now(),
+            ended_at: None,
         });
         if let Fault::Drain(name) = fault
             && matches!(name.kind, ProcessKind::Engine | ProcessKind::App)
         {
-            let drain = DrainRecord { engine: name.word(), known: now(), until: None };
+            let drain = DrainRecord { engine: name.word(), started_at: now(), ended_at: None };
             evidence.drains.push(drain);
         }
     }
--- a/crates/bench/src/hollow/mod.rs
+++ b/crates/bench/src/hollow/mod.rs
@@ -1,11 +1,12 @@
-//! Hundreds of hollow nodes before real cores and stores: membership, heartbeats, the fan-out of the view,
-//! bundle changes, restarts and the loss of the core leader, at the size to design for.
+//! Runs hundreds of hollow nodes against real cores and stores, at the size that the system is
+//! designed for: membership, heartbeats, distribution of the view, bundle changes, restarts and the
+//! failure of the core leader.
 
 mod access;
-mod crowd;
-mod field;
 mod node;
+mod nodes;
 mod records;
+mod test_cluster;
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -13,107 +14,120 @@
 use hooklug_fleet::ProcessKind;
 use serde_json::json;
 
-pub(crate) use access::Access;
-pub(crate) use crowd::PerNode;
-pub(crate) use field::Field;
-pub(crate) use records::{ProgramRecords, Writer};
+pub(crate) use access::ClusterAccess;
+pub(crate) use nodes::NodeUsage;
+pub(crate) use records::{ProgramRecords, RecordWriter};
+pub(crate) use test_cluster::TestCluster;
 
 use crate::slopes::interrupt::interruptible;
 use crate::slopes::report::Report;
 
-/// Longest wait until all nodes see each other.
-const LONGEST_GATHERING: Duration = Duration::from_secs(120);
-/// Pause after a change before a quiet span is measured, so that its effects are over.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Maximum time until all nodes see each other.
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(120);
+/// Pause after a change, so that its effects end before an idle span is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Arguments of `hooklug-bench hollow`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Hollow gateways.
+    /// Number of hollow gateways.
     #[arg(long, default_value_t = 400)]
     gateways: usize,
-    /// Hollow engines; each keeps a lease.
+    /// Number of hollow engines; each holds a lease.
     #[arg(long, default_value_t = 870)]
     engines: usize,
-    /// Programs whose records are put into the shards, each with a session and a turn.
+    /// Number of programs whose records are written to the shards, each with a session and a turn.
     #[arg(long, default_value_t = 49_000)]
     programs: usize,
-    /// Tenants in the bundle.
+    /// Number of tenants in the bundle.
     #[arg(long, default_value_t = 17_000)]
     tenants: usize,
-    /// Bundle changes, one after the other.
+    /// Number of consecutive bundle changes.
     #[arg(long, default_value_t = 6)]
     changes: usize,
-    /// Restarts of hollow nodes.
+    /// Number of restarts of hollow nodes.
     #[arg(long, default_value_t = 300)]
     restarts: usize,
-    /// Restarts a second.
+    /// Restarts per second.
     #[arg(long, default_value_t = 10.0)]
     restart_rate: f64,
-    /// Real stores.
+    /// Number of real stores.
     #[arg(long, default_value_t = 4)]
     stores: usize,
-    /// Real cores.
+    /// Number of real cores.
     #[arg(long, default_value_t = 5)]
     cores: usize,
-    /// Length of each measured quiet span, in seconds.
+    /// Length of each measured idle span, in seconds.
     #[arg(long, default_value_t = 10)]
     span_seconds: u64,
-    /// File that the results are added to as JSON lines.
+    /// File to append the results to, as JSON lines.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Runs the whole scenario and reports each step. Told to stop, it ends its processes first.
+/// Runs the scenario and reports each step. On Ctrl-C or SIGTERM it stops its processes.
 pub async fn run(args: Args) -> anyhow::Result<()> {
     interruptible(scenario(args)).await
 }
 
 async fn scenario(args: Args) -> anyhow::Result<()> {
-    let report = Report::begin(args.out.as_deref())?;
-    let mut field = Field::start(args.stores, args.cores).await?;
-    gather(&args, &report, &mut field).await?;
-    quiet(&args, &report, &field, "quiet, one tenant").await?;
-    let times = field.set_tenants(args.tenants).await?;
+    let report = Report::start(args.out.as_deref())?;
+    let mut cluster = TestCluster::start(args.stores, args.cores).await?;
+    start_nodes(&args, &report, &mut cluster).await?;
+    measure_idle_usage(&args, &report, &cluster, "quiet, one tenant").await?;
+    let times = cluster.set_tenants(args.tenants).await?;
     report.line(
         "bundle",
         &json!({"step": "all tenants at once", "tenants": args.tenants, "seconds": times}),
     )?;
-    tokio::time::sleep(SETTLE).await;
-    quiet(&args, &report, &field, "quiet, all tenants").await?;
-    change_bundles(&args, &report, &mut field).await?;
-    lose_leader(&report, &mut field).await?;
-    restart(&args, &report, &mut field).await?;
-    records::fill(&report, &field, args.programs).await
+    tokio::time::sleep(SETTLE_TIME).await;
+    measure_idle_usage(&args, &report, &cluster, "quiet, all tenants").await?;
+    change_bundles(&args, &report, &mut cluster).await?;
+    kill_core_leader(&report, &mut cluster).await?;
+    restart_nodes(&args, &report, &mut cluster).await?;
+    records::write_records(&report, &cluster, args.programs).await
 }
 
-async fn gather(args: &Args, report: &Report, field: &mut Field) -> anyhow::Result<()> {
-    let began = Instant::now();
-    field.crowd.grow(args.gateways, args.engines).await?;
-    let started = began.elapsed();
-    let all = field.real_nodes() + args.gateways + args.engines;
-    field.crowd.see_all(all, LONGEST_GATHERING).await?;
+async fn start_nodes(
+    args: &Args,
+    report: &Report,
+    cluster: &mut TestCluster,
+) -> anyhow::Result<()> {
+    let start_time = Instant::now();
+    cluster.nodes.start_more(args.gateways, args.engines).await?;
+    let started = start_time.elapsed();
+    let all = cluster.real_nodes() + args.gateways + args.engines;
+    cluster.nodes.wait_for_members(all, MEMBERSHIP_TIMEOUT).await?;
     let seconds =
-        json!({"started": started.as_secs_f64(), "all_seen": began.elapsed().as_secs_f64()});
+        json!({"started": started.as_secs_f64(), "all_seen": start_time.elapsed().as_secs_f64()});
     report.line("gathering", &json!({"members": all, "seconds": seconds}))?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
 }
 
-async fn quiet(args: &Args, report: &Report, field: &Field, step: &str) -> anyhow::Result<()> {
-    let before = field.look().await?;
-    let node = field.crowd.watch(Duration::from_secs(args.span_seconds)).await?;
-    let real = field.look().await?.since(&before);
+async fn measure_idle_usage(
+    args: &Args,
+    report: &Report,
+    cluster: &TestCluster,
+    step: &str,
+) -> anyhow::Result<()> {
+    let before = cluster.read_usage().await?;
+    let node = cluster.nodes.measure_idle(Duration::from_secs(args.span_seconds)).await?;
+    let real = cluster.read_usage().await?.since(&before);
     report.line("span", &json!({"step": step, "hollow_node": node, "real": real}))
 }
 
-async fn change_bundles(args: &Args, report: &Report, field: &mut Field) -> anyhow::Result<()> {
+async fn change_bundles(
+    args: &Args,
+    report: &Report,
+    cluster: &mut TestCluster,
+) -> anyhow::Result<()> {
     for change in 0..args.changes {
-        let (before, crowd) = (field.look().await?, field.crowd.look()?);
-        let times = field.change_tenant(change * 977).await?;
-        tokio::time::sleep(SETTLE).await;
-        let node = field.crowd.look()?.since(&crowd);
-        let real = field.look().await?.since(&before);
+        let (before, nodes_before) = (cluster.read_usage().await?, cluster.nodes.read_usage()?);
+        let times = cluster.change_tenant_limit(change * 977).await?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        let node = cluster.nodes.read_usage()?.since(&nodes_before);
+        let real = cluster.read_usage().await?.since(&before);
         let fields = json!({
             "step": "one tenant changed",
             "seconds": times,
@@ -125,34 +139,39 @@
     Ok(())
 }
 
-async fn lose_leader(report: &Report, field: &mut Field) -> anyhow::Result<()> {
-    let leader = field.fleet.core_leader().await?;
-    field.fleet.kill(leader)?;
-    let times = field.change_tenant(1).await?;
+async fn kill_core_leader(report: &Report, cluster: &mut TestCluster) -> anyhow::Result<()> {
+    let leader = cluster.fleet.core_leader().await?;
+    cluster.fleet.kill(leader)?;
+    let times = cluster.change_tenant_limit(1).await?;
     report.line("bundle", &json!({"step": "core leader killed just before", "seconds": times}))?;
-    field.fleet.restart(leader).await?;
-    tokio::time::sleep(SETTLE).await;
+    cluster.fleet.restart(leader).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(())
 }
 
-async fn restart(args: &Args, report: &Report, field: &mut Field) -> anyhow::Result<()> {
-    let (before, crowd, began) = (field.look().await?, field.crowd.look()?, Instant::now());
+async fn restart_nodes(
+    args: &Args,
+    report: &Report,
+    cluster: &mut TestCluster,
+) -> anyhow::Result<()> {
+    let (before, nodes_before, start_time) =
+        (cluster.read_usage().await?, cluster.nodes.read_usage()?, Instant::now());
     let pause = Duration::from_secs_f64(1.0 / args.restart_rate);
     for n in 0..args.restarts {
-        field.crowd.restart(n * 17).await?;
+        cluster.nodes.restart(n * 17).await?;
         tokio::time::sleep(pause).await;
     }
-    let restarted = began.elapsed();
-    let all = field.real_nodes() + args.gateways + args.engines;
-    field.crowd.see_all(all, LONGEST_GATHERING).await?;
-    let node = field.crowd.look()?.since(&crowd);
-    let real = field.look().await?.since(&before);
+    let restarted = start_time.elapsed();
+    let all = cluster.real_nodes() + args.gateways + args.engines;
+    cluster.nodes.wait_for_members(all, MEMBERSHIP_TIMEOUT).await?;
+    let node = cluster.nodes.read_usage()?.since(&nodes_before);
+    let real = cluster.read_usage().await?.since(&before);
     let fields = json!({
         "restarts": args.restarts,
-        "seconds": {"restarted": restarted.as_secs_f64(), "all_seen": began.elapsed().as_secs_f64()},
+        "seconds": {"restarted": restarted.as_secs_f64(), "all_seen": start_time.elapsed().as_secs_f64()},
         "hollow_node": node,
         "real": real,
-        "cores_running": field.fleet.names(ProcessKind::Core).len(),
+        "cores_running": cluster.fleet.names(ProcessKind::Core).len(),
     });
     report.line("restarts", &fields)
 }
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node: the real node agent, rpc server and lease keeper, without a role's work.
+//! A hollow node: the real node agent, RPC server and lease keeper, without the work of its role.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,41 +15,41 @@
 use rand::RngExt;
 use tokio_util::sync::CancellationToken;
 
-use super::access::Access;
+use super::access::ClusterAccess;
 
-/// Second half of the addresses of hollow nodes begins here; fleets never use `127.0.*`.
-const FIRST_NETWORK: usize = 16;
-/// Hollow nodes in one network of 256 addresses.
-const NODES_A_NETWORK: usize = 250;
-/// Zones that hollow nodes are spread over (letter: 7).
+/// Third octet of the first hollow node's address in `127.0.0.0/16`, which fleets never use.
+const FIRST_OCTET: usize = 16;
+/// Hollow nodes per /24 network.
+const NODES_PER_NETWORK: usize = 250;
+/// Number of zones that hollow nodes are spread over (requirement: 7).
 const ZONES: usize = 7;
-/// Services that hollow engines are spread over (letter: 10 models).
+/// Number of services that hollow engines are spread over (requirement: 10 models).
 const SERVICES: usize = 10;
-/// Slots that a hollow engine tells of.
+/// Number of slots that a hollow engine reports.
 const SLOTS: u32 = 64;
 
-/// A hollow node. Dropping it ends it as a kill does.
+/// A running hollow node. Dropping it stops it without a drain, as a kill does.
 #[derive(Debug)]
 pub(crate) struct HollowNode {
     identity: LocalIdentity,
-    /// What its agent feeds.
+    /// Handle of the node's agent.
     pub(crate) handle: NodeHandle,
-    halt: CancellationToken,
+    shutdown: CancellationToken,
 }
 
-/// Place and role of a hollow node, the same over its restarts.
+/// Number and role of a hollow node, which stay the same over its restarts.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct HollowPlace {
-    /// Its number among all hollow nodes.
+pub(crate) struct HollowNodeSpec {
+    /// Number of the node among all hollow nodes.
     pub(crate) index: usize,
-    /// Its role.
+    /// Role of the node.
     pub(crate) role: NodeRole,
 }
 
-impl HollowPlace {
+impl HollowNodeSpec {
     fn ip(self) -> IpAddr {
-        let network = u8::try_from(FIRST_NETWORK + self.index / NODES_A_NETWORK);
-        let host = u8::try_from(1 + self.index % NODES_A_NETWORK);
+        let network = u8::try_from(FIRST_OCTET + self.index / NODES_PER_NETWORK);
+        let host = u8::try_from(1 + self.index % NODES_PER_NETWORK);
         IpAddr::V4(Ipv4Addr::new(127, 0, network.unwrap_or(u8::MAX), host.unwrap_or(u8::MAX)))
     }
 
@@ -57,7 +57,7 @@
         Ok(EngineId::new(format!("hollow-{}", self.index))?)
     }
 
-    fn hosted(self) -> anyhow::Result<Option<HostedEngine>> {
+    fn hosted_engine(self) -> anyhow::Result<Option<HostedEngine>> {
         if self.role != NodeRole::Engine {
             return Ok(None);
         }
@@ -73,19 +73,22 @@
 }
 
 impl HollowNode {
-    /// Starts a node with a new node id and incarnation.
-    pub(crate) async fn start(place: HollowPlace, access: &Access) -> anyhow::Result<Self> {
-        let listener = RpcServer::bind(SocketAddr::new(place.ip(), 0)).await?;
+    /// Starts the node with a new node id and incarnation.
+    pub(crate) async fn start(
+        spec: HollowNodeSpec,
+        access: &ClusterAccess,
+    ) -> anyhow::Result<Self> {
+        let listener = RpcServer::bind(SocketAddr::new(spec.ip(), 0)).await?;
         let rpc = listener.local_addr()?;
         let mut settings = access.settings.clone();
         settings.rpc = rpc;
-        settings.http = SocketAddr::new(place.ip(), 1);
-        settings.zone = ZoneName::new(format!("z{}", 1 + place.index % ZONES))?;
-        settings.seeds = access.seeds(place.index);
+        settings.http = SocketAddr::new(spec.ip(), 1);
+        settings.zone = ZoneName::new(format!("z{}", 1 + spec.index % ZONES))?;
+        settings.seeds = access.seeds(spec.index);
         let address = NodeAddress {
             node: NodeId(rand::rng().random()),
             incarnation: Incarnation::at_start(),
-            role: place.role,
+            role: spec.role,
             rpc,
             http: settings.http,
             zone: settings.zone.clone(),
@@ -103,22 +106,22 @@
             handle.statistics.clone(),
             handle.readiness.clone(),
         );
-        let halt = CancellationToken::new();
-        let node = Self { identity: identity.clone(), handle, halt: halt.clone() };
-        tokio::spawn(RpcServer::new(listener, identity, agent.rpc_router()).run(halt.clone()));
-        tokio::spawn(agent.run(halt.clone()));
-        if let Some(hosted) = place.hosted()? {
-            node.host(hosted, state);
+        let shutdown = CancellationToken::new();
+        let node = Self { identity: identity.clone(), handle, shutdown: shutdown.clone() };
+        tokio::spawn(RpcServer::new(listener, identity, agent.rpc_router()).run(shutdown.clone()));
+        tokio::spawn(agent.run(shutdown.clone()));
+        if let Some(hosted) = spec.hosted_engine()? {
+            node.report_engine(hosted, state);
         }
         Ok(node)
     }
 
-    /// Tells of an engine and keeps its lease, as a real one does.
-    fn host(&self, hosted: HostedEngine, state: Arc<StoreClient>) {
+    /// Reports an engine and renews its lease, as a real engine does.
+    fn report_engine(&self, hosted: HostedEngine, state: Arc<StoreClient>) {
         let incarnation = self.identity.address.incarnation;
         let holder = EngineIncarnation { engine: hosted.engine.clone(), incarnation };
-        let halt = self.halt.clone();
-        tokio::spawn(async move { LeaseKeeper::new(state, holder).run(halt, || {}).await });
+        let shutdown = self.shutdown.clone();
+        tokio::spawn(async move { LeaseKeeper::new(state, holder).run(shutdown, || {}).await });
         self.handle.report.send_modify(|report| {
             report.engine = Some(hosted);
             report.load = Some(EngineLoad {
@@ -132,8 +135,8 @@
         });
     }
 
-    /// Changes what the node tells of its engine, so that the view changes.
-    pub(crate) fn turn_draining(&self) {
+    /// Toggles the reported draining state of the engine, which changes the view.
+    pub(crate) fn toggle_draining(&self) {
         self.handle.report.send_modify(|report| {
             if let Some(engine) = &mut report.engine {
                 engine.draining = !engine.draining;
@@ -141,29 +144,29 @@
         });
     }
 
-    /// What its rpc connections carried, its lease included.
+    /// Returns the traffic of all RPC connections of the node, including its lease renewals.
     pub(crate) fn traffic(&self) -> TrafficCounts {
         self.identity.traffic.counts()
     }
 
-    /// Living members in its view.
+    /// Returns the number of live members in the node's view.
     pub(crate) fn members_seen(&self) -> usize {
         self.handle.view.borrow().members.len()
     }
 
-    /// Waits until a bundle version, or a newer one, is in force here.
-    pub(crate) async fn installed(&self, version: BundleVersion) {
+    /// Waits until this bundle version, or a newer one, is active on the node.
+    pub(crate) async fn wait_installed(&self, version: BundleVersion) {
         let mut bundle = self.handle.bundle.clone();
-        let there = |b: &Option<Arc<hooklug_control::InstalledBundle>>| {
+        let is_installed = |b: &Option<Arc<hooklug_control::InstalledBundle>>| {
             b.as_ref().is_some_and(|b| b.record.version >= version)
         };
-        // The agent holds the sender until this node is dropped.
-        let _ = bundle.wait_for(there).await;
+        // Cannot fail: the agent holds the sender until this node is dropped.
+        let _ = bundle.wait_for(is_installed).await;
     }
 }
 
 impl Drop for HollowNode {
     fn drop(&mut self) {
-        self.halt.cancel();
+        self.shutdown.cancel();
     }
 }
--- a/crates/bench/src/report/json.rs
+++ b/crates/bench/src/report/json.rs
@@ -1,18 +1,19 @@
-//! JSON lines: the environment, then one object a line for each figure, count and breach.
+//! Renders JSON lines: the environment, then one object per line for each measurement, count and
+//! violation.
 
 use serde::Serialize;
 
 use super::{Measure, Section};
 use crate::environment::Environment;
-use crate::figures::{Figures, Timeline};
 use crate::oracle::{Promise, Violation};
 use crate::scenario::Outcome;
+use crate::statistics::{RunStatistics, Timeline};
 
 #[derive(Debug, Serialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
 enum Line<'a> {
     Environment { environment: &'a Environment },
-    Figures { run: &'a str, part: &'a str, figures: &'a Figures },
+    Figures { run: &'a str, part: &'a str, figures: &'a RunStatistics },
     Promise { run: &'a str, promise: Promise, forbids: &'a str, violations: usize },
     Examined { run: &'a str, what: &'a str, number: usize },
     Violation { run: &'a str, violation: &'a Violation },
@@ -38,15 +39,15 @@
 }
 
 fn push(text: &mut String, line: &Line<'_>) {
-    // Plain structs with string keys: the writer has no way to fail.
+    // Plain structs with string keys: serialization cannot fail.
     text.push_str(&serde_json::to_string(line).unwrap_or_default());
     text.push('\n');
 }
 
 fn push_run(text: &mut String, outcome: &Outcome) {
     let run = outcome.name.as_str();
-    for (part, figures) in &outcome.figures {
-        push(text, &Line::Figures { run, part, figures });
+    for (part, statistics) in &outcome.statistics {
+        push(text, &Line::Figures { run, part, figures: statistics });
     }
     for (promise, violations) in outcome.verdict.counts() {
         push(text, &Line::Promise { run, promise, forbids: promise.forbids(), violations });
@@ -57,8 +58,13 @@
     for violation in &outcome.verdict.violations {
         push(text, &Line::Violation { run, violation });
     }
-    for fault in &outcome.disturbances {
-        let line = Line::Fault { run, fault: &fault.fault, from: fault.from, until: fault.until };
+    for fault in &outcome.injected_faults {
+        let line = Line::Fault {
+            run,
+            fault: &fault.description,
+            from: fault.started_at,
+            until: fault.ended_at,
+        };
         push(text, &line);
     }
     push(text, &Line::Timeline { run, timeline: &outcome.timeline });
--- a/crates/bench/src/scenario/chaos.rs
+++ b/crates/bench/src/scenario/chaos.rs
@@ -1,4 +1,4 @@
-//! Load, operators and random faults together.
+//! Runs load, operators and random faults together.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -8,32 +8,33 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Outcome;
-use crate::faults::{ChaosOptions, ChaosProgress, run_rounds};
+use crate::faults::{ChaosOptions, RunProgress, run_rounds};
 use crate::workload::{
-    Client, Profile, Recorder, now, observe, operate, read_finally, run_programs,
+    Client, Profile, Recorder, now, poll_versions, read_final_state, run_operator, run_programs,
 };
 
-/// Time for leases to run out and late work to show before everything is read (ours).
+/// Time for leases to expire and late work to finish before the results are read.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Time over which programs begin (ours).
-const RAMP: Duration = Duration::from_secs(2);
+/// Time over which the starts of programs are spread.
+const RAMP_TIME: Duration = Duration::from_secs(2);
 
 /// A run with random faults.
 #[derive(Debug, Clone)]
 pub struct Chaos {
-    /// The fleet.
+    /// Topology of the fleet.
     pub topology: Topology,
-    /// How long faults go on.
+    /// Time during which faults are injected.
     pub time: Duration,
     /// Seed of faults, load and operators.
     pub seed: u64,
-    /// Programs at once.
+    /// Number of concurrent programs.
     pub programs: usize,
-    /// Folder of the fleet; drawn and removed when none is named.
+    /// Data folder of the fleet. If `None`, a temporary one is used.
     pub data: Option<PathBuf>,
 }
 
-/// Four stores, three cores, three gateways, four session-host engines, six application engines.
+/// Returns a topology of four stores, three cores, three gateways, four session-host engines and
+/// six application engines.
 #[must_use]
 pub fn default_topology() -> Topology {
     let mut topology = Topology::small();
@@ -48,14 +49,14 @@
 }
 
 impl Chaos {
-    /// Runs it and judges it.
+    /// Runs the scenario and checks its evidence.
     ///
     /// # Errors
-    /// When the fleet can't be started, broken or mended as drawn.
-    pub async fn run(&self, progress: &dyn ChaosProgress) -> Result<Outcome, FleetError> {
+    /// If the fleet cannot be started or a fault cannot be injected or ended.
+    pub async fn run(&self, progress: &dyn RunProgress) -> Result<Outcome, FleetError> {
         let options = FleetOptions { data: self.data.clone() };
         let fleet = Arc::new(Fleet::start_with(self.topology.clone(), options).await?);
-        progress.say(&format!("{} processes serve", fleet.all_names().len()));
+        progress.report_line(&format!("{} processes are running", fleet.all_names().len()));
         let recorder = Recorder::default();
         let client = Client::new(&fleet, recorder.clone());
         let profile = Profile::of(&self.topology);
@@ -65,22 +66,22 @@
             let (client, profile, stop) = (client.clone(), profile.clone(), stop.clone());
             let (programs, seed) = (self.programs, self.seed);
             tokio::spawn(async move {
-                run_programs(&client, &profile, programs, RAMP, seed, &stop).await;
+                run_programs(&client, &profile, programs, RAMP_TIME, seed, &stop).await;
             })
         };
         let operators =
-            tokio::spawn(operate(fleet.clone(), recorder.clone(), self.seed, stop.clone()));
-        let observer = tokio::spawn(observe(fleet.clone(), recorder.clone(), stop.clone()));
+            tokio::spawn(run_operator(fleet.clone(), recorder.clone(), self.seed, stop.clone()));
+        let observer = tokio::spawn(poll_versions(fleet.clone(), recorder.clone(), stop.clone()));
         let options = ChaosOptions { time: self.time, seed: self.seed };
         let rounds = run_rounds(&fleet, &client, &profile, options, progress).await;
         let to = now();
         stop.cancel();
-        // Panics of these tasks are faults of the bench itself.
+        // A panic in one of these tasks is a bug of the load tool.
         let joined = tokio::join!(load, operators, observer);
         joined.0.and(joined.1).and(joined.2).map_err(|e| FleetError::Unexpected(e.to_string()))?;
         rounds?;
         tokio::time::sleep(SETTLE_TIME).await;
-        read_finally(&fleet, &client).await?;
+        read_final_state(&fleet, &client).await?;
         let evidence = recorder.snapshot();
         Ok(Outcome::of("chaos", &evidence, (from, to), &[]))
     }
--- a/crates/bench/src/scenario/outcome.rs
+++ b/crates/bench/src/scenario/outcome.rs
@@ -1,29 +1,29 @@
-//! What a run of a fleet came to.
+//! The results of a fleet run.
 
-use crate::figures::{Figures, Timeline};
-use crate::oracle::evidence::{Disturbance, Evidence, Millis};
+use crate::oracle::evidence::{Evidence, InjectedFault, Millis};
 use crate::oracle::{Verdict, judge};
 use crate::report::Section;
+use crate::statistics::{RunStatistics, Timeline};
 
-/// What a run of a fleet came to.
+/// The results of a fleet run.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Its name in reports.
+    /// Name of the run in reports.
     pub name: String,
-    /// The oracle's verdict.
+    /// Verdict of the oracle.
     pub verdict: Verdict,
-    /// Figures of the whole run, and of parts of it by name.
-    pub figures: Vec<(String, Figures)>,
-    /// Second by second.
+    /// Statistics of the complete run, and of its parts by name.
+    pub statistics: Vec<(String, RunStatistics)>,
+    /// Throughput per second.
     pub timeline: Timeline,
-    /// Faults.
-    pub disturbances: Vec<Disturbance>,
-    /// The load of the machine at the end of the run.
+    /// Injected faults.
+    pub injected_faults: Vec<InjectedFault>,
+    /// Load averages of the machine at the end of the run.
     pub load: String,
 }
 
 impl Outcome {
-    /// Judges a run and counts it up. `parts` are spans of it by name.
+    /// Checks the evidence of a run and computes its statistics. `parts` are named spans of it.
     #[must_use]
     pub fn of(
         name: &str,
@@ -31,21 +31,21 @@
         span: (Millis, Millis),
         parts: &[(String, Millis, Millis)],
     ) -> Self {
-        let mut figures = vec![("all".to_owned(), Figures::of(evidence, span.0, span.1))];
+        let mut statistics = vec![("all".to_owned(), RunStatistics::of(evidence, span.0, span.1))];
         for (part, from, to) in parts {
-            figures.push((part.clone(), Figures::of(evidence, *from, *to)));
+            statistics.push((part.clone(), RunStatistics::of(evidence, *from, *to)));
         }
         Self {
             name: name.to_owned(),
             verdict: judge(evidence),
-            figures,
+            statistics,
             timeline: Timeline::of(evidence, span.0, span.1),
-            disturbances: evidence.disturbances.clone(),
-            load: crate::environment::load(),
+            injected_faults: evidence.injected_faults.clone(),
+            load: crate::environment::load_averages(),
         }
     }
 
-    /// The report's section about it.
+    /// Converts the results to a section of a report.
     #[must_use]
     pub fn into_section(self) -> Section {
         Section::Run(Box::new(self))
--- a/crates/bench/src/scenario/rate.rs
+++ b/crates/bench/src/scenario/rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a second a path takes, with so many callers at once.
+//! Measures the request rate of a given number of concurrent callers.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,29 +7,29 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::figures::Percentiles;
+use crate::statistics::Percentiles;
 
-/// A measured rate.
+/// A measured request rate.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Rate {
-    /// Requests that succeeded, a second.
+    /// Successful requests per second.
     pub per_second: f64,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Times of those that succeeded.
+    /// Response times of successful requests.
     pub times_ms: Percentiles,
 }
 
-/// Runs `request` in a loop from so many callers for a time. It gets the caller's number and the number
-/// of the request.
+/// Runs `request` in a closed loop from `callers` concurrent callers for a time. `request` receives
+/// the number of the caller and of the request.
 pub(super) async fn measure<F, Fut>(callers: usize, time: Duration, request: F) -> Rate
 where
     F: Fn(usize, u64) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = bool> + Send,
 {
     let request = Arc::new(request);
-    let began = Instant::now();
-    let end = began + time;
+    let start_time = Instant::now();
+    let end = start_time + time;
     let mut running = JoinSet::new();
     for caller in 0..callers {
         let request = request.clone();
@@ -49,11 +49,11 @@
     }
     let (mut times, mut failed) = (Vec::new(), 0);
     while let Some(ended) = running.join_next().await {
-        // A caller that panicked measured nothing.
-        let Ok((more, also_failed)) = ended else { continue };
-        times.extend::<Vec<f64>>(more);
-        failed += also_failed;
+        // Measurements of a caller that panicked are lost.
+        let Ok((caller_times, caller_failed)) = ended else { continue };
+        times.extend::<Vec<f64>>(caller_times);
+        failed += caller_failed;
     }
-    let per_second = times.len() as f64 / began.elapsed().as_secs_f64();
+    let per_second = times.len() as f64 / start_time.elapsed().as_secs_f64();
     Rate { per_second, failed, times_ms: Percentiles::of(times) }
 }
--- a/crates/bench/src/scenario/specification.rs
+++ b/crates/bench/src/scenario/specification.rs
@@ -1,4 +1,5 @@
-//! What the scenarios are, as numbers: a steady part, a burst of all users of a zone, urgent calls.
+//! Load parameters of the burst scenarios: a steady phase, a burst of all users of a zone, and
+//! device calls.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,104 +7,107 @@
 
 use hooklug_settings::GatewayMode;
 
-/// A district's hard hour.
+/// A scenario with a steady phase and a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scene {
-    /// Growers ask at once whether to vent or heat; alarms come in bursts.
+pub enum BurstScenario {
+    /// Growers ask at the same time whether to vent or heat, and alarms arrive in bursts.
     FrostNight,
     /// Long sessions with many sensor readings.
     SowingMorning,
-    /// Dispatchers during a storm: the highest load, engines replaced, nodes killed.
+    /// Dispatchers during a storm: the highest load, with engines replaced and nodes killed.
     StormWarning,
 }
 
-/// A scene, its gateway mode and its load, written `frost-night`, `frost-night@plain` or `frost-night@plainx3`.
+/// A scenario, its gateway mode and its scale, written as `frost-night`, `frost-night@plain` or
+/// `frost-night@plainx3`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Specification {
-    /// The scene.
-    pub scene: Scene,
-    /// Gateways as designed, or the baseline.
+    /// The scenario.
+    pub scenario: BurstScenario,
+    /// Full gateways or baseline gateways.
     pub mode: GatewayMode,
-    /// Factor on the load of the steady part and the burst.
+    /// Factor applied to the load of both phases.
     pub scale: f64,
 }
 
-/// The load of a scene, in programs by slot of the fleet's engines.
+/// The load of a scenario. Program counts are relative to the number of session slots in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Programs of the steady part.
+    /// Programs of the steady phase, per slot.
     pub steady: f64,
-    /// Programs that arrive in one second.
+    /// Additional programs of the burst, per slot, which arrive within one second.
     pub burst: f64,
-    /// Calls of devices a second, as a share of what application engines can run: all along, and on top
-    /// of it once all of a zone's users have come.
+    /// Rate of device calls as a share of what application engines can serve: throughout the run,
+    /// and the additional share from the start of the burst.
     pub device_calls: (f64, f64),
-    /// Time that an application engine runs a call.
-    pub run: Duration,
-    /// Calls that an application engine runs at once: few enough for one machine to ask for more.
+    /// Time for which an application engine runs a call.
+    pub run_time: Duration,
+    /// Concurrent calls of an application engine. Small enough that the callers of one machine can
+    /// exceed it.
     pub application_slots: u32,
-    /// Share of calls that may not be repeated.
-    pub once_share: f64,
-    /// Most calls between two turns.
-    pub calls: u32,
-    /// Tokens of a turn, shortest and longest.
+    /// Share of calls that are non-repeatable.
+    pub non_repeatable_share: f64,
+    /// Maximum number of calls between two turns.
+    pub max_calls: u32,
+    /// Minimum and maximum number of tokens of a turn.
     pub turn_tokens: (u64, u64),
-    /// Turns of a session.
-    pub turns: u32,
-    /// Longest pause between turns.
-    pub think: Duration,
+    /// Number of turns of a session.
+    pub max_turns: u32,
+    /// Maximum pause between turns.
+    pub max_think_time: Duration,
     /// Whether engines are replaced during the burst.
     pub replace_engines: bool,
-    /// Whether nodes are killed at random all along.
+    /// Whether random nodes are killed throughout the run.
     pub kills: bool,
 }
 
-impl Scene {
+impl BurstScenario {
     const ALL: [(Self, &'static str); 3] = [
         (Self::FrostNight, "frost-night"),
         (Self::SowingMorning, "sowing-morning"),
         (Self::StormWarning, "storm-warning"),
     ];
 
-    /// Its load (ours; the shape is the issue's: steady, then all of a zone's users in one second).
+    /// Returns the load of the scenario: a steady phase, then all users of a zone within one
+    /// second.
     #[must_use]
     pub fn load(self) -> Load {
-        let frost = Load {
+        let frost_night = Load {
             steady: 0.5,
             burst: 2.0,
             device_calls: (0.3, 0.5),
-            run: Duration::from_millis(160),
+            run_time: Duration::from_millis(160),
             application_slots: 16,
-            once_share: 0.6,
-            calls: 3,
+            non_repeatable_share: 0.6,
+            max_calls: 3,
             turn_tokens: (8, 40),
-            turns: 8,
-            think: Duration::from_millis(400),
+            max_turns: 8,
+            max_think_time: Duration::from_millis(400),
             replace_engines: true,
             kills: false,
         };
         match self {
-            Self::FrostNight => frost,
+            Self::FrostNight => frost_night,
             Self::SowingMorning => Load {
-                once_share: 0.2,
-                calls: 5,
+                non_repeatable_share: 0.2,
+                max_calls: 5,
                 turn_tokens: (20, 80),
-                turns: 30,
+                max_turns: 30,
                 burst: 1.0,
-                ..frost
+                ..frost_night
             },
-            Self::StormWarning => Load { steady: 0.7, burst: 2.5, kills: true, ..frost },
+            Self::StormWarning => Load { steady: 0.7, burst: 2.5, kills: true, ..frost_night },
         }
     }
 
     fn word(self) -> &'static str {
-        Self::ALL.iter().find(|(scene, _)| *scene == self).map_or("", |(_, word)| word)
+        Self::ALL.iter().find(|(scenario, _)| *scenario == self).map_or("", |(_, word)| word)
     }
 }
 
 impl fmt::Display for Specification {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.scene.word())?;
+        f.write_str(self.scenario.word())?;
         if self.mode == GatewayMode::Plain {
             f.write_str("@plain")?;
         }
@@ -114,10 +118,10 @@
     }
 }
 
-/// A text that names no scenario.
+/// A text that does not name a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{0:?} is no scenario; expected frost-night, sowing-morning or storm-warning, then @plain and xN at will"
+    "unknown scenario {0:?}; expected frost-night, sowing-morning or storm-warning, optionally followed by @plain and xN"
 )]
 pub struct SpecificationError(String);
 
@@ -126,9 +130,10 @@
 
     fn from_str(text: &str) -> Result<Self, SpecificationError> {
         let error = || SpecificationError(text.to_owned());
-        let known =
-            Scene::ALL.iter().find_map(|(scene, word)| Some((*scene, text.strip_prefix(word)?)));
-        let (scene, rest) = known.ok_or_else(error)?;
+        let known = BurstScenario::ALL
+            .iter()
+            .find_map(|(scenario, word)| Some((*scenario, text.strip_prefix(word)?)));
+        let (scenario, rest) = known.ok_or_else(error)?;
         let (mode, rest) = match rest.strip_prefix("@plain") {
             Some(rest) => (GatewayMode::Plain, rest),
             None => (GatewayMode::Full, rest),
@@ -138,6 +143,6 @@
             None if rest.is_empty() => 1.0,
             None => return Err(error()),
         };
-        Ok(Self { scene, mode, scale })
+        Ok(Self { scenario, mode, scale })
     }
 }
--- a/crates/bench/src/slopes/data_plane.rs
+++ b/crates/bench/src/slopes/data_plane.rs
@@ -1,4 +1,5 @@
-//! A real gateway and engine under turns and tokens, and with many open sessions and streams.
+//! Measures a real gateway and engine with turns and tokens, and with many open sessions and
+//! streams.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,12 +15,12 @@
 use tokio_util::sync::CancellationToken;
 
 use super::fit::Observation;
-use super::meter::{Look, Span};
+use super::fleet_usage::{UsageReading, UsageSpan};
 use super::report::Report;
 use super::report_slope;
 
 const EXPERIMENT: &str = "data plane";
-/// Streams at once and tokens of each turn.
+/// Number of concurrent streams and of tokens per turn, for each measurement.
 const LOADS: [(usize, u64); 11] = [
     (4, 4),
     (16, 4),
@@ -33,25 +34,25 @@
     (64, 200),
     (96, 200),
 ];
-/// Time before a span is measured.
+/// Warm-up before a span is measured.
 const WARM_UP: Duration = Duration::from_millis(1_500);
-/// Sessions opened one step after the other.
+/// Number of open sessions at each step.
 const SESSION_STEPS: [usize; 5] = [0, 500, 1_000, 2_000, 4_000];
-/// Streams opened one step after the other.
+/// Number of open streams at each step.
 const STREAM_STEPS: [usize; 5] = [0, 64, 128, 256, 400];
-/// Tokens of a turn whose stream is held open.
+/// Tokens of a turn whose stream is kept open.
 const LONG_TURN_TOKENS: u64 = 4_000;
-/// Requests under way at once.
-const AT_ONCE: usize = 32;
-/// Tenants that the load is spread over, so that none meets its limits.
+/// Maximum number of concurrent requests.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
+/// Number of tenants that the load is spread over, so that none reaches its limits.
 const TENANTS: usize = 64;
 const MODEL: &str = "model-0";
 const SLOTS: u32 = 1_024;
 
-struct Measured {
+struct Measurement {
     turns: f64,
     tokens: f64,
-    span: Span,
+    span: UsageSpan,
 }
 
 fn tenant(n: usize) -> String {
@@ -88,12 +89,12 @@
     })
 }
 
-/// Runs turns in closed loops; fits the cost of a turn and of a token for each role.
+/// Runs turns in closed loops and fits the cost of a turn and of a token for each role.
 pub(super) async fn run(report: &Report, span: Duration) -> anyhow::Result<()> {
     let pace = ModelPace { first_token_ms: 20, between_tokens_ms: 20, uncached_token_micros: 0 };
     let fleet = Fleet::start(topology(pace)?).await?;
     let http = HttpClient::default();
-    let mut all = Vec::new();
+    let mut measurements = Vec::new();
     for (series, load) in LOADS.into_iter().enumerate() {
         let measured = measure(&fleet, &http, series, load, span).await?;
         let fields = json!({
@@ -105,15 +106,15 @@
             "span": measured.span,
         });
         report.line("observation", &fields)?;
-        all.push(measured);
+        measurements.push(measured);
     }
     for role in ["gateway", "engine", "store", "core"] {
-        let fitted = |cost: &str, of: &dyn Fn(&Measured) -> f64| {
-            let observe = |m: &Measured| Observation {
+        let fitted = |cost: &str, of: &dyn Fn(&Measurement) -> f64| {
+            let to_observation = |m: &Measurement| Observation {
                 drivers: vec![m.turns / m.span.seconds, m.tokens / m.span.seconds],
                 cost: of(m) / m.span.seconds,
             };
-            let observations: Vec<_> = all.iter().map(observe).collect();
+            let observations: Vec<_> = measurements.iter().map(to_observation).collect();
             report_slope(report, (EXPERIMENT, role, cost), &["turn", "token"], &observations)
         };
         fitted("cpu seconds", &|m| m.span.role(role).cpu_seconds)?;
@@ -126,7 +127,7 @@
     Ok(())
 }
 
-async fn open(caller: &Caller, session: &SessionRef) -> anyhow::Result<()> {
+async fn open_session(caller: &Caller, session: &SessionRef) -> anyhow::Result<()> {
     let end = UnixMillis::now().plus(Duration::from_secs(3_600)).0;
     caller.put_program(0, &session.program, 1_000_000_000, end).await?;
     caller.open_session(0, session, MODEL, None).await?;
@@ -139,39 +140,39 @@
     series: usize,
     (streams, tokens): (usize, u64),
     span: Duration,
-) -> anyhow::Result<Measured> {
-    let done = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
+) -> anyhow::Result<Measurement> {
+    let completed = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
     let stop = CancellationToken::new();
     let mut tasks = Vec::new();
     for n in 0..streams {
         let caller = Caller::new(fleet.gateways(), &tenant(n));
         let session = SessionRef::new(&format!("load-{series}-{n}"), "main");
-        open(&caller, &session).await?;
-        let loops = turns(caller, session, tokens, done.clone(), stop.clone());
-        tasks.push(tokio::spawn(loops));
+        open_session(&caller, &session).await?;
+        let task = run_turns(caller, session, tokens, completed.clone(), stop.clone());
+        tasks.push(tokio::spawn(task));
     }
     tokio::time::sleep(WARM_UP).await;
-    let read = || (done.0.load(Ordering::Relaxed), done.1.load(Ordering::Relaxed));
-    let (before, from) = (Look::at(fleet, http).await?, read());
+    let read_counts = || (completed.0.load(Ordering::Relaxed), completed.1.load(Ordering::Relaxed));
+    let (before, from) = (UsageReading::read(fleet, http).await?, read_counts());
     tokio::time::sleep(span).await;
-    let (after, to) = (Look::at(fleet, http).await?, read());
+    let (after, to) = (UsageReading::read(fleet, http).await?, read_counts());
     stop.cancel();
     for ended in join_all(tasks).await {
         ended??;
     }
-    Ok(Measured {
+    Ok(Measurement {
         turns: (to.0 - from.0) as f64,
         tokens: (to.1 - from.1) as f64,
         span: after.since(&before),
     })
 }
 
-/// Runs one turn after the other; counts each token as it comes.
-async fn turns(
+/// Runs one turn after another and counts tokens as they arrive.
+async fn run_turns(
     caller: Caller,
     session: SessionRef,
     tokens: u64,
-    done: Arc<(AtomicU64, AtomicU64)>,
+    completed: Arc<(AtomicU64, AtomicU64)>,
     stop: CancellationToken,
 ) -> anyhow::Result<()> {
     let mut after: Option<String> = None;
@@ -182,18 +183,18 @@
         let request = TurnRequest::new(&name, after.as_deref(), &input, tokens);
         let mut stream = caller.begin_turn(0, &session, &request).await?;
         while let Some(event) = stream.next().await? {
-            done.1.fetch_add(event.data["count"].as_u64().unwrap_or(0), Ordering::Relaxed);
+            completed.1.fetch_add(event.data["count"].as_u64().unwrap_or(0), Ordering::Relaxed);
             if event.ends_turn() {
                 break;
             }
         }
-        done.0.fetch_add(1, Ordering::Relaxed);
+        completed.0.fetch_add(1, Ordering::Relaxed);
         (after, number) = (Some(name), number + 1);
     }
     Ok(())
 }
 
-/// Opens sessions, then streams, step by step; fits the memory of each role.
+/// Opens sessions, then streams, in steps, and fits the memory of each role.
 pub(super) async fn sessions(report: &Report) -> anyhow::Result<()> {
     let pace = ModelPace { first_token_ms: 20, between_tokens_ms: 500, uncached_token_micros: 0 };
     let fleet = Fleet::start(topology(pace)?).await?;
@@ -201,19 +202,20 @@
     let callers: Vec<Caller> =
         (0..TENANTS).map(|n| Caller::new(fleet.gateways(), &tenant(n))).collect();
     let name = |n: usize| SessionRef::new(&format!("session-{n}"), "main");
-    let mut looks = Vec::new();
+    let mut readings = Vec::new();
     let mut opened = 0;
     for step in SESSION_STEPS {
         let numbers: Vec<usize> = (opened..step).collect();
-        for some in numbers.chunks(AT_ONCE) {
-            let names: Vec<_> = some.iter().map(|n| (&callers[n % TENANTS], name(*n))).collect();
-            try_join_all(names.iter().map(|(caller, session)| open(caller, session))).await?;
+        for chunk in numbers.chunks(MAX_CONCURRENT_REQUESTS) {
+            let names: Vec<_> = chunk.iter().map(|n| (&callers[n % TENANTS], name(*n))).collect();
+            try_join_all(names.iter().map(|(caller, session)| open_session(caller, session)))
+                .await?;
         }
         opened = step;
-        looks.push((step, Look::at(&fleet, &http).await?));
+        readings.push((step, UsageReading::read(&fleet, &http).await?));
     }
-    memory(report, "open sessions", "session with program and cached owner", &looks)?;
-    let mut looks = Vec::new();
+    report_memory(report, "open sessions", "session with program and cached owner", &readings)?;
+    let mut readings = Vec::new();
     let mut streams = Vec::new();
     for step in STREAM_STEPS {
         for n in streams.len()..step {
@@ -224,30 +226,31 @@
             streams
                 .push(tokio::spawn(async move { while let Ok(Some(_)) = stream.next().await {} }));
         }
-        looks.push((step, Look::at(&fleet, &http).await?));
+        readings.push((step, UsageReading::read(&fleet, &http).await?));
     }
     streams.iter().for_each(tokio::task::JoinHandle::abort);
-    memory(report, "open streams", "open stream", &looks)
+    report_memory(report, "open streams", "open stream", &readings)
 }
 
-fn memory(
+fn report_memory(
     report: &Report,
     experiment: &str,
     driver: &str,
-    looks: &[(usize, Look)],
+    readings: &[(usize, UsageReading)],
 ) -> anyhow::Result<()> {
-    for (count, look) in looks {
-        let fields = json!({"experiment": experiment, "count": count, "roles": look.roles});
+    for (count, reading) in readings {
+        let fields = json!({"experiment": experiment, "count": count, "roles": reading.roles});
         report.line("observation", &fields)?;
     }
     for role in ["gateway", "engine", "store"] {
-        let resident =
-            |look: &Look| look.roles.get(role).map_or(0.0, |counted| counted.resident_bytes);
-        let observe = |(count, look): &(usize, Look)| Observation {
+        let resident = |reading: &UsageReading| {
+            reading.roles.get(role).map_or(0.0, |usage| usage.resident_bytes)
+        };
+        let to_observation = |(count, reading): &(usize, UsageReading)| Observation {
             drivers: vec![*count as f64],
-            cost: resident(look),
+            cost: resident(reading),
         };
-        let observations: Vec<_> = looks.iter().map(observe).collect();
+        let observations: Vec<_> = readings.iter().map(to_observation).collect();
         report_slope(report, (experiment, role, "resident bytes"), &[driver], &observations)?;
     }
     Ok(())
--- a/crates/bench/src/slopes/fit.rs
+++ b/crates/bench/src/slopes/fit.rs
@@ -1,8 +1,9 @@
-//! Least squares with several drivers and a constant, with the standard error of each slope. Pure.
+//! Linear least squares with several drivers and a constant, with the standard error of each slope.
+//! Performs no I/O.
 
 use serde::Serialize;
 
-/// What was fitted.
+/// Result of a least-squares fit.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct Fit {
     /// Cost without any driver.
@@ -15,53 +16,55 @@
     pub(crate) r_squared: f64,
 }
 
-/// A fitted value.
+/// An estimated coefficient.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub(crate) struct Estimate {
-    /// The value.
+    /// The estimated value.
     pub(crate) value: f64,
-    /// Its standard error; none without a degree of freedom.
+    /// Its standard error; `None` without a degree of freedom.
     pub(crate) standard_error: Option<f64>,
 }
 
-/// One observation: the drivers and the cost.
+/// One observation: amounts of the drivers, and the cost.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Observation {
-    /// How much there was of each driver.
+    /// Amount of each driver.
     pub(crate) drivers: Vec<f64>,
-    /// What it cost.
+    /// Measured cost.
     pub(crate) cost: f64,
 }
 
-/// Fits `cost = constant + sum(slope * driver)`; none when the observations do not determine it.
+/// Fits `cost = constant + sum(slope * driver)`. Returns `None` if the observations do not
+/// determine it.
 pub(crate) fn fit(observations: &[Observation]) -> Option<Fit> {
     let drivers = observations.first()?.drivers.len();
     let width = drivers + 1;
     let row = |o: &Observation| -> Vec<f64> {
         std::iter::once(1.0).chain(o.drivers.iter().copied()).collect()
     };
-    let mut normal = vec![vec![0.0; width]; width];
-    let mut right = vec![0.0; width];
+    let mut normal_matrix = vec![vec![0.0; width]; width];
+    let mut moments = vec![0.0; width];
     for observation in observations {
         let row = row(observation);
         for i in 0..width {
-            right[i] += row[i] * observation.cost;
+            moments[i] += row[i] * observation.cost;
             for j in 0..width {
-                normal[i][j] += row[i] * row[j];
+                normal_matrix[i][j] += row[i] * row[j];
             }
         }
     }
-    let inverse = invert(normal)?;
+    let inverse = invert(normal_matrix)?;
     let values: Vec<f64> =
-        inverse.iter().map(|line| line.iter().zip(&right).map(|(a, b)| a * b).sum()).collect();
+        inverse.iter().map(|line| line.iter().zip(&moments).map(|(a, b)| a * b).sum()).collect();
     let predicted = |o: &Observation| row(o).iter().zip(&values).map(|(a, b)| a * b).sum::<f64>();
     let residual: f64 = observations.iter().map(|o| (o.cost - predicted(o)).powi(2)).sum();
     let mean = observations.iter().map(|o| o.cost).sum::<f64>() / observations.len() as f64;
     let total: f64 = observations.iter().map(|o| (o.cost - mean).powi(2)).sum();
-    let freedom = observations.len().checked_sub(width).filter(|f| *f > 0);
-    let estimate = |place: usize| Estimate {
-        value: values[place],
-        standard_error: freedom.map(|f| (residual / f as f64 * inverse[place][place]).sqrt()),
+    let degrees_of_freedom = observations.len().checked_sub(width).filter(|f| *f > 0);
+    let estimate = |index: usize| Estimate {
+        value: values[index],
+        standard_error: degrees_of_freedom
+            .map(|f| (residual / f as f64 * inverse[index][index]).sqrt()),
     };
     Some(Fit {
         constant: estimate(0),
@@ -71,7 +74,8 @@
     })
 }
 
-/// Inverts a matrix by Gauss and Jordan with scaled pivots; none when it is singular.
+/// Inverts a matrix by Gauss-Jordan elimination with scaled pivots. Returns `None` if it is
+/// singular.
 fn invert(mut matrix: Vec<Vec<f64>>) -> Option<Vec<Vec<f64>>> {
     let size = matrix.len();
     let scale: Vec<f64> = (0..size).map(|i| matrix[i][i].sqrt().max(f64::MIN_POSITIVE)).collect();
--- a/crates/bench/src/slopes/meter.rs
+++ b/crates/bench/src/slopes/fleet_usage.rs
@@ -1,4 +1,4 @@
-//! What the processes of a fleet used between two looks, summed by role.
+//! Measures the resource usage of a fleet's processes, summed by role.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,30 +9,30 @@
 use http::Method;
 use serde::Serialize;
 
-use super::process::Usage;
+use super::process_usage::Usage;
 
-/// Sums over all processes of a role, or over this process.
+/// Resource usage, summed over all processes of a role.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub(crate) struct Counted {
-    /// Processes that were looked at.
+pub(crate) struct ResourceUsage {
+    /// Number of processes that were measured.
     pub(crate) processes: usize,
     /// Processor time, in seconds.
     pub(crate) cpu_seconds: f64,
     /// Resident memory, in bytes.
     pub(crate) resident_bytes: f64,
-    /// Bytes sent by rpc.
+    /// Bytes sent by RPC.
     pub(crate) rpc_sent_bytes: f64,
-    /// Bytes received by rpc.
+    /// Bytes received by RPC.
     pub(crate) rpc_received_bytes: f64,
-    /// Frames sent and received by rpc.
+    /// Frames sent and received by RPC.
     pub(crate) rpc_frames: f64,
     /// Bytes written to the log.
     pub(crate) log_bytes: f64,
-    /// Syncs of the log.
+    /// Number of syncs of the log.
     pub(crate) syncs: f64,
 }
 
-impl Counted {
+impl ResourceUsage {
     fn plus(self, other: Self) -> Self {
         Self {
             processes: self.processes + other.processes,
@@ -60,60 +60,60 @@
     }
 }
 
-/// One look at a fleet.
+/// Resource usage of a fleet at one instant.
 #[derive(Debug, Clone)]
-pub(crate) struct Look {
+pub(crate) struct UsageReading {
     at: Instant,
-    /// By role.
-    pub(crate) roles: BTreeMap<&'static str, Counted>,
+    /// Usage by role.
+    pub(crate) roles: BTreeMap<&'static str, ResourceUsage>,
 }
 
-/// What happened between two looks.
+/// Resource usage over a span.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct Span {
-    /// Its length, in seconds.
+pub(crate) struct UsageSpan {
+    /// Length of the span, in seconds.
     pub(crate) seconds: f64,
-    /// By role.
-    pub(crate) roles: BTreeMap<&'static str, Counted>,
+    /// Usage by role.
+    pub(crate) roles: BTreeMap<&'static str, ResourceUsage>,
 }
 
-impl Look {
-    /// Looks at all hooklug processes of a fleet that run, all at once.
-    pub(crate) async fn at(fleet: &Fleet, http: &HttpClient) -> anyhow::Result<Self> {
+impl UsageReading {
+    /// Reads the usage of all running hooklug processes of a fleet concurrently.
+    pub(crate) async fn read(fleet: &Fleet, http: &HttpClient) -> anyhow::Result<Self> {
         let nodes = fleet.status().into_iter().filter(|status| status.name.kind.is_node());
-        let looks = nodes.filter(|status| status.pid.is_some()).map(|status| async move {
-            let counted = count(http, &status).await?;
-            anyhow::Ok((status.name.kind.word(), counted))
+        let readings = nodes.filter(|status| status.pid.is_some()).map(|status| async move {
+            let usage = read_process(http, &status).await?;
+            anyhow::Ok((status.name.kind.word(), usage))
         });
-        let mut roles: BTreeMap<&'static str, Counted> = BTreeMap::new();
-        for (role, counted) in try_join_all(looks).await? {
+        let mut roles: BTreeMap<&'static str, ResourceUsage> = BTreeMap::new();
+        for (role, usage) in try_join_all(readings).await? {
             let sum = roles.entry(role).or_default();
-            *sum = sum.plus(counted);
+            *sum = sum.plus(usage);
         }
         Ok(Self { at: Instant::now(), roles })
     }
 
-    /// What happened since an earlier look.
-    pub(crate) fn since(&self, earlier: &Self) -> Span {
+    /// Returns the usage since an earlier reading.
+    pub(crate) fn since(&self, earlier: &Self) -> UsageSpan {
         let before = |role: &str| earlier.roles.get(role).copied().unwrap_or_default();
         let roles = self.roles.iter().map(|(role, now)| (*role, now.since(before(role))));
-        Span { seconds: (self.at - earlier.at).as_secs_f64(), roles: roles.collect() }
+        UsageSpan { seconds: (self.at - earlier.at).as_secs_f64(), roles: roles.collect() }
     }
 }
 
-impl Span {
-    /// A role's figures.
-    pub(crate) fn role(&self, role: &str) -> Counted {
+impl UsageSpan {
+    /// Returns the usage of a role.
+    pub(crate) fn role(&self, role: &str) -> ResourceUsage {
         self.roles.get(role).copied().unwrap_or_default()
     }
 }
 
-async fn count(http: &HttpClient, status: &ProcessStatus) -> anyhow::Result<Counted> {
+async fn read_process(http: &HttpClient, status: &ProcessStatus) -> anyhow::Result<ResourceUsage> {
     let metrics = http.ask(status.http, &Ask::new(Method::GET, "/metrics")).await?;
     let usage = Usage::of(status.pid.unwrap_or_default())?;
     let metrics = String::from_utf8_lossy(&metrics.body).into_owned();
-    let sum = |name: &str| sum_of(&metrics, name);
-    Ok(Counted {
+    let sum = |name: &str| sum_series(&metrics, name);
+    Ok(ResourceUsage {
         processes: 1,
         cpu_seconds: usage.cpu.as_secs_f64(),
         resident_bytes: usage.resident_bytes as f64,
@@ -125,8 +125,8 @@
     })
 }
 
-/// Sum of all series whose text begins with a name.
-fn sum_of(metrics: &str, name: &str) -> f64 {
+/// Returns the sum of all series that start with `name`, which may include the first labels.
+fn sum_series(metrics: &str, name: &str) -> f64 {
     let matching = metrics.lines().filter(|line| line.starts_with(name));
     matching.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
--- a/crates/bench/src/workload/calls.rs
+++ b/crates/bench/src/workload/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: made, made again after lost answers, settled, and written down.
+//! Sends tool calls, retries them after lost responses, resolves unknown outcomes and records them.
 
 use std::time::Duration;
 
@@ -11,48 +11,48 @@
 use super::now;
 use crate::oracle::evidence::{CallClaim, CallRecord};
 
-/// Longest time in which a program sends a call again (ours).
-pub(super) const CALL_TIME: Duration = Duration::from_secs(20);
-/// Longest time for a question about a call (ours).
-const QUESTION_TIME: Duration = Duration::from_secs(10);
+/// Time within which a program retries a call.
+pub(super) const CALL_RETRY_TIME: Duration = Duration::from_secs(20);
+/// Time within which a program retries a request for the state of a call.
+const STATE_RETRY_TIME: Duration = Duration::from_secs(10);
 
-/// A call as a program makes it.
+/// A call that a program is about to make.
 #[derive(Debug, Clone)]
-pub struct PlannedCall {
-    /// Its program.
+pub struct CallPlan {
+    /// Id of the program.
     pub program: String,
-    /// Its id.
+    /// Id of the call.
     pub call: String,
     /// The tool and its arguments.
     pub request: CallRequest,
-    /// Whether the route lets it run more than once.
+    /// Whether the route allows the call to run more than once.
     pub may_repeat: bool,
-    /// Whether to send it once more at another gateway after its answer.
+    /// Whether to send the call again through another gateway after it was answered.
     pub send_again: bool,
-    /// How long it is sent again while the answers claim nothing.
-    pub patience: Duration,
+    /// Time within which the call is retried while responses are inconclusive.
+    pub retry_time: Duration,
 }
 
-impl PlannedCall {
+impl CallPlan {
     fn path(&self) -> String {
         format!("/v1/programs/{}/calls/{}", self.program, self.call)
     }
 }
 
 impl Client {
-    /// Makes a call, writes it down and tells the application's answer, if there is one.
-    pub async fn run_call(&self, gateway: usize, planned: &PlannedCall) -> Option<Value> {
-        let begun = now();
-        let ask = Ask::json(Method::PUT, planned.path(), &planned.request);
-        let mut claims = vec![self.claim(gateway, &ask, planned.patience).await];
-        let ended = now();
-        if !planned.may_repeat {
+    /// Makes a call, records it and returns the application's response, if there is one.
+    pub async fn run_call(&self, gateway: usize, plan: &CallPlan) -> Option<Value> {
+        let sent_at = now();
+        let request = Ask::json(Method::PUT, plan.path(), &plan.request);
+        let mut claims = vec![self.send_call(gateway, &request, plan.retry_time).await];
+        let ended_at = now();
+        if !plan.may_repeat {
             match &claims[0] {
-                CallClaim::Answered { .. } if planned.send_again => {
-                    claims.push(self.claim(gateway + 1, &ask, planned.patience).await);
+                CallClaim::Answered { .. } if plan.send_again => {
+                    claims.push(self.send_call(gateway + 1, &request, plan.retry_time).await);
                 }
-                CallClaim::Unknown => claims.push(self.state(gateway + 1, planned).await),
-                CallClaim::Nothing(_) => claims.push(self.seal(gateway + 1, planned).await),
+                CallClaim::Unknown => claims.push(self.read_state(gateway + 1, plan).await),
+                CallClaim::Inconclusive(_) => claims.push(self.seal(gateway + 1, plan).await),
                 _ => {}
             }
         }
@@ -61,54 +61,54 @@
             _ => None,
         });
         self.recorder.lock().calls.push(CallRecord {
-            call: format!("{}/{}", planned.program, planned.call),
-            tool: planned.request.tool.clone(),
-            arguments: planned.request.arguments.clone(),
-            may_repeat: planned.may_repeat,
-            begun,
-            ended,
+            call: format!("{}/{}", plan.program, plan.call),
+            tool: plan.request.tool.clone(),
+            arguments: plan.request.arguments.clone(),
+            may_repeat: plan.may_repeat,
+            sent_at,
+            ended_at,
             claims,
         });
         answer
     }
 
-    async fn claim(&self, gateway: usize, ask: &Ask, time: Duration) -> CallClaim {
-        match self.ask(gateway, ask, time).await {
-            Ok(answered) => own_answer(&answered.answer),
-            Err(error) => claim_of(&error),
+    async fn send_call(&self, gateway: usize, request: &Ask, time: Duration) -> CallClaim {
+        match self.send_with_retries(gateway, request, time).await {
+            Ok(timed) => response_claim(&timed.response),
+            Err(error) => error_claim(&error),
         }
     }
 
-    /// Asks what became of a call.
-    async fn state(&self, gateway: usize, planned: &PlannedCall) -> CallClaim {
-        let ask = Ask::new(Method::GET, planned.path());
-        self.recorded(gateway, &ask).await
+    /// Reads the recorded state of a call whose outcome is unknown.
+    async fn read_state(&self, gateway: usize, plan: &CallPlan) -> CallClaim {
+        let request = Ask::new(Method::GET, plan.path());
+        self.send_state_request(gateway, &request).await
     }
 
-    /// Seals a call of which nothing is known.
-    async fn seal(&self, gateway: usize, planned: &PlannedCall) -> CallClaim {
-        let request = &planned.request;
+    /// Seals a call after inconclusive responses, so that it never runs unless it already has.
+    async fn seal(&self, gateway: usize, plan: &CallPlan) -> CallClaim {
+        let request = &plan.request;
         let body = json!({"tool": request.tool, "arguments": request.arguments});
-        let ask = Ask::json(Method::POST, format!("{}/seal", planned.path()), &body);
-        self.recorded(gateway, &ask).await
+        let request = Ask::json(Method::POST, format!("{}/seal", plan.path()), &body);
+        self.send_state_request(gateway, &request).await
     }
 
-    async fn recorded(&self, gateway: usize, ask: &Ask) -> CallClaim {
-        match self.ask(gateway, ask, QUESTION_TIME).await {
-            Ok(answered) => recorded_claim(&answered.answer),
-            Err(error) => claim_of(&error),
+    async fn send_state_request(&self, gateway: usize, request: &Ask) -> CallClaim {
+        match self.send_with_retries(gateway, request, STATE_RETRY_TIME).await {
+            Ok(timed) => state_claim(&timed.response),
+            Err(error) => error_claim(&error),
         }
     }
 }
 
-fn own_answer(answer: &Answer) -> CallClaim {
+fn response_claim(answer: &Answer) -> CallClaim {
     let body = serde_json::from_slice(&answer.body)
         .unwrap_or_else(|_| Value::String(String::from_utf8_lossy(&answer.body).into_owned()));
     CallClaim::Answered { status: answer.status.as_u16(), body }
 }
 
-/// What the record of a call says.
-fn recorded_claim(answer: &Answer) -> CallClaim {
+/// Returns the outcome that the record of a call shows.
+fn state_claim(answer: &Answer) -> CallClaim {
     let view: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     match view["state"].as_str() {
         Some("answered") => CallClaim::Answered {
@@ -117,13 +117,13 @@
         },
         Some(state @ ("not_run" | "refused")) => CallClaim::NotRun(state.to_owned()),
         Some("unknown") => CallClaim::Unknown,
-        other => CallClaim::Nothing(other.unwrap_or("no state").to_owned()),
+        other => CallClaim::Inconclusive(other.unwrap_or("the response has no state").to_owned()),
     }
 }
 
-fn claim_of(error: &CallerError) -> CallClaim {
+fn error_claim(error: &CallerError) -> CallClaim {
     let CallerError::Problem(problem) = error else {
-        return CallClaim::Nothing(error.to_string());
+        return CallClaim::Inconclusive(error.to_string());
     };
     let not_run = problem.outcome.as_deref() == Some("not_run");
     match problem.code.as_str() {
@@ -131,6 +131,6 @@
         code if not_run || matches!(code, "call_refused" | "call_sealed") => {
             CallClaim::NotRun(code.to_owned())
         }
-        code => CallClaim::Nothing(code.to_owned()),
+        code => CallClaim::Inconclusive(code.to_owned()),
     }
 }
--- a/crates/bench/src/workload/sessions.rs
+++ b/crates/bench/src/workload/sessions.rs
@@ -1,4 +1,4 @@
-//! Programs declared, sessions opened, joined, looked at and read back.
+//! Declares programs, and opens, joins and reads sessions.
 
 use std::time::Duration;
 
@@ -9,52 +9,52 @@
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-use super::client::{Answered, Client};
-use crate::oracle::evidence::{OwnerSeen, ProgramRecord};
+use super::client::{Client, TimedResponse};
+use crate::oracle::evidence::{OwnerObservation, ProgramRecord};
 
-/// Longest time for a request that opens something (ours).
-const OPEN_TIME: Duration = Duration::from_secs(30);
-/// Time that programs have: longer than any run (ours).
-const PROGRAM_TIME: Duration = Duration::from_secs(86_400);
+/// Time within which requests that declare or open something are retried.
+const OPEN_RETRY_TIME: Duration = Duration::from_secs(30);
+/// Lifetime of programs: longer than any run.
+const PROGRAM_LIFETIME: Duration = Duration::from_secs(86_400);
 
-fn path(session: &SessionRef) -> String {
+fn session_path(session: &SessionRef) -> String {
     format!("/v1/programs/{}/sessions/{}", session.program, session.session)
 }
 
-fn name(session: &SessionRef) -> String {
+fn session_name(session: &SessionRef) -> String {
     format!("{}/{}", session.program, session.session)
 }
 
-fn decode(answer: &Answer) -> Result<SessionView, CallerError> {
-    serde_json::from_slice(&answer.body).map_err(|e| CallerError::Broken(e.to_string()))
+fn decode(response: &Answer) -> Result<SessionView, CallerError> {
+    serde_json::from_slice(&response.body).map_err(|e| CallerError::Broken(e.to_string()))
 }
 
 impl Client {
-    /// Declares a program.
+    /// Declares a program and records it.
     ///
     /// # Errors
-    /// A problem that does not pass.
-    pub async fn declare(
+    /// If the request fails permanently or the retry time is over.
+    pub async fn declare_program(
         &self,
         gateway: usize,
         program: &str,
         budget: u64,
-        longest_turn: u64,
+        max_turn_tokens: u64,
     ) -> Result<(), CallerError> {
-        let end = UnixMillis::now().plus(PROGRAM_TIME).0;
+        let end = UnixMillis::now().plus(PROGRAM_LIFETIME).0;
         let body = json!({"token_budget": budget, "end_time_ms": end});
-        let ask = Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body);
-        self.ask(gateway, &ask, OPEN_TIME).await?;
-        let record = ProgramRecord { budget, longest_turn, booked: None };
+        let request = Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body);
+        self.send_with_retries(gateway, &request, OPEN_RETRY_TIME).await?;
+        let record = ProgramRecord { budget, max_turn_tokens, booked: None };
         self.recorder.lock().programs.insert(program.to_owned(), record);
         Ok(())
     }
 
-    /// Opens a session and writes down its owner.
+    /// Opens a session and records its owner.
     ///
     /// # Errors
-    /// A problem that does not pass.
-    pub async fn open(
+    /// If the request fails permanently or the retry time is over.
+    pub async fn open_session(
         &self,
         gateway: usize,
         session: &SessionRef,
@@ -62,41 +62,52 @@
         prefix: &str,
     ) -> Result<(), CallerError> {
         let body = json!({"model": model, "prefix": prefix});
-        let ask = Ask::json(Method::PUT, path(session), &body);
-        let answered = self.ask(gateway, &ask, OPEN_TIME).await?;
-        // An answer after a lost one may be about a session that the lost one opened.
-        let opened = answered.first_try;
-        self.note_owner(session, &answered, opened)
+        let request = Ask::json(Method::PUT, session_path(session), &body);
+        let timed = self.send_with_retries(gateway, &request, OPEN_RETRY_TIME).await?;
+        // A retry may return a session that an attempt with a lost response had opened.
+        let opened = timed.first_attempt;
+        self.record_owner(session, &timed, opened)
     }
 
-    /// Looks at a session at one gateway and writes down its owner.
+    /// Reads a session through one gateway and records its owner.
     ///
     /// # Errors
-    /// A problem that does not pass.
-    pub async fn look(&self, gateway: usize, session: &SessionRef) -> Result<(), CallerError> {
-        let ask = Ask::new(Method::GET, path(session));
-        let answered = self.ask(gateway, &ask, Duration::ZERO).await?;
-        self.note_owner(session, &answered, false)
+    /// If the request fails.
+    pub async fn poll_session(
+        &self,
+        gateway: usize,
+        session: &SessionRef,
+    ) -> Result<(), CallerError> {
+        let request = Ask::new(Method::GET, session_path(session));
+        let timed = self.send_with_retries(gateway, &request, Duration::ZERO).await?;
+        self.record_owner(session, &timed, false)
     }
 
-    fn note_owner(
+    fn record_owner(
         &self,
         session: &SessionRef,
-        answered: &Answered,
+        timed: &TimedResponse,
         opened: bool,
     ) -> Result<(), CallerError> {
-        let view = decode(&answered.answer)?;
+        let view = decode(&timed.response)?;
         let mut evidence = self.recorder.lock();
-        let record = evidence.sessions.entry(name(session)).or_default();
+        let record = evidence.sessions.entry(session_name(session)).or_default();
         if let Some(owner) = view.owner {
-            let seen = OwnerSeen { owner, epoch: view.epoch, begun: answered.begun, opened };
-            record.owners.push(seen);
+            let observation =
+                OwnerObservation { owner, epoch: view.epoch, sent_at: timed.sent_at, opened };
+            record.owners.push(observation);
         }
         Ok(())
     }
 
-    /// Joins a session as a second client and writes down what it gets until told to stop or cut off.
-    pub async fn join(&self, gateway: usize, session: &SessionRef, stop: CancellationToken) {
+    /// Joins a session as a second client and records its events until `stop` is cancelled or the
+    /// stream ends.
+    pub async fn join_session(
+        &self,
+        gateway: usize,
+        session: &SessionRef,
+        stop: CancellationToken,
+    ) {
         let Ok(mut stream) = self.caller().join(gateway, session, None).await else { return };
         let mut events = Vec::new();
         while let Some(Ok(Some(event))) = stop.run_until_cancelled(stream.next()).await {
@@ -107,14 +118,14 @@
             }
         }
         let mut evidence = self.recorder.lock();
-        evidence.sessions.entry(name(session)).or_default().joined.push(events);
+        evidence.sessions.entry(session_name(session)).or_default().joined.push(events);
     }
 
-    /// The whole history of a session.
+    /// Reads the complete history of a session.
     ///
     /// # Errors
-    /// A problem, or no answer.
-    pub async fn history(
+    /// If the request fails or the stream does not start with a `sync` event.
+    pub async fn read_history(
         &self,
         gateway: usize,
         session: &SessionRef,
@@ -122,12 +133,14 @@
         let mut stream = self.caller().join(gateway, session, None).await?;
         match stream.next().await? {
             Some(event) if event.event == "sync" => Ok(sync_events(&event)),
-            other => Err(CallerError::Broken(format!("a joined stream began with {other:?}"))),
+            other => Err(CallerError::Broken(format!(
+                "expected a sync event at the start of a joined stream, got {other:?}"
+            ))),
         }
     }
 }
 
-/// The events in a `sync`.
+/// Returns the events contained in a `sync` event.
 fn sync_events(sync: &StreamEvent) -> Vec<StreamEvent> {
     let events = sync.data["events"].as_array().map(Vec::as_slice).unwrap_or_default();
     events.iter().map(event_in_sync).collect()
