--- a/crates/control/src/agent/discovery.rs
+++ b/crates/control/src/agent/discovery.rs
@@ -1,4 +1,4 @@
-//! Finds the other processes: asks the seeds first, then goes on asking those that it has found.
+//! Discovers other processes: queries the seeds first, then the processes found so far.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 
 use super::Shared;
 
-/// Pause between rounds while no core or no store is known (ours).
+/// Time between rounds while no core or no store is known.
 const SEARCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// Pause between rounds from then on (ours).
+/// Time between rounds once a core and a store are known.
 const STEADY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Processes asked in a round while no core answers, beside seeds and stores (ours).
+/// Other peers queried per round while no core replies, in addition to seeds and stores.
 const ASKED_IN_A_ROUND: usize = 2;
 
 pub(super) async fn run(shared: Arc<Shared>) {
@@ -39,8 +39,9 @@
     knows(NodeRole::Core) && knows(NodeRole::Store)
 }
 
-/// Whom to ask in this round over connections that stay: seeds that are not known yet, a core leader that only the stores
-/// told of, and a store, which tells that one is within reach; all stores while no core answers.
+/// Returns the peers to query in this round over persistent connections: seeds that are not known
+/// yet, a core leader known only from the stores, and one store to check that it is reachable; all
+/// stores while no core replies.
 fn targets(shared: &Shared) -> Vec<SocketAddr> {
     let peers = shared.peers();
     let stores = peers.addresses(NodeRole::Store);
@@ -53,7 +54,7 @@
     let store_count = if alone { stores.len() } else { 1 };
     targets.extend(stores.sample(&mut rng, store_count));
     if stores.is_empty() {
-        // A core that was asked before it knew a store will know one soon.
+        // A core that knew no store when it was first queried may know one by now.
         targets.extend(peers.addresses(NodeRole::Core));
     }
     targets.retain(|target| *target != own);
@@ -62,8 +63,9 @@
     targets
 }
 
-/// While no core answers, asks a few others at random. The connections end with the round: kept, all of a
-/// cluster that has lost its cores would end with a connection from each node to each.
+/// Queries a few random peers while no core replies. The connections are closed after the round;
+/// otherwise a cluster that has lost its cores would end up with a connection between every two
+/// nodes.
 async fn ask_others(shared: &Shared) {
     if shared.reach.core_answers() {
         return;
--- a/crates/control/src/agent/harm.rs
+++ b/crates/control/src/agent/harm.rs
@@ -1,4 +1,4 @@
-//! Tells the core leader of harm that this node found by its own evidence.
+//! Reports harmful versions that this node detected itself to the core leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use super::{Shared, heartbeat};
 
-/// How long a report is worth sending (ours).
+/// Time after which an undelivered report is dropped.
 const WORTH_TIME: Duration = Duration::from_secs(30);
 
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
@@ -20,7 +20,7 @@
     while let Some(report) = harm.recv().await {
         tell(&shared, report).await;
     }
-    // Without a sender there is nothing left to tell; the other tasks go on.
+    // All senders are dropped, so no report can arrive; the agent's other tasks keep running.
     std::future::pending::<()>().await;
 }
 
@@ -35,5 +35,5 @@
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
-    warn!(service = %request.harm.service, version = %request.harm.version, "no core took the report of harm");
+    warn!(service = %request.harm.service, version = %request.harm.version, "report of a harmful version dropped: no core accepted it in time");
 }
--- a/crates/control/src/agent/heartbeat.rs
+++ b/crates/control/src/agent/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Tells a core each second, and at once after a change, that this node lives and how it is.
+//! Sends a heartbeat to a core each second, and at once after a change.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use super::{NewsSource, Shared};
 use crate::handle::NodeReport;
 
-/// Pause between heartbeats (design, section 4: 1 s).
+/// Time between heartbeats (design document, section 4: 1 s).
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Least pause between two heartbeats, however much changes (ours).
+/// Minimum time between two heartbeats, however often the report changes.
 const LEAST_PAUSE: Duration = Duration::from_millis(50);
 
 pub(super) async fn run(shared: Arc<Shared>, mut report: watch::Receiver<NodeReport>) {
@@ -46,7 +46,8 @@
                 answered(shared, core, &reply);
                 return;
             }
-            // A core that may have counted the statistics must not be followed by one that counts them again.
+            // This core may have counted the statistics; sending them to another could count them
+            // twice.
             Err(error) if !error.is_not_sent() => heartbeat.statistics.clear(),
             Err(_) => {}
         }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Cores to ask, the leader first, the others in random order.
+/// Returns the cores to try: the leader first, the others in random order.
 pub(super) fn cores_in_order(shared: &Shared) -> Vec<SocketAddr> {
     let leader = *shared.leader.borrow();
     let mut cores = shared.peers().addresses(NodeRole::Core);
--- a/crates/control/src/agent/installer.rs
+++ b/crates/control/src/agent/installer.rs
@@ -1,5 +1,5 @@
-//! Installs bundles: whenever a newer record is heard of, fetches the sections whose digest is new and
-//! switches over in one step. Never installs an older one.
+//! Installs bundles: fetches the sections of a newer record whose digests changed, and switches to
+//! the new bundle in one step. Never installs an older one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,32 +25,33 @@
 use crate::figures;
 use crate::handle::InstalledBundle;
 
-/// Name of this reason for not being ready.
+/// Name of this component among the reasons for not being ready.
 pub(super) const COMPONENT: &str = "bundle";
 
-/// Pause after a bundle could not be fetched (ours).
+/// Delay after a bundle could not be fetched.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause before a quorum is asked again, when it could not be reached at the start (ours).
+/// Delay between queries of a quorum at start, while none is reachable.
 const ASK_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest wait of a node for others to tell it of a version, in milliseconds (ours: 1 a known node, so that
-/// at most about a thousand nodes a second ask the stores).
+/// Longest wait for the view or a heartbeat to report a version, in milliseconds. The limit is 1 ms
+/// per known node, so that at most about a thousand nodes per second query the stores.
 const MOST_PATIENCE_MILLIS: u64 = 500;
 
-/// Sections under way at once (ours): a first installation fetches some 260, and all nodes may do so at once.
+/// Maximum number of concurrent section fetches. A first installation fetches some 260 sections,
+/// and all nodes may do so at the same time.
 const FETCHES_AT_ONCE: usize = 16;
 
-/// Silence of a source of a section after which the next one is asked too (ours): some round trips.
+/// Delay after which the next source of a section is queried too: a few round trips.
 const SOURCE_PATIENCE: Duration = Duration::from_millis(100);
 
-/// Peers asked for a section before the stores (ours).
+/// Peers queried for a section before the stores.
 const PEERS_ASKED: usize = 2;
 
-/// Why a bundle could not be installed now.
+/// Why a bundle could not be installed; the installation is retried.
 #[derive(Debug, thiserror::Error)]
 enum InstallError {
-    #[error("no node within reach has section {name} ({digest})")]
+    #[error("no reachable node has section {name} ({digest})")]
     Missing { name: String, digest: Digest },
     #[error(transparent)]
     Decode(#[from] DecodeError),
@@ -60,7 +61,7 @@
     tokio::join!(ask_quorum_at_start(&shared), follow_news(&shared), install_heard(&shared));
 }
 
-/// Until this node has the newest bundle that a quorum knew at its start, it is not ready.
+/// Keeps the node unready until it has installed the newest bundle that a quorum knew at its start.
 async fn ask_quorum_at_start(shared: &Shared) {
     let newest = loop {
         if let Some(newest) = ask_quorum(shared).await {
@@ -81,12 +82,12 @@
     shared.newest_bundle.send_replace(true);
 }
 
-/// The newest bundle by a linearizable read; `None` when no quorum answered.
+/// Returns the newest bundle by a linearizable read; `None` if no quorum replied.
 async fn ask_quorum(shared: &Shared) -> Option<Option<BundleRecord>> {
     let answer = shared.state.query_meta(&MetaQuery::NewestBundle, shared.deadline()).await;
     if let Err(error) = &answer {
         let stores = shared.stores.borrow().len();
-        debug!(%error, stores, "no quorum tells the newest bundle");
+        debug!(%error, stores, "cannot read the newest bundle from a quorum of the stores");
     }
     let answer = answer.ok()?;
     let MetaAnswer::NewestBundle(newest) = answer else { return None };
@@ -98,7 +99,8 @@
     Some(newest)
 }
 
-/// Peers name versions on each frame; a newer one is looked up at a quorum.
+/// Watches the bundle versions that peers announce in each frame, and queries a quorum for newer
+/// ones.
 async fn follow_news(shared: &Shared) {
     let mut news = shared.identity.bundles.watch_newest();
     loop {
@@ -115,8 +117,8 @@
     }
 }
 
-/// Waits a little for the view or a heartbeat to tell of the version; the more nodes there are, the longer,
-/// so that not all of them ask the stores at once.
+/// Waits briefly for the view or a heartbeat to report the version, and returns whether one did.
+/// The limit grows with the number of nodes, so that not all of them query the stores at once.
 async fn told_meanwhile(shared: &Shared, version: BundleVersion) -> bool {
     let most = shared.peers().count().min(MOST_PATIENCE_MILLIS);
     let patience = Duration::from_millis(rand::rng().random_range(0..=most));
@@ -125,8 +127,8 @@
     matches!(tokio::time::timeout(patience, told).await, Ok(Ok(_)))
 }
 
-/// Installs what is heard of. Nothing before a quorum has answered: a core that lags may tell of a bundle older than
-/// the one that a former run of this process had in force.
+/// Installs newer bundles as they become known, but none before a quorum has replied: a lagging
+/// core may report a bundle older than the one that a previous run of this process had installed.
 async fn install_heard(shared: &Shared) {
     let mut answered = shared.quorum_answered.subscribe();
     // The sender lives as long as `shared`, so the wait only ends by the condition.
@@ -139,7 +141,7 @@
             Some(record) => {
                 if let Err(error) = install(shared, record).await {
                     figures::bundle_not_fetched();
-                    warn!(%error, "bundle not installed yet");
+                    warn!(%error, "cannot install the bundle; retrying");
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
@@ -155,7 +157,7 @@
         Some(held) => (held.bundle.clone(), held.record.sections.clone()),
         None => (Bundle::default(), BTreeMap::new()),
     };
-    // The operators' text is read back from the stores; a node has no use for it.
+    // The operators' source text is read back from the stores; nodes don't need it.
     let differs = |(name, digest): &(&String, &Digest)| {
         !hooklug_bundle::is_operators_text(name) && held_sections.get(*name) != Some(*digest)
     };
@@ -172,11 +174,11 @@
     shared.identity.bundles.set_installed(version);
     shared.heartbeat_due.notify_one();
     figures::bundle_installed(version.0);
-    info!(%version, fetched = bytes, "bundle in force");
+    info!(%version, fetched = bytes, "bundle installed");
     Ok(())
 }
 
-/// Sections by name, with their digests.
+/// Fetched sections by name, with their digests.
 type Fetched = BTreeMap<String, (Digest, Section)>;
 
 async fn fetch_all<'a>(
@@ -185,7 +187,7 @@
 ) -> Result<Fetched, InstallError> {
     let wanted: Vec<(&String, &Digest)> = wanted.collect();
     shared.sections().want(&wanted.iter().map(|(_, digest)| **digest).collect());
-    // Connections to peers end with the installation; kept, each would ping for ever.
+    // Connections to peers are closed after the installation; open ones would send pings forever.
     let peers = RpcClient::new(shared.identity.clone());
     let slots = Semaphore::new(FETCHES_AT_ONCE);
     let fetches = wanted.into_iter().map(|(name, digest)| async {
@@ -197,7 +199,8 @@
     Ok(try_join_all(fetches).await?.into_iter().collect())
 }
 
-/// A section from this node, a core, a few peers, or the stores, whoever has it first; always checked.
+/// Returns a section from the cache, or from the first core, peer or store that has it. Fetched
+/// bytes are verified against the digest.
 async fn fetch(shared: &Shared, peers: &RpcClient, digest: &Digest) -> Option<Section> {
     let held = shared.sections().get(digest);
     if held.is_some() {
@@ -208,8 +211,8 @@
     Some(section)
 }
 
-/// Asks one source after the other, the next one whenever the last asked has been silent for [`SOURCE_PATIENCE`] or has
-/// nothing; those asked before may still answer.
+/// Queries the sources in order, the next one when the last has no section or has not replied for
+/// [`HEDGE_DELAY`]. Earlier requests stay open and may still succeed.
 async fn fetch_bytes(shared: &Shared, peers: &RpcClient, digest: &Digest) -> Option<Vec<u8>> {
     let mut sources = sources(shared).into_iter();
     let mut asked = FuturesUnordered::new();
@@ -226,7 +229,7 @@
     }
 }
 
-/// Who may hold a section.
+/// A source from which a section can be fetched.
 #[derive(Debug, Clone, Copy)]
 enum Source {
     /// A core.
@@ -237,14 +240,14 @@
     Stores,
 }
 
-/// Cores first, then a few peers, and the stores last, so that they are spared.
+/// Returns the sources in order: cores, then a few peers, and the stores last, to spare them load.
 fn sources(shared: &Shared) -> Vec<Source> {
     let cores = cores(shared).into_iter().map(Source::Core);
     let peers = some_peers(shared).into_iter().map(Source::Peer);
     cores.chain(peers).chain([Source::Stores]).collect()
 }
 
-/// A section's bytes from one source, if it has them whole.
+/// Returns the bytes of a section from one source if they match the digest.
 async fn ask(
     shared: &Shared,
     peers: &RpcClient,
@@ -269,7 +272,8 @@
     }
 }
 
-/// One core at random, so that they share the work, then the leader, which is the first to hold a new bundle.
+/// Returns a random core, to spread the load, then the leader, which is the first to hold a new
+/// bundle.
 fn cores(shared: &Shared) -> Vec<SocketAddr> {
     let own = shared.identity.address.rpc;
     let leader = *shared.leader.borrow();
@@ -280,7 +284,7 @@
     first.into_iter().chain(then).collect()
 }
 
-/// A few others at random.
+/// Returns a few random peers.
 fn some_peers(shared: &Shared) -> Vec<SocketAddr> {
     shared.peers().sample(PEERS_ASKED, &mut rand::rng())
 }
--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The part of every process that takes part in the cluster: finds the others, follows the view, tells
-//! of itself, and installs bundles.
+//! The node agent, which runs in every process: discovers peers, follows the cluster view, sends
+//! heartbeats and installs bundles.
 
 mod discovery;
 mod harm;
@@ -31,13 +31,13 @@
 use reach::ReachClock;
 use sections::SectionCache;
 
-/// Longest wait for one answer of a peer (ours).
+/// Timeout of a request to a peer.
 const CALL_TIME: Duration = Duration::from_secs(1);
 
-/// How a node heard of a bundle.
+/// How a node learned of a bundle.
 #[derive(Debug, Clone, Copy)]
 enum NewsSource {
-    /// A core's answer to a heartbeat.
+    /// A core's reply to a heartbeat.
     Heartbeat,
     /// A linearizable read of the meta group.
     Quorum,
@@ -45,7 +45,7 @@
     View,
 }
 
-/// What the agent's tasks share.
+/// State shared by the agent's tasks.
 #[derive(Debug)]
 struct Shared {
     identity: LocalIdentity,
@@ -57,15 +57,15 @@
     peers: Mutex<Peers>,
     sections: Mutex<SectionCache>,
     reach: ReachClock,
-    /// The newest bundle record heard of, installed or not.
+    /// The newest bundle record known, installed or not.
     heard: channel::Sender<Option<BundleRecord>>,
-    /// Whether a quorum has told which bundle is the newest, since the process started.
+    /// Whether a quorum has reported the newest bundle since the process started.
     quorum_answered: channel::Sender<bool>,
-    /// Whether a quorum has been asked for the newest bundle and it is installed.
+    /// Whether a quorum was queried for the newest bundle and that bundle is installed.
     newest_bundle: channel::Sender<bool>,
-    /// Where the core leader is, as far as known.
+    /// Address of the core leader, if known.
     leader: channel::Sender<Option<SocketAddr>>,
-    /// Set when the node's own report or bundle changed.
+    /// Notified when the node's own report or bundle has changed.
     heartbeat_due: Notify,
     view: channel::Sender<Arc<ClusterView>>,
     bundle: channel::Sender<Option<Arc<InstalledBundle>>>,
@@ -82,25 +82,27 @@
         self.sections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a bundle record; the installer fetches it when it is newer than what is installed.
+    /// Records that a bundle exists; the installer fetches it if it is newer than the installed
+    /// one.
     fn heard_of(&self, record: &BundleRecord, source: NewsSource) {
         self.heard.send_if_modified(|heard| {
             let newer = heard.as_ref().is_none_or(|h| h.version < record.version);
             if newer {
-                info!(version = %record.version, ?source, "heard of a bundle");
+                info!(version = %record.version, ?source, "learned of a newer bundle");
                 *heard = Some(record.clone());
             }
             newer
         });
     }
 
-    /// Changes the view; readers are woken only by a real change. The view is changed in place unless a reader
-    /// holds it; then the reader's copy shares all that stays the same.
+    /// Changes the view; readers are notified only of an actual change. The view is changed in
+    /// place unless a reader holds it; otherwise the new copy shares all unchanged parts with the
+    /// reader's.
     fn change_view(&self, change: impl FnOnce(&mut ClusterView) -> bool) -> bool {
         self.view.send_if_modified(|view| change(Arc::make_mut(view)))
     }
 
-    /// Acts on a changed view, of which these members came or changed.
+    /// Updates the state derived from a changed view; `members` are those added or changed.
     fn view_changed(&self, members: &[SharedMember]) {
         let view = self.view.borrow().clone();
         if view.meta.cluster != 0 {
@@ -142,7 +144,7 @@
     }
 }
 
-/// A process's part in the cluster.
+/// The agent that connects a process to the cluster.
 #[derive(Debug)]
 pub struct NodeAgent {
     shared: Arc<Shared>,
@@ -151,7 +153,7 @@
 }
 
 impl NodeAgent {
-    /// An agent that feeds a [`crate::NodeHandle`]'s other ends.
+    /// Creates an agent that holds the opposite ends of a [`crate::NodeHandle`].
     #[must_use]
     pub fn new(
         settings: &Settings,
@@ -162,7 +164,7 @@
         statistics: Statistics,
         readiness: Readiness,
     ) -> Self {
-        readiness.unready(reach::COMPONENT, "no core and no store has answered yet");
+        readiness.unready(reach::COMPONENT, "no core or store has replied yet");
         readiness.unready(installer::COMPONENT, "the newest bundle is not known yet");
         let shared = Shared {
             peers: Mutex::new(Peers::new(identity.address.clone())),
@@ -187,7 +189,7 @@
         Self { shared: Arc::new(shared), report: feeds.report, harm: feeds.harm }
     }
 
-    /// Answers to peers: which others this node knows, and bundle sections that it holds.
+    /// Handles requests of peers: discovery, and fetches of bundle sections that this node holds.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
         let (discovering, fetching) = (self.shared.clone(), self.shared.clone());
@@ -205,7 +207,7 @@
             })
     }
 
-    /// Takes part in the cluster until stopped.
+    /// Runs the agent until `stop` is cancelled.
     pub async fn run(self, stop: CancellationToken) {
         let shared = self.shared;
         let tasks = async {
--- a/crates/control/src/agent/peers.rs
+++ b/crates/control/src/agent/peers.rs
@@ -1,4 +1,4 @@
-//! Which other processes a node knows. Pure.
+//! Table of the processes that a node knows. Pure: no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use rand::Rng;
 use rand::seq::{IndexedRandom, IteratorRandom};
 
-/// Gateways and engines that a node that asks is told of, beside all stores and cores (ours).
+/// Gateways and engines named in a discovery reply, in addition to all stores and cores.
 const OTHERS_INTRODUCED: usize = 8;
 
-/// The processes that a node knows, itself included.
+/// The processes that a node knows, including itself.
 #[derive(Debug, Clone)]
 pub struct Peers {
     own: NodeAddress,
     known: BTreeMap<NodeId, NodeAddress>,
-    /// Who listens at an address; the same nodes as in `known`.
+    /// The node that listens at an address; the same nodes as in `known`.
     by_address: BTreeMap<SocketAddr, NodeId>,
-    /// Rpc addresses of the processes of each role; the same nodes again.
+    /// RPC addresses of the processes of each role; the same nodes as in `known`.
     by_role: BTreeMap<NodeRole, BTreeSet<SocketAddr>>,
-    /// Stores that the meta group lists; they may not have been met yet.
+    /// Stores that the meta group lists; they may not have been contacted yet.
     listed_stores: Vec<SocketAddr>,
 }
 
 impl Peers {
-    /// Only the node itself.
+    /// Creates a table that contains only the node itself.
     #[must_use]
     pub fn new(own: NodeAddress) -> Self {
         Self {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Learns of a process. An earlier run changes nothing; a process at the same address that started
-    /// earlier is forgotten, since the address was reused.
+    /// Adds a process. An earlier incarnation of a known process is ignored. A process that started
+    /// earlier at the same address is removed, since the address was reused.
     pub fn learn(&mut self, address: NodeAddress) {
         if address.node == self.own.node || address.rpc == self.own.rpc {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Follows members of the view that came or changed: learns them, forgets those that are given up.
+    /// Applies added and changed members of the view: adds live ones and removes dead ones.
     pub fn follow_members<'a>(&mut self, members: impl IntoIterator<Item = &'a Member>) {
         for member in members {
             let address = &member.address;
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Follows the stores that the meta group lists.
+    /// Replaces the stores known from the meta group; stores removed from the cluster are
+    /// forgotten.
     pub fn follow_stores(&mut self, stores: &[StoreRecord]) {
         let (removed, listed): (Vec<&StoreRecord>, Vec<&StoreRecord>) =
             stores.iter().partition(|s| s.state == StoreState::Removed);
@@ -94,8 +95,9 @@
         removed.into_iter().for_each(|store| self.remove(store.node));
     }
 
-    /// What a node that asks is told: this node, all stores and cores, and a few others at random. The rest
-    /// it learns from the view; telling all to all each second would grow with the square of the cluster.
+    /// Returns the reply to a discovery request: this node, all stores and cores, and a few random
+    /// others. The requester learns the rest from the view; sending all nodes to all nodes each
+    /// second would grow with the square of the cluster size.
     pub fn introduction(&self, rng: &mut impl Rng) -> Vec<NodeAddress> {
         let (central, others): (Vec<&NodeAddress>, Vec<&NodeAddress>) =
             self.known.values().partition(|a| matches!(a.role, NodeRole::Store | NodeRole::Core));
@@ -103,31 +105,32 @@
         std::iter::once(&self.own).chain(central).chain(some).cloned().collect()
     }
 
-    /// How many others are known.
+    /// Returns the number of other known processes.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.known.len() as u64
     }
 
-    /// Whether a process other than this one is known to listen at an address.
+    /// Returns whether another process is known to listen at an address.
     #[must_use]
     pub fn is_known(&self, address: SocketAddr) -> bool {
         self.by_address.contains_key(&address)
     }
 
-    /// All other processes, each copied.
+    /// Returns copies of the addresses of all other processes.
     #[must_use]
     pub fn others(&self) -> Vec<NodeAddress> {
         self.known.values().cloned().collect()
     }
 
-    /// Rpc addresses of a few others at random.
+    /// Returns the RPC addresses of a few random other processes.
     #[must_use]
     pub fn sample(&self, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         self.by_address.keys().copied().sample(rng, count)
     }
 
-    /// Rpc addresses of all processes of a role, this one included if it has the role; sorted.
+    /// Returns the sorted RPC addresses of all processes of a role, including this one if it has
+    /// the role.
     #[must_use]
     pub fn addresses(&self, role: NodeRole) -> Vec<SocketAddr> {
         let met = self.by_role.get(&role).into_iter().flatten().copied();
--- a/crates/control/src/agent/reach.rs
+++ b/crates/control/src/agent/reach.rs
@@ -1,4 +1,4 @@
-//! Whether cores and stores are within reach; without either for long the node is not ready.
+//! Tracks whether cores and stores are reachable; a node that reaches neither is not ready.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -9,18 +9,19 @@
 use crate::figures;
 use crate::handle::Reach;
 
-/// Name of this reason for not being ready.
+/// Name of this component among the reasons for not being ready.
 pub(super) const COMPONENT: &str = "reach";
 
-/// Silence of all cores and all stores after which a node is not ready (design, section 4: 2 s).
+/// Time without a reply of any core or store after which a node is not ready (design document,
+/// section 4: 2 s).
 const SILENCE: Duration = Duration::from_secs(2);
 
-/// An answer counts as "lately" for so long: two rounds of asking and a slow answer (ours).
+/// Time for which a reply counts as recent: two query rounds and a slow reply.
 const LATELY: Duration = Duration::from_secs(3);
 
 const CHECK_PAUSE: Duration = Duration::from_millis(100);
 
-/// When cores and stores answered last.
+/// Times of the last reply of a core and of a store.
 #[derive(Debug, Default)]
 pub(super) struct ReachClock {
     core: Mutex<Option<Instant>>,
@@ -71,7 +72,7 @@
         if shared.reach.anyone_answers() {
             shared.readiness.ready(COMPONENT);
         } else {
-            let reason = format!("no core and no store has answered for {} s", SILENCE.as_secs());
+            let reason = format!("no core or store has replied for {} s", SILENCE.as_secs());
             shared.readiness.unready(COMPONENT, reason);
         }
         tokio::time::sleep(CHECK_PAUSE).await;
--- a/crates/control/src/agent/sections.rs
+++ b/crates/control/src/agent/sections.rs
@@ -1,15 +1,15 @@
-//! Bundle sections that this node holds, by digest. Pure.
+//! Cache of the bundle sections that this node holds, by digest. Pure: no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use hooklug_types::Digest;
 
-/// Bytes of a section, shared by all who hold it.
+/// Bytes of a section, shared by all holders.
 pub(super) type Section = Arc<[u8]>;
 
-/// Sections of the installed bundle and of the one before it, for peers that are behind by one, and those
-/// that have arrived of the next.
+/// Sections of the installed bundle, of the one before it (for peers that are one version behind),
+/// and those already fetched of the next one.
 #[derive(Debug, Default)]
 pub(super) struct SectionCache {
     current: BTreeMap<Digest, Section>,
@@ -23,18 +23,19 @@
         held.into_iter().find_map(|sections| sections.get(digest)).cloned()
     }
 
-    /// Forgets what arrived of a bundle other than the one that is wanted now.
+    /// Drops fetched sections that are not among `digests`, those of the bundle being installed.
     pub(super) fn want(&mut self, digests: &BTreeSet<Digest>) {
         self.arrived.retain(|digest, _| digests.contains(digest));
     }
 
-    /// Keeps a section whose bytes were checked: an installation that fails begins again where it was.
+    /// Stores a section whose digest was verified, so that a failed installation resumes where it
+    /// stopped.
     pub(super) fn keep(&mut self, digest: Digest, section: Section) {
         self.arrived.insert(digest, section);
     }
 
-    /// Takes the sections that a newly installed bundle is made of: those that were held stay, others were
-    /// fetched.
+    /// Replaces the current sections with those of a newly installed bundle, which were either held
+    /// before or just fetched.
     pub(super) fn replace(
         &mut self,
         sections: &BTreeMap<String, Digest>,
--- a/crates/control/src/agent/watch.rs
+++ b/crates/control/src/agent/watch.rs
@@ -1,4 +1,5 @@
-//! Follows the cluster view from a core; without one within reach, reads what the stores know.
+//! Follows the cluster view from a core, and polls the stores' meta state while no core is
+//! reachable.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,13 +16,13 @@
 use super::Shared;
 use crate::view::{Applied, apply_item};
 
-/// Pause before the next core is tried (ours).
+/// Delay before the next core is tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Silence of a core after which another is followed; cores send an empty item each second (ours).
+/// Time without an item after which another core is followed; cores send an empty item each second.
 const SILENCE: Duration = Duration::from_millis(2_500);
 
-/// Pause between reads of the stores' state while no core serves the view (ours).
+/// Time between reads of the stores' meta state while no core serves the view.
 const POLL_PAUSE: Duration = Duration::from_millis(500);
 
 pub(super) async fn run(shared: Arc<Shared>) {
@@ -37,43 +38,43 @@
     }
 }
 
-/// Cores to follow, in random order, so that nodes spread over them.
+/// Returns the cores in random order, so that nodes spread over them.
 fn cores(shared: &Shared) -> Vec<SocketAddr> {
     let mut cores = shared.peers().addresses(NodeRole::Core);
     cores.shuffle(&mut rand::rng());
     cores
 }
 
-/// Follows one core until it ends the stream or is gone.
+/// Follows one core until it ends the stream or stops responding.
 async fn follow(shared: &Shared, core: SocketAddr) {
     let request = WatchView { from: shared.identity.address.clone() };
     let opened = shared.client.open(core, &request, shared.deadline()).await;
     let Ok(mut items) = opened else { return };
     loop {
         let Ok(next) = timeout(SILENCE, items.next()).await else {
-            info!(%core, "the core that served the view has gone silent");
+            info!(%core, "view stream timed out; trying another core");
             return;
         };
         match next {
             Ok(Some(item)) => {
                 shared.reach.core_answered();
                 if !take(shared, item) {
-                    debug!(%core, "view has a gap, following anew");
+                    debug!(%core, "view stream has a gap; reopening it");
                     return;
                 }
             }
             Ok(None) => return,
             Err(error) => {
-                info!(%core, %error, "lost the core that served the view");
+                info!(%core, %error, "view stream failed; trying another core");
                 return;
             }
         }
     }
 }
 
-/// Takes an item; false when it does not follow what is known.
+/// Applies an item; returns false if it does not follow the known revision.
 fn take(shared: &Shared, item: ViewItem) -> bool {
-    // A sign of life, each second; the view is not copied for it.
+    // A keepalive without changes, sent each second; the view is not copied for it.
     if matches!(&item, ViewItem::Changes { to, .. } if *to <= shared.view.borrow().revision) {
         return true;
     }
@@ -89,7 +90,7 @@
     applied != Applied::Gap
 }
 
-/// Members that an item tells of.
+/// Returns the members that an item adds or updates.
 fn members_of(item: &ViewItem) -> Vec<SharedMember> {
     let of_change = |change: &ViewChange| match change {
         ViewChange::Member(member) => Some(member.clone()),
@@ -110,7 +111,7 @@
     }
 }
 
-/// Reads the meta state from the stores. Members and engines stay as last heard.
+/// Reads the meta state from the stores. Members and engines keep their last known state.
 async fn poll(shared: &Shared) {
     let answer = shared.state.query_meta(&MetaQuery::State, shared.deadline()).await;
     let Ok(MetaAnswer::State(state)) = answer else { return };
@@ -127,7 +128,7 @@
     }
 }
 
-/// Whether a state read from a quorum is not older than one heard of before.
+/// Returns whether a state read from a quorum is not older than the known one.
 fn is_later(read: &MetaState, known: &MetaState) -> bool {
     let version = |state: &MetaState| state.bundle.as_ref().map(|b| b.version);
     let epoch = |state: &MetaState| state.leader.as_ref().map(|l| (l.epoch, l.renewal));
--- a/crates/control/src/backends/follower.rs
+++ b/crates/control/src/backends/follower.rs
@@ -1,4 +1,4 @@
-//! A gateway's side: follows the list of one core after the other.
+//! Gateway side: follows the platform's list from one core at a time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,23 +14,23 @@
 use super::BackendList;
 use crate::NodeContext;
 
-/// Name of this reason for not being ready.
+/// Name of this component among the reasons for not being ready.
 const COMPONENT: &str = "backends";
 
-/// Silence of a core after which another is followed (ours: a core sends an item with each reading, each second
-/// or oftener).
+/// Time without an item after which another core is followed; a core sends an item with each read,
+/// at least once per second.
 const SILENCE: Duration = Duration::from_millis(1_800);
 
-/// Longest wait for a core to take the request (ours).
+/// Timeout for opening a stream to a core.
 const OPEN_TIME: Duration = Duration::from_millis(800);
 
-/// Pause before the next core is tried (ours).
+/// Delay before the next core is tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// The list as this node last heard it; `None` before the first time.
+/// Receiver of the latest list; `None` until the first one arrives.
 pub type BackendWatch = watch::Receiver<Option<Arc<BackendList>>>;
 
-/// Follows the list.
+/// Follows the platform's list of backends.
 #[derive(Debug)]
 pub struct BackendFollower {
     context: NodeContext,
@@ -38,20 +38,20 @@
 }
 
 impl BackendFollower {
-    /// A follower that has heard nothing; the node is not ready until it has.
+    /// Creates a follower. The node is not ready until the first list arrives.
     #[must_use]
     pub fn new(context: NodeContext) -> Self {
-        context.node.readiness.unready(COMPONENT, "the list of back ends is not known yet");
+        context.node.readiness.unready(COMPONENT, "the list of backends is not known yet");
         Self { context, list: watch::Sender::new(None) }
     }
 
-    /// The list, as it changes.
+    /// Returns a receiver of the list.
     #[must_use]
     pub fn watch(&self) -> BackendWatch {
         self.list.subscribe()
     }
 
-    /// Follows cores, one after the other, for ever.
+    /// Follows cores, one after the other; never returns.
     pub async fn run(self) {
         loop {
             for core in self.cores() {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Cores to follow: those of the view, own zone first, the rest in random order; then the seeds.
+    /// Returns the cores to follow: those of the view, own zone first and otherwise in random
+    /// order, then the seeds.
     fn cores(&self) -> Vec<SocketAddr> {
         let view = self.context.node.view.borrow().clone();
         let own_zone = &self.context.identity.address.zone;
@@ -79,7 +80,7 @@
         addresses
     }
 
-    /// Follows one core until it ends the stream or falls silent.
+    /// Follows one core until it ends the stream or stops responding.
     async fn follow(&self, core: SocketAddr) {
         let request = WatchBackends { from: self.context.identity.address.clone() };
         let deadline = Instant::now() + OPEN_TIME;
@@ -95,6 +96,6 @@
                 self.context.node.readiness.ready(COMPONENT);
             }
         }
-        info!(%core, "no longer following this core's list of back ends");
+        info!(%core, "backend list stream ended; trying another core");
     }
 }
--- a/crates/control/src/backends/list.rs
+++ b/crates/control/src/backends/list.rs
@@ -1,4 +1,4 @@
-//! The list as a value, and the difference of two. Pure.
+//! List of backends, and the difference between two lists. Pure: no I/O.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,50 +6,50 @@
 use hooklug_protocol::backends::{BackendsItem, ListedBackend};
 use hooklug_types::EngineId;
 
-/// Back ends by id. Cheap to clone.
+/// Backends by id. Cheap to clone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BackendList {
     entries: BTreeMap<EngineId, Arc<ListedBackend>>,
 }
 
 impl BackendList {
-    /// A list of these back ends.
+    /// Creates a list of backends.
     #[must_use]
     pub fn new(backends: impl IntoIterator<Item = ListedBackend>) -> Self {
         let entries = backends.into_iter().map(|b| (b.id.clone(), Arc::new(b))).collect();
         Self { entries }
     }
 
-    /// All back ends, by id.
+    /// Iterates over all backends, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<ListedBackend>> {
         self.entries.values()
     }
 
-    /// A back end by its id.
+    /// Returns a backend by its id.
     #[must_use]
     pub fn get(&self, id: &EngineId) -> Option<&Arc<ListedBackend>> {
         self.entries.get(id)
     }
 
-    /// How many there are.
+    /// Returns the number of backends.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the list is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The whole list as an item.
+    /// Returns a stream item with the full list.
     #[must_use]
     pub fn whole(&self) -> BackendsItem {
         BackendsItem::Whole(self.iter().map(|backend| ListedBackend::clone(backend)).collect())
     }
 
-    /// What leads a follower that holds `earlier` to this list.
+    /// Returns a stream item with the changes that turn `earlier` into this list.
     #[must_use]
     pub fn changes_since(&self, earlier: &Self) -> BackendsItem {
         let differs = |b: &&Arc<ListedBackend>| earlier.entries.get(&b.id) != Some(*b);
@@ -59,7 +59,7 @@
         BackendsItem::Changes { changed, gone }
     }
 
-    /// Applies an item; whether anything changed.
+    /// Applies a stream item and returns whether the list changed.
     pub fn apply(&mut self, item: BackendsItem) -> bool {
         match item {
             BackendsItem::Whole(backends) => {
--- a/crates/control/src/backends/mod.rs
+++ b/crates/control/src/backends/mod.rs
@@ -1,7 +1,8 @@
-//! The platform's list of back ends, read by the cores and followed by all gateways.
+//! The platform's list of backends, read by the cores and followed by all gateways.
 //!
-//! Each core reads the list by itself, so that neither the loss of the core leader nor an election holds news of a
-//! draining back end up. A gateway follows one core and goes on to another when it falls silent.
+//! Reading the list does not depend on the core leader, so neither its loss nor an election delays
+//! the report of a draining backend. A gateway follows one core and switches to another when it
+//! stops responding.
 
 mod follower;
 mod list;
--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -1,7 +1,8 @@
-//! A core's side: has the list read again and again, and serves it to followers.
+//! Core side: reads the platform's list at intervals and serves it to followers.
 //!
-//! One core reads it for all, since the platform bounds and prices readings: the first of the cores that live. The
-//! others follow that one, and read the list themselves as soon as it falls silent.
+//! One core reads the list for all, since the platform limits and charges for reads: the live core
+//! with the lowest address. The others follow that core, and read the list themselves as soon as it
+//! stops responding.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,34 +20,34 @@
 use super::BackendList;
 use crate::{InstalledBundle, NodeContext};
 
-/// Age of the last reading at which the list is no longer served (ours): followers try another core.
+/// Age of the last read at which the list is no longer served, so that followers try another core.
 const STALE_AFTER: Duration = Duration::from_secs(3);
 
-/// Silence of the core that reads for all after which another reads the list itself (ours).
+/// Time without an item from the core that reads for all after which another reads the list itself.
 const FIRST_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for that core to take the request (ours).
+/// Timeout for opening a stream to that core.
 const OPEN_TIME: Duration = Duration::from_millis(500);
 
-/// Why the platform's list could not be read; the last one read stays in use for a while.
+/// Error of a read of the platform's list; the last list read stays in use for a while.
 #[derive(Debug, thiserror::Error)]
-#[error("the platform's list cannot be read: {0}")]
+#[error("cannot read the platform's backend list: {0}")]
 pub struct SourceError(pub String);
 
-/// Where the platform's list comes from.
+/// Source of the platform's list of backends.
 #[async_trait]
 pub trait BackendSource: Send + Sync {
-    /// Reads the whole list.
+    /// Reads the complete list.
     ///
     /// # Errors
-    /// [`SourceError`] when any part of it could not be had.
+    /// [`SourceError`] if any part of the list is unavailable.
     async fn read(&self) -> Result<Vec<ListedBackend>, SourceError>;
 }
 
-/// The bundle in force here, as it changes.
+/// Receiver of the installed bundle.
 pub type BundleWatch = watch::Receiver<Option<Arc<InstalledBundle>>>;
 
-/// One reading of the list.
+/// The list and the time at which it was read.
 #[derive(Debug, Clone, Default)]
 struct Reading {
     list: BackendList,
@@ -66,8 +67,8 @@
 }
 
 impl BackendReader {
-    /// Answers to followers. Each frame names the bundle that is in force here, so one is sent with each new bundle too:
-    /// followers then hear of it at once.
+    /// Handles requests of followers. Each frame names the installed bundle, so an item is also
+    /// sent with each new bundle to announce it to followers at once.
     #[must_use]
     pub fn rpc_router(&self, bundle: BundleWatch) -> Router {
         let readings = self.reading.clone();
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Keeps the list fresh, for ever; `pause` lies between two readings.
+    /// Keeps the list up to date and never returns; `pause` is the delay between two reads.
     pub async fn run(&self, context: &NodeContext, source: &dyn BackendSource, pause: Duration) {
         loop {
             if let Some(first) = first_core(context) {
@@ -91,11 +92,12 @@
     async fn read(&self, source: &dyn BackendSource) {
         match source.read().await {
             Ok(backends) => self.publish(BackendList::new(backends)),
-            Err(error) => warn!(%error, "the last list stays in use"),
+            Err(error) => warn!(%error, "the last backend list stays in use"),
         }
     }
 
-    /// Follows the core that reads for all, until it falls silent.
+    /// Follows the core that reads for all, until it stops responding or another core takes its
+    /// role.
     async fn follow(&self, context: &NodeContext, first: SocketAddr) {
         let request = WatchBackends { from: context.identity.address.clone() };
         let deadline = Instant::now() + OPEN_TIME;
@@ -108,7 +110,7 @@
                 return;
             }
         }
-        info!(%first, "the core that reads the list is silent, reading it here");
+        info!(%first, "stream from the core that reads the backend list ended; reading the list on this core");
     }
 
     fn publish(&self, list: BackendList) {
@@ -116,8 +118,8 @@
     }
 }
 
-/// The core that reads the list for all: the one with the lowest address among those that live; `None` when that is
-/// this one.
+/// Returns the core that reads the list for all, the live one with the lowest address; `None` if
+/// that is this core.
 fn first_core(context: &NodeContext) -> Option<SocketAddr> {
     let view = context.node.view.borrow();
     let lives = |m: &&Member| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive;
@@ -126,8 +128,8 @@
     (first < context.identity.address.rpc).then_some(first)
 }
 
-/// Sends the whole list, then an item with each reading and each new bundle, until the list is stale or the follower
-/// gone.
+/// Sends the full list, then an item for each read and each new bundle, until the list is stale or
+/// the follower disconnects.
 async fn serve(
     mut readings: watch::Receiver<Reading>,
     mut bundle: BundleWatch,
--- a/crates/control/src/core/discovery.rs
+++ b/crates/control/src/core/discovery.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's list each second and probes the engines each second. The cores share the addresses
-//! out among themselves; the leader gathers what they find.
+//! Discovers application engines: reads the platform's list and probes the engines each second. The
+//! cores divide the addresses among themselves; the leader collects the results.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use super::probe::probe;
 use crate::figures;
 
-/// Pause between rounds (design: each second).
+/// Time between rounds (design document: each second).
 const ROUND: Duration = Duration::from_secs(1);
 
-/// Probes under way at once (ours).
+/// Maximum number of concurrent probes.
 const PROBES_AT_ONCE: usize = 128;
 
-/// Longest wait for the leader to take a report (ours).
+/// Timeout for sending a report to the leader.
 const REPORT_TIME: Duration = Duration::from_millis(700);
 
 pub(super) async fn run(shared: &Shared) {
@@ -39,7 +39,7 @@
             Ok(list) => listed = list,
             Err(error) => {
                 figures::list_not_read();
-                warn!(%error, "the platform's list cannot be read, the last one stays in use");
+                warn!(%error, "cannot read the platform's engine list; the last one stays in use");
             }
         }
         if shared.leadership.epoch().is_some() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The leader probes its own share, and what nobody told of lately.
+/// Probes the leader's share of the addresses, and those without a recent result.
 async fn lead_round(shared: &Shared, listed: &[ListedEngine]) {
     let mut addresses = {
         let mut engines = shared.engines();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Another core probes its share and tells the leader.
+/// Probes the share of a core that does not lead, and reports the results to the leader.
 async fn follow_round(shared: &Shared, listed: &[ListedEngine], leader: SocketAddr) {
     let view = shared.published.view();
     let known = view.engines.values().map(|e| e.address);
@@ -74,7 +74,7 @@
         return;
     }
     let deadline = tokio::time::Instant::now() + REPORT_TIME;
-    // What the leader does not get it probes itself.
+    // If the report is lost, the leader probes these addresses itself.
     let _ = shared.ctx.client.call(leader, &ReportProbes { outcomes }, deadline).await;
 }
 
@@ -96,7 +96,8 @@
     living.map(|m| m.address.node).chain([own]).collect()
 }
 
-/// The core that probes an address, by rendezvous hashing: a core that comes or goes moves only its share.
+/// Returns the core that probes an address, by rendezvous hashing: a core that joins or leaves
+/// moves only its own share.
 fn chosen(cores: &BTreeSet<NodeId>, address: SocketAddr) -> Option<NodeId> {
     cores.iter().copied().max_by_key(|core| Digest::of(format!("{core}/{address}").as_bytes()))
 }
--- a/crates/control/src/core/engines.rs
+++ b/crates/control/src/core/engines.rs
@@ -1,5 +1,5 @@
-//! The application engines: the platform's list joined with each engine's own word. Pure: time and
-//! answers are passed in.
+//! Table of the application engines: the platform's list combined with the probe result of each
+//! engine. Pure: time and probe results are passed in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 
 use super::platform::ListedEngine;
 
-/// Probes in a row without an answer after which an engine counts as unhealthy (ours: two; a refused
-/// connection counts at once).
+/// Consecutive probes without a response that are tolerated: an engine is unhealthy after the
+/// second one. A refused connection counts at once.
 const FAILURES_TOLERATED: u32 = 1;
 
-/// Time without an answer after which an engine leaves the view (ours).
+/// Time without a response after which an engine is removed from the view.
 const FORGET_AFTER: Duration = Duration::from_secs(15);
 
-/// Time without word of an address after which the leader probes it itself (ours).
+/// Time without a probe result of an address after which the leader probes it itself.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_800);
 
 #[derive(Debug, Clone)]
@@ -32,12 +32,12 @@
 pub struct EngineTable {
     listed: BTreeMap<SocketAddr, ZoneName>,
     entries: BTreeMap<EngineId, Entry>,
-    /// When each address was last told of, by whichever core.
+    /// Time of the last probe result of each address, from any core.
     told: BTreeMap<SocketAddr, Instant>,
 }
 
 impl EngineTable {
-    /// Takes over what the former leader knew.
+    /// Creates a table from the engines of the previous leader's view.
     #[must_use]
     pub fn take_over(engines: &BTreeMap<EngineId, ApplicationEngine>, now: Instant) -> Self {
         let entry =
@@ -46,19 +46,20 @@
         Self { entries, ..Self::default() }
     }
 
-    /// Takes the platform's list as it was read now.
+    /// Replaces the platform's list with the one read last.
     pub fn set_list(&mut self, list: Vec<ListedEngine>) {
         self.listed = list.into_iter().map(|e| (e.address, e.zone)).collect();
     }
 
-    /// Addresses to probe: those listed, and those of engines known before, since the list lags.
+    /// Returns the addresses to probe: those listed and those of known engines, since the list
+    /// lags.
     #[must_use]
     pub fn addresses(&self) -> BTreeSet<SocketAddr> {
         let known = self.entries.values().map(|e| e.engine.address);
         self.listed.keys().copied().chain(known).collect()
     }
 
-    /// Addresses to probe that no core has told of lately.
+    /// Returns the addresses to probe for which no core has sent a recent result.
     #[must_use]
     pub fn overdue(&self, now: Instant) -> BTreeSet<SocketAddr> {
         let lately = |address: &SocketAddr| {
@@ -68,7 +69,7 @@
         self.addresses().into_iter().filter(|address| !lately(address)).collect()
     }
 
-    /// Takes the outcome of a probe.
+    /// Records the result of a probe.
     pub fn probed(&mut self, outcome: &ProbeOutcome, now: Instant) {
         let address = outcome.address;
         self.told.insert(address, now);
@@ -81,7 +82,7 @@
     }
 
     fn answered(&mut self, address: SocketAddr, told: &ProbedEngine, now: Instant) {
-        // Whoever was known at this address is not there any more.
+        // Any other engine known at this address is no longer there.
         self.entries.retain(|id, e| e.engine.address != address || *id == told.engine);
         let known = self.entries.get(&told.engine);
         if known.is_some_and(|e| e.engine.incarnation > told.incarnation) {
@@ -111,13 +112,13 @@
         }
     }
 
-    /// Forgets engines that have not answered for long.
+    /// Removes engines that have not responded for [`FORGET_AFTER`].
     pub fn look(&mut self, now: Instant) {
         self.entries.retain(|_, e| now.saturating_duration_since(e.last_answer) < FORGET_AFTER);
         self.told.retain(|_, at| now.saturating_duration_since(*at) < FORGET_AFTER);
     }
 
-    /// The engines as the view shows them.
+    /// Returns the engines as shown in the view.
     #[must_use]
     pub fn engines(&self) -> BTreeMap<EngineId, ApplicationEngine> {
         self.entries.iter().map(|(id, e)| (id.clone(), e.engine.clone())).collect()
--- a/crates/control/src/core/follower.rs
+++ b/crates/control/src/core/follower.rs
@@ -1,4 +1,4 @@
-//! While another core leads, this one follows its view and serves it on.
+//! Follows the leader's view while another core leads, and serves it from this core.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,8 @@
 use super::Shared;
 use crate::view::{Applied, apply_item};
 
-/// Silence of the leader after which it is followed anew; it sends an empty item each second (ours).
+/// Time without an item after which the stream is reopened; the leader sends an empty item each
+/// second.
 const SILENCE: Duration = Duration::from_millis(2_500);
 
 const OPEN_TIME: Duration = Duration::from_secs(1);
@@ -40,7 +41,7 @@
     let mut view = ClusterView::default();
     while let Ok(Ok(Some(item))) = timeout(SILENCE, items.next()).await {
         if apply_item(&mut view, item) == Applied::Gap {
-            debug!(%leader, "the leader's view has a gap, following anew");
+            debug!(%leader, "view stream of the leader has a gap; reopening it");
             return;
         }
         shared.published.publish(view.clone());
--- a/crates/control/src/core/inbox.rs
+++ b/crates/control/src/core/inbox.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and reports of harm that wait for the controllers of the core leader.
+//! Heartbeats and harm reports that are queued for the controllers of the core leader.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,28 +9,28 @@
 use hooklug_types::NodeId;
 use tokio::sync::Notify;
 
-/// What waits for longer than this is dropped (ours): a core that follows takes in what it cannot forward,
-/// and must not act on old evidence when it leads one day.
+/// Age above which queued items are dropped. A core that follows queues what it cannot forward, and
+/// must not act on old evidence if it becomes the leader later.
 const WORTH_TIME: Duration = Duration::from_secs(10);
 
-/// Statistics that may wait; older ones give way.
+/// Maximum number of queued statistics; the oldest are dropped first.
 const MOST_STATISTICS: usize = 10_000;
 
-/// Reports of harm that may wait.
+/// Maximum number of queued harm reports.
 const MOST_REPORTS: usize = 256;
 
-/// What came in since the controllers looked last.
+/// Everything that arrived since the controllers last read the inbox.
 #[derive(Debug, Default)]
 pub struct Received {
     /// The last heartbeat of each node, without its statistics.
     pub heartbeats: Vec<Heartbeat>,
     /// Statistics of all heartbeats.
     pub statistics: Vec<VersionStatistics>,
-    /// Harm that gateways found by their own evidence.
+    /// Reports of harmful versions that gateways detected themselves.
     pub harm: Vec<HarmReport>,
 }
 
-/// Something and when it came in.
+/// A value and the time at which it arrived.
 #[derive(Debug)]
 struct Dated<T> {
     at: Instant,
@@ -54,7 +54,7 @@
     harm: Vec<Dated<HarmReport>>,
 }
 
-/// The inbox.
+/// Queue of heartbeats and harm reports for the controllers of the core leader.
 #[derive(Debug, Default)]
 pub struct Inbox {
     waiting: Mutex<Waiting>,
@@ -66,7 +66,7 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a heartbeat in.
+    /// Queues a heartbeat, which replaces the previous one of its node, and its statistics.
     pub fn put_heartbeat(&self, mut heartbeat: Heartbeat, now: Instant) {
         let statistics = std::mem::take(&mut heartbeat.statistics);
         let mut waiting = self.lock();
@@ -79,7 +79,7 @@
         self.arrived.notify_one();
     }
 
-    /// Puts a report of harm in.
+    /// Queues a harm report, unless the same report is queued already or the queue is full.
     pub fn put_harm(&self, harm: HarmReport, now: Instant) {
         let mut waiting = self.lock();
         waiting.harm.retain(|known| known.is_worth(now) && known.value != harm);
@@ -90,7 +90,7 @@
         self.arrived.notify_one();
     }
 
-    /// Takes all that came in lately.
+    /// Removes all queued items and returns those that are not too old.
     pub fn take(&self, now: Instant) -> Received {
         let waiting = std::mem::take(&mut *self.lock());
         Received {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Waits until something has come in.
+    /// Waits until an item has arrived.
     pub async fn arrived(&self) {
         self.arrived.notified().await;
     }
--- a/crates/control/src/core/inbox/tests.rs
+++ b/crates/control/src/core/inbox/tests.rs
@@ -1,4 +1,4 @@
-//! What waits too long is dropped; what came in lately is not.
+//! Queued items that are too old are dropped; recent ones are returned.
 
 use std::time::{Duration, Instant};
 
--- a/crates/control/src/core/leader.rs
+++ b/crates/control/src/core/leader.rs
@@ -1,5 +1,5 @@
-//! What the core leader does: gathers heartbeats, probes and the meta state into the view, and runs the
-//! controllers. All of it ends with its lease.
+//! Tasks of the core leader: builds the view from heartbeats, probes and the meta state, and runs
+//! the controllers. All of them end with its lease.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,43 +19,44 @@
 use crate::judge::JudgedVersion;
 use crate::view::first_revision;
 
-/// Pause between two looks at members and engines (ours).
+/// Time between updates of members and engines.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause between reads of the meta state, when nothing tells that it changed (ours).
+/// Time between reads of the meta state while nothing reports a change of it.
 const META_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest wait of the leader for its own copy of a bundle before it tells of it (ours).
+/// Longest wait of the leader for its own copy of a bundle before it announces the bundle.
 const HOLD_TIME: Duration = Duration::from_secs(1);
 
-/// Least pause between two looks, however many heartbeats come in (ours).
+/// Minimum time between two updates, however many heartbeats arrive.
 const LEAST_PAUSE: Duration = Duration::from_millis(25);
 
-/// Longest wait for the meta state (ours).
+/// Timeout of a read of the meta state.
 const META_TIME: Duration = Duration::from_secs(1);
 
-/// A leader that followed no view before gathers heartbeats for so long before it shows its own (ours: the
-/// time between heartbeats, and some).
+/// Time for which a leader that followed no view before collects heartbeats before it publishes its
+/// own view; must exceed the time between heartbeats.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 
-/// An engine that was lost counts as "lately" for so long (ours).
+/// Time for which the loss of an engine counts as recent.
 const LOST_LATELY: Duration = Duration::from_secs(10);
 
-/// Silence of an engine's node that counts as a loss before the node is even suspected (ours).
+/// Time without a heartbeat after which a node's engine counts as lost, before the node is even
+/// suspect.
 const SILENCE_OF_LOSS: Duration = Duration::from_millis(1_500);
 
-/// What the controllers of one leadership share.
+/// State shared by the controllers of one leadership.
 #[derive(Debug)]
 pub(super) struct Leading {
     pub(super) epoch: FencingEpoch,
     pub(super) meta: watch::Sender<Option<CopyOnWrite<MetaState>>>,
-    /// Set when this leader changed the meta state itself.
+    /// Notified when this leader itself changed the meta state.
     pub(super) meta_due: Notify,
     lost: Mutex<VecDeque<(Instant, JudgedVersion)>>,
 }
 
 impl Leading {
-    /// Versions that lost an engine lately.
+    /// Returns the versions that lost an engine recently.
     pub(super) fn lost_lately(&self, now: Instant) -> BTreeSet<JudgedVersion> {
         let mut lost = self.lost.lock().unwrap_or_else(PoisonError::into_inner);
         lost.retain(|(at, _)| now.saturating_duration_since(*at) < LOST_LATELY);
@@ -68,8 +69,9 @@
     }
 }
 
-/// Pause after the lease has run out by this core's clock and before its epoch is given up (ours). The lease may yet be
-/// renewed under the same epoch; without a pause this task would run in circles, and the renewal in it never.
+/// Delay after the lease has expired by this core's clock and before its epoch is given up. The
+/// lease may still be renewed under the same epoch; without the delay this task would spin and the
+/// renewal, which runs in the same task, would never run.
 const LAPSE_PAUSE: Duration = Duration::from_millis(100);
 
 /// Leads whenever this core holds the lease.
@@ -93,7 +95,7 @@
     tokio::time::sleep(LAPSE_PAUSE).await;
 }
 
-/// Runs all controllers under one epoch, until the lease is lost.
+/// Runs all controllers under one epoch until the lease is lost.
 async fn lead(shared: &Arc<Shared>, epoch: FencingEpoch) {
     let now = Instant::now();
     let inherited = shared.published.view();
@@ -118,7 +120,7 @@
     }
 }
 
-/// Reads the meta state again and again, at once when a newer bundle is heard of.
+/// Reads the meta state at intervals, and at once when a newer bundle is reported.
 async fn refresh_meta(shared: &Shared, leading: &Leading) {
     let mut news = shared.ctx.identity.bundles.watch_newest();
     loop {
@@ -144,8 +146,9 @@
     }
 }
 
-/// Waits until this node holds the newest bundle itself, since all others will ask it for the sections; not
-/// for long, since others may have more luck.
+/// Waits until this node has installed the newest bundle, since all other nodes will fetch its
+/// sections from here. The wait is bounded, since other nodes may be able to fetch it when this one
+/// is not.
 async fn hold_bundle(shared: &Shared, state: Option<&MetaState>) {
     let Some(version) = state.and_then(|s| s.bundle.as_ref()).map(|b| b.version) else { return };
     shared.ctx.identity.bundles.saw(version);
@@ -154,7 +157,7 @@
     let _ = tokio::time::timeout(HOLD_TIME, held).await;
 }
 
-/// Renewals of the leader's lease are no change of the view.
+/// Clears the renewal number of the leader's lease, since a renewal is no change of the view.
 fn without_renewal(mut state: MetaState) -> MetaState {
     if let Some(leader) = &mut state.leader {
         leader.renewal = Renewal(0);
@@ -162,7 +165,7 @@
     state
 }
 
-/// Keeps the view up to date; returns when the lease is lost.
+/// Keeps the view up to date until the lease is lost.
 async fn keep_view(shared: &Shared, leading: &Leading, inherited: &ClusterView) {
     let started = Instant::now();
     let warm_up = if inherited.revision.0 == 0 { WARM_UP } else { Duration::ZERO };
@@ -203,7 +206,7 @@
     }
 }
 
-/// The parts of a view, when the meta state is known.
+/// The parts of a view, available once the meta state is known.
 struct Parts {
     members: MemberMap,
     engines: BTreeMap<EngineId, ApplicationEngine>,
@@ -222,7 +225,7 @@
     Some(Parts { members: members.members(), engines: engines.engines(), meta })
 }
 
-/// Publishes the view when it changed.
+/// Publishes the view if it changed, and marks it as up to date.
 fn show(shared: &Shared, shown: &mut ClusterView, next: Parts) {
     let same_engines = *shown.engines == next.engines;
     let same = shown.members == next.members && same_engines && shown.meta == next.meta;
@@ -236,7 +239,8 @@
     shared.published.refresh();
 }
 
-/// Versions of engines that were well in the shown view and are not now, or whose node is silent.
+/// Returns the versions of engines that were healthy in the published view and no longer are, or
+/// whose node has stopped sending heartbeats.
 fn lost_versions(
     shown: &ClusterView,
     next: &Option<Parts>,
--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -1,5 +1,5 @@
-//! The core leader's lease: renewed each half second, given up by the leader's own clock before any
-//! other core can have taken it.
+//! The core leader's lease: renewed every half second, and given up by the leader's own clock
+//! before any other core can acquire it.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -13,20 +13,21 @@
 
 use crate::{NodeContext, figures};
 
-/// Lease of the core leader, counted on its own clock from sending the last accepted renewal (design,
-/// section 3: 3 s; stores wait for longer before they let another core take it).
+/// Duration of the core leader's lease, measured on its own clock from the time at which the last
+/// accepted renewal was sent (design document, section 3: 3 s). Stores wait longer before they let
+/// another core acquire it.
 pub const LEASE_TIME: Duration = Duration::from_secs(3);
 
-/// Pause between renewals (ours).
+/// Time between renewals.
 const RENEW_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest pause before a core that follows looks again whether the lease has run out (ours).
+/// Longest time between checks by a core that follows whether the lease has expired.
 const LOOK_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest wait for one answer of the stores (ours).
+/// Timeout of a request to the stores.
 const CALL_TIME: Duration = Duration::from_secs(1);
 
-/// Leadership of this core, as far as its own clock lets it claim it.
+/// Leadership state of this core, valid as long as the lease is fresh by its own clock.
 #[derive(Debug)]
 pub struct Leadership {
     epoch: watch::Sender<Option<FencingEpoch>>,
@@ -46,7 +47,7 @@
 }
 
 impl Leadership {
-    /// The epoch that this core leads under, if its lease is fresh.
+    /// Returns the epoch under which this core leads, if its lease is fresh.
     #[must_use]
     pub fn epoch(&self) -> Option<FencingEpoch> {
         let accepted = *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner);
@@ -54,13 +55,13 @@
         self.epoch.borrow().filter(|_| fresh)
     }
 
-    /// Follows changes of this core's epoch.
+    /// Returns a receiver of this core's epoch.
     #[must_use]
     pub fn watch_epoch(&self) -> watch::Receiver<Option<FencingEpoch>> {
         self.epoch.subscribe()
     }
 
-    /// The leader as last read from the stores, this core or another.
+    /// Returns a receiver of the leader as last read from the stores, whether this core or another.
     #[must_use]
     pub fn watch_leader(&self) -> watch::Receiver<Option<CoreLeader>> {
         self.known.subscribe()
@@ -84,7 +85,7 @@
         self.epoch.send_if_modified(|held| held.take().is_some());
     }
 
-    /// Takes, renews and loses the leadership, for ever.
+    /// Acquires, renews and gives up the leadership; never returns.
     pub async fn run(&self, ctx: &NodeContext) {
         loop {
             let pause = match self.held_epoch() {
@@ -105,11 +106,11 @@
         match ctx.state.execute_meta(&command, sent + CALL_TIME).await {
             Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => self.accept(leader, sent),
             Ok(reply) => {
-                warn!(%epoch, ?reply, "no longer the core leader");
+                warn!(%epoch, ?reply, "lost core leadership: renewal rejected");
                 self.give_up();
             }
             Err(error) if self.epoch().is_none() => {
-                warn!(%epoch, %error, "lease of the core leader has run out");
+                warn!(%epoch, %error, "lost core leadership: lease expired");
                 self.give_up();
             }
             Err(_) => {}
@@ -146,7 +147,7 @@
         let sent = Instant::now();
         match ctx.state.execute_meta(&command, sent + CALL_TIME).await {
             Ok(MetaReply::Leader(leader)) if leader.core == own.node => {
-                info!(epoch = %leader.epoch, "leads the cores");
+                info!(epoch = %leader.epoch, "acquired core leadership");
                 self.accept(leader, sent);
                 RENEW_PAUSE
             }
@@ -159,7 +160,7 @@
     }
 }
 
-/// Has a lease ended by the stores; otherwise how long to wait before asking again.
+/// Expires a lease through the stores; otherwise returns how long to wait before the next attempt.
 async fn expire(ctx: &NodeContext, leader: &CoreLeader) -> Result<(), Duration> {
     let (epoch, address) = (leader.epoch, ctx.identity.address.rpc);
     let subject = if leader.address == address {
--- a/crates/control/src/core/members.rs
+++ b/crates/control/src/core/members.rs
@@ -1,4 +1,4 @@
-//! Which nodes live, judged by the core leader from their heartbeats. Pure: time is passed in.
+//! Health of nodes, judged by the core leader from their heartbeats. Pure: time is passed in.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,32 +8,33 @@
 use hooklug_protocol::member_map::MemberMap;
 use hooklug_types::NodeId;
 
-/// Silence after which a node is suspected (ours).
+/// Time without a heartbeat after which a node is suspect.
 pub const SUSPECT_AFTER: Duration = Duration::from_secs(3);
 
-/// Silence after which a node is given up (ours).
+/// Time without a heartbeat after which a node is considered dead.
 pub const DEAD_AFTER: Duration = Duration::from_secs(6);
 
-/// Silence after which a node leaves the view (ours).
+/// Time without a heartbeat after which a node is removed from the view.
 pub const GONE_AFTER: Duration = Duration::from_secs(15);
 
-/// A longer pause between two looks than this means that this process itself was stopped (ours).
+/// Time between two updates above which this process itself is assumed to have been paused.
 const LONGEST_OWN_PAUSE: Duration = Duration::from_secs(1);
 
-/// The nodes that the core leader knows.
+/// The nodes that the core leader knows, and when each sent its last heartbeat.
 #[derive(Debug, Clone, Default)]
 pub struct MemberTable {
-    /// As the view shows them. A heartbeat that tells nothing new changes no member here.
+    /// The members as shown in the view. A heartbeat without changes leaves them untouched.
     members: MemberMap,
-    /// The same nodes as in `members`.
+    /// Time of the last heartbeat; the same nodes as in `members`.
     last_heard: BTreeMap<NodeId, Instant>,
-    /// Who listens at an address; the same nodes again.
+    /// The node that listens at an address; the same nodes as in `members`.
     by_address: HashMap<SocketAddr, NodeId>,
     last_look: Option<Instant>,
 }
 
 impl MemberTable {
-    /// Takes over what the former leader knew; each node gets its full time from now.
+    /// Creates a table from the members of the previous leader's view that are not dead; their
+    /// timeouts start anew at `now`.
     #[must_use]
     pub fn take_over(members: &MemberMap, now: Instant) -> Self {
         let mut table = Self { last_look: Some(now), ..Self::default() };
@@ -45,8 +46,8 @@
         table
     }
 
-    /// Takes a heartbeat. One of an earlier run changes nothing; a node at the address of an earlier one
-    /// replaces it.
+    /// Records a heartbeat. One of an earlier incarnation is ignored; a node at the address of an
+    /// older one replaces it.
     pub fn heard(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let from = &heartbeat.from;
         let holder = self.by_address.get(&from.rpc).copied();
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Looks at the time passed: suspects, gives up and drops silent nodes. A pause of this process itself
-    /// is nobody else's silence.
+    /// Updates the health of all nodes and removes those without a heartbeat for [`REMOVE_AFTER`].
+    /// Time for which this process itself was paused does not count.
     pub fn look(&mut self, now: Instant) {
         let pause =
             self.last_look.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
@@ -108,13 +109,13 @@
         }
     }
 
-    /// How long a node has been silent; `None` for one that is not known.
+    /// Returns the time since the last heartbeat of a node; `None` for an unknown node.
     #[must_use]
     pub fn silence(&self, node: NodeId, now: Instant) -> Option<Duration> {
         self.last_heard.get(&node).map(|heard| now.saturating_duration_since(*heard))
     }
 
-    /// The nodes as the view shows them; costs one pointer.
+    /// Returns the members as shown in the view; copies only one pointer.
     #[must_use]
     pub fn members(&self) -> MemberMap {
         self.members.clone()
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -1,7 +1,8 @@
-//! The core process: one leader by lease runs the controllers, every core serves the view.
+//! The core process: one leader, which holds a lease, runs the controllers; every core serves the
+//! cluster view.
 //!
-//! Cores remember nothing that matters: what must last is in the meta group, and each write of a
-//! controller carries the fencing epoch of the leader.
+//! Cores keep no durable state: what must persist is in the meta group, and each write of a
+//! controller carries the leader's fencing epoch.
 
 mod discovery;
 pub mod engines;
@@ -41,13 +42,14 @@
 use records_told::RecordsTold;
 use slot_uses::SlotUses;
 
-/// Longest wait of a core for the core leader, inside the time that a node waits for the core (ours).
+/// Timeout of a request forwarded to the core leader; must be shorter than the time that a node
+/// waits for the core.
 const FORWARD_TIME: Duration = Duration::from_millis(700);
 
-/// Time over which the figures for operators are added up (ours).
+/// Interval over which the statistics for operators are summed.
 const FIGURES_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the tasks of a core share.
+/// State shared by the tasks of a core.
 #[derive(Debug)]
 struct Shared {
     ctx: NodeContext,
@@ -73,8 +75,9 @@
         self.slot_uses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where the core leader is, when it is another one. A former run of this core is nobody to pass anything on to,
-    /// though the stores may name it for some seconds: at its address is this one.
+    /// Returns the address of the core leader if it is another core. A previous run of this core
+    /// does not count: the stores may still name it as the leader for some seconds, but its address
+    /// now belongs to this run.
     fn other_leader(&self) -> Option<std::net::SocketAddr> {
         let leader = self.leadership.watch_leader().borrow().clone()?;
         let own = &self.ctx.identity.address;
@@ -90,7 +93,7 @@
 }
 
 impl Core {
-    /// A core that does nothing yet.
+    /// Creates a core that is not running yet.
     #[must_use]
     pub fn new(ctx: NodeContext) -> Self {
         let shared = Shared {
@@ -106,7 +109,7 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Answers to nodes.
+    /// Handles requests of nodes.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
         let (beating, watching) = (self.shared.clone(), self.shared.clone());
@@ -161,7 +164,8 @@
 async fn take_heartbeat(shared: &Shared, heartbeat: Heartbeat, from: NodeRole) -> HeartbeatReply {
     shared.ctx.identity.bundles.saw(heartbeat.bundle);
     let leads = shared.leadership.epoch().is_some();
-    // A heartbeat that a core forwarded is kept where it is: cores that disagree must not send it round.
+    // A heartbeat forwarded by a core is not forwarded again, so that cores that disagree about the
+    // leader do not send it in circles.
     let forwarded = from == NodeRole::Core && heartbeat.from.role != NodeRole::Core;
     if !leads
         && !forwarded
@@ -216,14 +220,14 @@
     }
 }
 
-/// What came of passing a question on to the core leader.
+/// Result of forwarding a request to the core leader.
 #[derive(Debug, PartialEq, Eq)]
 enum LeaderAnswer<T> {
-    /// The leader's answer.
+    /// The leader's reply.
     Given(T),
-    /// The leader did not answer.
+    /// The leader did not reply.
     Missing,
-    /// There is nobody to pass it on to: this core leads, knows no leader, or was itself asked by a core.
+    /// Not forwarded: this core leads, knows no leader, or received the request from a core.
     Here,
 }
 
--- a/crates/control/src/core/orders.rs
+++ b/crates/control/src/core/orders.rs
@@ -1,5 +1,6 @@
-//! Carries out ordered roll-outs: a small share first, more as the target does well, all of it before the time is
-//! over; back at once when it does harm. What to do next is decided by pure functions; the loop only carries it out.
+//! Carries out rollouts requested by an operator: a small share first, more while the target does
+//! well, and all requests before the time is over; rolled back at once if the target is harmful.
+//! Pure functions decide on the next phase, and the loop commits it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,24 +15,25 @@
 use super::leader::Leading;
 use crate::judge::{Against, Counts, Finding, compare};
 
-/// Pause between looks (ours).
+/// Time between checks of the rollouts.
 const LOOK_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest wait for one answer of the stores (ours).
+/// Timeout of a request to the stores.
 const COMMIT_TIME: Duration = Duration::from_secs(2);
 
-/// Intervals over which versions are compared (ours): a short one shows harm that begins late.
+/// Intervals over which versions are compared: a short one shows harm that starts late.
 const INTERVALS: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(30)];
 
-/// Fewest answers of the target that say anything (ours).
+/// Minimum number of the target's responses for a comparison.
 const LEAST_SAMPLES: u64 = 5;
 
-/// Answers of the target without which it never gets more than a trial (ours).
+/// Number of the target's responses below which it stays in the first trial step.
 const SAMPLES_TO_SHIFT: u64 = 15;
 
-/// Steps of a roll-out: from this part of its time on, this share of requests goes to the target (ours). Their
-/// sum up to the last but one stays near a tenth of all requests, so that harm that shows only under load is found
-/// while few have met it.
+/// Steps of a rollout: the elapsed fraction of its time at which a step starts, and the phase,
+/// which sets the share of requests that go to the target. Before the last two steps, the target
+/// gets less than a tenth of all requests in total, so that harm that shows only under load is
+/// found while few requests are affected.
 const STEPS: [(f64, RolloutPhase); 6] = [
     (0.0, RolloutPhase::Trial { share_permille: 50 }),
     (0.55, RolloutPhase::Trial { share_permille: 100 }),
@@ -41,16 +43,17 @@
     (0.92, RolloutPhase::Completed),
 ];
 
-/// What is known of a target against the other versions of its service.
+/// Result of comparing a target with the other versions of its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Evidence {
-    /// Answers of the target.
+    /// Number of responses of the target.
     pub samples: u64,
-    /// Whether it does harm.
+    /// Whether the target is harmful.
     pub is_harmful: bool,
 }
 
-/// Compares a target with the other versions of its service, on each route and on all together.
+/// Compares a target with the other versions of its service, on each route and on all routes
+/// together.
 #[must_use]
 pub fn evidence(
     service: &ServiceName,
@@ -71,13 +74,14 @@
     let harmful = routes.iter().any(|(route, (target, others))| {
         let enough = target.total() >= LEAST_SAMPLES && others.total() >= LEAST_SAMPLES;
         let finding = compare(target, others, &thresholds, Against::SameInterval);
-        // Latencies of different routes do not compare.
+        // Latencies are compared only within a route, since those of different routes are not
+        // comparable.
         enough && finding.is_some_and(|f| route.is_some() || f == Finding::Errors)
     });
     Evidence { samples: all, is_harmful: harmful }
 }
 
-/// The phase that a roll-out should be in once this part of its time has passed.
+/// Returns the phase that a rollout should be in after the given fraction of its time.
 #[must_use]
 pub fn next_phase(present: RolloutPhase, part: f64, evidence: Evidence) -> RolloutPhase {
     if present.is_final() {
@@ -91,18 +95,19 @@
     let known = evidence.samples >= SAMPLES_TO_SHIFT;
     let allowed = if known { due } else { 0 };
     match rank(present) {
-        // One step at a time: each is looked at before the next.
+        // One step at a time, so that each is evaluated before the next.
         Some(rank) => STEPS[allowed.clamp(rank, rank + 1).min(STEPS.len() - 1)].1,
         None => STEPS[0].1,
     }
 }
 
-/// When this core first saw each order, and how far it was by then.
+/// When this core first saw each rollout, and how much of its time had passed by then.
 #[derive(Debug, Default)]
 struct Seen(BTreeMap<u64, (Instant, Duration)>);
 
 impl Seen {
-    /// The part of a roll-out's time that has passed. Wall clocks count only once, at the first sight.
+    /// Returns the fraction of a rollout's time that has passed. The wall clock is read only when
+    /// the rollout is first seen.
     fn part(&mut self, record: &RolloutRecord, now: Instant) -> f64 {
         let whole = record.begun.until(record.due).max(Duration::from_millis(1));
         let passed = || record.begun.until(UnixMillis::now()).min(whole);
@@ -136,7 +141,7 @@
         };
         let phase = next_phase(record.phase, part, evidence);
         if phase != record.phase {
-            info!(%service, target = %record.target, ?phase, ?evidence, part, "roll-out goes on");
+            info!(%service, target = %record.target, ?phase, ?evidence, part, "rollout enters a new phase");
             move_on(shared, leading, service, record.number, phase).await;
         }
     }
@@ -153,8 +158,8 @@
     let command = MetaCommand::MoveRollout { epoch, service, number, phase };
     let deadline = tokio::time::Instant::now() + COMMIT_TIME;
     match shared.ctx.state.execute_meta(&command, deadline).await {
-        Ok(MetaReply::Refused(refusal)) => warn!(%refusal, "roll-out not moved on"),
+        Ok(MetaReply::Refused(refusal)) => warn!(%refusal, "change of the rollout's phase refused"),
         Ok(_) => leading.meta_due.notify_one(),
-        Err(error) => warn!(%error, "roll-out not confirmed"),
+        Err(error) => warn!(%error, "change of the rollout's phase not confirmed"),
     }
 }
--- a/crates/control/src/core/platform.rs
+++ b/crates/control/src/core/platform.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's list of engines: an HTTP endpoint or a file. It lags, and may name dead or reused
-//! addresses (docs/BACKENDS.md).
+//! Reads the platform's list of engines from an HTTP endpoint or a file. The list lags, and may
+//! name addresses that are no longer used or were reused (docs/BACKENDS.md).
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 
 use super::probe::{HttpError, get};
 
-/// Where the list is.
+/// Source of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListSource {
     /// An HTTP endpoint.
@@ -26,7 +26,7 @@
 /// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ListedEngine {
-    /// Where it listens, or listened.
+    /// The address at which it listens or listened.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
@@ -37,7 +37,7 @@
     engines: Vec<ListedEngine>,
 }
 
-/// Why the list could not be read; the last one read stays in use.
+/// Error of a read of the list; the last list read stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// The file cannot be read.
@@ -45,20 +45,20 @@
     File {
         /// The file.
         path: PathBuf,
-        /// The system's words.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The endpoint does not answer as it should.
+    /// The endpoint gave no usable response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The content is no list.
-    #[error("the list does not decode: {0}")]
+    /// The content is not a valid list.
+    #[error("cannot decode the list: {0}")]
     Decode(#[from] serde_json::Error),
 }
 
 impl ListSource {
-    /// Reads the setting: `http://ip:port/path`, or a file's path. The settings are checked, so an
-    /// endpoint always has an address.
+    /// Parses the setting: `http://ip:port/path`, or the path of a file. The settings are
+    /// validated, so an endpoint always has an address.
     #[must_use]
     pub fn parse(text: &str) -> Self {
         let endpoint = text.strip_prefix("http://").and_then(|rest| {
@@ -71,7 +71,7 @@
     /// Reads the list.
     ///
     /// # Errors
-    /// [`ListError`].
+    /// [`ListError`] if the list cannot be read or decoded.
     pub async fn read(&self) -> Result<Vec<ListedEngine>, ListError> {
         let bytes = match self {
             Self::Endpoint { address, path } => get(*address, path).await?.to_vec(),
--- a/crates/control/src/core/probe.rs
+++ b/crates/control/src/core/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an engine over HTTP/1.1 who it is and how it is (docs/BACKENDS.md).
+//! Queries the identity and status of an engine over HTTP/1.1 (docs/BACKENDS.md).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use tokio::net::TcpStream;
 use tracing::debug;
 
-/// Longest time for one exchange of probes (ours).
+/// Timeout of one probe or request.
 const EXCHANGE_TIME: Duration = Duration::from_millis(900);
 
-/// Longest body accepted, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why an endpoint gave no answer that can be used.
+/// Why an endpoint gave no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// Nobody listens there.
+    /// The connection was refused.
     #[error("connection refused")]
     Refused,
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No response before the timeout.
+    #[error("request timed out")]
     Timeout,
-    /// The connection broke, or the answer is not whole.
+    /// The connection failed, or the response is incomplete.
     #[error("{0}")]
     Broken(String),
-    /// The answer is not `200`.
-    #[error("answered with status {0}")]
+    /// The status of the response is not `200`.
+    #[error("response has status {0}, expected 200")]
     Status(u16),
-    /// The body is not what the contract says.
-    #[error("the answer does not decode: {0}")]
+    /// The body does not match the contract.
+    #[error("cannot decode the response: {0}")]
     Decode(#[from] serde_json::Error),
 }
 
-/// What kind of back end an engine says that it is.
+/// The kind of backend that an endpoint reports to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum BackendKind {
@@ -49,14 +49,14 @@
     Application,
 }
 
-/// Answer to `GET /identity`.
+/// Response to `GET /identity`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct BackendIdentity {
-    /// Its service.
+    /// The service that it belongs to.
     service: ServiceName,
     /// Its engine id.
     engine: EngineId,
-    /// Its run.
+    /// The incarnation of its process.
     incarnation: Incarnation,
     /// Its version.
     version: ServiceVersion,
@@ -64,23 +64,23 @@
     kind: BackendKind,
 }
 
-/// Answer to `GET /status`.
+/// Response to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct BackendStatus {
-    /// Whether it can take work.
+    /// Whether it can accept work.
     ready: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     draining: bool,
 }
 
-/// Asks identity and status over one connection, so that both are of one process.
+/// Queries identity and status over one connection, so that both describe the same process.
 pub async fn probe(address: SocketAddr) -> ProbeOutcome {
     let exchange = tokio::time::timeout(EXCHANGE_TIME, ask(address)).await;
     let finding = match exchange.unwrap_or(Err(HttpError::Timeout)) {
         Ok(finding) => finding,
         Err(HttpError::Refused) => ProbeFinding::Refused,
         Err(error) => {
-            debug!(%address, %error, "probe without an answer");
+            debug!(%address, %error, "probe failed");
             ProbeFinding::NoAnswer
         }
     };
@@ -106,10 +106,10 @@
     }))
 }
 
-/// One `GET` over a connection of its own.
+/// Sends one `GET` request over a new connection and returns the body.
 ///
 /// # Errors
-/// [`HttpError`].
+/// [`HttpError`] if there is no usable response.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Bytes, HttpError> {
     let exchange = async {
         let mut sender = connect(address).await?;
--- a/crates/control/src/core/published.rs
+++ b/crates/control/src/core/published.rs
@@ -1,4 +1,5 @@
-//! The view that this core serves: made here when it leads, followed from the leader when it does not.
+//! The cluster view that this core serves: built here while it leads, otherwise followed from the
+//! leader.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,16 +12,16 @@
 
 use crate::view::changes;
 
-/// Age of the last sign of the core leader at which a view is no longer served (ours).
+/// Time since the last contact with the core leader at which the view is no longer served.
 const STALE_AFTER: Duration = Duration::from_secs(4);
 
-/// An empty item is sent after so long without changes, as a sign of life (ours).
+/// Time without changes after which an empty item is sent as a keepalive.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// Changes are gathered for so long before they are sent (design, section 7: 100 ms).
+/// Time for which changes are batched before they are sent (design document, section 7: 100 ms).
 const BATCH_TIME: Duration = Duration::from_millis(100);
 
-/// A view and the step that led to it.
+/// A view and the changes that led to it from the previous one.
 #[derive(Debug, Clone, Default)]
 struct Step {
     view: Arc<ClusterView>,
@@ -42,13 +43,13 @@
 }
 
 impl Published {
-    /// The view as it is.
+    /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> Arc<ClusterView> {
         self.step.borrow().view.clone()
     }
 
-    /// Notes a sign of the core leader: the view is as it should be.
+    /// Records that the view was up to date with the core leader's at this time.
     pub fn refresh(&self) {
         *self.fresh_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
     }
@@ -58,7 +59,7 @@
         at.is_some_and(|at| at.elapsed() < STALE_AFTER)
     }
 
-    /// Publishes a newer view; an older one changes nothing.
+    /// Publishes a newer view; an older one is ignored.
     pub fn publish(&self, next: ClusterView) {
         self.step.send_if_modified(|step| {
             if next.revision <= step.view.revision {
@@ -70,7 +71,7 @@
         });
     }
 
-    /// Serves a follower until it is gone or the view is stale.
+    /// Serves a follower until it disconnects or the view is stale.
     pub async fn serve(
         &self,
         sink: ItemSink<<WatchView as hooklug_protocol::StreamRequest>::Item>,
@@ -92,7 +93,7 @@
     }
 }
 
-/// What leads a follower from what it was sent to the present step.
+/// Returns the item that updates a follower from the view last sent to the current one.
 fn next_item(sent: Option<&ClusterView>, step: &Step) -> ViewItem {
     let Some(sent) = sent else { return ViewItem::Whole(Box::new(ClusterView::clone(&step.view))) };
     let to = step.view.revision;
--- a/crates/control/src/core/records_told.rs
+++ b/crates/control/src/core/records_told.rs
@@ -1,26 +1,28 @@
-//! Which nodes were told of which bundle's record, so that a heartbeat's answer does not repeat it each second
-//! while the node fetches the sections. Pure: time is passed in.
+//! Tracks which bundle record was sent to which node, so that heartbeat replies don't repeat it
+//! each second while the node fetches the sections. Pure: time is passed in.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use hooklug_types::{BundleVersion, NodeId};
 
-/// A node that has not installed a bundle is told of it again after so long: the answer may have been lost
-/// (ours: with the heartbeat after the next, 2 s later).
+/// Time after which a record is sent again to a node that has not installed the bundle, since the
+/// reply may have been lost. In effect it is sent with the second heartbeat after, 2 s later.
 pub const REPEAT_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Nodes remembered before those told long ago are dropped (ours): nodes may vanish while they install.
+/// Number of tracked nodes above which outdated entries are dropped, since nodes may disappear
+/// while they install.
 const MOST_REMEMBERED: usize = 4_096;
 
-/// What each node that has not installed the newest bundle yet was told last.
+/// The record last sent to each node that has not installed the newest bundle yet.
 #[derive(Debug, Default)]
 pub struct RecordsTold {
     told: BTreeMap<NodeId, (BundleVersion, Instant)>,
 }
 
 impl RecordsTold {
-    /// Whether to tell a node that has one version in force of a newer one; notes that it is told.
+    /// Returns whether to send the newest record to a node with the given installed version, and
+    /// records it as sent.
     pub fn is_due(
         &mut self,
         node: NodeId,
--- a/crates/control/src/core/repair/changes.rs
+++ b/crates/control/src/core/repair/changes.rs
@@ -1,4 +1,5 @@
-//! Carries out the changes of a plan, each group's beside the others': a slow group holds none of them up.
+//! Carries out the planned changes of all groups concurrently, so that a slow group does not delay
+//! the others.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,20 +19,20 @@
 use super::super::leader::Leading;
 use crate::figures;
 
-/// Longest wait for one change; it is planned anew when it was not confirmed (ours).
+/// Timeout of one change; an unconfirmed change is planned again.
 const CHANGE_TIME: Duration = Duration::from_secs(3);
 
-/// Pause before a change that was refused is asked for again (ours).
+/// Delay before a refused change is requested again.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(250);
 
-/// What a change is about; one at a time for each.
+/// What a change applies to; each subject has at most one change at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Group(GroupId),
     Store(NodeId),
 }
 
-/// What came of a change.
+/// A finished change and its result.
 struct Ended {
     change: PlannedChange,
     is_made: bool,
@@ -44,13 +45,13 @@
     at: Instant,
 }
 
-/// Changes under way, and those that the known meta state does not show yet.
+/// Running changes, and those written since the known meta state was read.
 pub(super) struct Changes<'a> {
     shared: &'a Shared,
     leading: &'a Leading,
     running: FuturesUnordered<BoxFuture<'a, Ended>>,
     subjects: BTreeSet<Subject>,
-    /// Placements that were written: the one before, and the new one.
+    /// Placements that were written: the previous one and the new one.
     placed: BTreeMap<GroupId, (GroupPlacement, GroupPlacement)>,
     removed: BTreeSet<NodeId>,
     refused: BTreeMap<GroupId, Refusal>,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The meta state with what was written since it was read.
+    /// Returns the meta state with the changes that were written since it was read.
     pub(super) fn as_of<'m>(&mut self, meta: &'m MetaState) -> Cow<'m, MetaState> {
         self.placed.retain(|group, (before, _)| meta.placements.get(group) == Some(before));
         self.removed.retain(|node| {
@@ -92,7 +93,8 @@
         Cow::Owned(newest)
     }
 
-    /// Begins a change, unless one of its group or store is under way or was refused just now.
+    /// Starts a change, unless one of its group or store is running or the same change was refused
+    /// recently.
     pub(super) fn begin(&mut self, meta: &MetaState, change: PlannedChange, now: Instant) {
         let subject = subject_of(&change);
         if self.subjects.contains(&subject) || self.was_just_refused(&change, now) {
@@ -102,18 +104,18 @@
         let (shared, leading) = (self.shared, self.leading);
         let running = match change.clone() {
             PlannedChange::SetPlacement { group, expected, placement } => {
-                info!(%group, ?expected, ?placement, "new placement");
+                info!(%group, ?expected, ?placement, "setting a new placement");
                 let epoch = leading.epoch;
                 let command = MetaCommand::SetPlacement { epoch, group, expected, placement };
                 write(shared, command).boxed()
             }
             PlannedChange::RemoveStore { node } => {
-                info!(store = %node, "nothing is left on the store, it is removed");
+                info!(store = %node, "removing a store that has no replicas left");
                 let (epoch, state) = (leading.epoch, StoreState::Removed);
                 write(shared, MetaCommand::SetStoreState { epoch, node, state }).boxed()
             }
             PlannedChange::ChangeReplicas { group, leader, change } => {
-                info!(%group, ?change, leader = %leader, "membership change");
+                info!(%group, ?change, leader = %leader, "requesting a membership change");
                 let address = meta.stores.iter().find(|s| s.node == leader).map(|s| s.address);
                 let request = ChangeReplicas { group, change, epoch: leading.epoch };
                 async move {
@@ -126,7 +128,7 @@
         self.running.push(async move { Ended { change, is_made: running.await } }.boxed());
     }
 
-    /// Waits until a change has ended; for ever while none is under way.
+    /// Waits until a change has finished; never returns while none is running.
     pub(super) async fn ended(&mut self) {
         match self.running.next().await {
             Some(ended) => self.note(ended),
@@ -134,14 +136,14 @@
         }
     }
 
-    /// Takes note of all that have ended by now.
+    /// Collects all changes that have finished by now.
     pub(super) fn note_ended(&mut self) {
         while let Some(Some(ended)) = self.running.next().now_or_never() {
             self.note(ended);
         }
     }
 
-    /// Time since a change was under way.
+    /// Returns the time for which no change has been running.
     pub(super) fn rested_for(&self, now: Instant) -> Duration {
         match self.last_ended {
             _ if !self.is_idle() => Duration::ZERO,
@@ -180,12 +182,12 @@
         self.leading.meta_due.notify_one();
     }
 
-    /// Warns once of a change that a group's leader refuses again and again.
+    /// Records a refusal, and logs a warning only for the first of repeated refusals.
     fn note_refused(&mut self, group: GroupId, change: ConfChange) {
         let refusal = Refusal { change, at: Instant::now() };
         let before = self.refused.insert(group, refusal);
         if before.is_none_or(|before| before.change != change) {
-            warn!(%group, ?change, "membership change not made");
+            warn!(%group, ?change, "membership change refused or not confirmed");
         }
     }
 }
@@ -199,7 +201,7 @@
     }
 }
 
-/// Asks a group's leader for a change; gives whether it is made.
+/// Requests a membership change from a group's leader and returns whether it was made.
 async fn change_replicas(
     shared: &Shared,
     leader: std::net::SocketAddr,
@@ -210,11 +212,11 @@
     let is_made = match shared.ctx.client.call(leader, &request, deadline).await {
         Ok(Ok(())) => true,
         Ok(Err(fault)) => {
-            debug!(%group, ?change, %fault, "the leader did not change the members");
+            debug!(%group, ?change, %fault, "the group's leader refused the membership change");
             false
         }
         Err(error) => {
-            debug!(%group, ?change, %error, "the leader did not answer");
+            debug!(%group, ?change, %error, "the group's leader did not reply to the membership change");
             false
         }
     };
@@ -222,16 +224,16 @@
     is_made
 }
 
-/// Writes to the meta group; gives whether it is done.
+/// Writes to the meta group and returns whether the write succeeded.
 async fn write(shared: &Shared, command: MetaCommand) -> bool {
     match shared.ctx.state.execute_meta(&command, Instant::now() + CHANGE_TIME).await {
         Ok(MetaReply::Refused(refusal)) => {
-            warn!(%refusal, "change refused");
+            warn!(%refusal, "write to the meta group refused");
             false
         }
         Ok(_) => true,
         Err(error) => {
-            warn!(%error, "change not confirmed");
+            warn!(%error, "write to the meta group not confirmed");
             false
         }
     }
--- a/crates/control/src/core/repair/mod.rs
+++ b/crates/control/src/core/repair/mod.rs
@@ -1,9 +1,9 @@
-//! Keeps each group's replicas where they should be: replaces lost stores, empties retiring ones, uses new
-//! ones. What to do next is decided by [`hooklug_store::placement::plan`]; here it is carried out.
+//! Repairs the placement of replicas: replaces lost stores, empties retiring ones and uses new
+//! ones. [`hooklug_store::placement::plan`] decides on the changes; this module carries them out.
 //!
-//! A group's places have to be filled before the next disk is lost. So no round waits for a store that is
-//! silent or for a group that is slow: stores are asked and groups changed side by side, and the next round
-//! begins when a change has ended or a store has been registered.
+//! The replicas of a group have to be replaced before the next disk is lost. So no round waits for
+//! an unresponsive store or a slow group: stores are queried and groups changed concurrently, and
+//! the next round starts when a change has finished or a store was registered.
 
 mod changes;
 pub mod signs;
@@ -29,19 +29,19 @@
 use statuses::Statuses;
 use watch::{GroupNews, RepairWatch};
 
-/// Pause between looks while nothing is to be done (ours).
+/// Time between rounds while nothing is to be done.
 const CALM_PAUSE: Duration = Duration::from_secs(1);
 
-/// Pause between looks while replicas move and no change ends (ours).
+/// Time between rounds while replicas move and no change finishes.
 const BUSY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause after a change has ended, for others that end about then (ours).
+/// Delay after a change has finished, to collect others that finish at about the same time.
 const GATHER_PAUSE: Duration = Duration::from_millis(20);
 
 /// The meta state as this core leader last read it.
 type KnownMeta = tokio::sync::watch::Receiver<Option<CopyOnWrite<MetaState>>>;
 
-/// The repair under one core leadership.
+/// Repair state of one core leadership.
 struct Repair<'a> {
     shared: &'a Shared,
     signs: Signs,
@@ -70,9 +70,11 @@
 }
 
 impl Repair<'_> {
-    /// One look at all stores; begins the changes that it asks for.
+    /// Queries all stores once, starts the planned changes, and returns the pause before the next
+    /// round.
     async fn round(&mut self, meta: &MetaState) -> Duration {
-        // What ends while the stores are asked may not show in their answers: it counts from the next round on.
+        // Changes that finish while the stores are queried may not be visible in the replies, so
+        // they count from the next round on.
         self.changes.note_ended();
         let reports = self.statuses.ask(&self.shared.ctx.client, &meta.stores).await;
         let now = Instant::now();
@@ -81,13 +83,13 @@
         let alive = self.alive(meta, now);
         tell(&self.watch.look(meta, &reports, &alive, now));
         figures::groups_watched(self.watch.degraded(), self.watch.stalled());
-        // Moves that only even out the load come one by one, with a pause between them.
+        // Moves that only balance the load are made one at a time, with a pause between them.
         let planned = if self.changes.rested_for(now) < CALM_PAUSE {
             plan_repairs(meta, &reports, &alive)
         } else {
             plan(meta, &reports, &alive)
         };
-        // A store that fell silent is looked at often, so that its loss is seen in time.
+        // With an unresponsive store, rounds are frequent so that its loss is detected in time.
         let has_silent = alive.iter().any(|store| self.statuses.is_silent(*store));
         let is_calm = planned.is_empty() && self.changes.is_idle() && !has_silent;
         for change in planned {
@@ -103,7 +105,7 @@
         meta.stores.iter().filter(is_alive).map(|store| store.node).collect()
     }
 
-    /// Waits until a change has ended, the stores are not as they were, or a while has passed.
+    /// Waits until a change has finished, the list of stores has changed, or `pause` has passed.
     async fn rest(&mut self, pause: Duration, known: &mut KnownMeta, stores: &[StoreRecord]) {
         let end = tokio::time::sleep(pause);
         tokio::pin!(end);
@@ -123,7 +125,7 @@
     }
 }
 
-/// Tells operators what became of the groups.
+/// Logs changes in the health of groups.
 fn tell(news: &[GroupNews]) {
     for news in news {
         match news {
--- a/crates/control/src/core/repair/signs.rs
+++ b/crates/control/src/core/repair/signs.rs
@@ -1,4 +1,4 @@
-//! Which stores count as living. Pure.
+//! Liveness of stores as the repair judges it. Pure: time is passed in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,11 +8,13 @@
 use hooklug_types::NodeId;
 use tokio::time::Instant;
 
-/// Silence after which a store counts as lost and its places are filled elsewhere (ours): longer than a restart, and so
-/// short that the places are filled within the time that a successor at another address has to catch up.
+/// Time without a reply after which a store counts as lost and its replicas are placed elsewhere:
+/// longer than a restart, and short enough that the replicas are replaced within the time that a
+/// successor at another address has to catch up.
 pub const LOST_AFTER: Duration = Duration::from_millis(3_500);
 
-/// When each store last answered this core leader, and whom the groups' leaders hear.
+/// When each store last replied to this core leader, and which stores the groups' leaders hear
+/// from.
 #[derive(Debug)]
 pub struct Signs {
     since: Instant,
@@ -21,13 +23,14 @@
 }
 
 impl Signs {
-    /// Nothing is known yet: a store is lost only after a full time of silence under this leader.
+    /// Creates an empty record: a store is lost only after the full time without a reply to this
+    /// leader.
     #[must_use]
     pub fn new(since: Instant) -> Self {
         Self { since, answered: BTreeMap::new(), heard_by_leaders: BTreeSet::new() }
     }
 
-    /// Takes the answers of one round.
+    /// Records the replies of one round.
     pub fn note(&mut self, reports: &[StoreReport], now: Instant) {
         self.answered.extend(reports.iter().map(|report| (report.node, now)));
         let replicas = reports.iter().flat_map(|report| &report.replicas);
@@ -36,7 +39,8 @@
         self.heard_by_leaders = heard.map(|member| member.node).collect();
     }
 
-    /// Whether a store lives. One that this core cannot reach lives as long as the leader of any group hears it.
+    /// Returns whether a store is alive. One that this core cannot reach is alive as long as the
+    /// leader of any group hears from it.
     #[must_use]
     pub fn is_alive(&self, store: NodeId, now: Instant) -> bool {
         let answered = self.answered.get(&store).copied().unwrap_or(self.since);
--- a/crates/control/src/core/repair/statuses.rs
+++ b/crates/control/src/core/repair/statuses.rs
@@ -1,4 +1,5 @@
-//! Asks the stores for their replicas. One that was silent lately is asked on, but nobody waits for it.
+//! Queries the stores for the status of their replicas. A store that did not reply last time is
+//! still queried, but its reply is not awaited.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,29 +13,30 @@
 use hooklug_types::NodeId;
 use tokio::time::Instant;
 
-/// Longest wait for a store's status (ours).
+/// Timeout of a status request to a store.
 const STATUS_TIME: Duration = Duration::from_secs(1);
 
-/// What came of a question.
+/// Result of a status request.
 struct Answer {
     node: NodeId,
     round: u64,
     replicas: Option<Vec<ReplicaStatus>>,
 }
 
-/// Questions to the stores, over many rounds.
+/// Status requests to the stores, over many rounds.
 #[derive(Default)]
 pub(super) struct Statuses {
     round: u64,
     open: FuturesUnordered<BoxFuture<'static, Answer>>,
-    /// Stores with an open question.
+    /// Stores with an outstanding request.
     asked: BTreeSet<NodeId>,
-    /// Stores that did not answer their last question.
+    /// Stores that did not reply to the last request.
     silent: BTreeSet<NodeId>,
 }
 
 impl Statuses {
-    /// Asks all stores; gives the answers to this round's questions. Waits for those that answered last time.
+    /// Queries all stores and returns the replies to this round's requests. Waits only for stores
+    /// that replied last time.
     pub(super) async fn ask(
         &mut self,
         client: &RpcClient,
@@ -63,12 +65,13 @@
         reports
     }
 
-    /// Whether a store did not answer its last question.
+    /// Returns whether a store did not reply to its last request.
     pub(super) fn is_silent(&self, store: NodeId) -> bool {
         self.silent.contains(&store)
     }
 
-    /// An answer to an older question shows that the store lives, and is too old to plan by.
+    /// Records a reply. One to an older request shows that the store is alive, but is too old to
+    /// plan with.
     fn note(&mut self, answer: Answer) -> Option<StoreReport> {
         let Answer { node, round, replicas } = answer;
         self.asked.remove(&node);
--- a/crates/control/src/core/repair/watch.rs
+++ b/crates/control/src/core/repair/watch.rs
@@ -1,4 +1,5 @@
-//! What becomes of each group: how long it lacks replicas, and whether it commits. Pure: reports and the time in, news out.
+//! Monitors each group: how long it lacks replicas, and whether it commits. Pure: reports and time
+//! are passed in, events are returned.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,8 +12,8 @@
 use hooklug_types::{GroupId, NodeId};
 use tokio::time::Instant;
 
-/// A group that has uncommitted entries, or no leader, counts as stalled when that lasts so long (ours: several
-/// elections).
+/// Time after which a group without a leader, or with uncommitted entries and no progress, counts
+/// as stalled: several elections.
 pub const STALL_TIME: Duration = Duration::from_secs(3);
 
 /// A leader's view of a group that does not commit.
@@ -24,57 +25,57 @@
     pub commit: u64,
     /// Last index of its log.
     pub last_index: u64,
-    /// Newest members, committed or not.
+    /// Newest membership, committed or not.
     pub newest_conf: ConfState,
-    /// How far each of them is.
+    /// Replication progress of each member.
     pub progress: Vec<MemberProgress>,
 }
 
-/// Something that operators should know of a group.
+/// A change in the health of a group, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GroupNews {
-    /// A voter is lost, leaves, or lags.
+    /// A voter is lost, is not in the desired placement, or lags.
     Degraded {
         /// The group.
         group: GroupId,
-        /// Where its replicas should be.
+        /// The desired placement of its replicas.
         wanted: GroupPlacement,
-        /// Its members, when it has a leader.
+        /// Its members, if it has a leader.
         members: Option<ConfState>,
     },
-    /// All wanted voters are members, alive and up to date again.
+    /// All desired voters are members, alive and up to date again.
     Whole {
         /// The group.
         group: GroupId,
-        /// How long some were not.
+        /// How long the group was degraded.
         took: Duration,
     },
-    /// It has committed nothing for [`STALL_TIME`], though something waits; told once.
+    /// It has committed nothing for [`STALL_TIME`], although entries are waiting; reported once.
     Stalled {
         /// The group.
         group: GroupId,
-        /// For how long.
+        /// How long the group has been stalled.
         stalled_for: Duration,
         /// Its leader, if it has one.
         leader: Option<StalledLeader>,
     },
-    /// It commits again after it was stalled.
+    /// The group commits again after a stall.
     Moving {
         /// The group.
         group: GroupId,
-        /// How long it was stalled.
+        /// How long the group was stalled.
         stalled_for: Duration,
     },
 }
 
-/// Since when something waits to be committed, and the commit index then.
+/// The time since which entries have been waiting to be committed, and the commit index then.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     commit: u64,
     since: Instant,
 }
 
-/// What was seen of one group.
+/// State of one group across updates.
 #[derive(Debug, Default)]
 struct GroupWatch {
     degraded_since: Option<Instant>,
@@ -82,14 +83,14 @@
     is_stall_told: bool,
 }
 
-/// Follows all groups of a cluster from look to look.
+/// Monitors all groups of a cluster across updates.
 #[derive(Debug, Default)]
 pub struct RepairWatch {
     groups: BTreeMap<GroupId, GroupWatch>,
 }
 
 impl RepairWatch {
-    /// Takes the stores' answers of one moment; gives what changed since the last look.
+    /// Updates all groups with the stores' replies of one round and returns what changed.
     pub fn look(
         &mut self,
         meta: &MetaState,
@@ -107,13 +108,13 @@
         news
     }
 
-    /// Groups that lack a voter.
+    /// Returns the number of groups that lack a voter.
     #[must_use]
     pub fn degraded(&self) -> usize {
         self.groups.values().filter(|watch| watch.degraded_since.is_some()).count()
     }
 
-    /// Groups that commit nothing.
+    /// Returns the number of groups that commit nothing.
     #[must_use]
     pub fn stalled(&self) -> usize {
         self.groups.values().filter(|watch| watch.is_stall_told).count()
@@ -182,7 +183,7 @@
     }
 }
 
-/// Whether the voters are the wanted ones, alive and up to date.
+/// Returns whether the voters are the desired ones, alive and up to date.
 fn is_whole(wanted: &GroupPlacement, leader: &ReplicaStatus, alive: &BTreeSet<NodeId>) -> bool {
     let voters: BTreeSet<NodeId> = wanted.voters.iter().copied().collect();
     leader.conf.voters == voters
--- a/crates/control/src/core/rollout.rs
+++ b/crates/control/src/core/rollout.rs
@@ -1,5 +1,5 @@
-//! Rolls harmful versions back: judges what gateways saw and how engines stand, and commits the roll-back under the leader's
-//! fencing epoch.
+//! Rolls back harmful versions: judges them by the gateways' statistics and the state of their
+//! engines, and commits the rollback under the leader's fencing epoch.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +11,10 @@
 use crate::figures;
 use crate::judge::{ReadinessWatch, standings};
 
-/// Pause between judgements (ours).
+/// Time between judgements.
 const JUDGE_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest wait for one answer of the stores (ours); a roll-back that is not confirmed is judged and sent again.
+/// Timeout of a request to the stores; a rollback that is not confirmed is judged and sent again.
 const COMMIT_TIME: Duration = Duration::from_secs(2);
 
 pub(super) async fn run(shared: &Shared, leading: &Leading) {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Harm by the versions of the bundle that this node has in force.
+/// Returns the harmful versions of the bundle installed on this node.
 fn judge(shared: &Shared, leading: &Leading, readiness: &mut ReadinessWatch) -> Vec<HarmReport> {
     let Some(installed) = shared.ctx.node.bundle.borrow().clone() else { return Vec::new() };
     let now = Instant::now();
@@ -41,7 +41,7 @@
 
 async fn roll_back(shared: &Shared, leading: &Leading, harm: HarmReport) {
     let (service, version) = (harm.service.clone(), harm.version.clone());
-    error!(%service, %version, route = ?harm.route, reason = %harm.reason, "harm by a new version");
+    error!(%service, %version, route = ?harm.route, reason = %harm.reason, "new version is harmful; rolling it back");
     let command = MetaCommand::RollBack { epoch: leading.epoch, harm };
     let deadline = tokio::time::Instant::now() + COMMIT_TIME;
     match shared.ctx.state.execute_meta(&command, deadline).await {
@@ -53,7 +53,7 @@
         Ok(MetaReply::Refused(MetaRefusal::NothingToRollBack { reason })) => {
             info!(%service, %version, %reason, "nothing to roll back");
         }
-        Ok(reply) => warn!(%service, %version, ?reply, "roll-back refused"),
-        Err(error) => warn!(%service, %version, %error, "roll-back not confirmed"),
+        Ok(reply) => warn!(%service, %version, ?reply, "rollback refused"),
+        Err(error) => warn!(%service, %version, %error, "rollback not confirmed"),
     }
 }
--- a/crates/control/src/core/slot_uses.rs
+++ b/crates/control/src/core/slot_uses.rs
@@ -1,4 +1,4 @@
-//! How the slots of services are used, as session-host engines tell it with their heartbeats. Pure: time is
+//! Slot usage of services, as session-host engines report it in their heartbeats. Pure: time is
 //! passed in.
 
 use std::collections::BTreeMap;
@@ -16,26 +16,26 @@
     at: Instant,
 }
 
-/// What each engine told last.
+/// The last slot usage report of each engine.
 #[derive(Debug, Clone, Default)]
 pub struct SlotUses {
     told: BTreeMap<NodeId, Told>,
 }
 
 impl SlotUses {
-    /// Takes a heartbeat; one of a node without an engine changes nothing.
+    /// Records the report in a heartbeat; a heartbeat of a node without an engine is ignored.
     pub fn heard(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let Some(engine) = &heartbeat.engine else { return };
         let (service, uses) = (engine.service.clone(), heartbeat.slot_uses.clone());
         self.told.insert(heartbeat.from.node, Told { service, uses, at: now });
     }
 
-    /// Drops what engines told that have been silent for as long as a node that is given up.
+    /// Removes the reports of engines that have sent no heartbeat for [`DEAD_AFTER`].
     pub fn look(&mut self, now: Instant) {
         self.told.retain(|_, told| now.saturating_duration_since(told.at) < DEAD_AFTER);
     }
 
-    /// Sums over all engines, by service and group; turns of no group come first.
+    /// Returns the sums over all engines, by service and group; turns without a group come first.
     #[must_use]
     pub fn sums(&self) -> Vec<ServiceSlotUse> {
         let mut sums: BTreeMap<(&ServiceName, &Option<WindowGroup>), ServiceSlotUse> =
@@ -54,7 +54,7 @@
                 sum.engines += 1;
                 sum.reserved += one.reserved;
                 sum.used += one.running;
-                // Each engine keeps its own share, so what is lent is counted engine by engine.
+                // Slots are reserved per engine, so borrowed slots are counted per engine too.
                 sum.borrowed += one.running.saturating_sub(one.reserved);
             }
         }
--- a/crates/control/src/figures.rs
+++ b/crates/control/src/figures.rs
@@ -1,4 +1,4 @@
-//! Names of the metrics of the node agent and the cores, and what sets them.
+//! Records the metrics of the node agent and the cores.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
     if on { 1.0 } else { 0.0 }
 }
 
-/// Whether the node is ready, and what of the cluster is within reach.
+/// Sets whether the node is ready and which parts of the cluster it reaches.
 pub(crate) fn node_state(ready: bool, reach: Reach) {
     gauge!("hooklug_ready").set(as_gauge(ready));
     gauge!("hooklug_core_within_reach").set(as_gauge(reach.core));
     gauge!("hooklug_store_within_reach").set(as_gauge(reach.store));
 }
 
-/// What the process has sent and received by rpc since its start.
+/// Sets the RPC traffic of the process since its start.
 pub(crate) fn rpc_traffic(counts: TrafficCounts) {
     counter!("hooklug_rpc_bytes_total", "direction" => "sent").absolute(counts.sent_bytes);
     counter!("hooklug_rpc_bytes_total", "direction" => "received").absolute(counts.received_bytes);
@@ -29,22 +29,22 @@
         .absolute(counts.received_frames);
 }
 
-/// A bundle came into force here.
+/// Sets the version of the installed bundle.
 pub(crate) fn bundle_installed(version: u64) {
     gauge!("hooklug_bundle_version").set(version as f64);
 }
 
-/// A bundle that was heard of could not be fetched.
+/// Counts a failed fetch of a known bundle.
 pub(crate) fn bundle_not_fetched() {
     counter!("hooklug_bundle_fetch_failures_total").increment(1);
 }
 
-/// Whether this core leads.
+/// Sets whether this core is the leader.
 pub(crate) fn core_leads(leads: bool) {
     gauge!("hooklug_core_leads").set(as_gauge(leads));
 }
 
-/// The view as the core leader shows it.
+/// Sets the member and engine counts of the view that the core leader publishes.
 pub(crate) fn view_shown(view: &ClusterView) {
     let count = |health: MemberHealth| view.members.values().filter(|m| m.health == health).count();
     gauge!("hooklug_members", "health" => "alive").set(count(MemberHealth::Alive) as f64);
@@ -56,28 +56,28 @@
     gauge!("hooklug_application_engines", "state" => "unhealthy").set(unhealthy as f64);
 }
 
-/// The platform's list could not be read.
+/// Counts a failed read of the platform's list.
 pub(crate) fn list_not_read() {
     counter!("hooklug_platform_list_failures_total").increment(1);
 }
 
-/// A version was rolled back.
+/// Counts a rollback of a version.
 pub(crate) fn rolled_back() {
     counter!("hooklug_rollbacks_total").increment(1);
 }
 
-/// Groups that lack replicas, and groups that commit nothing.
+/// Sets the number of groups that lack replicas and of groups that commit nothing.
 pub(crate) fn groups_watched(degraded: usize, stalled: usize) {
     gauge!("hooklug_groups_degraded").set(degraded as f64);
     gauge!("hooklug_groups_stalled").set(stalled as f64);
 }
 
-/// A group has all its replicas again; how long it lacked some.
+/// Records how long a group lacked replicas until it was repaired.
 pub(crate) fn group_repaired(took: Duration) {
     histogram!("hooklug_group_repair_seconds").record(took.as_secs_f64());
 }
 
-/// A change of replicas was asked for; whether it was confirmed.
+/// Counts a requested replica change by whether it was confirmed.
 pub(crate) fn replicas_changed(confirmed: bool) {
     let outcome = if confirmed { "confirmed" } else { "unconfirmed" };
     counter!("hooklug_replica_changes_total", "outcome" => outcome).increment(1);
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -1,4 +1,5 @@
-//! What a role sees of the cluster, and what it tells the cluster of itself.
+//! The interface between a role and the node agent: the cluster state that the role reads and the
+//! reports that it sends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,38 +18,38 @@
 
 use crate::judge::{Counts, VersionOnRoute};
 
-/// A bundle in force at this node. Never replaced by an older one.
+/// A bundle installed at this node; it is never replaced by an older one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InstalledBundle {
-    /// Its record in the meta group.
+    /// The bundle's record in the meta group.
     pub record: BundleRecord,
-    /// Its content.
+    /// The bundle's content.
     pub bundle: Bundle,
 }
 
-/// What of the cluster this node reaches.
+/// Which parts of the cluster this node can reach.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Reach {
-    /// A core answered lately.
+    /// A core replied recently.
     pub core: bool,
-    /// A store answered lately.
+    /// A store replied recently.
     pub store: bool,
-    /// The node holds the newest bundle that a quorum knew when last asked.
+    /// The node has the newest bundle that a quorum of the stores knew when it was last queried.
     pub newest_bundle: bool,
 }
 
-/// What a role tells the cluster of itself, with the next heartbeat.
+/// What a role reports to the cores with the next heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NodeReport {
-    /// For session-host engines.
+    /// The engine that this node hosts, for session-host engines.
     pub engine: Option<HostedEngine>,
-    /// For session-host engines.
+    /// Current load, for session-host engines.
     pub load: Option<EngineLoad>,
-    /// For session-host engines: how their slots are used, by group.
+    /// Slot usage by window group, for session-host engines.
     pub slot_uses: Vec<SlotUse>,
 }
 
-/// Why a node is not ready, by component. Empty means ready.
+/// Reasons why a node is not ready, by component; the node is ready when there are none.
 #[derive(Debug, Clone, Default)]
 pub struct Readiness {
     reasons: Arc<Mutex<BTreeMap<&'static str, String>>>,
@@ -65,7 +66,7 @@
         self.lock().remove(component);
     }
 
-    /// Why the node is not ready; empty when it is.
+    /// Returns the reasons why the node is not ready; empty when it is ready.
     #[must_use]
     pub fn reasons(&self) -> BTreeMap<&'static str, String> {
         self.lock().clone()
@@ -76,14 +77,15 @@
     }
 }
 
-/// What this node saw of watched versions since the last heartbeat that was answered.
+/// Request statistics by version and route, collected since the last heartbeat that was delivered.
 #[derive(Debug, Clone, Default)]
 pub struct Statistics {
     counts: Arc<Mutex<BTreeMap<VersionOnRoute, Counts>>>,
 }
 
 impl Statistics {
-    /// Counts one request. `latency` is the whole time for calls, the time to the first token for turns.
+    /// Records one request. `latency` is the total time of a call, or the time to the first token
+    /// of a turn.
     pub fn record(
         &self,
         service: &ServiceName,
@@ -96,14 +98,15 @@
         self.lock().entry(key).or_default().note(success, latency);
     }
 
-    /// Takes all counts; give them back with [`Statistics::restore`] when the heartbeat was not answered.
+    /// Removes and returns all counts; return them with [`Statistics::restore`] if the heartbeat
+    /// fails.
     #[must_use]
     pub fn take(&self) -> Vec<VersionStatistics> {
         let taken = std::mem::take(&mut *self.lock());
         taken.iter().map(|(key, counts)| counts.statistics(key)).collect()
     }
 
-    /// Adds counts back.
+    /// Adds counts back that could not be delivered.
     pub fn restore(&self, statistics: &[VersionStatistics]) {
         let mut counts = self.lock();
         for seen in statistics {
@@ -116,46 +119,47 @@
     }
 }
 
-/// A role's handle on the cluster. Cheap to clone.
+/// A role's access to the cluster. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct NodeHandle {
-    /// The cluster as last heard.
+    /// The latest cluster view.
     pub view: watch::Receiver<Arc<ClusterView>>,
-    /// The bundle in force here.
+    /// The installed bundle.
     pub bundle: watch::Receiver<Option<Arc<InstalledBundle>>>,
-    /// Rpc addresses of stores, for the store client.
+    /// RPC addresses of the stores, for the store client.
     pub stores: watch::Receiver<Vec<SocketAddr>>,
-    /// What of the cluster is within reach.
+    /// Which parts of the cluster are reachable.
     pub reach: watch::Receiver<Reach>,
-    /// What this node tells of itself; a change is told at once.
+    /// The node's own report; a change triggers a heartbeat.
     pub report: watch::Sender<NodeReport>,
-    /// What this node saw of versions.
+    /// Request statistics by version and route.
     pub statistics: Statistics,
-    /// Harm that this node found by its own evidence; told to the core leader.
+    /// Harmful versions that this node detected itself; sent to the core leader.
     pub harm: tokio::sync::mpsc::Sender<HarmReport>,
-    /// Why this node is not ready.
+    /// Readiness of this node, by component.
     pub readiness: Readiness,
 }
 
-/// The other ends of a [`NodeHandle`]: held by the node agent, or by a test.
+/// The opposite ends of a [`NodeHandle`]'s channels, held by the node agent or by a test.
 #[derive(Debug)]
 pub struct NodeFeeds {
-    /// Sets the view.
+    /// Sets the cluster view.
     pub view: watch::Sender<Arc<ClusterView>>,
-    /// Sets the bundle.
+    /// Sets the installed bundle.
     pub bundle: watch::Sender<Option<Arc<InstalledBundle>>>,
-    /// Sets the stores.
+    /// Sets the addresses of the stores.
     pub stores: watch::Sender<Vec<SocketAddr>>,
-    /// Sets the reach.
+    /// Sets which parts of the cluster are reachable.
     pub reach: watch::Sender<Reach>,
-    /// Gets the node's own report.
+    /// Receives the node's own report.
     pub report: watch::Receiver<NodeReport>,
-    /// Gets harm that the node found.
+    /// Receives harmful versions that the node detected.
     pub harm: tokio::sync::mpsc::Receiver<HarmReport>,
 }
 
 impl NodeHandle {
-    /// A bundle as it is submitted from here: against the one in force here when it was built on that one.
+    /// Builds the submission of a bundle, as a difference to the installed bundle if that one is
+    /// its base.
     #[must_use]
     pub fn submission(&self, bundle: &Bundle, signed_by: Vec<OperatorName>) -> SubmitBundle {
         let installed = self.bundle.borrow().clone();
@@ -163,7 +167,7 @@
         SubmitBundle::new(bundle, held, signed_by)
     }
 
-    /// A handle and its feeds.
+    /// Creates a handle and its feeds.
     #[must_use]
     pub fn new() -> (Self, NodeFeeds) {
         let (view, view_rx) = watch::channel(Arc::new(ClusterView::default()));
@@ -187,20 +191,20 @@
     }
 }
 
-/// All that a role is built from.
+/// Everything that a role needs to run.
 #[derive(Debug, Clone)]
 pub struct NodeContext {
     /// The node's settings.
     pub settings: Arc<Settings>,
-    /// Who this node is to its peers.
+    /// The identity that this node presents to its peers.
     pub identity: LocalIdentity,
-    /// Calls to peers.
+    /// RPC client for requests to peers.
     pub client: RpcClient,
-    /// Shared state.
+    /// Access to the replicated state in the stores.
     pub state: Arc<dyn StateAccess>,
-    /// The cluster.
+    /// The cluster view, the installed bundle and the node's own reports.
     pub node: NodeHandle,
-    /// Cancelled when the platform asks the process to stop: unready at once, then finish or hand over
-    /// within the grace period.
+    /// Cancelled when the platform asks the process to stop. The node then becomes unready at once,
+    /// and finishes or hands over its work within the grace period.
     pub stop: CancellationToken,
 }
--- a/crates/control/src/judge/compare.rs
+++ b/crates/control/src/judge/compare.rs
@@ -1,38 +1,38 @@
-//! Whether one version does clearly worse than another. Pure.
+//! Decides whether one version performs clearly worse than another. Pure: no I/O.
 
 use hooklug_bundle::HarmThresholds;
 
 use super::counts::{Counts, standard_errors_above};
 
-/// Standard errors that a difference must exceed, so that chance alone does not show as harm though a
-/// version is judged often (ours).
+/// Standard errors that a difference must exceed, so that random variation does not count as harm
+/// although a version is judged many times.
 const SIGNIFICANT: f64 = 4.5;
 
-/// Factor on the thresholds when the old version's figures are from an earlier time (ours).
+/// Factor on the thresholds when the old version's counts are from an earlier time.
 const HISTORY_STRICTNESS: f64 = 2.0;
 
-/// Least error share above the old version's that counts against figures of an earlier time (ours).
+/// Minimum excess over the old version's error share when its counts are from an earlier time.
 const HISTORY_LEAST_ERROR_SHARE: f64 = 0.3;
 
-/// What the old version's figures are.
+/// The period that the old version's counts are from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Against {
-    /// Of the same interval.
+    /// The same interval as the new version's counts.
     SameInterval,
-    /// Of an earlier time, since the old version gets no traffic now.
+    /// An earlier time, since the old version has no traffic now.
     History,
 }
 
-/// Clear harm on one route.
+/// The kind of clear harm found on one route.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Finding {
-    /// More errors.
+    /// The error share is higher.
     Errors,
-    /// Slower.
+    /// The latency is higher.
     Latency,
 }
 
-/// Compares a new version's figures with the old one's; both must have enough samples.
+/// Compares a new version's counts with the old one's; both must have enough samples.
 #[must_use]
 pub fn compare(
     new: &Counts,
@@ -58,8 +58,9 @@
     new.error_share() - old.error_share() > allowed && significance > SIGNIFICANT
 }
 
-/// Slower by the factor at the 95th percentile, and with significantly more requests beyond the old
-/// version's bucket: the buckets are wide, so the percentile alone says little.
+/// Returns whether the 95th percentile of the new version is higher by the threshold factor, and
+/// significantly more of its requests lie above the old version's bucket. The buckets are wide, so
+/// the percentile alone is weak evidence.
 fn slower(new: &Counts, old: &Counts, thresholds: &HarmThresholds, against: Against) -> bool {
     let (Some(new_p95), Some(old_p95)) = (new.p95(), old.p95()) else { return false };
     let factor = match against {
--- a/crates/control/src/judge/counts.rs
+++ b/crates/control/src/judge/counts.rs
@@ -1,11 +1,11 @@
-//! What was seen of one version on one route, and figures drawn from it. Pure.
+//! Request counts of one version on one route, and statistics derived from them. Pure: no I/O.
 
 use std::time::Duration;
 
 use hooklug_protocol::control::{LATENCY_BUCKETS, VersionStatistics};
 use hooklug_types::{RouteName, ServiceName, ServiceVersion};
 
-/// One version on one route.
+/// A version of a service on a route.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionOnRoute {
     /// The service.
@@ -17,7 +17,7 @@
 }
 
 impl VersionOnRoute {
-    /// A version of a service on a route.
+    /// Creates the key of a version of a service on a route.
     #[must_use]
     pub fn new(service: &ServiceName, version: &ServiceVersion, route: &RouteName) -> Self {
         Self { service: service.clone(), version: version.clone(), route: route.clone() }
@@ -30,14 +30,14 @@
     }
 }
 
-/// Requests of one version on one route in one interval.
+/// Request counts of one version on one route in one interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that ended well.
+    /// Requests that succeeded.
     pub successes: u64,
-    /// Requests that ended badly.
+    /// Requests that failed.
     pub failures: u64,
-    /// Requests by latency; bucket `i` counts those below `2^i` ms.
+    /// Requests by latency; bucket `i` counts those below `2^i` ms that no lower bucket holds.
     pub latency: [u64; LATENCY_BUCKETS],
 }
 
@@ -52,13 +52,13 @@
 }
 
 impl Counts {
-    /// Counts one request.
+    /// Records one request.
     pub fn note(&mut self, success: bool, latency: Duration) {
         *(if success { &mut self.successes } else { &mut self.failures }) += 1;
         self.latency[latency_bucket(latency)] += 1;
     }
 
-    /// In the form that travels.
+    /// Converts the counts to the form that is sent over RPC.
     #[must_use]
     pub fn statistics(&self, of: &VersionOnRoute) -> VersionStatistics {
         VersionStatistics {
@@ -71,34 +71,34 @@
         }
     }
 
-    /// Adds another interval or gateway.
+    /// Adds the counts of another interval or gateway.
     pub fn add(&mut self, other: &Self) {
         self.successes += other.successes;
         self.failures += other.failures;
         self.latency.iter_mut().zip(other.latency).for_each(|(own, more)| *own += more);
     }
 
-    /// Halves all counts, so that the past weighs less than the present.
+    /// Halves all counts, so that older requests weigh less than recent ones.
     pub fn halve(&mut self) {
         self.successes /= 2;
         self.failures /= 2;
         self.latency.iter_mut().for_each(|count| *count /= 2);
     }
 
-    /// All requests.
+    /// Returns the total number of requests.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.successes + self.failures
     }
 
-    /// Share of requests that ended badly.
+    /// Returns the share of requests that failed.
     #[must_use]
     pub fn error_share(&self) -> f64 {
         share(self.failures, self.total())
     }
 
-    /// The bucket that holds the 95th percentile of latency, and the percentile in milliseconds, taken
-    /// linearly inside the bucket. `None` without samples.
+    /// Returns the 95th percentile of latency, interpolated linearly within its bucket; `None`
+    /// without samples.
     #[must_use]
     pub fn p95(&self) -> Option<Percentile> {
         let total: u64 = self.latency.iter().sum();
@@ -119,36 +119,37 @@
         None
     }
 
-    /// Requests slower than a bucket's upper bound.
+    /// Returns the number of requests slower than a bucket's upper bound.
     #[must_use]
     pub fn slower_than(&self, bucket: usize) -> u64 {
         self.latency.iter().skip(bucket + 1).sum()
     }
 }
 
-/// A percentile of latency.
+/// A percentile of the latency distribution.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Percentile {
-    /// The bucket that holds it.
+    /// The bucket that contains it.
     pub bucket: usize,
     /// Its value, in milliseconds.
     pub millis: f64,
 }
 
-/// Lower and upper bound of a bucket, in milliseconds.
+/// Returns the lower and upper bound of a bucket, in milliseconds.
 fn bounds(bucket: usize) -> (f64, f64) {
     let high = (1_u64 << bucket) as f64;
     (if bucket == 0 { 0.0 } else { high / 2.0 }, high)
 }
 
-/// A part as a share of a whole; 0 without a whole.
+/// Returns the share of `part` in `whole`, or 0 if `whole` is 0.
 #[must_use]
 pub fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
 
-/// How far a share lies above another, both counted, in standard errors: the signed root of the likelihood
-/// ratio under the assumption that they are equal. Unlike a plain z test it holds for small counts too.
+/// Returns by how many standard errors the share `new` lies above the share `old`, each given as
+/// part and whole. This is the signed root of the likelihood ratio under the hypothesis that both
+/// shares are equal; unlike a plain z-test it is valid for small counts too.
 #[must_use]
 pub fn standard_errors_above(new: (u64, u64), old: (u64, u64)) -> f64 {
     let ((new_part, new_whole), (old_part, old_whole)) = (new, old);
@@ -162,7 +163,7 @@
     if share(new_part, new_whole) >= share(old_part, old_whole) { root } else { -root }
 }
 
-/// How much likelier a count is under its own share than under a given one, as a logarithm.
+/// Returns the log-likelihood of a count under its own share minus that under the share `given`.
 fn log_likelihood_gain(part: u64, whole: u64, given: f64) -> f64 {
     let term = |count: u64, own: f64, given: f64| {
         if count == 0 { 0.0 } else { count as f64 * (own / given).ln() }
@@ -171,7 +172,7 @@
     term(part, own, given) + term(whole - part, 1.0 - own, 1.0 - given)
 }
 
-/// The bucket of a latency: bucket `i` holds those below `2^i` ms.
+/// Returns the histogram bucket of a latency; bucket `i` holds latencies below `2^i` ms.
 #[must_use]
 pub fn latency_bucket(latency: Duration) -> usize {
     let ms = u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
--- a/crates/control/src/judge/mod.rs
+++ b/crates/control/src/judge/mod.rs
@@ -1,7 +1,8 @@
-//! Judges new versions by what gateways saw of them, against the old version in the same interval.
+//! Judges new versions by the requests that gateways observed, compared with the old version in the
+//! same interval or, if it has no traffic any more, with its history.
 //!
-//! Pure: time, statistics and the bundle are passed in. A version stays under watch as long as the
-//! bundle lists a sound older one, so harm that shows only under load or after minutes is found too.
+//! Pure: time, statistics and the bundle are passed in. A version is watched as long as the bundle
+//! lists an older sound one, so harm that shows only under load or after minutes is found too.
 
 mod compare;
 mod counts;
@@ -25,29 +26,29 @@
 use reason::reason;
 use window::Window;
 
-/// Intervals that are looked at, shortest first: a short one finds clear harm at once, a long one finds
-/// it where there is little traffic (ours).
+/// Intervals over which versions are compared, shortest first: a short one finds clear harm
+/// quickly, a long one finds it where there is little traffic.
 pub const INTERVALS: [Duration; 4] =
     [Duration::from_secs(3), Duration::from_secs(10), Duration::from_secs(30), window::REMEMBERED];
 
-/// Harm must show for so long without a break before it is acted on (ours).
+/// Time for which harm must show without interruption before it is acted on.
 pub const CONFIRM_TIME: Duration = Duration::from_millis(1_500);
 
-/// The same, when an engine of the version was lost lately: its requests fail until gateways leave it,
-/// which is no harm by the version (ours).
+/// [`CONFIRM_TIME`] for a version that lost an engine recently. Its requests fail until gateways
+/// stop using that engine, which is not the version's fault.
 pub const CONFIRM_TIME_AFTER_LOSS: Duration = Duration::from_secs(4);
 
-/// Harm must still show in so recent a time (ours).
+/// Most recent period in which harm must still show.
 const RECENT: Duration = Duration::from_secs(3);
 
-/// The old version must have its samples within so long for a load to count as known (ours).
+/// Period in which the old version must have enough samples for the load of a route to be recorded.
 const LOAD_TIME: Duration = Duration::from_secs(10);
 
-/// Samples beyond which the figures of the past are halved (ours).
+/// Number of samples above which the historical counts are halved.
 const HISTORY_SAMPLES: u64 = 20_000;
 
-/// Load beyond so many times the highest that the old version was seen under: its latency then says
-/// nothing about the new one's (ours).
+/// Highest comparable load, as a multiple of the maximum load at which the old version was
+/// observed. Above it the old version's latency says nothing about the new one's.
 const LOAD_COMPARABLE: f64 = 1.5;
 
 /// A version of a service.
@@ -60,7 +61,7 @@
 }
 
 impl JudgedVersion {
-    /// A version of a service.
+    /// Creates the key of a version of a service.
     #[must_use]
     pub fn new(service: &ServiceName, version: &ServiceVersion) -> Self {
         Self { service: service.clone(), version: version.clone() }
@@ -72,7 +73,7 @@
 pub struct Judge {
     window: Window,
     history: BTreeMap<VersionOnRoute, Counts>,
-    /// Highest load of a route, in requests a second, while the history was gathered.
+    /// Maximum load of a route, in requests per second, while the history was collected.
     history_load: BTreeMap<(ServiceName, RouteName), f64>,
     suspected: BTreeMap<JudgedVersion, Instant>,
     /// Versions that the last bundle listed as rolled back.
@@ -80,7 +81,7 @@
     reported: Vec<HarmReport>,
 }
 
-/// The newest version of a service, and those that it may be compared with.
+/// The newest version of a service, and the versions that it may be compared with.
 struct Watched<'a> {
     name: &'a ServiceName,
     service: &'a Service,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Harm on one route, with the figures that show it.
+/// Harm on one route, with the counts that show it.
 struct Found {
     finding: Finding,
     new: Counts,
@@ -117,7 +118,7 @@
 }
 
 impl Judge {
-    /// Takes what a gateway saw since its last heartbeat.
+    /// Adds the statistics that a gateway collected since its last heartbeat.
     pub fn observe(&mut self, statistics: &[VersionStatistics], now: Instant) {
         self.window.add(statistics.iter().map(|s| (VersionOnRoute::from(s), Counts::from(s))), now);
         for seen in statistics {
@@ -129,12 +130,13 @@
         }
     }
 
-    /// Takes harm that a gateway found by its own evidence.
+    /// Adds a report of a harmful version that a gateway detected itself.
     pub fn report(&mut self, harm: HarmReport) {
         self.reported.push(harm);
     }
 
-    /// Versions that do clear harm. `lost_engines` are versions that lost an engine lately.
+    /// Returns a report for each version that is clearly harmful. `lost_engines` are versions that
+    /// lost an engine recently.
     pub fn evaluate(
         &mut self,
         bundle: &Bundle,
@@ -164,8 +166,8 @@
         reports
     }
 
-    /// A version that was rolled back and is released again under its old name is judged by what is seen
-    /// from then on: the figures that condemned it are those of another build.
+    /// Drops the statistics of versions that were rolled back and are released again under the same
+    /// name, since those statistics belong to another build.
     fn forget_released_again(&mut self, bundle: &Bundle) {
         let rolled_back = versions(bundle, VersionState::RolledBack);
         let sound = versions(bundle, VersionState::Sound);
@@ -184,8 +186,8 @@
         routes.iter().find_map(|route| self.judge_route(&self.pair(watched, route)?, route, now))
     }
 
-    /// The newest version and the newest older one of which enough is known on a route: a version that was
-    /// listed and never ran says nothing about the next.
+    /// Returns the newest version and the newest older one with enough samples on a route. An older
+    /// version that was listed but never ran cannot serve as the baseline.
     fn pair<'a>(&self, watched: &Watched<'a>, route: &RouteName) -> Option<Pair<'a>> {
         let least = u64::from(watched.service.harm.least_samples);
         let Watched { name, service, new, older } = watched;
@@ -238,7 +240,7 @@
         (!held).then_some(Found { finding, new, old, against })
     }
 
-    /// Whether other services fail as well: then something else than this version is at fault.
+    /// Returns whether other services fail as well, in which case this version is not the cause.
     fn others_suffer(
         &self,
         pair: &Pair<'_>,
@@ -264,7 +266,7 @@
         self.window.load(pair.name, route, now) > LOAD_COMPARABLE * known
     }
 
-    /// Remembers the load of routes on which the old version has enough samples now.
+    /// Records the load of routes on which the old version currently has enough samples.
     fn note_load(&mut self, watched: &Watched<'_>, now: Instant) {
         let least = u64::from(watched.service.harm.least_samples);
         let older = watched.older.iter();
@@ -281,7 +283,7 @@
         }
     }
 
-    /// What was seen of each version over an interval, for operators.
+    /// Returns the counts of each version over an interval, for operators.
     #[must_use]
     pub fn figures(&self, interval: Duration, now: Instant) -> Vec<VersionStatistics> {
         let sums = self.window.sums(interval, now);
@@ -289,13 +291,13 @@
     }
 }
 
-/// Whether a report is about the version that is under watch now.
+/// Returns whether a report is about the version that is currently judged.
 fn is_judged(bundle: &Bundle, harm: &HarmReport) -> bool {
     let service = bundle.services.get_key_value(&harm.service);
     service.and_then(|(name, s)| watched(name, s)).is_some_and(|w| *w.new == harm.version)
 }
 
-/// All versions of a bundle in one state.
+/// Returns all versions of a bundle that have the given state.
 fn versions(bundle: &Bundle, state: VersionState) -> BTreeSet<JudgedVersion> {
     let of = |(name, service): (&ServiceName, &Service)| {
         let listed = service.versions.iter().filter(|entry| entry.state == state);
@@ -305,7 +307,7 @@
     bundle.services.iter().flat_map(of).collect()
 }
 
-/// The newest sound version and the sound ones before it.
+/// Returns the newest sound version and the older sound ones; `None` if there is no older one.
 fn watched<'a>(name: &'a ServiceName, service: &'a Service) -> Option<Watched<'a>> {
     let sound = service.versions.iter().rev().filter(|v| v.state == VersionState::Sound);
     let mut sound = sound.map(|v| &v.version);
@@ -314,8 +316,8 @@
     (!older.is_empty()).then_some(Watched { name, service, new, older })
 }
 
-/// Whether what was found over a longer time shows in the last moments too; without recent samples it
-/// counts as still there.
+/// Returns whether harm found over a longer interval still shows in the most recent samples.
+/// Without recent samples it is assumed to continue.
 fn shows_still(
     finding: &Finding,
     recent: &Counts,
@@ -330,7 +332,8 @@
             recent.error_share() - old.error_share() > thresholds.error_share_above / 2.0
         }
         Finding::Latency => old.p95().is_none_or(|p95| {
-            // Among the last samples more are slow than the twentieth that always is.
+            // Of the old version's requests, at most 5 % are above the bucket of its 95th
+            // percentile.
             share(recent.slower_than(p95.bucket), recent.total()) > 0.05
         }),
     }
--- a/crates/control/src/judge/readiness.rs
+++ b/crates/control/src/judge/readiness.rs
@@ -1,5 +1,5 @@
-//! Versions whose engines never become ready. Nothing is seen of them by gateways, so they are judged by how
-//! their engines stand. Pure: time and standings are passed in.
+//! Detects versions whose engines never become ready. Gateways have no statistics of such versions,
+//! so they are judged by the state of their engines. Pure: time and engine counts are passed in.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,16 +11,16 @@
 
 use super::{JudgedVersion, Watched, watched};
 
-/// How the engines of one version stand.
+/// Number of engines of one version, in total and ready.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// Engines that the view lists, whatever their state.
+    /// Engines in the view, whatever their state.
     pub listed: usize,
-    /// Those of them that answer, say that they are ready, and don't drain.
+    /// Engines among them that respond, report that they are ready and are not draining.
     pub ready: usize,
 }
 
-/// How the engines of all versions stand; a version without engines is missing.
+/// Returns the engine counts of all versions; a version without engines has no entry.
 #[must_use]
 pub fn standings(view: &ClusterView) -> BTreeMap<JudgedVersion, Standing> {
     let hosts = view.members.values().filter_map(|member| {
@@ -41,23 +41,24 @@
     standings
 }
 
-/// Watches for newest versions without a ready engine.
+/// Detects newest versions without a ready engine.
 #[derive(Debug, Clone)]
 pub struct ReadinessWatch {
     bound: Duration,
-    /// Since when a version has had no ready engine.
+    /// Time since which a version has had no ready engine.
     waiting: BTreeMap<JudgedVersion, Instant>,
 }
 
 impl ReadinessWatch {
-    /// Reports a version after so long without a ready engine.
+    /// Creates a monitor that reports a version after `bound` without a ready engine.
     #[must_use]
     pub fn new(bound: Duration) -> Self {
         Self { bound, waiting: BTreeMap::new() }
     }
 
-    /// Newest versions that have had no ready engine for the whole bound while an older sound version has some.
-    /// Without a ready engine of an older one a roll-back would help nobody, so the version is left alone.
+    /// Returns a report for each newest version that has had no ready engine for the full bound
+    /// while an older sound version has some. If no older version has a ready engine, a rollback
+    /// would not help, so the version is not reported.
     pub fn evaluate(
         &mut self,
         bundle: &Bundle,
@@ -104,7 +105,7 @@
     }
 }
 
-/// The newest older version that has ready engines, and how many.
+/// Returns the newest older version that has ready engines, and their number.
 fn ready_older<'a>(
     watched: &Watched<'a>,
     standings: &BTreeMap<JudgedVersion, Standing>,
--- a/crates/control/src/judge/reason.rs
+++ b/crates/control/src/judge/reason.rs
@@ -1,4 +1,4 @@
-//! The figures that show harm, in words for operators.
+//! Describes a detected regression for operators.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::compare::{Against, Finding};
 use super::counts::Counts;
 
-/// What was found, with the figures of both versions.
+/// Describes a regression with the request counts of both versions.
 pub(super) fn reason(
     finding: &Finding,
     new: &Counts,
--- a/crates/control/src/judge/window.rs
+++ b/crates/control/src/judge/window.rs
@@ -1,4 +1,5 @@
-//! What gateways saw over the last two minutes, by version and route. Pure.
+//! Sliding window of the gateways' request counts over the last two minutes, by version and route.
+//! Pure: no I/O.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -7,13 +8,13 @@
 
 use super::counts::{Counts, VersionOnRoute};
 
-/// Time that is remembered (ours).
+/// Time for which counts are retained.
 pub(super) const REMEMBERED: Duration = Duration::from_secs(120);
 
-/// Statistics that come within so short a time are kept together (ours: the time between heartbeats).
+/// Statistics that arrive within this time, the time between heartbeats, share a slot.
 const SLOT_TIME: Duration = Duration::from_secs(1);
 
-/// Times over which load is averaged (ours).
+/// Intervals over which load is averaged.
 const LOAD_INTERVALS: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(10)];
 
 #[derive(Debug, Clone)]
@@ -22,14 +23,14 @@
     counts: BTreeMap<VersionOnRoute, Counts>,
 }
 
-/// Counts of the last [`REMEMBERED`], in slots of [`SLOT_TIME`].
+/// Counts of the last [`RETENTION_TIME`], in slots of [`SLOT_TIME`].
 #[derive(Debug, Clone, Default)]
 pub(super) struct Window {
     slots: VecDeque<Slot>,
 }
 
 impl Window {
-    /// Adds counts that came in now.
+    /// Adds counts that arrived at `now`.
     pub(super) fn add(
         &mut self,
         seen: impl Iterator<Item = (VersionOnRoute, Counts)>,
@@ -60,7 +61,7 @@
         self.slots.iter().rev().take_while(recent)
     }
 
-    /// All counts of an interval, by version and route.
+    /// Returns all counts of an interval, by version and route.
     pub(super) fn sums(
         &self,
         interval: Duration,
@@ -73,7 +74,7 @@
         sums
     }
 
-    /// Counts of one version on one route.
+    /// Returns the counts of one version on one route over an interval.
     pub(super) fn sum(&self, key: &VersionOnRoute, interval: Duration, now: Instant) -> Counts {
         let mut sum = Counts::default();
         for counts in self.recent(interval, now).filter_map(|slot| slot.counts.get(key)) {
@@ -82,8 +83,8 @@
         sum
     }
 
-    /// Two versions' counts of those moments only in which both had traffic, so that what befell one of them
-    /// alone in time is not held against it.
+    /// Returns the counts of two versions from only those slots in which both had traffic, so that
+    /// a fault during which only one of them had traffic does not count against that one.
     pub(super) fn sum_together(
         &self,
         (one, other): (&VersionOnRoute, &VersionOnRoute),
@@ -102,7 +103,7 @@
         sums
     }
 
-    /// Routes on which a version was seen.
+    /// Returns the routes for which the window has counts of a version.
     pub(super) fn routes(
         &self,
         service: &ServiceName,
@@ -113,7 +114,8 @@
         own.map(|k| k.route.clone()).collect()
     }
 
-    /// Requests a second on a route, all versions together: the higher of a short and a longer average.
+    /// Returns the requests per second on a route, summed over all versions: the higher of a short
+    /// and a longer average.
     pub(super) fn load(&self, service: &ServiceName, route: &RouteName, now: Instant) -> f64 {
         let average = |interval: Duration| {
             let requests: u64 = self
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,32 +1,34 @@
-//! Differences between two cluster views, and applying them.
+//! Computes and applies the differences between two cluster views.
 
 use std::collections::BTreeMap;
 
 use hooklug_protocol::control::{ApplicationEngine, ClusterView, Member, ViewChange, ViewItem};
 use hooklug_types::{BundleVersion, EngineId, FencingEpoch, NodeId, Revision};
 
-/// Bits of a revision that count changes under one core leader; the bits above are its fencing epoch.
+/// Low bits of a revision, which count the changes under one core leader; the high bits are its
+/// fencing epoch.
 const COUNT_BITS: u32 = 32;
 
-/// The first revision under a core leader; higher than all under earlier ones.
+/// Returns the first revision under a core leader, which is higher than all those under earlier
+/// leaders.
 #[must_use]
 pub fn first_revision(epoch: FencingEpoch) -> Revision {
     Revision(epoch.0 << COUNT_BITS)
 }
 
-/// The fencing epoch that a revision was made under.
+/// Returns the fencing epoch under which a revision was created.
 #[must_use]
 pub fn revision_epoch(revision: Revision) -> FencingEpoch {
     FencingEpoch(revision.0 >> COUNT_BITS)
 }
 
-/// How many changes there were under that epoch.
+/// Returns the number of changes made under the revision's epoch.
 #[must_use]
 pub fn revision_count(revision: Revision) -> u64 {
     revision.0 & ((1 << COUNT_BITS) - 1)
 }
 
-/// What leads from one view to another, revisions apart.
+/// Returns the changes that turn one view into another, apart from the revision.
 #[must_use]
 pub fn changes(before: &ClusterView, after: &ClusterView) -> Vec<ViewChange> {
     let mut changes = Vec::new();
@@ -95,18 +97,18 @@
     }
 }
 
-/// What came of an item of the view's stream.
+/// Result of applying an item of the view stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Applied {
     /// The view changed.
     Changed,
     /// The item is not newer than the view; nothing changed.
     Old,
-    /// Changes that do not follow the view; the stream must be opened again.
+    /// The changes do not start at the view's revision; the stream must be reopened.
     Gap,
 }
 
-/// Applies an item of the stream to a view. Revisions never go back.
+/// Applies an item of the view stream. The revision never decreases.
 pub fn apply_item(view: &mut ClusterView, item: ViewItem) -> Applied {
     match item {
         ViewItem::Whole(whole) if whole.revision > view.revision => {
