--- a/crates/control/src/agent/installer.rs
+++ b/crates/control/src/agent/installer.rs
@@ -22,8 +22,8 @@
 
 use super::sections::Section;
 use super::{CALL_TIME, NewsSource, Shared};
-use crate::figures;
 use crate::handle::InstalledBundle;
+use crate::metrics;
 
 /// Name of this component among the reasons for not being ready.
 pub(super) const COMPONENT: &str = "bundle";
@@ -140,7 +140,7 @@
         match record.filter(|record| record.version > installed) {
             Some(record) => {
                 if let Err(error) = install(shared, record).await {
-                    figures::bundle_not_fetched();
+                    metrics::bundle_not_fetched();
                     warn!(%error, "cannot install the bundle; retrying");
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
@@ -173,7 +173,7 @@
     shared.bundle.send_replace(Some(Arc::new(InstalledBundle { record, bundle })));
     shared.identity.bundles.set_installed(version);
     shared.heartbeat_due.notify_one();
-    figures::bundle_installed(version.0);
+    metrics::bundle_installed(version.0);
     info!(%version, fetched = bytes, "bundle installed");
     Ok(())
 }
--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -6,7 +6,7 @@
 mod heartbeat;
 mod installer;
 mod peers;
-mod reach;
+mod reachability;
 mod sections;
 mod watch;
 
@@ -28,7 +28,7 @@
 
 use crate::handle::{InstalledBundle, NodeFeeds, NodeReport, Reach, Readiness, Statistics};
 pub use peers::Peers;
-use reach::ReachClock;
+use reachability::ReachClock;
 use sections::SectionCache;
 
 /// Timeout of a request to a peer.
@@ -164,7 +164,7 @@
         statistics: Statistics,
         readiness: Readiness,
     ) -> Self {
-        readiness.unready(reach::COMPONENT, "no core or store has replied yet");
+        readiness.unready(reachability::COMPONENT, "no core or store has replied yet");
         readiness.unready(installer::COMPONENT, "the newest bundle is not known yet");
         let shared = Shared {
             peers: Mutex::new(Peers::new(identity.address.clone())),
@@ -216,7 +216,7 @@
                 watch::run(shared.clone()),
                 heartbeat::run(shared.clone(), self.report),
                 installer::run(shared.clone()),
-                reach::run(shared.clone()),
+                reachability::run(shared.clone()),
                 harm::run(shared.clone(), self.harm),
             );
         };
--- a/crates/control/src/agent/reach.rs
+++ b/crates/control/src/agent/reachability.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 use super::Shared;
-use crate::figures;
 use crate::handle::Reach;
+use crate::metrics;
 
 /// Name of this component among the reasons for not being ready.
 pub(super) const COMPONENT: &str = "reach";
@@ -62,8 +62,8 @@
             store: within(&shared.reach.store, LATELY),
             newest_bundle: *shared.newest_bundle.borrow(),
         };
-        figures::rpc_traffic(shared.identity.traffic.counts());
-        figures::node_state(shared.readiness.reasons().is_empty(), reach);
+        metrics::rpc_traffic(shared.identity.traffic.counts());
+        metrics::node_state(shared.readiness.reasons().is_empty(), reach);
         shared.reach_feed.send_if_modified(|known| {
             let changed = *known != reach;
             *known = reach;
--- a/crates/control/src/core/discovery.rs
+++ b/crates/control/src/core/discovery.rs
@@ -14,7 +14,7 @@
 use super::Shared;
 use super::platform::{ListSource, ListedEngine};
 use super::probe::probe;
-use crate::figures;
+use crate::metrics;
 
 /// Time between rounds (design document: each second).
 const ROUND: Duration = Duration::from_secs(1);
@@ -38,7 +38,7 @@
         match source.read().await {
             Ok(list) => listed = list,
             Err(error) => {
-                figures::list_not_read();
+                metrics::list_not_read();
                 warn!(%error, "cannot read the platform's engine list; the last one stays in use");
             }
         }
--- a/crates/control/src/core/leader.rs
+++ b/crates/control/src/core/leader.rs
@@ -14,9 +14,9 @@
 
 use super::engines::EngineTable;
 use super::members::MemberTable;
-use super::{Shared, orders, repair, rollout};
-use crate::figures;
+use super::{Shared, repair, rollback, rollouts};
 use crate::judge::JudgedVersion;
+use crate::metrics;
 use crate::view::first_revision;
 
 /// Time between updates of members and engines.
@@ -109,8 +109,8 @@
     let controllers = async {
         tokio::join!(
             refresh_meta(shared, &leading),
-            rollout::run(shared, &leading),
-            orders::run(shared, &leading),
+            rollback::run(shared, &leading),
+            rollouts::run(shared, &leading),
             repair::run(shared, &leading),
         );
     };
@@ -233,7 +233,7 @@
         let engines = if same_engines { shown.engines.clone() } else { next.engines.into() };
         let revision = shown.revision.next();
         *shown = ClusterView { revision, members: next.members, engines, meta: next.meta };
-        figures::view_shown(shown);
+        metrics::view_shown(shown);
         shared.published.publish(shown.clone());
     }
     shared.published.refresh();
--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-use crate::{NodeContext, figures};
+use crate::{NodeContext, metrics};
 
 /// Duration of the core leader's lease, measured on its own clock from the time at which the last
 /// accepted renewal was sent (design document, section 3: 3 s). Stores wait longer before they let
@@ -68,7 +68,7 @@
     }
 
     fn accept(&self, leader: CoreLeader, sent: Instant) {
-        figures::core_leads(true);
+        metrics::core_leads(true);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(sent);
         let epoch = leader.epoch;
         self.known.send_replace(Some(leader));
@@ -80,7 +80,7 @@
     }
 
     fn give_up(&self) {
-        figures::core_leads(false);
+        metrics::core_leads(false);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = None;
         self.epoch.send_if_modified(|held| held.take().is_some());
     }
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -11,14 +11,14 @@
 mod leader;
 pub mod leadership;
 pub mod members;
-pub mod orders;
 pub mod platform;
 pub mod probe;
 mod published;
-pub mod records_told;
 pub mod repair;
-mod rollout;
-pub mod slot_uses;
+mod rollback;
+pub mod rollouts;
+pub mod sent_records;
+pub mod slot_usage;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -39,8 +39,8 @@
 use inbox::Inbox;
 use leadership::Leadership;
 use published::Published;
-use records_told::RecordsTold;
-use slot_uses::SlotUses;
+use sent_records::RecordsTold;
+use slot_usage::SlotUses;
 
 /// Timeout of a request forwarded to the core leader; must be shorter than the time that a node
 /// waits for the core.
--- a/crates/control/src/core/repair/changes.rs
+++ b/crates/control/src/core/repair/changes.rs
@@ -17,7 +17,7 @@
 
 use super::super::Shared;
 use super::super::leader::Leading;
-use crate::figures;
+use crate::metrics;
 
 /// Timeout of one change; an unconfirmed change is planned again.
 const CHANGE_TIME: Duration = Duration::from_secs(3);
@@ -220,7 +220,7 @@
             false
         }
     };
-    figures::replicas_changed(is_made);
+    metrics::replicas_changed(is_made);
     is_made
 }
 
--- a/crates/control/src/core/repair/mod.rs
+++ b/crates/control/src/core/repair/mod.rs
@@ -6,9 +6,9 @@
 //! the next round starts when a change has finished or a store was registered.
 
 mod changes;
-pub mod signs;
+pub mod liveness;
+pub mod monitor;
 mod statuses;
-pub mod watch;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 
 use super::Shared;
 use super::leader::Leading;
-use crate::figures;
+use crate::metrics;
 use changes::Changes;
-use signs::Signs;
+use liveness::Signs;
+use monitor::{GroupNews, RepairWatch};
 use statuses::Statuses;
-use watch::{GroupNews, RepairWatch};
 
 /// Time between rounds while nothing is to be done.
 const CALM_PAUSE: Duration = Duration::from_secs(1);
@@ -82,7 +82,7 @@
         let meta = &*self.changes.as_of(meta);
         let alive = self.alive(meta, now);
         tell(&self.watch.look(meta, &reports, &alive, now));
-        figures::groups_watched(self.watch.degraded(), self.watch.stalled());
+        metrics::groups_watched(self.watch.degraded(), self.watch.stalled());
         // Moves that only balance the load are made one at a time, with a pause between them.
         let planned = if self.changes.rested_for(now) < CALM_PAUSE {
             plan_repairs(meta, &reports, &alive)
@@ -134,7 +134,7 @@
             }
             GroupNews::Whole { group, took } => {
                 info!(%group, ?took, "a group has all its replicas again");
-                figures::group_repaired(*took);
+                metrics::group_repaired(*took);
             }
             GroupNews::Stalled { group, stalled_for, leader: None } => {
                 warn!(%group, ?stalled_for, "a group has no leader");
--- a/crates/control/src/core/rollout.rs
+++ b/crates/control/src/core/rollback.rs
@@ -8,8 +8,8 @@
 
 use super::Shared;
 use super::leader::Leading;
-use crate::figures;
 use crate::judge::{ReadinessWatch, standings};
+use crate::metrics;
 
 /// Time between judgements.
 const JUDGE_PAUSE: Duration = Duration::from_millis(250);
@@ -46,7 +46,7 @@
     let deadline = tokio::time::Instant::now() + COMMIT_TIME;
     match shared.ctx.state.execute_meta(&command, deadline).await {
         Ok(MetaReply::Bundle(record)) => {
-            figures::rolled_back();
+            metrics::rolled_back();
             info!(%service, %version, bundle = %record.version, "rolled back");
             shared.ctx.identity.bundles.saw(record.version);
         }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod agent;
 pub mod backends;
 pub mod core;
-mod figures;
 pub mod handle;
 pub mod judge;
+mod metrics;
 pub mod view;
 
 pub use self::core::Core;
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hooklug_control::core::members::{DEAD_AFTER, GONE_AFTER, MemberTable, SUSPECT_AFTER};
-use hooklug_control::core::records_told::{REPEAT_AFTER, RecordsTold};
+use hooklug_control::core::sent_records::{REPEAT_AFTER, RecordsTold};
 use hooklug_protocol::control::{Heartbeat, MemberHealth, NodeAddress};
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole, ZoneName};
 
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Ordered roll-outs step by step: good versions are completed in time, bad ones are turned back early.
 
-use hooklug_control::core::orders::{Evidence, evidence, next_phase};
+use hooklug_control::core::rollouts::{Evidence, evidence, next_phase};
 use hooklug_protocol::control::{LATENCY_BUCKETS, VersionStatistics};
 use hooklug_state::meta::{RolloutPhase, RolloutRecord};
 use hooklug_types::{RouteName, ServiceName, ServiceVersion, UnixMillis};
--- a/crates/control/tests/repair_watch.rs
+++ b/crates/control/tests/repair_watch.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hooklug_control::core::repair::watch::{GroupNews, RepairWatch, STALL_TIME};
+use hooklug_control::core::repair::monitor::{GroupNews, RepairWatch, STALL_TIME};
 use hooklug_protocol::store::{MemberProgress, ReplicaStatus};
 use hooklug_raft::{ConfState, ProgressState, Role};
 use hooklug_state::meta::{GroupPlacement, MetaState};
--- a/crates/control/tests/slot_uses.rs
+++ b/crates/control/tests/slot_uses.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hooklug_control::core::members::DEAD_AFTER;
-use hooklug_control::core::slot_uses::SlotUses;
+use hooklug_control::core::slot_usage::SlotUses;
 use hooklug_protocol::control::{Heartbeat, HostedEngine, NodeAddress, ServiceSlotUse, SlotUse};
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole};
 
--- a/crates/control/tests/store_signs.rs
+++ b/crates/control/tests/store_signs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hooklug_control::core::repair::signs::{LOST_AFTER, Signs};
+use hooklug_control::core::repair::liveness::{LOST_AFTER, Signs};
 use hooklug_protocol::store::{MemberProgress, ReplicaStatus};
 use hooklug_raft::{ConfState, ProgressState, Role};
 use hooklug_store::placement::StoreReport;
