--- a/crates/control/src/agent/discovery.rs
+++ b/crates/control/src/agent/discovery.rs
@@ -13,27 +13,27 @@
 use super::Shared;
 
 /// Time between rounds while no core or no store is known.
-const SEARCH_PAUSE: Duration = Duration::from_millis(200);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between rounds once a core and a store are known.
-const STEADY_PAUSE: Duration = Duration::from_secs(1);
+const STEADY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Other peers queried per round while no core replies, in addition to seeds and stores.
-const ASKED_IN_A_ROUND: usize = 2;
+const RANDOM_PEERS_PER_ROUND: usize = 2;
 
 pub(super) async fn run(shared: Arc<Shared>) {
     loop {
         let targets = targets(&shared);
-        let asked =
-            join_all(targets.into_iter().map(|target| ask(&shared, &shared.client, target)));
-        tokio::join!(asked, ask_others(&shared));
+        let queries =
+            join_all(targets.into_iter().map(|target| query(&shared, &shared.client, target)));
+        tokio::join!(queries, query_random_peers(&shared));
         shared.publish_stores();
-        let pause = if found_enough(&shared) { STEADY_PAUSE } else { SEARCH_PAUSE };
+        let pause = if knows_core_and_store(&shared) { STEADY_INTERVAL } else { SEARCH_INTERVAL };
         tokio::time::sleep(pause).await;
     }
 }
 
-fn found_enough(shared: &Shared) -> bool {
+fn knows_core_and_store(shared: &Shared) -> bool {
     let peers = shared.peers();
     let knows = |role| !peers.addresses(role).is_empty();
     knows(NodeRole::Core) && knows(NodeRole::Store)
@@ -50,8 +50,8 @@
     let unknown = |seed: &&SocketAddr| !peers.is_known(**seed);
     let mut targets: Vec<SocketAddr> = shared.seeds.iter().filter(unknown).copied().collect();
     targets.extend(shared.leader.borrow().iter().filter(unknown));
-    let alone = !shared.reach.core_answers();
-    let store_count = if alone { stores.len() } else { 1 };
+    let no_core_replies = !shared.reachability.core_is_reachable();
+    let store_count = if no_core_replies { stores.len() } else { 1 };
     targets.extend(stores.sample(&mut rng, store_count));
     if stores.is_empty() {
         // A core that knew no store when it was first queried may know one by now.
@@ -66,27 +66,27 @@
 /// Queries a few random peers while no core replies. The connections are closed after the round;
 /// otherwise a cluster that has lost its cores would end up with a connection between every two
 /// nodes.
-async fn ask_others(shared: &Shared) {
-    if shared.reach.core_answers() {
+async fn query_random_peers(shared: &Shared) {
+    if shared.reachability.core_is_reachable() {
         return;
     }
-    let others = shared.peers().sample(ASKED_IN_A_ROUND, &mut rand::rng());
+    let others = shared.peers().sample(RANDOM_PEERS_PER_ROUND, &mut rand::rng());
     let client = RpcClient::new(shared.identity.clone());
-    join_all(others.into_iter().map(|other| ask(shared, &client, other))).await;
+    join_all(others.into_iter().map(|other| query(shared, &client, other))).await;
 }
 
-async fn ask(shared: &Shared, client: &RpcClient, target: SocketAddr) {
+async fn query(shared: &Shared, client: &RpcClient, target: SocketAddr) {
     let request = Discover { from: shared.identity.address.clone() };
-    let Ok(answer) = client.call(target, &request, shared.deadline()).await else { return };
+    let Ok(reply) = client.call(target, &request, shared.deadline()).await else { return };
     let mut peers = shared.peers();
-    let answering = answer.iter().find(|a| a.rpc == target).cloned();
-    answer.into_iter().for_each(|address| peers.learn(address));
+    let sender = reply.iter().find(|a| a.rpc == target).cloned();
+    reply.into_iter().for_each(|address| peers.learn(address));
     drop(peers);
-    note_answer(shared, answering.as_ref());
+    record_reply(shared, sender.as_ref());
 }
 
-fn note_answer(shared: &Shared, answering: Option<&NodeAddress>) {
-    if answering.is_some_and(|a| a.role == NodeRole::Store) {
-        shared.reach.store_answered();
+fn record_reply(shared: &Shared, sender: Option<&NodeAddress>) {
+    if sender.is_some_and(|a| a.role == NodeRole::Store) {
+        shared.reachability.record_store_reply();
     }
 }
--- a/crates/control/src/agent/harm.rs
+++ b/crates/control/src/agent/harm.rs
@@ -12,20 +12,20 @@
 use super::{Shared, heartbeat};
 
 /// Time after which an undelivered report is dropped.
-const WORTH_TIME: Duration = Duration::from_secs(30);
+const REPORT_LIFETIME: Duration = Duration::from_secs(30);
 
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 pub(super) async fn run(shared: Arc<Shared>, mut harm: mpsc::Receiver<HarmReport>) {
     while let Some(report) = harm.recv().await {
-        tell(&shared, report).await;
+        send_report(&shared, report).await;
     }
     // All senders are dropped, so no report can arrive; the agent's other tasks keep running.
     std::future::pending::<()>().await;
 }
 
-async fn tell(shared: &Shared, harm: HarmReport) {
-    let until = Instant::now() + WORTH_TIME;
+async fn send_report(shared: &Shared, harm: HarmReport) {
+    let until = Instant::now() + REPORT_LIFETIME;
     let request = ReportHarm { harm };
     while Instant::now() < until {
         for core in heartbeat::cores_in_order(shared) {
@@ -33,7 +33,7 @@
                 return;
             }
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     warn!(service = %request.harm.service, version = %request.harm.version, "report of a harmful version dropped: no core accepted it in time");
 }
--- a/crates/control/src/agent/heartbeat.rs
+++ b/crates/control/src/agent/heartbeat.rs
@@ -9,29 +9,29 @@
 use rand::seq::SliceRandom;
 use tokio::sync::watch;
 
-use super::{NewsSource, Shared};
+use super::{RecordSource, Shared};
 use crate::handle::NodeReport;
 
 /// Time between heartbeats (design document, section 4: 1 s).
 const INTERVAL: Duration = Duration::from_secs(1);
 
 /// Minimum time between two heartbeats, however often the report changes.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) async fn run(shared: Arc<Shared>, mut report: watch::Receiver<NodeReport>) {
     loop {
         let current = report.borrow_and_update().clone();
-        beat(&shared, current).await;
-        tokio::time::sleep(LEAST_PAUSE).await;
+        send_heartbeat(&shared, current).await;
+        tokio::time::sleep(MIN_INTERVAL).await;
         tokio::select! {
-            () = tokio::time::sleep(INTERVAL - LEAST_PAUSE) => {}
+            () = tokio::time::sleep(INTERVAL - MIN_INTERVAL) => {}
             () = shared.heartbeat_due.notified() => {}
             Ok(()) = report.changed() => {}
         }
     }
 }
 
-async fn beat(shared: &Shared, report: NodeReport) {
+async fn send_heartbeat(shared: &Shared, report: NodeReport) {
     let mut heartbeat = Heartbeat {
         from: shared.identity.address.clone(),
         bundle: shared.identity.bundles.installed(),
@@ -43,7 +43,7 @@
     for core in cores_in_order(shared) {
         match shared.client.call(core, &heartbeat, shared.deadline()).await {
             Ok(reply) => {
-                answered(shared, core, &reply);
+                handle_reply(shared, core, &reply);
                 return;
             }
             // This core may have counted the statistics; sending them to another could count them
@@ -55,11 +55,11 @@
     shared.statistics.restore(&heartbeat.statistics);
 }
 
-fn answered(shared: &Shared, core: SocketAddr, reply: &HeartbeatReply) {
-    shared.reach.core_answered();
+fn handle_reply(shared: &Shared, core: SocketAddr, reply: &HeartbeatReply) {
+    shared.reachability.record_core_reply();
     shared.note_leader(Some(reply.leader.unwrap_or(core)));
     if let Some(record) = &reply.bundle {
-        shared.heard_of(record, NewsSource::Heartbeat);
+        shared.learn_record(record, RecordSource::Heartbeat);
     }
 }
 
--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -28,15 +28,15 @@
 
 use crate::handle::{InstalledBundle, NodeFeeds, NodeReport, Reach, Readiness, Statistics};
 pub use peers::Peers;
-use reachability::ReachClock;
+use reachability::ReachabilityTracker;
 use sections::SectionCache;
 
 /// Timeout of a request to a peer.
-const CALL_TIME: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a node learned of a bundle.
 #[derive(Debug, Clone, Copy)]
-enum NewsSource {
+enum RecordSource {
     /// A core's reply to a heartbeat.
     Heartbeat,
     /// A linearizable read of the meta group.
@@ -56,11 +56,11 @@
     readiness: Readiness,
     peers: Mutex<Peers>,
     sections: Mutex<SectionCache>,
-    reach: ReachClock,
+    reachability: ReachabilityTracker,
     /// The newest bundle record known, installed or not.
-    heard: channel::Sender<Option<BundleRecord>>,
+    newest_record: channel::Sender<Option<BundleRecord>>,
     /// Whether a quorum has reported the newest bundle since the process started.
-    quorum_answered: channel::Sender<bool>,
+    quorum_replied: channel::Sender<bool>,
     /// Whether a quorum was queried for the newest bundle and that bundle is installed.
     newest_bundle: channel::Sender<bool>,
     /// Address of the core leader, if known.
@@ -84,12 +84,12 @@
 
     /// Records that a bundle exists; the installer fetches it if it is newer than the installed
     /// one.
-    fn heard_of(&self, record: &BundleRecord, source: NewsSource) {
-        self.heard.send_if_modified(|heard| {
-            let newer = heard.as_ref().is_none_or(|h| h.version < record.version);
+    fn learn_record(&self, record: &BundleRecord, source: RecordSource) {
+        self.newest_record.send_if_modified(|known| {
+            let newer = known.as_ref().is_none_or(|k| k.version < record.version);
             if newer {
                 info!(version = %record.version, ?source, "learned of a newer bundle");
-                *heard = Some(record.clone());
+                *known = Some(record.clone());
             }
             newer
         });
@@ -109,11 +109,11 @@
             self.identity.set_cluster(view.meta.cluster);
         }
         if let Some(record) = &view.meta.bundle {
-            self.heard_of(record, NewsSource::View);
+            self.learn_record(record, RecordSource::View);
         }
         let mut peers = self.peers();
-        peers.follow_members(members.iter().map(|member| &**member));
-        peers.follow_stores(&view.meta.stores);
+        peers.update_members(members.iter().map(|member| &**member));
+        peers.set_listed_stores(&view.meta.stores);
         drop(peers);
         self.publish_stores();
         let leader = view.meta.leader.as_ref().filter(|l| !l.expired).map(|l| l.address);
@@ -140,7 +140,7 @@
     }
 
     fn deadline(&self) -> Instant {
-        Instant::now() + CALL_TIME
+        Instant::now() + CALL_TIMEOUT
     }
 }
 
@@ -175,9 +175,9 @@
             statistics,
             readiness,
             sections: Mutex::default(),
-            reach: ReachClock::default(),
-            heard: channel::Sender::new(None),
-            quorum_answered: channel::Sender::new(false),
+            reachability: ReachabilityTracker::default(),
+            newest_record: channel::Sender::new(None),
+            quorum_replied: channel::Sender::new(false),
             newest_bundle: channel::Sender::new(false),
             leader: channel::Sender::new(None),
             heartbeat_due: Notify::new(),
@@ -192,18 +192,18 @@
     /// Handles requests of peers: discovery, and fetches of bundle sections that this node holds.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
-        let (discovering, fetching) = (self.shared.clone(), self.shared.clone());
+        let (discover_shared, fetch_shared) = (self.shared.clone(), self.shared.clone());
         Router::new()
             .route_inline(move |_peer, request: Discover| {
-                let mut peers = discovering.peers();
+                let mut peers = discover_shared.peers();
                 peers.learn(request.from);
-                let introduced = peers.introduction(&mut rand::rng());
+                let reply = peers.discovery_reply(&mut rand::rng());
                 drop(peers);
-                discovering.publish_stores();
-                introduced
+                discover_shared.publish_stores();
+                reply
             })
             .route_inline(move |_peer, request: FetchSection| {
-                fetching.sections().get(&request.digest).map(|section| section.to_vec())
+                fetch_shared.sections().get(&request.digest).map(|section| section.to_vec())
             })
     }
 
--- a/crates/control/src/agent/peers.rs
+++ b/crates/control/src/agent/peers.rs
@@ -10,7 +10,7 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 
 /// Gateways and engines named in a discovery reply, in addition to all stores and cores.
-const OTHERS_INTRODUCED: usize = 8;
+const MAX_OTHERS_IN_REPLY: usize = 8;
 
 /// The processes that a node knows, including itself.
 #[derive(Debug, Clone)]
@@ -72,7 +72,7 @@
     }
 
     /// Applies added and changed members of the view: adds live ones and removes dead ones.
-    pub fn follow_members<'a>(&mut self, members: impl IntoIterator<Item = &'a Member>) {
+    pub fn update_members<'a>(&mut self, members: impl IntoIterator<Item = &'a Member>) {
         for member in members {
             let address = &member.address;
             if member.health == MemberHealth::Dead {
@@ -88,7 +88,7 @@
 
     /// Replaces the stores known from the meta group; stores removed from the cluster are
     /// forgotten.
-    pub fn follow_stores(&mut self, stores: &[StoreRecord]) {
+    pub fn set_listed_stores(&mut self, stores: &[StoreRecord]) {
         let (removed, listed): (Vec<&StoreRecord>, Vec<&StoreRecord>) =
             stores.iter().partition(|s| s.state == StoreState::Removed);
         self.listed_stores = listed.into_iter().map(|s| s.address).collect();
@@ -98,11 +98,11 @@
     /// Returns the reply to a discovery request: this node, all stores and cores, and a few random
     /// others. The requester learns the rest from the view; sending all nodes to all nodes each
     /// second would grow with the square of the cluster size.
-    pub fn introduction(&self, rng: &mut impl Rng) -> Vec<NodeAddress> {
+    pub fn discovery_reply(&self, rng: &mut impl Rng) -> Vec<NodeAddress> {
         let (central, others): (Vec<&NodeAddress>, Vec<&NodeAddress>) =
             self.known.values().partition(|a| matches!(a.role, NodeRole::Store | NodeRole::Core));
-        let some = others.sample(rng, OTHERS_INTRODUCED).copied();
-        std::iter::once(&self.own).chain(central).chain(some).cloned().collect()
+        let sampled = others.sample(rng, MAX_OTHERS_IN_REPLY).copied();
+        std::iter::once(&self.own).chain(central).chain(sampled).cloned().collect()
     }
 
     /// Returns the number of other known processes.
@@ -133,9 +133,9 @@
     /// the role.
     #[must_use]
     pub fn addresses(&self, role: NodeRole) -> Vec<SocketAddr> {
-        let met = self.by_role.get(&role).into_iter().flatten().copied();
+        let known = self.by_role.get(&role).into_iter().flatten().copied();
         let own = (self.own.role == role).then_some(self.own.rpc);
-        let mut addresses: Vec<SocketAddr> = met.chain(own).collect();
+        let mut addresses: Vec<SocketAddr> = known.chain(own).collect();
         if role == NodeRole::Store {
             addresses.extend(&self.listed_stores);
         }
--- a/crates/control/src/agent/sections.rs
+++ b/crates/control/src/agent/sections.rs
@@ -13,25 +13,25 @@
 #[derive(Debug, Default)]
 pub(super) struct SectionCache {
     current: BTreeMap<Digest, Section>,
-    former: BTreeMap<Digest, Section>,
-    arrived: BTreeMap<Digest, Section>,
+    previous: BTreeMap<Digest, Section>,
+    pending: BTreeMap<Digest, Section>,
 }
 
 impl SectionCache {
     pub(super) fn get(&self, digest: &Digest) -> Option<Section> {
-        let held = [&self.current, &self.former, &self.arrived];
-        held.into_iter().find_map(|sections| sections.get(digest)).cloned()
+        let caches = [&self.current, &self.previous, &self.pending];
+        caches.into_iter().find_map(|sections| sections.get(digest)).cloned()
     }
 
     /// Drops fetched sections that are not among `digests`, those of the bundle being installed.
-    pub(super) fn want(&mut self, digests: &BTreeSet<Digest>) {
-        self.arrived.retain(|digest, _| digests.contains(digest));
+    pub(super) fn retain_pending(&mut self, digests: &BTreeSet<Digest>) {
+        self.pending.retain(|digest, _| digests.contains(digest));
     }
 
     /// Stores a section whose digest was verified, so that a failed installation resumes where it
     /// stopped.
-    pub(super) fn keep(&mut self, digest: Digest, section: Section) {
-        self.arrived.insert(digest, section);
+    pub(super) fn insert_pending(&mut self, digest: Digest, section: Section) {
+        self.pending.insert(digest, section);
     }
 
     /// Replaces the current sections with those of a newly installed bundle, which were either held
@@ -42,10 +42,10 @@
         fetched: impl Iterator<Item = (Digest, Section)>,
     ) {
         let fetched: BTreeMap<Digest, Section> = fetched.collect();
-        let held = |digest: &Digest| fetched.get(digest).cloned().or_else(|| self.get(digest));
-        let present = |digest: &Digest| Some((*digest, held(digest)?));
-        let next = sections.values().filter_map(present).collect();
-        self.former = std::mem::replace(&mut self.current, next);
-        self.arrived.clear();
+        let find = |digest: &Digest| fetched.get(digest).cloned().or_else(|| self.get(digest));
+        let entry = |digest: &Digest| Some((*digest, find(digest)?));
+        let next = sections.values().filter_map(entry).collect();
+        self.previous = std::mem::replace(&mut self.current, next);
+        self.pending.clear();
     }
 }
--- a/crates/control/src/agent/watch.rs
+++ b/crates/control/src/agent/watch.rs
@@ -14,16 +14,16 @@
 use tracing::{debug, info};
 
 use super::Shared;
-use crate::view::{Applied, apply_item};
+use crate::view::{ApplyResult, apply_item};
 
 /// Delay before the next core is tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Time without an item after which another core is followed; cores send an empty item each second.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Time between reads of the stores' meta state while no core serves the view.
-const POLL_PAUSE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(super) async fn run(shared: Arc<Shared>) {
     tokio::join!(follow_cores(&shared), poll_stores(&shared));
@@ -34,7 +34,7 @@
         for core in cores(shared) {
             follow(shared, core).await;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -51,14 +51,14 @@
     let opened = shared.client.open(core, &request, shared.deadline()).await;
     let Ok(mut items) = opened else { return };
     loop {
-        let Ok(next) = timeout(SILENCE, items.next()).await else {
+        let Ok(next) = timeout(STREAM_TIMEOUT, items.next()).await else {
             info!(%core, "view stream timed out; trying another core");
             return;
         };
         match next {
             Ok(Some(item)) => {
-                shared.reach.core_answered();
-                if !take(shared, item) {
+                shared.reachability.record_core_reply();
+                if !apply(shared, item) {
                     debug!(%core, "view stream has a gap; reopening it");
                     return;
                 }
@@ -73,51 +73,51 @@
 }
 
 /// Applies an item; returns false if it does not follow the known revision.
-fn take(shared: &Shared, item: ViewItem) -> bool {
+fn apply(shared: &Shared, item: ViewItem) -> bool {
     // A keepalive without changes, sent each second; the view is not copied for it.
     if matches!(&item, ViewItem::Changes { to, .. } if *to <= shared.view.borrow().revision) {
         return true;
     }
-    let members = members_of(&item);
-    let mut applied = Applied::Old;
+    let members = changed_members(&item);
+    let mut applied = ApplyResult::Stale;
     let changed = shared.change_view(|view| {
         applied = apply_item(view, item);
-        applied == Applied::Changed
+        applied == ApplyResult::Changed
     });
     if changed {
         shared.view_changed(&members);
     }
-    applied != Applied::Gap
+    applied != ApplyResult::Gap
 }
 
 /// Returns the members that an item adds or updates.
-fn members_of(item: &ViewItem) -> Vec<SharedMember> {
-    let of_change = |change: &ViewChange| match change {
+fn changed_members(item: &ViewItem) -> Vec<SharedMember> {
+    let changed_member = |change: &ViewChange| match change {
         ViewChange::Member(member) => Some(member.clone()),
         _ => None,
     };
     match item {
         ViewItem::Whole(view) => view.members.iter().map(|(_, member)| member.clone()).collect(),
-        ViewItem::Changes { changes, .. } => changes.iter().filter_map(of_change).collect(),
+        ViewItem::Changes { changes, .. } => changes.iter().filter_map(changed_member).collect(),
     }
 }
 
 async fn poll_stores(shared: &Shared) {
     loop {
-        if !shared.reach.core_answers() {
+        if !shared.reachability.core_is_reachable() {
             poll(shared).await;
         }
-        tokio::time::sleep(POLL_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Reads the meta state from the stores. Members and engines keep their last known state.
 async fn poll(shared: &Shared) {
-    let answer = shared.state.query_meta(&MetaQuery::State, shared.deadline()).await;
-    let Ok(MetaAnswer::State(state)) = answer else { return };
-    shared.reach.store_answered();
+    let reply = shared.state.query_meta(&MetaQuery::State, shared.deadline()).await;
+    let Ok(MetaAnswer::State(state)) = reply else { return };
+    shared.reachability.record_store_reply();
     let changed = shared.change_view(|view| {
-        let changed = is_later(&state, &view.meta) && *view.meta != *state;
+        let changed = is_not_older(&state, &view.meta) && *view.meta != *state;
         if changed {
             view.meta = (*state).into();
         }
@@ -129,7 +129,7 @@
 }
 
 /// Returns whether a state read from a quorum is not older than the known one.
-fn is_later(read: &MetaState, known: &MetaState) -> bool {
+fn is_not_older(read: &MetaState, known: &MetaState) -> bool {
     let version = |state: &MetaState| state.bundle.as_ref().map(|b| b.version);
     let epoch = |state: &MetaState| state.leader.as_ref().map(|l| (l.epoch, l.renewal));
     version(read) >= version(known) && epoch(read) >= epoch(known)
--- a/crates/control/src/backends/follower.rs
+++ b/crates/control/src/backends/follower.rs
@@ -19,13 +19,13 @@
 
 /// Time without an item after which another core is followed; a core sends an item with each read,
 /// at least once per second.
-const SILENCE: Duration = Duration::from_millis(1_800);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Timeout for opening a stream to a core.
-const OPEN_TIME: Duration = Duration::from_millis(800);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Delay before the next core is tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Receiver of the latest list; `None` until the first one arrives.
 pub type BackendWatch = watch::Receiver<Option<Arc<BackendList>>>;
@@ -56,7 +56,7 @@
         loop {
             for core in self.cores() {
                 self.follow(core).await;
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -83,13 +83,13 @@
     /// Follows one core until it ends the stream or stops responding.
     async fn follow(&self, core: SocketAddr) {
         let request = WatchBackends { from: self.context.identity.address.clone() };
-        let deadline = Instant::now() + OPEN_TIME;
+        let deadline = Instant::now() + OPEN_TIMEOUT;
         let Ok(mut items) = self.context.client.open(core, &request, deadline).await else {
             return;
         };
         let mut list = BackendList::default();
         let mut is_first = true;
-        while let Ok(Ok(Some(item))) = timeout(SILENCE, items.next()).await {
+        while let Ok(Ok(Some(item))) = timeout(STREAM_TIMEOUT, items.next()).await {
             if list.apply(item) || is_first {
                 is_first = false;
                 self.list.send_replace(Some(Arc::new(list.clone())));
--- a/crates/control/src/backends/list.rs
+++ b/crates/control/src/backends/list.rs
@@ -45,7 +45,7 @@
 
     /// Returns a stream item with the full list.
     #[must_use]
-    pub fn whole(&self) -> BackendsItem {
+    pub fn full(&self) -> BackendsItem {
         BackendsItem::Whole(self.iter().map(|backend| ListedBackend::clone(backend)).collect())
     }
 
@@ -54,8 +54,8 @@
     pub fn changes_since(&self, earlier: &Self) -> BackendsItem {
         let differs = |b: &&Arc<ListedBackend>| earlier.entries.get(&b.id) != Some(*b);
         let changed = self.iter().filter(differs).map(|b| ListedBackend::clone(b)).collect();
-        let is_gone = |id: &&EngineId| !self.entries.contains_key(*id);
-        let gone = earlier.entries.keys().filter(is_gone).cloned().collect();
+        let is_removed = |id: &&EngineId| !self.entries.contains_key(*id);
+        let gone = earlier.entries.keys().filter(is_removed).cloned().collect();
         BackendsItem::Changes { changed, gone }
     }
 
--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -24,10 +24,10 @@
 const STALE_AFTER: Duration = Duration::from_secs(3);
 
 /// Time without an item from the core that reads for all after which another reads the list itself.
-const FIRST_SILENCE: Duration = Duration::from_millis(1_500);
+const READER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Timeout for opening a stream to that core.
-const OPEN_TIME: Duration = Duration::from_millis(500);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Error of a read of the platform's list; the last list read stays in use for a while.
 #[derive(Debug, thiserror::Error)]
@@ -100,10 +100,10 @@
     /// role.
     async fn follow(&self, context: &NodeContext, first: SocketAddr) {
         let request = WatchBackends { from: context.identity.address.clone() };
-        let deadline = Instant::now() + OPEN_TIME;
+        let deadline = Instant::now() + OPEN_TIMEOUT;
         let Ok(mut items) = context.client.open(first, &request, deadline).await else { return };
         let mut list = BackendList::default();
-        while let Ok(Ok(Some(item))) = timeout(FIRST_SILENCE, items.next()).await {
+        while let Ok(Ok(Some(item))) = timeout(READER_TIMEOUT, items.next()).await {
             list.apply(item);
             self.publish(list.clone());
             if first_core(context) != Some(first) {
@@ -122,8 +122,9 @@
 /// that is this core.
 fn first_core(context: &NodeContext) -> Option<SocketAddr> {
     let view = context.node.view.borrow();
-    let lives = |m: &&Member| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive;
-    let cores = view.members.values().filter(lives);
+    let is_alive =
+        |m: &&Member| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive;
+    let cores = view.members.values().filter(is_alive);
     let first = cores.map(|member| member.address.rpc).min()?;
     (first < context.identity.address.rpc).then_some(first)
 }
@@ -141,7 +142,7 @@
         if reading.is_fresh() {
             let item = match &sent {
                 Some(sent) => reading.list.changes_since(sent),
-                None => reading.list.whole(),
+                None => reading.list.full(),
             };
             if sink.send(&item).await.is_err() {
                 return;
--- a/crates/control/src/core/discovery.rs
+++ b/crates/control/src/core/discovery.rs
@@ -17,13 +17,13 @@
 use crate::metrics;
 
 /// Time between rounds (design document: each second).
-const ROUND: Duration = Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of concurrent probes.
-const PROBES_AT_ONCE: usize = 128;
+const MAX_CONCURRENT_PROBES: usize = 128;
 
 /// Timeout for sending a report to the leader.
-const REPORT_TIME: Duration = Duration::from_millis(700);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 
 pub(super) async fn run(shared: &Shared) {
     let Some(text) = &shared.ctx.settings.core.platform_list else {
@@ -31,14 +31,14 @@
     };
     let source = ListSource::parse(text);
     let mut listed = Vec::new();
-    let mut rounds = tokio::time::interval(ROUND);
+    let mut rounds = tokio::time::interval(ROUND_INTERVAL);
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         rounds.tick().await;
         match source.read().await {
             Ok(list) => listed = list,
             Err(error) => {
-                metrics::list_not_read();
+                metrics::count_platform_list_failure();
                 warn!(%error, "cannot read the platform's engine list; the last one stays in use");
             }
         }
@@ -55,12 +55,12 @@
     let mut addresses = {
         let mut engines = shared.engines();
         engines.set_list(listed.to_vec());
-        let own = own_share(shared, engines.addresses());
+        let own = assigned_share(shared, engines.addresses());
         own.into_iter().chain(engines.overdue(Instant::now())).collect::<BTreeSet<_>>()
     };
     let mut outcomes = probe_all(std::mem::take(&mut addresses));
     while let Some(outcome) = outcomes.next().await {
-        shared.engines().probed(&outcome, Instant::now());
+        shared.engines().record_probe(&outcome, Instant::now());
     }
 }
 
@@ -69,26 +69,26 @@
     let view = shared.published.view();
     let known = view.engines.values().map(|e| e.address);
     let addresses = listed.iter().map(|e| e.address).chain(known).collect();
-    let outcomes: Vec<ProbeOutcome> = probe_all(own_share(shared, addresses)).collect().await;
+    let outcomes: Vec<ProbeOutcome> = probe_all(assigned_share(shared, addresses)).collect().await;
     if outcomes.is_empty() {
         return;
     }
-    let deadline = tokio::time::Instant::now() + REPORT_TIME;
+    let deadline = tokio::time::Instant::now() + REPORT_TIMEOUT;
     // If the report is lost, the leader probes these addresses itself.
     let _ = shared.ctx.client.call(leader, &ReportProbes { outcomes }, deadline).await;
 }
 
 fn probe_all(addresses: BTreeSet<SocketAddr>) -> impl futures::Stream<Item = ProbeOutcome> + Unpin {
-    futures::stream::iter(addresses.into_iter().map(probe)).buffer_unordered(PROBES_AT_ONCE)
+    futures::stream::iter(addresses.into_iter().map(probe)).buffer_unordered(MAX_CONCURRENT_PROBES)
 }
 
-fn own_share(shared: &Shared, addresses: BTreeSet<SocketAddr>) -> BTreeSet<SocketAddr> {
+fn assigned_share(shared: &Shared, addresses: BTreeSet<SocketAddr>) -> BTreeSet<SocketAddr> {
     let own = shared.ctx.identity.address.node;
-    let cores = living_cores(&shared.published.view(), own);
-    addresses.into_iter().filter(|address| chosen(&cores, *address) == Some(own)).collect()
+    let cores = alive_cores(&shared.published.view(), own);
+    addresses.into_iter().filter(|address| assigned_core(&cores, *address) == Some(own)).collect()
 }
 
-fn living_cores(view: &ClusterView, own: NodeId) -> BTreeSet<NodeId> {
+fn alive_cores(view: &ClusterView, own: NodeId) -> BTreeSet<NodeId> {
     let living = view
         .members
         .values()
@@ -98,6 +98,6 @@
 
 /// Returns the core that probes an address, by rendezvous hashing: a core that joins or leaves
 /// moves only its own share.
-fn chosen(cores: &BTreeSet<NodeId>, address: SocketAddr) -> Option<NodeId> {
+fn assigned_core(cores: &BTreeSet<NodeId>, address: SocketAddr) -> Option<NodeId> {
     cores.iter().copied().max_by_key(|core| Digest::of(format!("{core}/{address}").as_bytes()))
 }
--- a/crates/control/src/core/engines.rs
+++ b/crates/control/src/core/engines.rs
@@ -24,7 +24,7 @@
 struct Entry {
     engine: ApplicationEngine,
     failures: u32,
-    last_answer: Instant,
+    last_response: Instant,
 }
 
 /// The application engines that the cores know.
@@ -33,7 +33,7 @@
     listed: BTreeMap<SocketAddr, ZoneName>,
     entries: BTreeMap<EngineId, Entry>,
     /// Time of the last probe result of each address, from any core.
-    told: BTreeMap<SocketAddr, Instant>,
+    last_probed: BTreeMap<SocketAddr, Instant>,
 }
 
 impl EngineTable {
@@ -41,7 +41,7 @@
     #[must_use]
     pub fn take_over(engines: &BTreeMap<EngineId, ApplicationEngine>, now: Instant) -> Self {
         let entry =
-            |e: &ApplicationEngine| Entry { engine: e.clone(), failures: 0, last_answer: now };
+            |e: &ApplicationEngine| Entry { engine: e.clone(), failures: 0, last_response: now };
         let entries = engines.iter().map(|(id, e)| (id.clone(), entry(e))).collect();
         Self { entries, ..Self::default() }
     }
@@ -62,60 +62,61 @@
     /// Returns the addresses to probe for which no core has sent a recent result.
     #[must_use]
     pub fn overdue(&self, now: Instant) -> BTreeSet<SocketAddr> {
-        let lately = |address: &SocketAddr| {
-            let told = self.told.get(address);
-            told.is_some_and(|at| now.saturating_duration_since(*at) < OVERDUE_AFTER)
+        let is_recent = |address: &SocketAddr| {
+            let probed_at = self.last_probed.get(address);
+            probed_at.is_some_and(|at| now.saturating_duration_since(*at) < OVERDUE_AFTER)
         };
-        self.addresses().into_iter().filter(|address| !lately(address)).collect()
+        self.addresses().into_iter().filter(|address| !is_recent(address)).collect()
     }
 
     /// Records the result of a probe.
-    pub fn probed(&mut self, outcome: &ProbeOutcome, now: Instant) {
+    pub fn record_probe(&mut self, outcome: &ProbeOutcome, now: Instant) {
         let address = outcome.address;
-        self.told.insert(address, now);
+        self.last_probed.insert(address, now);
         match &outcome.finding {
-            ProbeFinding::Engine(engine) => self.answered(address, engine, now),
+            ProbeFinding::Engine(engine) => self.record_response(address, engine, now),
             ProbeFinding::Other => self.entries.retain(|_, e| e.engine.address != address),
-            ProbeFinding::Refused => self.failed(address, true),
-            ProbeFinding::NoAnswer => self.failed(address, false),
+            ProbeFinding::Refused => self.record_failure(address, true),
+            ProbeFinding::NoAnswer => self.record_failure(address, false),
         }
     }
 
-    fn answered(&mut self, address: SocketAddr, told: &ProbedEngine, now: Instant) {
+    fn record_response(&mut self, address: SocketAddr, probed: &ProbedEngine, now: Instant) {
         // Any other engine known at this address is no longer there.
-        self.entries.retain(|id, e| e.engine.address != address || *id == told.engine);
-        let known = self.entries.get(&told.engine);
-        if known.is_some_and(|e| e.engine.incarnation > told.incarnation) {
+        self.entries.retain(|id, e| e.engine.address != address || *id == probed.engine);
+        let known = self.entries.get(&probed.engine);
+        if known.is_some_and(|e| e.engine.incarnation > probed.incarnation) {
             return;
         }
         let known_zone = known.map(|e| e.engine.zone.clone());
         let Some(zone) = self.listed.get(&address).cloned().or(known_zone) else { return };
         let engine = ApplicationEngine {
-            engine: told.engine.clone(),
-            incarnation: told.incarnation,
-            service: told.service.clone(),
-            version: told.version.clone(),
+            engine: probed.engine.clone(),
+            incarnation: probed.incarnation,
+            service: probed.service.clone(),
+            version: probed.version.clone(),
             address,
             zone,
-            draining: told.draining,
-            healthy: told.ready,
+            draining: probed.draining,
+            healthy: probed.ready,
         };
-        self.entries.insert(told.engine.clone(), Entry { engine, failures: 0, last_answer: now });
+        self.entries
+            .insert(probed.engine.clone(), Entry { engine, failures: 0, last_response: now });
     }
 
-    fn failed(&mut self, address: SocketAddr, certain: bool) {
+    fn record_failure(&mut self, address: SocketAddr, is_refused: bool) {
         for entry in self.entries.values_mut().filter(|e| e.engine.address == address) {
             entry.failures += 1;
-            if certain || entry.failures > FAILURES_TOLERATED {
+            if is_refused || entry.failures > FAILURES_TOLERATED {
                 entry.engine.healthy = false;
             }
         }
     }
 
     /// Removes engines that have not responded for [`FORGET_AFTER`].
-    pub fn look(&mut self, now: Instant) {
-        self.entries.retain(|_, e| now.saturating_duration_since(e.last_answer) < FORGET_AFTER);
-        self.told.retain(|_, at| now.saturating_duration_since(*at) < FORGET_AFTER);
+    pub fn remove_expired(&mut self, now: Instant) {
+        self.entries.retain(|_, e| now.saturating_duration_since(e.last_response) < FORGET_AFTER);
+        self.last_probed.retain(|_, at| now.saturating_duration_since(*at) < FORGET_AFTER);
     }
 
     /// Returns the engines as shown in the view.
--- a/crates/control/src/core/follower.rs
+++ b/crates/control/src/core/follower.rs
@@ -8,15 +8,15 @@
 use tracing::debug;
 
 use super::Shared;
-use crate::view::{Applied, apply_item};
+use crate::view::{ApplyResult, apply_item};
 
 /// Time without an item after which the stream is reopened; the leader sends an empty item each
 /// second.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-const OPEN_TIME: Duration = Duration::from_secs(1);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 pub(super) async fn run(shared: &Shared) {
     loop {
@@ -30,21 +30,21 @@
                 _ = moved => {}
             }
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 async fn follow(shared: &Shared, leader: SocketAddr) {
     let request = WatchView { from: shared.ctx.identity.address.clone() };
-    let opened = shared.ctx.client.open(leader, &request, Instant::now() + OPEN_TIME).await;
+    let opened = shared.ctx.client.open(leader, &request, Instant::now() + OPEN_TIMEOUT).await;
     let Ok(mut items) = opened else { return };
     let mut view = ClusterView::default();
-    while let Ok(Ok(Some(item))) = timeout(SILENCE, items.next()).await {
-        if apply_item(&mut view, item) == Applied::Gap {
+    while let Ok(Ok(Some(item))) = timeout(STREAM_TIMEOUT, items.next()).await {
+        if apply_item(&mut view, item) == ApplyResult::Gap {
             debug!(%leader, "view stream of the leader has a gap; reopening it");
             return;
         }
         shared.published.publish(view.clone());
-        shared.published.refresh();
+        shared.published.mark_fresh();
     }
 }
--- a/crates/control/src/core/inbox.rs
+++ b/crates/control/src/core/inbox.rs
@@ -11,13 +11,13 @@
 
 /// Age above which queued items are dropped. A core that follows queues what it cannot forward, and
 /// must not act on old evidence if it becomes the leader later.
-const WORTH_TIME: Duration = Duration::from_secs(10);
+const MAX_AGE: Duration = Duration::from_secs(10);
 
 /// Maximum number of queued statistics; the oldest are dropped first.
-const MOST_STATISTICS: usize = 10_000;
+const MAX_STATISTICS: usize = 10_000;
 
 /// Maximum number of queued harm reports.
-const MOST_REPORTS: usize = 256;
+const MAX_HARM_REPORTS: usize = 256;
 
 /// Everything that arrived since the controllers last read the inbox.
 #[derive(Debug, Default)]
@@ -32,71 +32,73 @@
 
 /// A value and the time at which it arrived.
 #[derive(Debug)]
-struct Dated<T> {
+struct Timestamped<T> {
     at: Instant,
     value: T,
 }
 
-impl<T> Dated<T> {
-    fn is_worth(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) <= WORTH_TIME
+impl<T> Timestamped<T> {
+    fn is_recent(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) <= MAX_AGE
     }
 }
 
-fn worth<T>(all: impl IntoIterator<Item = Dated<T>>, now: Instant) -> Vec<T> {
-    all.into_iter().filter(|dated| dated.is_worth(now)).map(|dated| dated.value).collect()
+fn recent<T>(all: impl IntoIterator<Item = Timestamped<T>>, now: Instant) -> Vec<T> {
+    all.into_iter().filter(|item| item.is_recent(now)).map(|item| item.value).collect()
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    heartbeats: BTreeMap<NodeId, Dated<Heartbeat>>,
-    statistics: VecDeque<Dated<VersionStatistics>>,
-    harm: Vec<Dated<HarmReport>>,
+struct Queues {
+    heartbeats: BTreeMap<NodeId, Timestamped<Heartbeat>>,
+    statistics: VecDeque<Timestamped<VersionStatistics>>,
+    harm: Vec<Timestamped<HarmReport>>,
 }
 
 /// Queue of heartbeats and harm reports for the controllers of the core leader.
 #[derive(Debug, Default)]
 pub struct Inbox {
-    waiting: Mutex<Waiting>,
+    queues: Mutex<Queues>,
     arrived: Notify,
 }
 
 impl Inbox {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Queues> {
+        self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Queues a heartbeat, which replaces the previous one of its node, and its statistics.
-    pub fn put_heartbeat(&self, mut heartbeat: Heartbeat, now: Instant) {
+    pub fn push_heartbeat(&self, mut heartbeat: Heartbeat, now: Instant) {
         let statistics = std::mem::take(&mut heartbeat.statistics);
-        let mut waiting = self.lock();
-        waiting.statistics.extend(statistics.into_iter().map(|value| Dated { at: now, value }));
-        let too_many = waiting.statistics.len().saturating_sub(MOST_STATISTICS);
-        waiting.statistics.drain(..too_many);
-        waiting.heartbeats.retain(|_, known| known.is_worth(now));
-        waiting.heartbeats.insert(heartbeat.from.node, Dated { at: now, value: heartbeat });
-        drop(waiting);
+        let mut queues = self.lock();
+        queues
+            .statistics
+            .extend(statistics.into_iter().map(|value| Timestamped { at: now, value }));
+        let too_many = queues.statistics.len().saturating_sub(MAX_STATISTICS);
+        queues.statistics.drain(..too_many);
+        queues.heartbeats.retain(|_, known| known.is_recent(now));
+        queues.heartbeats.insert(heartbeat.from.node, Timestamped { at: now, value: heartbeat });
+        drop(queues);
         self.arrived.notify_one();
     }
 
     /// Queues a harm report, unless the same report is queued already or the queue is full.
-    pub fn put_harm(&self, harm: HarmReport, now: Instant) {
-        let mut waiting = self.lock();
-        waiting.harm.retain(|known| known.is_worth(now) && known.value != harm);
-        if waiting.harm.len() < MOST_REPORTS {
-            waiting.harm.push(Dated { at: now, value: harm });
+    pub fn push_harm(&self, harm: HarmReport, now: Instant) {
+        let mut queues = self.lock();
+        queues.harm.retain(|known| known.is_recent(now) && known.value != harm);
+        if queues.harm.len() < MAX_HARM_REPORTS {
+            queues.harm.push(Timestamped { at: now, value: harm });
         }
-        drop(waiting);
+        drop(queues);
         self.arrived.notify_one();
     }
 
     /// Removes all queued items and returns those that are not too old.
     pub fn take(&self, now: Instant) -> Received {
-        let waiting = std::mem::take(&mut *self.lock());
+        let queues = std::mem::take(&mut *self.lock());
         Received {
-            heartbeats: worth(waiting.heartbeats.into_values(), now),
-            statistics: worth(waiting.statistics, now),
-            harm: worth(waiting.harm, now),
+            heartbeats: recent(queues.heartbeats.into_values(), now),
+            statistics: recent(queues.statistics, now),
+            harm: recent(queues.harm, now),
         }
     }
 
--- a/crates/control/src/core/inbox/tests.rs
+++ b/crates/control/src/core/inbox/tests.rs
@@ -8,7 +8,7 @@
     BundleVersion, Incarnation, NodeId, NodeRole, RouteName, ServiceName, ServiceVersion, ZoneName,
 };
 
-use super::{Inbox, MOST_STATISTICS, WORTH_TIME};
+use super::{Inbox, MAX_AGE, MAX_STATISTICS};
 
 fn statistics(failures: u64) -> VersionStatistics {
     VersionStatistics {
@@ -52,10 +52,10 @@
 #[test]
 fn a_core_that_leads_later_acts_on_late_evidence_only() {
     let (inbox, start) = (Inbox::default(), Instant::now());
-    inbox.put_heartbeat(heartbeat(1, vec![statistics(30)]), start);
-    inbox.put_harm(harm(), start);
-    let later = start + WORTH_TIME + Duration::from_millis(1);
-    inbox.put_heartbeat(heartbeat(2, vec![statistics(1)]), later);
+    inbox.push_heartbeat(heartbeat(1, vec![statistics(30)]), start);
+    inbox.push_harm(harm(), start);
+    let later = start + MAX_AGE + Duration::from_millis(1);
+    inbox.push_heartbeat(heartbeat(2, vec![statistics(1)]), later);
     let received = inbox.take(later);
     let nodes: Vec<NodeId> = received.heartbeats.iter().map(|h| h.from.node).collect();
     assert_eq!(nodes, [NodeId(2)]);
@@ -66,23 +66,23 @@
 #[test]
 fn what_came_in_lately_is_taken_once() {
     let (inbox, start) = (Inbox::default(), Instant::now());
-    inbox.put_heartbeat(heartbeat(1, vec![statistics(1)]), start);
-    inbox.put_heartbeat(heartbeat(1, vec![statistics(2)]), start);
-    inbox.put_harm(harm(), start);
-    inbox.put_harm(harm(), start);
-    let received = inbox.take(start + WORTH_TIME);
+    inbox.push_heartbeat(heartbeat(1, vec![statistics(1)]), start);
+    inbox.push_heartbeat(heartbeat(1, vec![statistics(2)]), start);
+    inbox.push_harm(harm(), start);
+    inbox.push_harm(harm(), start);
+    let received = inbox.take(start + MAX_AGE);
     assert_eq!(received.heartbeats.len(), 1);
     assert_eq!(received.statistics, [statistics(1), statistics(2)]);
     assert_eq!(received.harm, [harm()]);
-    let nothing = inbox.take(start + WORTH_TIME);
+    let nothing = inbox.take(start + MAX_AGE);
     assert!(nothing.heartbeats.is_empty() && nothing.statistics.is_empty());
 }
 
 #[test]
 fn of_too_many_statistics_the_newest_stay() {
     let (inbox, start) = (Inbox::default(), Instant::now());
-    let many = (0..=MOST_STATISTICS as u64).map(statistics).collect();
-    inbox.put_heartbeat(heartbeat(1, many), start);
+    let many = (0..=MAX_STATISTICS as u64).map(statistics).collect();
+    inbox.push_heartbeat(heartbeat(1, many), start);
     let kept = inbox.take(start).statistics;
-    assert_eq!((kept.len(), kept[0].failures), (MOST_STATISTICS, 1));
+    assert_eq!((kept.len(), kept[0].failures), (MAX_STATISTICS, 1));
 }
--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -19,20 +19,20 @@
 pub const LEASE_TIME: Duration = Duration::from_secs(3);
 
 /// Time between renewals.
-const RENEW_PAUSE: Duration = Duration::from_millis(500);
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest time between checks by a core that follows whether the lease has expired.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Timeout of a request to the stores.
-const CALL_TIME: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Leadership state of this core, valid as long as the lease is fresh by its own clock.
 #[derive(Debug)]
 pub struct Leadership {
     epoch: watch::Sender<Option<FencingEpoch>>,
     /// The leader as last read from the stores.
-    known: watch::Sender<Option<CoreLeader>>,
+    known_leader: watch::Sender<Option<CoreLeader>>,
     accepted_at: Mutex<Option<Instant>>,
 }
 
@@ -40,7 +40,7 @@
     fn default() -> Self {
         Self {
             epoch: watch::Sender::new(None),
-            known: watch::Sender::new(None),
+            known_leader: watch::Sender::new(None),
             accepted_at: Mutex::new(None),
         }
     }
@@ -64,14 +64,14 @@
     /// Returns a receiver of the leader as last read from the stores, whether this core or another.
     #[must_use]
     pub fn watch_leader(&self) -> watch::Receiver<Option<CoreLeader>> {
-        self.known.subscribe()
+        self.known_leader.subscribe()
     }
 
-    fn accept(&self, leader: CoreLeader, sent: Instant) {
-        metrics::core_leads(true);
+    fn record_lease(&self, leader: CoreLeader, sent: Instant) {
+        metrics::set_core_leads(true);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(sent);
         let epoch = leader.epoch;
-        self.known.send_replace(Some(leader));
+        self.known_leader.send_replace(Some(leader));
         self.epoch.send_if_modified(|held| {
             let changed = *held != Some(epoch);
             *held = Some(epoch);
@@ -79,8 +79,8 @@
         });
     }
 
-    fn give_up(&self) {
-        metrics::core_leads(false);
+    fn step_down(&self) {
+        metrics::set_core_leads(false);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = None;
         self.epoch.send_if_modified(|held| held.take().is_some());
     }
@@ -90,7 +90,7 @@
         loop {
             let pause = match self.held_epoch() {
                 Some(epoch) => self.renew(ctx, epoch).await,
-                None => self.try_to_take(ctx).await,
+                None => self.try_acquire(ctx).await,
             };
             tokio::time::sleep(pause).await;
         }
@@ -103,28 +103,30 @@
     async fn renew(&self, ctx: &NodeContext, epoch: FencingEpoch) -> Duration {
         let sent = Instant::now();
         let command = MetaCommand::RenewLeadership { epoch };
-        match ctx.state.execute_meta(&command, sent + CALL_TIME).await {
-            Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => self.accept(leader, sent),
+        match ctx.state.execute_meta(&command, sent + CALL_TIMEOUT).await {
+            Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => {
+                self.record_lease(leader, sent)
+            }
             Ok(reply) => {
                 warn!(%epoch, ?reply, "lost core leadership: renewal rejected");
-                self.give_up();
+                self.step_down();
             }
             Err(error) if self.epoch().is_none() => {
                 warn!(%epoch, %error, "lost core leadership: lease expired");
-                self.give_up();
+                self.step_down();
             }
             Err(_) => {}
         }
-        RENEW_PAUSE
+        RENEW_INTERVAL
     }
 
-    async fn try_to_take(&self, ctx: &NodeContext) -> Duration {
-        let answer = ctx.state.query_meta(&MetaQuery::State, Instant::now() + CALL_TIME).await;
-        let Ok(MetaAnswer::State(state)) = answer else { return LOOK_PAUSE };
+    async fn try_acquire(&self, ctx: &NodeContext) -> Duration {
+        let reply = ctx.state.query_meta(&MetaQuery::State, Instant::now() + CALL_TIMEOUT).await;
+        let Ok(MetaAnswer::State(state)) = reply else { return CHECK_INTERVAL };
         if state.cluster == 0 {
-            return LOOK_PAUSE;
+            return CHECK_INTERVAL;
         }
-        self.known.send_replace(state.leader.clone());
+        self.known_leader.send_replace(state.leader.clone());
         let seen = match state.leader {
             Some(leader) if !leader.expired => match expire(ctx, &leader).await {
                 Ok(()) => leader.epoch,
@@ -133,10 +135,10 @@
             Some(leader) => leader.epoch,
             None => FencingEpoch(0),
         };
-        self.take(ctx, seen).await
+        self.acquire(ctx, seen).await
     }
 
-    async fn take(&self, ctx: &NodeContext, seen: FencingEpoch) -> Duration {
+    async fn acquire(&self, ctx: &NodeContext, seen: FencingEpoch) -> Duration {
         let own = &ctx.identity.address;
         let command = MetaCommand::AcquireLeadership {
             core: own.node,
@@ -145,17 +147,17 @@
             seen,
         };
         let sent = Instant::now();
-        match ctx.state.execute_meta(&command, sent + CALL_TIME).await {
+        match ctx.state.execute_meta(&command, sent + CALL_TIMEOUT).await {
             Ok(MetaReply::Leader(leader)) if leader.core == own.node => {
                 info!(epoch = %leader.epoch, "acquired core leadership");
-                self.accept(leader, sent);
-                RENEW_PAUSE
+                self.record_lease(leader, sent);
+                RENEW_INTERVAL
             }
             Ok(MetaReply::Refused(MetaRefusal::LeaderAlive { leader })) => {
-                self.known.send_replace(Some(leader));
-                LOOK_PAUSE
+                self.known_leader.send_replace(Some(leader));
+                CHECK_INTERVAL
             }
-            _ => LOOK_PAUSE,
+            _ => CHECK_INTERVAL,
         }
     }
 }
@@ -168,10 +170,12 @@
     } else {
         LeaseSubject::CoreLeader(epoch)
     };
-    let deadline = Instant::now() + CALL_TIME;
+    let deadline = Instant::now() + CALL_TIMEOUT;
     match ctx.state.expire_lease(META_GROUP, subject, deadline).await {
         Ok(LeaseVerdict::Expired | LeaseVerdict::Unknown) => Ok(()),
-        Ok(LeaseVerdict::Held { left_ms }) => Err(Duration::from_millis(left_ms).min(LOOK_PAUSE)),
-        Err(_) => Err(LOOK_PAUSE),
+        Ok(LeaseVerdict::Held { left_ms }) => {
+            Err(Duration::from_millis(left_ms).min(CHECK_INTERVAL))
+        }
+        Err(_) => Err(CHECK_INTERVAL),
     }
 }
--- a/crates/control/src/core/members.rs
+++ b/crates/control/src/core/members.rs
@@ -15,10 +15,10 @@
 pub const DEAD_AFTER: Duration = Duration::from_secs(6);
 
 /// Time without a heartbeat after which a node is removed from the view.
-pub const GONE_AFTER: Duration = Duration::from_secs(15);
+pub const REMOVE_AFTER: Duration = Duration::from_secs(15);
 
 /// Time between two updates above which this process itself is assumed to have been paused.
-const LONGEST_OWN_PAUSE: Duration = Duration::from_secs(1);
+const MAX_OWN_PAUSE: Duration = Duration::from_secs(1);
 
 /// The nodes that the core leader knows, and when each sent its last heartbeat.
 #[derive(Debug, Clone, Default)]
@@ -26,10 +26,10 @@
     /// The members as shown in the view. A heartbeat without changes leaves them untouched.
     members: MemberMap,
     /// Time of the last heartbeat; the same nodes as in `members`.
-    last_heard: BTreeMap<NodeId, Instant>,
+    last_heartbeat: BTreeMap<NodeId, Instant>,
     /// The node that listens at an address; the same nodes as in `members`.
     by_address: HashMap<SocketAddr, NodeId>,
-    last_look: Option<Instant>,
+    last_update: Option<Instant>,
 }
 
 impl MemberTable {
@@ -37,10 +37,10 @@
     /// timeouts start anew at `now`.
     #[must_use]
     pub fn take_over(members: &MemberMap, now: Instant) -> Self {
-        let mut table = Self { last_look: Some(now), ..Self::default() };
+        let mut table = Self { last_update: Some(now), ..Self::default() };
         for (node, member) in members.iter().filter(|(_, m)| m.health != MemberHealth::Dead) {
             table.members.insert(*node, member.clone());
-            table.last_heard.insert(*node, now);
+            table.last_heartbeat.insert(*node, now);
             table.by_address.insert(member.address.rpc, *node);
         }
         table
@@ -48,14 +48,14 @@
 
     /// Records a heartbeat. One of an earlier incarnation is ignored; a node at the address of an
     /// older one replaces it.
-    pub fn heard(&mut self, heartbeat: &Heartbeat, now: Instant) {
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let from = &heartbeat.from;
         let holder = self.by_address.get(&from.rpc).copied();
-        let newer = |node: &NodeId| {
+        let has_newer = |node: &NodeId| {
             let known = self.members.get(node);
             known.is_some_and(|member| member.address.incarnation > from.incarnation)
         };
-        if newer(&from.node) || holder.as_ref().is_some_and(newer) {
+        if has_newer(&from.node) || holder.as_ref().is_some_and(has_newer) {
             return;
         }
         if let Some(replaced) = holder.filter(|node| *node != from.node) {
@@ -67,7 +67,7 @@
             bundle: heartbeat.bundle,
             engine: heartbeat.engine.clone(),
         };
-        self.last_heard.insert(from.node, now);
+        self.last_heartbeat.insert(from.node, now);
         let known = self.members.get(&from.node);
         if known != Some(&member) {
             if let Some(known) = known {
@@ -79,7 +79,7 @@
     }
 
     fn remove(&mut self, node: NodeId) {
-        self.last_heard.remove(&node);
+        self.last_heartbeat.remove(&node);
         if let Some(address) = self.members.get(&node).map(|member| member.address.rpc) {
             self.by_address.remove(&address);
             self.members.remove(&node);
@@ -88,19 +88,22 @@
 
     /// Updates the health of all nodes and removes those without a heartbeat for [`REMOVE_AFTER`].
     /// Time for which this process itself was paused does not count.
-    pub fn look(&mut self, now: Instant) {
+    pub fn update_health(&mut self, now: Instant) {
         let pause =
-            self.last_look.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
-        self.last_look = Some(now);
-        if pause > LONGEST_OWN_PAUSE {
-            self.last_heard.values_mut().for_each(|heard| *heard += pause);
+            self.last_update.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
+        self.last_update = Some(now);
+        if pause > MAX_OWN_PAUSE {
+            self.last_heartbeat.values_mut().for_each(|heartbeat_at| *heartbeat_at += pause);
         }
-        let silence = |heard: &Instant| now.saturating_duration_since(*heard);
-        let gone = self.last_heard.iter().filter(|(_, heard)| silence(heard) >= GONE_AFTER);
-        let gone: Vec<NodeId> = gone.map(|(node, _)| *node).collect();
-        gone.into_iter().for_each(|node| self.remove(node));
-        for (node, heard) in &self.last_heard {
-            let health = health(silence(heard));
+        let elapsed = |heartbeat_at: &Instant| now.saturating_duration_since(*heartbeat_at);
+        let expired = self
+            .last_heartbeat
+            .iter()
+            .filter(|(_, heartbeat_at)| elapsed(heartbeat_at) >= REMOVE_AFTER);
+        let expired: Vec<NodeId> = expired.map(|(node, _)| *node).collect();
+        expired.into_iter().for_each(|node| self.remove(node));
+        for (node, heartbeat_at) in &self.last_heartbeat {
+            let health = health(elapsed(heartbeat_at));
             if self.members.get(node).is_some_and(|member| member.health != health)
                 && let Some(member) = self.members.get_mut(node)
             {
@@ -111,8 +114,10 @@
 
     /// Returns the time since the last heartbeat of a node; `None` for an unknown node.
     #[must_use]
-    pub fn silence(&self, node: NodeId, now: Instant) -> Option<Duration> {
-        self.last_heard.get(&node).map(|heard| now.saturating_duration_since(*heard))
+    pub fn time_since_heartbeat(&self, node: NodeId, now: Instant) -> Option<Duration> {
+        self.last_heartbeat
+            .get(&node)
+            .map(|heartbeat_at| now.saturating_duration_since(*heartbeat_at))
     }
 
     /// Returns the members as shown in the view; copies only one pointer.
@@ -122,10 +127,10 @@
     }
 }
 
-fn health(silence: Duration) -> MemberHealth {
-    if silence >= DEAD_AFTER {
+fn health(elapsed: Duration) -> MemberHealth {
+    if elapsed >= DEAD_AFTER {
         MemberHealth::Dead
-    } else if silence >= SUSPECT_AFTER {
+    } else if elapsed >= SUSPECT_AFTER {
         MemberHealth::Suspect
     } else {
         MemberHealth::Alive
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -38,28 +38,28 @@
 use engines::EngineTable;
 use inbox::Inbox;
 use leadership::Leadership;
-use published::Published;
-use sent_records::RecordsTold;
-use slot_usage::SlotUses;
+use published::PublishedView;
+use sent_records::SentRecords;
+use slot_usage::SlotUsageTable;
 
 /// Timeout of a request forwarded to the core leader; must be shorter than the time that a node
 /// waits for the core.
-const FORWARD_TIME: Duration = Duration::from_millis(700);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Interval over which the statistics for operators are summed.
-const FIGURES_INTERVAL: Duration = Duration::from_secs(60);
+const STATISTICS_INTERVAL: Duration = Duration::from_secs(60);
 
 /// State shared by the tasks of a core.
 #[derive(Debug)]
 struct Shared {
     ctx: NodeContext,
     leadership: Leadership,
-    published: Published,
+    published: PublishedView,
     inbox: Inbox,
     judge: Mutex<Judge>,
     engines: Mutex<EngineTable>,
-    records_told: Mutex<RecordsTold>,
-    slot_uses: Mutex<SlotUses>,
+    sent_records: Mutex<SentRecords>,
+    slot_usage: Mutex<SlotUsageTable>,
 }
 
 impl Shared {
@@ -71,8 +71,8 @@
         self.engines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn slot_uses(&self) -> MutexGuard<'_, SlotUses> {
-        self.slot_uses.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slot_usage(&self) -> MutexGuard<'_, SlotUsageTable> {
+        self.slot_usage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the address of the core leader if it is another core. A previous run of this core
@@ -99,12 +99,12 @@
         let shared = Shared {
             ctx,
             leadership: Leadership::default(),
-            published: Published::default(),
+            published: PublishedView::default(),
             inbox: Inbox::default(),
             judge: Mutex::default(),
             engines: Mutex::default(),
-            records_told: Mutex::default(),
-            slot_uses: Mutex::default(),
+            sent_records: Mutex::default(),
+            slot_usage: Mutex::default(),
         };
         Self { shared: Arc::new(shared) }
     }
@@ -112,34 +112,34 @@
     /// Handles requests of nodes.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
-        let (beating, watching) = (self.shared.clone(), self.shared.clone());
-        let (probing, counting) = (self.shared.clone(), self.shared.clone());
-        let (reporting, showing) = (self.shared.clone(), self.shared.clone());
+        let (heartbeat_shared, view_shared) = (self.shared.clone(), self.shared.clone());
+        let (probe_shared, usage_shared) = (self.shared.clone(), self.shared.clone());
+        let (harm_shared, statistics_shared) = (self.shared.clone(), self.shared.clone());
         Router::new()
             .route(move |peer, heartbeat: Heartbeat| {
-                let shared = beating.clone();
-                async move { take_heartbeat(&shared, heartbeat, peer.role).await }
+                let shared = heartbeat_shared.clone();
+                async move { handle_heartbeat(&shared, heartbeat, peer.role).await }
             })
             .stream(move |_peer, _request: WatchView, sink| {
-                let shared = watching.clone();
+                let shared = view_shared.clone();
                 async move { shared.published.serve(sink).await }
             })
             .route(move |peer, report: ReportHarm| {
-                let shared = reporting.clone();
-                async move { take_harm(&shared, report, peer.role).await }
+                let shared = harm_shared.clone();
+                async move { handle_harm_report(&shared, report, peer.role).await }
             })
             .route_inline(move |_peer, report: ReportProbes| {
                 let now = std::time::Instant::now();
-                let mut engines = probing.engines();
-                report.outcomes.iter().for_each(|outcome| engines.probed(outcome, now));
+                let mut engines = probe_shared.engines();
+                report.outcomes.iter().for_each(|outcome| engines.record_probe(outcome, now));
             })
             .route(move |peer, request: VersionFigures| {
-                let shared = showing.clone();
-                async move { figures(&shared, request, peer.role).await }
+                let shared = statistics_shared.clone();
+                async move { version_statistics(&shared, request, peer.role).await }
             })
             .route(move |peer, request: SlotUseFigures| {
-                let shared = counting.clone();
-                async move { slot_uses(&shared, request, peer.role).await }
+                let shared = usage_shared.clone();
+                async move { slot_usage(&shared, request, peer.role).await }
             })
     }
 
@@ -161,7 +161,7 @@
     }
 }
 
-async fn take_heartbeat(shared: &Shared, heartbeat: Heartbeat, from: NodeRole) -> HeartbeatReply {
+async fn handle_heartbeat(shared: &Shared, heartbeat: Heartbeat, from: NodeRole) -> HeartbeatReply {
     shared.ctx.identity.bundles.saw(heartbeat.bundle);
     let leads = shared.leadership.epoch().is_some();
     // A heartbeat forwarded by a core is not forwarded again, so that cores that disagree about the
@@ -171,7 +171,7 @@
         && !forwarded
         && let Some(leader) = shared.other_leader()
     {
-        let deadline = Instant::now() + FORWARD_TIME;
+        let deadline = Instant::now() + FORWARD_TIMEOUT;
         if let Ok(mut reply) = shared.ctx.client.call(leader, &heartbeat, deadline).await {
             reply.leader = Some(leader);
             return reply;
@@ -179,10 +179,10 @@
     }
     let (node, installed) = (heartbeat.from.node, heartbeat.bundle);
     let now = std::time::Instant::now();
-    shared.inbox.put_heartbeat(heartbeat, now);
+    shared.inbox.push_heartbeat(heartbeat, now);
     let view = shared.published.view();
-    let mut told = shared.records_told.lock().unwrap_or_else(PoisonError::into_inner);
-    let due = |record: &&BundleRecord| told.is_due(node, installed, record.version, now);
+    let mut sent_records = shared.sent_records.lock().unwrap_or_else(PoisonError::into_inner);
+    let due = |record: &&BundleRecord| sent_records.is_due(node, installed, record.version, now);
     HeartbeatReply {
         revision: view.revision,
         bundle: view.meta.bundle.as_ref().filter(due).cloned(),
@@ -190,58 +190,60 @@
     }
 }
 
-async fn take_harm(shared: &Shared, report: ReportHarm, from: NodeRole) {
-    if ask_leader(shared, &report, from).await != LeaderAnswer::Given(()) {
-        shared.inbox.put_harm(report.harm, std::time::Instant::now());
+async fn handle_harm_report(shared: &Shared, report: ReportHarm, from: NodeRole) {
+    if forward_to_leader(shared, &report, from).await != ForwardResult::Reply(()) {
+        shared.inbox.push_harm(report.harm, std::time::Instant::now());
     }
 }
 
-async fn figures(
+async fn version_statistics(
     shared: &Shared,
     request: VersionFigures,
     from: NodeRole,
 ) -> Vec<VersionStatistics> {
-    match ask_leader(shared, &request, from).await {
-        LeaderAnswer::Given(figures) => figures,
-        LeaderAnswer::Missing => Vec::new(),
-        LeaderAnswer::Here => shared.judge().figures(FIGURES_INTERVAL, std::time::Instant::now()),
+    match forward_to_leader(shared, &request, from).await {
+        ForwardResult::Reply(statistics) => statistics,
+        ForwardResult::NoReply => Vec::new(),
+        ForwardResult::NotForwarded => {
+            shared.judge().statistics(STATISTICS_INTERVAL, std::time::Instant::now())
+        }
     }
 }
 
-async fn slot_uses(
+async fn slot_usage(
     shared: &Shared,
     request: SlotUseFigures,
     from: NodeRole,
 ) -> Vec<ServiceSlotUse> {
-    match ask_leader(shared, &request, from).await {
-        LeaderAnswer::Given(uses) => uses,
-        LeaderAnswer::Missing => Vec::new(),
-        LeaderAnswer::Here => shared.slot_uses().sums(),
+    match forward_to_leader(shared, &request, from).await {
+        ForwardResult::Reply(uses) => uses,
+        ForwardResult::NoReply => Vec::new(),
+        ForwardResult::NotForwarded => shared.slot_usage().sums(),
     }
 }
 
 /// Result of forwarding a request to the core leader.
 #[derive(Debug, PartialEq, Eq)]
-enum LeaderAnswer<T> {
+enum ForwardResult<T> {
     /// The leader's reply.
-    Given(T),
+    Reply(T),
     /// The leader did not reply.
-    Missing,
+    NoReply,
     /// Not forwarded: this core leads, knows no leader, or received the request from a core.
-    Here,
+    NotForwarded,
 }
 
-async fn ask_leader<R: Request>(
+async fn forward_to_leader<R: Request>(
     shared: &Shared,
     request: &R,
     from: NodeRole,
-) -> LeaderAnswer<R::Reply> {
+) -> ForwardResult<R::Reply> {
     let leads = shared.leadership.epoch().is_some();
     let leader = shared.other_leader().filter(|_| !leads && from != NodeRole::Core);
-    let Some(leader) = leader else { return LeaderAnswer::Here };
-    let deadline = Instant::now() + FORWARD_TIME;
+    let Some(leader) = leader else { return ForwardResult::NotForwarded };
+    let deadline = Instant::now() + FORWARD_TIMEOUT;
     match shared.ctx.client.call(leader, request, deadline).await {
-        Ok(answer) => LeaderAnswer::Given(answer),
-        Err(_) => LeaderAnswer::Missing,
+        Ok(reply) => ForwardResult::Reply(reply),
+        Err(_) => ForwardResult::NoReply,
     }
 }
--- a/crates/control/src/core/probe.rs
+++ b/crates/control/src/core/probe.rs
@@ -14,7 +14,7 @@
 use tracing::debug;
 
 /// Timeout of one probe or request.
-const EXCHANGE_TIME: Duration = Duration::from_millis(900);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
@@ -30,7 +30,7 @@
     Timeout,
     /// The connection failed, or the response is incomplete.
     #[error("{0}")]
-    Broken(String),
+    Connection(String),
     /// The status of the response is not `200`.
     #[error("response has status {0}, expected 200")]
     Status(u16),
@@ -75,8 +75,8 @@
 
 /// Queries identity and status over one connection, so that both describe the same process.
 pub async fn probe(address: SocketAddr) -> ProbeOutcome {
-    let exchange = tokio::time::timeout(EXCHANGE_TIME, ask(address)).await;
-    let finding = match exchange.unwrap_or(Err(HttpError::Timeout)) {
+    let request = tokio::time::timeout(EXCHANGE_TIMEOUT, query(address)).await;
+    let finding = match request.unwrap_or(Err(HttpError::Timeout)) {
         Ok(finding) => finding,
         Err(HttpError::Refused) => ProbeFinding::Refused,
         Err(error) => {
@@ -87,7 +87,7 @@
     ProbeOutcome { address, finding }
 }
 
-async fn ask(address: SocketAddr) -> Result<ProbeFinding, HttpError> {
+async fn query(address: SocketAddr) -> Result<ProbeFinding, HttpError> {
     let mut sender = connect(address).await?;
     let identity: BackendIdentity =
         serde_json::from_slice(&fetch(&mut sender, address, "/identity").await?)?;
@@ -111,19 +111,20 @@
 /// # Errors
 /// [`HttpError`] if there is no usable response.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Bytes, HttpError> {
-    let exchange = async {
+    let request = async {
         let mut sender = connect(address).await?;
         fetch(&mut sender, address, path).await
     };
-    tokio::time::timeout(EXCHANGE_TIME, exchange).await.unwrap_or(Err(HttpError::Timeout))
+    tokio::time::timeout(EXCHANGE_TIMEOUT, request).await.unwrap_or(Err(HttpError::Timeout))
 }
 
 async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
     let stream = TcpStream::connect(address).await.map_err(|e| match e.kind() {
         std::io::ErrorKind::ConnectionRefused => HttpError::Refused,
-        _ => HttpError::Broken(e.to_string()),
+        _ => HttpError::Connection(e.to_string()),
     })?;
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| broken(&e))?;
+    let (sender, connection) =
+        handshake(TokioIo::new(stream)).await.map_err(|e| connection_error(&e))?;
     // The connection ends when its sender is dropped.
     tokio::spawn(connection);
     Ok(sender)
@@ -137,15 +138,15 @@
     let request = http::Request::get(path)
         .header(http::header::HOST, address.to_string())
         .body(Empty::new())
-        .map_err(|e| HttpError::Broken(e.to_string()))?;
-    sender.ready().await.map_err(|e| broken(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| broken(&e))?;
+        .map_err(|e| HttpError::Connection(e.to_string()))?;
+    sender.ready().await.map_err(|e| connection_error(&e))?;
+    let response = sender.send_request(request).await.map_err(|e| connection_error(&e))?;
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES);
-    let body = body.collect().await.map_err(|e| HttpError::Broken(e.to_string()))?.to_bytes();
+    let body = body.collect().await.map_err(|e| HttpError::Connection(e.to_string()))?.to_bytes();
     if status == http::StatusCode::OK { Ok(body) } else { Err(HttpError::Status(status.as_u16())) }
 }
 
-fn broken(error: &hyper::Error) -> HttpError {
-    HttpError::Broken(error.to_string())
+fn connection_error(error: &hyper::Error) -> HttpError {
+    HttpError::Connection(error.to_string())
 }
--- a/crates/control/src/core/published.rs
+++ b/crates/control/src/core/published.rs
@@ -31,18 +31,18 @@
 
 /// The view that this core serves.
 #[derive(Debug)]
-pub struct Published {
+pub struct PublishedView {
     step: watch::Sender<Step>,
-    fresh_at: Mutex<Option<Instant>>,
+    confirmed_at: Mutex<Option<Instant>>,
 }
 
-impl Default for Published {
+impl Default for PublishedView {
     fn default() -> Self {
-        Self { step: watch::Sender::new(Step::default()), fresh_at: Mutex::new(None) }
+        Self { step: watch::Sender::new(Step::default()), confirmed_at: Mutex::new(None) }
     }
 }
 
-impl Published {
+impl PublishedView {
     /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> Arc<ClusterView> {
@@ -50,12 +50,12 @@
     }
 
     /// Records that the view was up to date with the core leader's at this time.
-    pub fn refresh(&self) {
-        *self.fresh_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
+    pub fn mark_fresh(&self) {
+        *self.confirmed_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
     }
 
     fn is_fresh(&self) -> bool {
-        let at = *self.fresh_at.lock().unwrap_or_else(PoisonError::into_inner);
+        let at = *self.confirmed_at.lock().unwrap_or_else(PoisonError::into_inner);
         at.is_some_and(|at| at.elapsed() < STALE_AFTER)
     }
 
--- a/crates/control/src/core/repair/changes.rs
+++ b/crates/control/src/core/repair/changes.rs
@@ -16,14 +16,14 @@
 use tracing::{debug, info, warn};
 
 use super::super::Shared;
-use super::super::leader::Leading;
+use super::super::leader::LeaderContext;
 use crate::metrics;
 
 /// Timeout of one change; an unconfirmed change is planned again.
-const CHANGE_TIME: Duration = Duration::from_secs(3);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Delay before a refused change is requested again.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(250);
+const REFUSAL_DELAY: Duration = Duration::from_millis(250);
 
 /// What a change applies to; each subject has at most one change at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,9 +33,9 @@
 }
 
 /// A finished change and its result.
-struct Ended {
+struct Finished {
     change: PlannedChange,
-    is_made: bool,
+    succeeded: bool,
 }
 
 /// A membership change that a group's leader did not make.
@@ -48,41 +48,42 @@
 /// Running changes, and those written since the known meta state was read.
 pub(super) struct Changes<'a> {
     shared: &'a Shared,
-    leading: &'a Leading,
-    running: FuturesUnordered<BoxFuture<'a, Ended>>,
+    leader_ctx: &'a LeaderContext,
+    running: FuturesUnordered<BoxFuture<'a, Finished>>,
     subjects: BTreeSet<Subject>,
     /// Placements that were written: the previous one and the new one.
-    placed: BTreeMap<GroupId, (GroupPlacement, GroupPlacement)>,
+    written_placements: BTreeMap<GroupId, (GroupPlacement, GroupPlacement)>,
     removed: BTreeSet<NodeId>,
     refused: BTreeMap<GroupId, Refusal>,
-    last_ended: Option<Instant>,
+    last_finished: Option<Instant>,
 }
 
 impl<'a> Changes<'a> {
-    pub(super) fn new(shared: &'a Shared, leading: &'a Leading) -> Self {
+    pub(super) fn new(shared: &'a Shared, leader_ctx: &'a LeaderContext) -> Self {
         Self {
             shared,
-            leading,
+            leader_ctx,
             running: FuturesUnordered::new(),
             subjects: BTreeSet::new(),
-            placed: BTreeMap::new(),
+            written_placements: BTreeMap::new(),
             removed: BTreeSet::new(),
             refused: BTreeMap::new(),
-            last_ended: None,
+            last_finished: None,
         }
     }
 
     /// Returns the meta state with the changes that were written since it was read.
-    pub(super) fn as_of<'m>(&mut self, meta: &'m MetaState) -> Cow<'m, MetaState> {
-        self.placed.retain(|group, (before, _)| meta.placements.get(group) == Some(before));
+    pub(super) fn with_written<'m>(&mut self, meta: &'m MetaState) -> Cow<'m, MetaState> {
+        self.written_placements
+            .retain(|group, (before, _)| meta.placements.get(group) == Some(before));
         self.removed.retain(|node| {
             meta.stores.iter().any(|s| s.node == *node && s.state != StoreState::Removed)
         });
-        if self.placed.is_empty() && self.removed.is_empty() {
+        if self.written_placements.is_empty() && self.removed.is_empty() {
             return Cow::Borrowed(meta);
         }
         let mut newest = meta.clone();
-        for (group, (_, placement)) in &self.placed {
+        for (group, (_, placement)) in &self.written_placements {
             newest.placements.insert(*group, placement.clone());
         }
         for store in &mut newest.stores {
@@ -95,29 +96,29 @@
 
     /// Starts a change, unless one of its group or store is running or the same change was refused
     /// recently.
-    pub(super) fn begin(&mut self, meta: &MetaState, change: PlannedChange, now: Instant) {
+    pub(super) fn start(&mut self, meta: &MetaState, change: PlannedChange, now: Instant) {
         let subject = subject_of(&change);
-        if self.subjects.contains(&subject) || self.was_just_refused(&change, now) {
+        if self.subjects.contains(&subject) || self.was_recently_refused(&change, now) {
             return;
         }
         self.subjects.insert(subject);
-        let (shared, leading) = (self.shared, self.leading);
+        let (shared, leader_ctx) = (self.shared, self.leader_ctx);
         let running = match change.clone() {
             PlannedChange::SetPlacement { group, expected, placement } => {
                 info!(%group, ?expected, ?placement, "setting a new placement");
-                let epoch = leading.epoch;
+                let epoch = leader_ctx.epoch;
                 let command = MetaCommand::SetPlacement { epoch, group, expected, placement };
-                write(shared, command).boxed()
+                write_meta(shared, command).boxed()
             }
             PlannedChange::RemoveStore { node } => {
                 info!(store = %node, "removing a store that has no replicas left");
-                let (epoch, state) = (leading.epoch, StoreState::Removed);
-                write(shared, MetaCommand::SetStoreState { epoch, node, state }).boxed()
+                let (epoch, state) = (leader_ctx.epoch, StoreState::Removed);
+                write_meta(shared, MetaCommand::SetStoreState { epoch, node, state }).boxed()
             }
             PlannedChange::ChangeReplicas { group, leader, change } => {
                 info!(%group, ?change, leader = %leader, "requesting a membership change");
                 let address = meta.stores.iter().find(|s| s.node == leader).map(|s| s.address);
-                let request = ChangeReplicas { group, change, epoch: leading.epoch };
+                let request = ChangeReplicas { group, change, epoch: leader_ctx.epoch };
                 async move {
                     let Some(address) = address else { return false };
                     change_replicas(shared, address, request).await
@@ -125,29 +126,29 @@
                 .boxed()
             }
         };
-        self.running.push(async move { Ended { change, is_made: running.await } }.boxed());
+        self.running.push(async move { Finished { change, succeeded: running.await } }.boxed());
     }
 
     /// Waits until a change has finished; never returns while none is running.
-    pub(super) async fn ended(&mut self) {
+    pub(super) async fn next_finished(&mut self) {
         match self.running.next().await {
-            Some(ended) => self.note(ended),
+            Some(finished) => self.record(finished),
             None => std::future::pending().await,
         }
     }
 
     /// Collects all changes that have finished by now.
-    pub(super) fn note_ended(&mut self) {
-        while let Some(Some(ended)) = self.running.next().now_or_never() {
-            self.note(ended);
+    pub(super) fn collect_finished(&mut self) {
+        while let Some(Some(finished)) = self.running.next().now_or_never() {
+            self.record(finished);
         }
     }
 
     /// Returns the time for which no change has been running.
-    pub(super) fn rested_for(&self, now: Instant) -> Duration {
-        match self.last_ended {
+    pub(super) fn idle_time(&self, now: Instant) -> Duration {
+        match self.last_finished {
             _ if !self.is_idle() => Duration::ZERO,
-            Some(ended) => now.saturating_duration_since(ended),
+            Some(finished) => now.saturating_duration_since(finished),
             None => Duration::MAX,
         }
     }
@@ -156,34 +157,34 @@
         self.running.is_empty()
     }
 
-    fn was_just_refused(&self, change: &PlannedChange, now: Instant) -> bool {
+    fn was_recently_refused(&self, change: &PlannedChange, now: Instant) -> bool {
         let PlannedChange::ChangeReplicas { group, change, .. } = change else { return false };
         let refusal = self.refused.get(group).filter(|refusal| refusal.change == *change);
-        refusal.is_some_and(|refusal| now.duration_since(refusal.at) < REFUSAL_PAUSE)
+        refusal.is_some_and(|refusal| now.duration_since(refusal.at) < REFUSAL_DELAY)
     }
 
-    fn note(&mut self, ended: Ended) {
-        let Ended { change, is_made } = ended;
+    fn record(&mut self, finished: Finished) {
+        let Finished { change, succeeded } = finished;
         self.subjects.remove(&subject_of(&change));
-        self.last_ended = Some(Instant::now());
+        self.last_finished = Some(Instant::now());
         match change {
-            PlannedChange::SetPlacement { group, expected, placement } if is_made => {
-                self.placed.insert(group, (expected, placement));
+            PlannedChange::SetPlacement { group, expected, placement } if succeeded => {
+                self.written_placements.insert(group, (expected, placement));
             }
-            PlannedChange::RemoveStore { node } if is_made => drop(self.removed.insert(node)),
-            PlannedChange::ChangeReplicas { group, .. } if is_made => {
+            PlannedChange::RemoveStore { node } if succeeded => drop(self.removed.insert(node)),
+            PlannedChange::ChangeReplicas { group, .. } if succeeded => {
                 self.refused.remove(&group);
             }
             PlannedChange::ChangeReplicas { group, change, .. } => {
-                self.note_refused(group, change);
+                self.record_refusal(group, change);
             }
             PlannedChange::SetPlacement { .. } | PlannedChange::RemoveStore { .. } => {}
         }
-        self.leading.meta_due.notify_one();
+        self.leader_ctx.meta_due.notify_one();
     }
 
     /// Records a refusal, and logs a warning only for the first of repeated refusals.
-    fn note_refused(&mut self, group: GroupId, change: ConfChange) {
+    fn record_refusal(&mut self, group: GroupId, change: ConfChange) {
         let refusal = Refusal { change, at: Instant::now() };
         let before = self.refused.insert(group, refusal);
         if before.is_none_or(|before| before.change != change) {
@@ -208,8 +209,8 @@
     request: ChangeReplicas,
 ) -> bool {
     let ChangeReplicas { group, change, .. } = request;
-    let deadline = Instant::now() + CHANGE_TIME;
-    let is_made = match shared.ctx.client.call(leader, &request, deadline).await {
+    let deadline = Instant::now() + CHANGE_TIMEOUT;
+    let succeeded = match shared.ctx.client.call(leader, &request, deadline).await {
         Ok(Ok(())) => true,
         Ok(Err(fault)) => {
             debug!(%group, ?change, %fault, "the group's leader refused the membership change");
@@ -220,13 +221,13 @@
             false
         }
     };
-    metrics::replicas_changed(is_made);
-    is_made
+    metrics::count_replica_change(succeeded);
+    succeeded
 }
 
 /// Writes to the meta group and returns whether the write succeeded.
-async fn write(shared: &Shared, command: MetaCommand) -> bool {
-    match shared.ctx.state.execute_meta(&command, Instant::now() + CHANGE_TIME).await {
+async fn write_meta(shared: &Shared, command: MetaCommand) -> bool {
+    match shared.ctx.state.execute_meta(&command, Instant::now() + CHANGE_TIMEOUT).await {
         Ok(MetaReply::Refused(refusal)) => {
             warn!(%refusal, "write to the meta group refused");
             false
--- a/crates/control/src/core/repair/liveness.rs
+++ b/crates/control/src/core/repair/liveness.rs
@@ -16,35 +16,35 @@
 /// When each store last replied to this core leader, and which stores the groups' leaders hear
 /// from.
 #[derive(Debug)]
-pub struct Signs {
+pub struct StoreLiveness {
     since: Instant,
-    answered: BTreeMap<NodeId, Instant>,
-    heard_by_leaders: BTreeSet<NodeId>,
+    last_reply: BTreeMap<NodeId, Instant>,
+    active_at_leaders: BTreeSet<NodeId>,
 }
 
-impl Signs {
+impl StoreLiveness {
     /// Creates an empty record: a store is lost only after the full time without a reply to this
     /// leader.
     #[must_use]
     pub fn new(since: Instant) -> Self {
-        Self { since, answered: BTreeMap::new(), heard_by_leaders: BTreeSet::new() }
+        Self { since, last_reply: BTreeMap::new(), active_at_leaders: BTreeSet::new() }
     }
 
     /// Records the replies of one round.
-    pub fn note(&mut self, reports: &[StoreReport], now: Instant) {
-        self.answered.extend(reports.iter().map(|report| (report.node, now)));
+    pub fn record(&mut self, reports: &[StoreReport], now: Instant) {
+        self.last_reply.extend(reports.iter().map(|report| (report.node, now)));
         let replicas = reports.iter().flat_map(|report| &report.replicas);
         let leaders = replicas.filter(|replica| replica.role == Role::Leader);
         let heard = leaders.flat_map(|leader| &leader.progress).filter(|member| member.active);
-        self.heard_by_leaders = heard.map(|member| member.node).collect();
+        self.active_at_leaders = heard.map(|member| member.node).collect();
     }
 
     /// Returns whether a store is alive. One that this core cannot reach is alive as long as the
     /// leader of any group hears from it.
     #[must_use]
     pub fn is_alive(&self, store: NodeId, now: Instant) -> bool {
-        let answered = self.answered.get(&store).copied().unwrap_or(self.since);
-        now.saturating_duration_since(answered) < LOST_AFTER
-            || self.heard_by_leaders.contains(&store)
+        let last_reply = self.last_reply.get(&store).copied().unwrap_or(self.since);
+        now.saturating_duration_since(last_reply) < LOST_AFTER
+            || self.active_at_leaders.contains(&store)
     }
 }
--- a/crates/control/src/core/repair/mod.rs
+++ b/crates/control/src/core/repair/mod.rs
@@ -22,21 +22,21 @@
 use tracing::{info, warn};
 
 use super::Shared;
-use super::leader::Leading;
+use super::leader::LeaderContext;
 use crate::metrics;
 use changes::Changes;
-use liveness::Signs;
-use monitor::{GroupNews, RepairWatch};
+use liveness::StoreLiveness;
+use monitor::{GroupEvent, GroupMonitor};
 use statuses::Statuses;
 
 /// Time between rounds while nothing is to be done.
-const CALM_PAUSE: Duration = Duration::from_secs(1);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time between rounds while replicas move and no change finishes.
-const BUSY_PAUSE: Duration = Duration::from_millis(100);
+const BUSY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Delay after a change has finished, to collect others that finish at about the same time.
-const GATHER_PAUSE: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// The meta state as this core leader last read it.
 type KnownMeta = tokio::sync::watch::Receiver<Option<CopyOnWrite<MetaState>>>;
@@ -44,75 +44,75 @@
 /// Repair state of one core leadership.
 struct Repair<'a> {
     shared: &'a Shared,
-    signs: Signs,
+    liveness: StoreLiveness,
     statuses: Statuses,
     changes: Changes<'a>,
-    watch: RepairWatch,
+    monitor: GroupMonitor,
 }
 
-pub(super) async fn run(shared: &Shared, leading: &Leading) {
+pub(super) async fn run(shared: &Shared, leader_ctx: &LeaderContext) {
     let mut repair = Repair {
         shared,
-        signs: Signs::new(Instant::now()),
+        liveness: StoreLiveness::new(Instant::now()),
         statuses: Statuses::default(),
-        changes: Changes::new(shared, leading),
-        watch: RepairWatch::default(),
+        changes: Changes::new(shared, leader_ctx),
+        monitor: GroupMonitor::default(),
     };
-    let mut known = leading.meta.subscribe();
+    let mut known = leader_ctx.meta.subscribe();
     loop {
         let meta = known.borrow_and_update().clone();
         let (pause, stores) = match &meta {
-            Some(meta) => (repair.round(meta).await, meta.stores.clone()),
-            None => (BUSY_PAUSE, Vec::new()),
+            Some(meta) => (repair.run_round(meta).await, meta.stores.clone()),
+            None => (BUSY_INTERVAL, Vec::new()),
         };
-        repair.rest(pause, &mut known, &stores).await;
+        repair.wait(pause, &mut known, &stores).await;
     }
 }
 
 impl Repair<'_> {
-    /// Queries all stores once, starts the planned changes, and returns the pause before the next
+    /// Queries all stores once, starts the plan_changes changes, and returns the pause before the next
     /// round.
-    async fn round(&mut self, meta: &MetaState) -> Duration {
+    async fn run_round(&mut self, meta: &MetaState) -> Duration {
         // Changes that finish while the stores are queried may not be visible in the replies, so
         // they count from the next round on.
-        self.changes.note_ended();
-        let reports = self.statuses.ask(&self.shared.ctx.client, &meta.stores).await;
+        self.changes.collect_finished();
+        let reports = self.statuses.query(&self.shared.ctx.client, &meta.stores).await;
         let now = Instant::now();
-        self.signs.note(&reports, now);
-        let meta = &*self.changes.as_of(meta);
+        self.liveness.record(&reports, now);
+        let meta = &*self.changes.with_written(meta);
         let alive = self.alive(meta, now);
-        tell(&self.watch.look(meta, &reports, &alive, now));
-        metrics::groups_watched(self.watch.degraded(), self.watch.stalled());
+        log_events(&self.monitor.update(meta, &reports, &alive, now));
+        metrics::set_group_health(self.monitor.degraded(), self.monitor.stalled());
         // Moves that only balance the load are made one at a time, with a pause between them.
-        let planned = if self.changes.rested_for(now) < CALM_PAUSE {
+        let plan_changes = if self.changes.idle_time(now) < IDLE_INTERVAL {
             plan_repairs(meta, &reports, &alive)
         } else {
             plan(meta, &reports, &alive)
         };
         // With an unresponsive store, rounds are frequent so that its loss is detected in time.
-        let has_silent = alive.iter().any(|store| self.statuses.is_silent(*store));
-        let is_calm = planned.is_empty() && self.changes.is_idle() && !has_silent;
-        for change in planned {
-            self.changes.begin(meta, change, now);
+        let has_unresponsive = alive.iter().any(|store| self.statuses.is_unresponsive(*store));
+        let is_calm = plan_changes.is_empty() && self.changes.is_idle() && !has_unresponsive;
+        for change in plan_changes {
+            self.changes.start(meta, change, now);
         }
-        if is_calm { CALM_PAUSE } else { BUSY_PAUSE }
+        if is_calm { IDLE_INTERVAL } else { BUSY_INTERVAL }
     }
 
     fn alive(&self, meta: &MetaState, now: Instant) -> BTreeSet<NodeId> {
         let is_alive = |store: &&StoreRecord| {
-            self.signs.is_alive(store.node, now) && !is_superseded(meta, store)
+            self.liveness.is_alive(store.node, now) && !is_superseded(meta, store)
         };
         meta.stores.iter().filter(is_alive).map(|store| store.node).collect()
     }
 
     /// Waits until a change has finished, the list of stores has changed, or `pause` has passed.
-    async fn rest(&mut self, pause: Duration, known: &mut KnownMeta, stores: &[StoreRecord]) {
+    async fn wait(&mut self, pause: Duration, known: &mut KnownMeta, stores: &[StoreRecord]) {
         let end = tokio::time::sleep(pause);
         tokio::pin!(end);
         loop {
             tokio::select! {
                 () = &mut end => return,
-                () = self.changes.ended() => break,
+                () = self.changes.next_finished() => break,
                 Ok(()) = known.changed() => {
                     let meta = known.borrow_and_update().clone();
                     if meta.is_some_and(|meta| meta.stores != stores) {
@@ -121,30 +121,30 @@
                 }
             }
         }
-        tokio::time::sleep(GATHER_PAUSE).await;
+        tokio::time::sleep(BATCH_DELAY).await;
     }
 }
 
 /// Logs changes in the health of groups.
-fn tell(news: &[GroupNews]) {
-    for news in news {
-        match news {
-            GroupNews::Degraded { group, wanted, members } => {
-                info!(%group, ?wanted, ?members, "a group lacks replicas");
+fn log_events(events: &[GroupEvent]) {
+    for event in events {
+        match event {
+            GroupEvent::Degraded { group, desired, members } => {
+                info!(%group, ?desired, ?members, "a group lacks replicas");
             }
-            GroupNews::Whole { group, took } => {
-                info!(%group, ?took, "a group has all its replicas again");
-                metrics::group_repaired(*took);
+            GroupEvent::Repaired { group, degraded_for } => {
+                info!(%group, ?degraded_for, "a group has all its replicas again");
+                metrics::record_group_repair(*degraded_for);
             }
-            GroupNews::Stalled { group, stalled_for, leader: None } => {
+            GroupEvent::Stalled { group, stalled_for, leader: None } => {
                 warn!(%group, ?stalled_for, "a group has no leader");
             }
-            GroupNews::Stalled { group, stalled_for, leader: Some(leader) } => {
+            GroupEvent::Stalled { group, stalled_for, leader: Some(leader) } => {
                 warn!(%group, ?stalled_for, leader = %leader.node, commit = leader.commit,
                     last_index = leader.last_index, members = ?leader.newest_conf,
                     progress = ?leader.progress, "a group commits nothing");
             }
-            GroupNews::Moving { group, stalled_for } => {
+            GroupEvent::Resumed { group, stalled_for } => {
                 warn!(%group, ?stalled_for, "a group commits again");
             }
         }
--- a/crates/control/src/core/repair/monitor.rs
+++ b/crates/control/src/core/repair/monitor.rs
@@ -33,22 +33,22 @@
 
 /// A change in the health of a group, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum GroupNews {
+pub enum GroupEvent {
     /// A voter is lost, is not in the desired placement, or lags.
     Degraded {
         /// The group.
         group: GroupId,
         /// The desired placement of its replicas.
-        wanted: GroupPlacement,
+        desired: GroupPlacement,
         /// Its members, if it has a leader.
         members: Option<ConfState>,
     },
     /// All desired voters are members, alive and up to date again.
-    Whole {
+    Repaired {
         /// The group.
         group: GroupId,
         /// How long the group was degraded.
-        took: Duration,
+        degraded_for: Duration,
     },
     /// It has committed nothing for [`STALL_TIME`], although entries are waiting; reported once.
     Stalled {
@@ -60,7 +60,7 @@
         leader: Option<StalledLeader>,
     },
     /// The group commits again after a stall.
-    Moving {
+    Resumed {
         /// The group.
         group: GroupId,
         /// How long the group was stalled.
@@ -77,98 +77,99 @@
 
 /// State of one group across updates.
 #[derive(Debug, Default)]
-struct GroupWatch {
+struct GroupState {
     degraded_since: Option<Instant>,
     waiting: Option<Waiting>,
-    is_stall_told: bool,
+    is_stall_reported: bool,
 }
 
 /// Monitors all groups of a cluster across updates.
 #[derive(Debug, Default)]
-pub struct RepairWatch {
-    groups: BTreeMap<GroupId, GroupWatch>,
+pub struct GroupMonitor {
+    groups: BTreeMap<GroupId, GroupState>,
 }
 
-impl RepairWatch {
+impl GroupMonitor {
     /// Updates all groups with the stores' replies of one round and returns what changed.
-    pub fn look(
+    pub fn update(
         &mut self,
         meta: &MetaState,
         reports: &[StoreReport],
         alive: &BTreeSet<NodeId>,
         now: Instant,
-    ) -> Vec<GroupNews> {
-        let mut news = Vec::new();
-        for (group, wanted) in &meta.placements {
+    ) -> Vec<GroupEvent> {
+        let mut events = Vec::new();
+        for (group, desired) in &meta.placements {
             let leader = leader_of(*group, reports);
-            let watch = self.groups.entry(*group).or_default();
-            news.extend(watch.look_at_members(*group, wanted, leader, alive, now));
-            news.extend(watch.look_at_commit(*group, leader, now));
+            let state = self.groups.entry(*group).or_default();
+            events.extend(state.update_members(*group, desired, leader, alive, now));
+            events.extend(state.update_commit(*group, leader, now));
         }
-        news
+        events
     }
 
     /// Returns the number of groups that lack a voter.
     #[must_use]
     pub fn degraded(&self) -> usize {
-        self.groups.values().filter(|watch| watch.degraded_since.is_some()).count()
+        self.groups.values().filter(|state| state.degraded_since.is_some()).count()
     }
 
     /// Returns the number of groups that commit nothing.
     #[must_use]
     pub fn stalled(&self) -> usize {
-        self.groups.values().filter(|watch| watch.is_stall_told).count()
+        self.groups.values().filter(|state| state.is_stall_reported).count()
     }
 }
 
-impl GroupWatch {
-    fn look_at_members(
+impl GroupState {
+    fn update_members(
         &mut self,
         group: GroupId,
-        wanted: &GroupPlacement,
+        desired: &GroupPlacement,
         leader: Option<LeaderView<'_>>,
         alive: &BTreeSet<NodeId>,
         now: Instant,
-    ) -> Option<GroupNews> {
-        let is_whole = leader.is_some_and(|view| is_whole(wanted, view.replica, alive));
-        match (self.degraded_since, is_whole) {
+    ) -> Option<GroupEvent> {
+        let is_complete = leader.is_some_and(|view| is_complete(desired, view.replica, alive));
+        match (self.degraded_since, is_complete) {
             (None, false) => {
                 self.degraded_since = Some(now);
                 let members = leader.map(|view| view.replica.conf.clone());
-                Some(GroupNews::Degraded { group, wanted: wanted.clone(), members })
+                Some(GroupEvent::Degraded { group, desired: desired.clone(), members })
             }
             (Some(since), true) => {
                 self.degraded_since = None;
-                Some(GroupNews::Whole { group, took: now - since })
+                Some(GroupEvent::Repaired { group, degraded_for: now - since })
             }
             _ => None,
         }
     }
 
-    fn look_at_commit(
+    fn update_commit(
         &mut self,
         group: GroupId,
         leader: Option<LeaderView<'_>>,
         now: Instant,
-    ) -> Option<GroupNews> {
-        let waits = leader.is_none_or(|view| view.replica.last_index > view.replica.commit);
+    ) -> Option<GroupEvent> {
+        let has_waiting = leader.is_none_or(|view| view.replica.last_index > view.replica.commit);
         let commit = leader.map(|view| view.replica.commit);
-        let has_moved = |waiting: &Waiting| !waits || commit.is_some_and(|c| c != waiting.commit);
-        if let Some(ended) = self.waiting.take_if(|waiting| has_moved(waiting))
-            && std::mem::take(&mut self.is_stall_told)
+        let has_progressed =
+            |waiting: &Waiting| !has_waiting || commit.is_some_and(|c| c != waiting.commit);
+        if let Some(ended) = self.waiting.take_if(|waiting| has_progressed(waiting))
+            && std::mem::take(&mut self.is_stall_reported)
         {
-            return Some(GroupNews::Moving { group, stalled_for: now - ended.since });
+            return Some(GroupEvent::Resumed { group, stalled_for: now - ended.since });
         }
-        if !waits {
+        if !has_waiting {
             return None;
         }
-        let began = Waiting { commit: commit.unwrap_or(0), since: now };
-        let stalled_for = now - self.waiting.get_or_insert(began).since;
-        if self.is_stall_told || stalled_for < STALL_TIME {
+        let started = Waiting { commit: commit.unwrap_or(0), since: now };
+        let stalled_for = now - self.waiting.get_or_insert(started).since;
+        if self.is_stall_reported || stalled_for < STALL_TIME {
             return None;
         }
-        self.is_stall_told = true;
-        Some(GroupNews::Stalled { group, stalled_for, leader: leader.map(stalled_leader) })
+        self.is_stall_reported = true;
+        Some(GroupEvent::Stalled { group, stalled_for, leader: leader.map(stalled_leader) })
     }
 }
 
@@ -184,8 +185,8 @@
 }
 
 /// Returns whether the voters are the desired ones, alive and up to date.
-fn is_whole(wanted: &GroupPlacement, leader: &ReplicaStatus, alive: &BTreeSet<NodeId>) -> bool {
-    let voters: BTreeSet<NodeId> = wanted.voters.iter().copied().collect();
+fn is_complete(desired: &GroupPlacement, leader: &ReplicaStatus, alive: &BTreeSet<NodeId>) -> bool {
+    let voters: BTreeSet<NodeId> = desired.voters.iter().copied().collect();
     leader.conf.voters == voters
         && voters.iter().all(|node| alive.contains(node) && is_up_to_date(leader, *node))
 }
--- a/crates/control/src/core/repair/statuses.rs
+++ b/crates/control/src/core/repair/statuses.rs
@@ -14,10 +14,10 @@
 use tokio::time::Instant;
 
 /// Timeout of a status request to a store.
-const STATUS_TIME: Duration = Duration::from_secs(1);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Result of a status request.
-struct Answer {
+struct StatusReply {
     node: NodeId,
     round: u64,
     replicas: Option<Vec<ReplicaStatus>>,
@@ -27,17 +27,17 @@
 #[derive(Default)]
 pub(super) struct Statuses {
     round: u64,
-    open: FuturesUnordered<BoxFuture<'static, Answer>>,
+    requests: FuturesUnordered<BoxFuture<'static, StatusReply>>,
     /// Stores with an outstanding request.
-    asked: BTreeSet<NodeId>,
+    outstanding: BTreeSet<NodeId>,
     /// Stores that did not reply to the last request.
-    silent: BTreeSet<NodeId>,
+    unresponsive: BTreeSet<NodeId>,
 }
 
 impl Statuses {
     /// Queries all stores and returns the replies to this round's requests. Waits only for stores
     /// that replied last time.
-    pub(super) async fn ask(
+    pub(super) async fn query(
         &mut self,
         client: &RpcClient,
         stores: &[StoreRecord],
@@ -45,53 +45,53 @@
         self.round += 1;
         let mut awaited = BTreeSet::new();
         for store in stores.iter().filter(|store| store.state != StoreState::Removed) {
-            if self.asked.insert(store.node) {
-                self.open.push(question(client.clone(), store.clone(), self.round).boxed());
+            if self.outstanding.insert(store.node) {
+                self.requests.push(query_store(client.clone(), store.clone(), self.round).boxed());
             }
-            if !self.silent.contains(&store.node) {
+            if !self.unresponsive.contains(&store.node) {
                 awaited.insert(store.node);
             }
         }
         let mut reports = Vec::new();
         while !awaited.is_empty()
-            && let Some(answer) = self.open.next().await
+            && let Some(reply) = self.requests.next().await
         {
-            awaited.remove(&answer.node);
-            reports.extend(self.note(answer));
+            awaited.remove(&reply.node);
+            reports.extend(self.record(reply));
         }
-        while let Some(Some(answer)) = self.open.next().now_or_never() {
-            reports.extend(self.note(answer));
+        while let Some(Some(reply)) = self.requests.next().now_or_never() {
+            reports.extend(self.record(reply));
         }
         reports
     }
 
     /// Returns whether a store did not reply to its last request.
-    pub(super) fn is_silent(&self, store: NodeId) -> bool {
-        self.silent.contains(&store)
+    pub(super) fn is_unresponsive(&self, store: NodeId) -> bool {
+        self.unresponsive.contains(&store)
     }
 
     /// Records a reply. One to an older request shows that the store is alive, but is too old to
     /// plan with.
-    fn note(&mut self, answer: Answer) -> Option<StoreReport> {
-        let Answer { node, round, replicas } = answer;
-        self.asked.remove(&node);
+    fn record(&mut self, reply: StatusReply) -> Option<StoreReport> {
+        let StatusReply { node, round, replicas } = reply;
+        self.outstanding.remove(&node);
         let Some(replicas) = replicas else {
-            self.silent.insert(node);
+            self.unresponsive.insert(node);
             return None;
         };
-        self.silent.remove(&node);
+        self.unresponsive.remove(&node);
         (round == self.round).then_some(StoreReport { node, replicas })
     }
 }
 
-async fn question(client: RpcClient, store: StoreRecord, round: u64) -> Answer {
-    let deadline = Instant::now() + STATUS_TIME;
-    let asked = async {
+async fn query_store(client: RpcClient, store: StoreRecord, round: u64) -> StatusReply {
+    let deadline = Instant::now() + STATUS_TIMEOUT;
+    let request = async {
         let replicas = client.call(store.address, &GroupStatus, deadline).await.ok()?;
         // The address may have been reused by another store.
         let peer = client.peer(store.address, deadline).await.ok()?;
         (peer.node == store.node).then_some(replicas)
     };
-    let replicas = asked.await;
-    Answer { node: store.node, round, replicas }
+    let replicas = request.await;
+    StatusReply { node: store.node, round, replicas }
 }
--- a/crates/control/src/core/rollouts.rs
+++ b/crates/control/src/core/rollouts.rs
@@ -12,20 +12,20 @@
 use tracing::{info, warn};
 
 use super::Shared;
-use super::leader::Leading;
-use crate::judge::{Against, Counts, Finding, compare};
+use super::leader::LeaderContext;
+use crate::judge::{Baseline, Counts, HarmKind, compare};
 
 /// Time between checks of the rollouts.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Timeout of a request to the stores.
-const COMMIT_TIME: Duration = Duration::from_secs(2);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Intervals over which versions are compared: a short one shows harm that starts late.
 const INTERVALS: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(30)];
 
 /// Minimum number of the target's responses for a comparison.
-const LEAST_SAMPLES: u64 = 5;
+const MIN_SAMPLES: u64 = 5;
 
 /// Number of the target's responses below which it stays in the first trial step.
 const SAMPLES_TO_SHIFT: u64 = 15;
@@ -58,10 +58,10 @@
 pub fn evidence(
     service: &ServiceName,
     record: &RolloutRecord,
-    figures: &[VersionStatistics],
+    statistics: &[VersionStatistics],
 ) -> Evidence {
     let mut routes: BTreeMap<Option<&RouteName>, (Counts, Counts)> = BTreeMap::new();
-    for seen in figures.iter().filter(|seen| seen.service == *service) {
+    for seen in statistics.iter().filter(|seen| seen.service == *service) {
         let counts = Counts::from(seen);
         for route in [Some(&seen.route), None] {
             let (target, others) = routes.entry(route).or_default();
@@ -72,29 +72,29 @@
     let all = routes.get(&None).map(|(target, _)| target.total()).unwrap_or_default();
     let thresholds = HarmThresholds::default();
     let harmful = routes.iter().any(|(route, (target, others))| {
-        let enough = target.total() >= LEAST_SAMPLES && others.total() >= LEAST_SAMPLES;
-        let finding = compare(target, others, &thresholds, Against::SameInterval);
+        let enough = target.total() >= MIN_SAMPLES && others.total() >= MIN_SAMPLES;
+        let kind = compare(target, others, &thresholds, Baseline::SameInterval);
         // Latencies are compared only within a route, since those of different routes are not
         // comparable.
-        enough && finding.is_some_and(|f| route.is_some() || f == Finding::Errors)
+        enough && kind.is_some_and(|f| route.is_some() || f == HarmKind::Errors)
     });
     Evidence { samples: all, is_harmful: harmful }
 }
 
 /// Returns the phase that a rollout should be in after the given fraction of its time.
 #[must_use]
-pub fn next_phase(present: RolloutPhase, part: f64, evidence: Evidence) -> RolloutPhase {
-    if present.is_final() {
-        return present;
+pub fn next_phase(current: RolloutPhase, elapsed: f64, evidence: Evidence) -> RolloutPhase {
+    if current.is_final() {
+        return current;
     }
     if evidence.is_harmful {
         return RolloutPhase::RolledBack;
     }
     let rank = |phase: RolloutPhase| STEPS.iter().position(|(_, step)| *step == phase);
-    let due = STEPS.iter().rposition(|(from, _)| part >= *from).unwrap_or(0);
-    let known = evidence.samples >= SAMPLES_TO_SHIFT;
-    let allowed = if known { due } else { 0 };
-    match rank(present) {
+    let due = STEPS.iter().rposition(|(from, _)| elapsed >= *from).unwrap_or(0);
+    let has_samples = evidence.samples >= SAMPLES_TO_SHIFT;
+    let allowed = if has_samples { due } else { 0 };
+    match rank(current) {
         // One step at a time, so that each is evaluated before the next.
         Some(rank) => STEPS[allowed.clamp(rank, rank + 1).min(STEPS.len() - 1)].1,
         None => STEPS[0].1,
@@ -103,63 +103,68 @@
 
 /// When this core first saw each rollout, and how much of its time had passed by then.
 #[derive(Debug, Default)]
-struct Seen(BTreeMap<u64, (Instant, Duration)>);
+struct RolloutTimes(BTreeMap<u64, (Instant, Duration)>);
 
-impl Seen {
+impl RolloutTimes {
     /// Returns the fraction of a rollout's time that has passed. The wall clock is read only when
     /// the rollout is first seen.
-    fn part(&mut self, record: &RolloutRecord, now: Instant) -> f64 {
-        let whole = record.begun.until(record.due).max(Duration::from_millis(1));
-        let passed = || record.begun.until(UnixMillis::now()).min(whole);
+    fn elapsed_fraction(&mut self, record: &RolloutRecord, now: Instant) -> f64 {
+        let total = record.begun.until(record.due).max(Duration::from_millis(1));
+        let passed = || record.begun.until(UnixMillis::now()).min(total);
         let (at, before) = *self.0.entry(record.number).or_insert_with(|| (now, passed()));
-        (now.saturating_duration_since(at) + before).as_secs_f64() / whole.as_secs_f64()
+        (now.saturating_duration_since(at) + before).as_secs_f64() / total.as_secs_f64()
     }
 }
 
-pub(super) async fn run(shared: &Shared, leading: &Leading) {
-    let mut seen = Seen::default();
+pub(super) async fn run(shared: &Shared, leader_ctx: &LeaderContext) {
+    let mut times = RolloutTimes::default();
     loop {
-        let meta = leading.meta.borrow().clone();
+        let meta = leader_ctx.meta.borrow().clone();
         if let Some(meta) = meta {
-            round(shared, leading, &meta, &mut seen).await;
+            run_round(shared, leader_ctx, &meta, &mut times).await;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn round(shared: &Shared, leading: &Leading, meta: &MetaState, seen: &mut Seen) {
+async fn run_round(
+    shared: &Shared,
+    leader_ctx: &LeaderContext,
+    meta: &MetaState,
+    times: &mut RolloutTimes,
+) {
     let now = Instant::now();
     for (service, record) in meta.rollouts.iter().filter(|(_, r)| !r.phase.is_final()) {
-        let part = seen.part(record, now);
-        let found = INTERVALS.map(|interval| {
-            let figures = shared.judge().figures(interval, now);
-            evidence(service, record, &figures)
+        let elapsed = times.elapsed_fraction(record, now);
+        let results = INTERVALS.map(|interval| {
+            let statistics = shared.judge().statistics(interval, now);
+            evidence(service, record, &statistics)
         });
         let evidence = Evidence {
-            samples: found.iter().map(|e| e.samples).max().unwrap_or_default(),
-            is_harmful: found.iter().any(|e| e.is_harmful),
+            samples: results.iter().map(|e| e.samples).max().unwrap_or_default(),
+            is_harmful: results.iter().any(|e| e.is_harmful),
         };
-        let phase = next_phase(record.phase, part, evidence);
+        let phase = next_phase(record.phase, elapsed, evidence);
         if phase != record.phase {
-            info!(%service, target = %record.target, ?phase, ?evidence, part, "rollout enters a new phase");
-            move_on(shared, leading, service, record.number, phase).await;
+            info!(%service, target = %record.target, ?phase, ?evidence, elapsed, "rollout enters a new phase");
+            set_phase(shared, leader_ctx, service, record.number, phase).await;
         }
     }
 }
 
-async fn move_on(
+async fn set_phase(
     shared: &Shared,
-    leading: &Leading,
+    leader_ctx: &LeaderContext,
     service: &ServiceName,
     number: u64,
     phase: RolloutPhase,
 ) {
-    let (epoch, service) = (leading.epoch, service.clone());
+    let (epoch, service) = (leader_ctx.epoch, service.clone());
     let command = MetaCommand::MoveRollout { epoch, service, number, phase };
-    let deadline = tokio::time::Instant::now() + COMMIT_TIME;
+    let deadline = tokio::time::Instant::now() + COMMIT_TIMEOUT;
     match shared.ctx.state.execute_meta(&command, deadline).await {
         Ok(MetaReply::Refused(refusal)) => warn!(%refusal, "change of the rollout's phase refused"),
-        Ok(_) => leading.meta_due.notify_one(),
+        Ok(_) => leader_ctx.meta_due.notify_one(),
         Err(error) => warn!(%error, "change of the rollout's phase not confirmed"),
     }
 }
--- a/crates/control/src/core/slot_usage.rs
+++ b/crates/control/src/core/slot_usage.rs
@@ -10,7 +10,7 @@
 use super::members::DEAD_AFTER;
 
 #[derive(Debug, Clone)]
-struct Told {
+struct EngineReport {
     service: ServiceName,
     uses: Vec<SlotUse>,
     at: Instant,
@@ -18,21 +18,21 @@
 
 /// The last slot usage report of each engine.
 #[derive(Debug, Clone, Default)]
-pub struct SlotUses {
-    told: BTreeMap<NodeId, Told>,
+pub struct SlotUsageTable {
+    reports: BTreeMap<NodeId, EngineReport>,
 }
 
-impl SlotUses {
+impl SlotUsageTable {
     /// Records the report in a heartbeat; a heartbeat of a node without an engine is ignored.
-    pub fn heard(&mut self, heartbeat: &Heartbeat, now: Instant) {
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let Some(engine) = &heartbeat.engine else { return };
         let (service, uses) = (engine.service.clone(), heartbeat.slot_uses.clone());
-        self.told.insert(heartbeat.from.node, Told { service, uses, at: now });
+        self.reports.insert(heartbeat.from.node, EngineReport { service, uses, at: now });
     }
 
     /// Removes the reports of engines that have sent no heartbeat for [`DEAD_AFTER`].
-    pub fn look(&mut self, now: Instant) {
-        self.told.retain(|_, told| now.saturating_duration_since(told.at) < DEAD_AFTER);
+    pub fn remove_expired(&mut self, now: Instant) {
+        self.reports.retain(|_, report| now.saturating_duration_since(report.at) < DEAD_AFTER);
     }
 
     /// Returns the sums over all engines, by service and group; turns without a group come first.
@@ -40,22 +40,22 @@
     pub fn sums(&self) -> Vec<ServiceSlotUse> {
         let mut sums: BTreeMap<(&ServiceName, &Option<WindowGroup>), ServiceSlotUse> =
             BTreeMap::new();
-        for Told { service, uses, .. } in self.told.values() {
-            for one in uses {
-                let empty = || ServiceSlotUse {
+        for EngineReport { service, uses, .. } in self.reports.values() {
+            for usage in uses {
+                let zero = || ServiceSlotUse {
                     service: service.clone(),
-                    group: one.group.clone(),
+                    group: usage.group.clone(),
                     engines: 0,
                     reserved: 0,
                     used: 0,
                     borrowed: 0,
                 };
-                let sum = sums.entry((service, &one.group)).or_insert_with(empty);
+                let sum = sums.entry((service, &usage.group)).or_insert_with(zero);
                 sum.engines += 1;
-                sum.reserved += one.reserved;
-                sum.used += one.running;
+                sum.reserved += usage.reserved;
+                sum.used += usage.running;
                 // Slots are reserved per engine, so borrowed slots are counted per engine too.
-                sum.borrowed += one.running.saturating_sub(one.reserved);
+                sum.borrowed += usage.running.saturating_sub(usage.reserved);
             }
         }
         sums.into_values().collect()
--- a/crates/control/src/judge/compare.rs
+++ b/crates/control/src/judge/compare.rs
@@ -12,11 +12,11 @@
 const HISTORY_STRICTNESS: f64 = 2.0;
 
 /// Minimum excess over the old version's error share when its counts are from an earlier time.
-const HISTORY_LEAST_ERROR_SHARE: f64 = 0.3;
+const HISTORY_MIN_ERROR_SHARE: f64 = 0.3;
 
 /// The period that the old version's counts are from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Against {
+pub enum Baseline {
     /// The same interval as the new version's counts.
     SameInterval,
     /// An earlier time, since the old version has no traffic now.
@@ -25,7 +25,7 @@
 
 /// The kind of clear harm found on one route.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Finding {
+pub enum HarmKind {
     /// The error share is higher.
     Errors,
     /// The latency is higher.
@@ -38,19 +38,24 @@
     new: &Counts,
     old: &Counts,
     thresholds: &HarmThresholds,
-    against: Against,
-) -> Option<Finding> {
-    if more_errors(new, old, thresholds, against) {
-        return Some(Finding::Errors);
+    baseline: Baseline,
+) -> Option<HarmKind> {
+    if more_errors(new, old, thresholds, baseline) {
+        return Some(HarmKind::Errors);
     }
-    slower(new, old, thresholds, against).then_some(Finding::Latency)
+    slower(new, old, thresholds, baseline).then_some(HarmKind::Latency)
 }
 
-fn more_errors(new: &Counts, old: &Counts, thresholds: &HarmThresholds, against: Against) -> bool {
-    let allowed = match against {
-        Against::SameInterval => thresholds.error_share_above,
-        Against::History => {
-            (HISTORY_STRICTNESS * thresholds.error_share_above).max(HISTORY_LEAST_ERROR_SHARE)
+fn more_errors(
+    new: &Counts,
+    old: &Counts,
+    thresholds: &HarmThresholds,
+    baseline: Baseline,
+) -> bool {
+    let allowed = match baseline {
+        Baseline::SameInterval => thresholds.error_share_above,
+        Baseline::History => {
+            (HISTORY_STRICTNESS * thresholds.error_share_above).max(HISTORY_MIN_ERROR_SHARE)
         }
     };
     let significance =
@@ -61,11 +66,11 @@
 /// Returns whether the 95th percentile of the new version is higher by the threshold factor, and
 /// significantly more of its requests lie above the old version's bucket. The buckets are wide, so
 /// the percentile alone is weak evidence.
-fn slower(new: &Counts, old: &Counts, thresholds: &HarmThresholds, against: Against) -> bool {
+fn slower(new: &Counts, old: &Counts, thresholds: &HarmThresholds, baseline: Baseline) -> bool {
     let (Some(new_p95), Some(old_p95)) = (new.p95(), old.p95()) else { return false };
-    let factor = match against {
-        Against::SameInterval => thresholds.latency_factor,
-        Against::History => HISTORY_STRICTNESS * thresholds.latency_factor,
+    let factor = match baseline {
+        Baseline::SameInterval => thresholds.latency_factor,
+        Baseline::History => HISTORY_STRICTNESS * thresholds.latency_factor,
     };
     let slow = |counts: &Counts| (counts.slower_than(old_p95.bucket), counts.total());
     new_p95.millis > factor * old_p95.millis
--- a/crates/control/src/judge/mod.rs
+++ b/crates/control/src/judge/mod.rs
@@ -1,7 +1,7 @@
 //! Judges new versions by the requests that gateways observed, compared with the old version in the
 //! same interval or, if it has no traffic any more, with its history.
 //!
-//! Pure: time, statistics and the bundle are passed in. A version is watched as long as the bundle
+//! Pure: time, statistics and the bundle are passed in. A version is candidate as long as the bundle
 //! lists an older sound one, so harm that shows only under load or after minutes is found too.
 
 mod compare;
@@ -18,18 +18,22 @@
 use hooklug_state::meta::HarmReport;
 use hooklug_types::{RouteName, ServiceName, ServiceVersion};
 
-pub use compare::{Against, Finding, compare};
+pub use compare::{Baseline, HarmKind, compare};
 pub use counts::{
     Counts, Percentile, VersionOnRoute, latency_bucket, share, standard_errors_above,
 };
-pub use readiness::{ReadinessWatch, Standing, standings};
+pub use readiness::{EngineCounts, ReadinessMonitor, engine_counts};
 use reason::reason;
 use window::Window;
 
 /// Intervals over which versions are compared, shortest first: a short one finds clear harm
 /// quickly, a long one finds it where there is little traffic.
-pub const INTERVALS: [Duration; 4] =
-    [Duration::from_secs(3), Duration::from_secs(10), Duration::from_secs(30), window::REMEMBERED];
+pub const INTERVALS: [Duration; 4] = [
+    Duration::from_secs(3),
+    Duration::from_secs(10),
+    Duration::from_secs(30),
+    window::RETENTION_TIME,
+];
 
 /// Time for which harm must show without interruption before it is acted on.
 pub const CONFIRM_TIME: Duration = Duration::from_millis(1_500);
@@ -39,17 +43,17 @@
 pub const CONFIRM_TIME_AFTER_LOSS: Duration = Duration::from_secs(4);
 
 /// Most recent period in which harm must still show.
-const RECENT: Duration = Duration::from_secs(3);
+const RECENT_TIME: Duration = Duration::from_secs(3);
 
 /// Period in which the old version must have enough samples for the load of a route to be recorded.
-const LOAD_TIME: Duration = Duration::from_secs(10);
+const LOAD_SAMPLE_TIME: Duration = Duration::from_secs(10);
 
 /// Number of samples above which the historical counts are halved.
 const HISTORY_SAMPLES: u64 = 20_000;
 
 /// Highest comparable load, as a multiple of the maximum load at which the old version was
 /// observed. Above it the old version's latency says nothing about the new one's.
-const LOAD_COMPARABLE: f64 = 1.5;
+const MAX_COMPARABLE_LOAD: f64 = 1.5;
 
 /// A version of a service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,7 +86,7 @@
 }
 
 /// The newest version of a service, and the versions that it may be compared with.
-struct Watched<'a> {
+struct Candidate<'a> {
     name: &'a ServiceName,
     service: &'a Service,
     new: &'a ServiceVersion,
@@ -110,11 +114,11 @@
 }
 
 /// Harm on one route, with the counts that show it.
-struct Found {
-    finding: Finding,
+struct HarmOnRoute {
+    kind: HarmKind,
     new: Counts,
     old: Counts,
-    against: Against,
+    baseline: Baseline,
 }
 
 impl Judge {
@@ -143,14 +147,14 @@
         lost_engines: &BTreeSet<JudgedVersion>,
         now: Instant,
     ) -> Vec<HarmReport> {
-        self.forget_released_again(bundle);
+        self.forget_rereleased(bundle);
         let mut reports = std::mem::take(&mut self.reported);
         reports.retain(|harm| is_judged(bundle, harm));
-        let mut still_suspected = BTreeMap::new();
+        let mut suspected = BTreeMap::new();
         for (name, service) in &bundle.services {
-            let Some(watched) = watched(name, service) else { continue };
-            self.note_load(&watched, now);
-            let Some(report) = self.judge(&watched, now) else { continue };
+            let Some(candidate) = candidate(name, service) else { continue };
+            self.record_load(&candidate, now);
+            let Some(report) = self.judge(&candidate, now) else { continue };
             let judged = JudgedVersion::new(name, &report.version);
             let since = self.suspected.get(&judged).copied().unwrap_or(now);
             let confirm = match lost_engines.contains(&judged) {
@@ -160,15 +164,15 @@
             if now.saturating_duration_since(since) >= confirm {
                 reports.push(report);
             }
-            still_suspected.insert(judged, since);
+            suspected.insert(judged, since);
         }
-        self.suspected = still_suspected;
+        self.suspected = suspected;
         reports
     }
 
     /// Drops the statistics of versions that were rolled back and are released again under the same
     /// name, since those statistics belong to another build.
-    fn forget_released_again(&mut self, bundle: &Bundle) {
+    fn forget_rereleased(&mut self, bundle: &Bundle) {
         let rolled_back = versions(bundle, VersionState::RolledBack);
         let sound = versions(bundle, VersionState::Sound);
         for again in self.rolled_back.intersection(&sound) {
@@ -181,19 +185,19 @@
         self.rolled_back = rolled_back;
     }
 
-    fn judge(&self, watched: &Watched<'_>, now: Instant) -> Option<HarmReport> {
-        let routes = self.window.routes(watched.name, watched.new);
-        routes.iter().find_map(|route| self.judge_route(&self.pair(watched, route)?, route, now))
+    fn judge(&self, candidate: &Candidate<'_>, now: Instant) -> Option<HarmReport> {
+        let routes = self.window.routes(candidate.name, candidate.new);
+        routes.iter().find_map(|route| self.judge_route(&self.pair(candidate, route)?, route, now))
     }
 
     /// Returns the newest version and the newest older one with enough samples on a route. An older
     /// version that was listed but never ran cannot serve as the baseline.
-    fn pair<'a>(&self, watched: &Watched<'a>, route: &RouteName) -> Option<Pair<'a>> {
-        let least = u64::from(watched.service.harm.least_samples);
-        let Watched { name, service, new, older } = watched;
+    fn pair<'a>(&self, candidate: &Candidate<'a>, route: &RouteName) -> Option<Pair<'a>> {
+        let min_samples = u64::from(candidate.service.harm.least_samples);
+        let Candidate { name, service, new, older } = candidate;
         let known = older.iter().find(|old| {
             let seen = self.history.get(&VersionOnRoute::new(name, old, route));
-            seen.is_some_and(|counts| counts.total() >= least)
+            seen.is_some_and(|counts| counts.total() >= min_samples)
         });
         Some(Pair { name, service, new, old: known? })
     }
@@ -201,47 +205,48 @@
     fn judge_route(&self, pair: &Pair<'_>, route: &RouteName, now: Instant) -> Option<HarmReport> {
         let thresholds = &pair.service.harm;
         INTERVALS.iter().find_map(|interval| {
-            let Found { finding, new, old, against } = self.find(pair, route, *interval, now)?;
-            let recent = self.window.sum(&pair.new_key(route), RECENT, now);
-            shows_still(&finding, &recent, &old, thresholds).then(|| HarmReport {
+            let HarmOnRoute { kind, new, old, baseline } =
+                self.find_harm(pair, route, *interval, now)?;
+            let recent = self.window.sum(&pair.new_key(route), RECENT_TIME, now);
+            still_shows(&kind, &recent, &old, thresholds).then(|| HarmReport {
                 service: pair.name.clone(),
                 version: pair.new.clone(),
                 route: Some(route.clone()),
-                reason: reason(&finding, &new, (&old, pair.old), against, *interval),
+                reason: reason(&kind, &new, (&old, pair.old), baseline, *interval),
             })
         })
     }
 
-    fn find(
+    fn find_harm(
         &self,
         pair: &Pair<'_>,
         route: &RouteName,
         interval: Duration,
         now: Instant,
-    ) -> Option<Found> {
+    ) -> Option<HarmOnRoute> {
         let thresholds = &pair.service.harm;
-        let least = u64::from(thresholds.least_samples);
+        let min_samples = u64::from(thresholds.least_samples);
         let (new_key, old_key) = (pair.new_key(route), pair.old_key(route));
-        let (new, old) = self.window.sum_together((&new_key, &old_key), interval, now);
-        if new.total() >= least && old.total() >= least {
-            let against = Against::SameInterval;
-            let finding = compare(&new, &old, thresholds, against)?;
-            return Some(Found { finding, new, old, against });
+        let (new, old) = self.window.paired_sums((&new_key, &old_key), interval, now);
+        if new.total() >= min_samples && old.total() >= min_samples {
+            let baseline = Baseline::SameInterval;
+            let kind = compare(&new, &old, thresholds, baseline)?;
+            return Some(HarmOnRoute { kind, new, old, baseline });
         }
         let new = self.window.sum(&new_key, interval, now);
-        let old = *self.history.get(&old_key).filter(|h| h.total() >= least)?;
-        if new.total() < least {
+        let old = *self.history.get(&old_key).filter(|h| h.total() >= min_samples)?;
+        if new.total() < min_samples {
             return None;
         }
-        let against = Against::History;
-        let finding = compare(&new, &old, thresholds, against)?;
-        let held = self.others_suffer(pair, thresholds, interval, now)
-            || (finding == Finding::Latency && self.load_is_beyond(pair, route, now));
-        (!held).then_some(Found { finding, new, old, against })
+        let baseline = Baseline::History;
+        let kind = compare(&new, &old, thresholds, baseline)?;
+        let is_inconclusive = self.other_services_fail(pair, thresholds, interval, now)
+            || (kind == HarmKind::Latency && self.load_exceeds_history(pair, route, now));
+        (!is_inconclusive).then_some(HarmOnRoute { kind, new, old, baseline })
     }
 
     /// Returns whether other services fail as well, in which case this version is not the cause.
-    fn others_suffer(
+    fn other_services_fail(
         &self,
         pair: &Pair<'_>,
         thresholds: &HarmThresholds,
@@ -260,21 +265,21 @@
         })
     }
 
-    fn load_is_beyond(&self, pair: &Pair<'_>, route: &RouteName, now: Instant) -> bool {
+    fn load_exceeds_history(&self, pair: &Pair<'_>, route: &RouteName, now: Instant) -> bool {
         let key = (pair.name.clone(), route.clone());
         let known = self.history_load.get(&key).copied().unwrap_or(0.0);
-        self.window.load(pair.name, route, now) > LOAD_COMPARABLE * known
+        self.window.load(pair.name, route, now) > MAX_COMPARABLE_LOAD * known
     }
 
     /// Records the load of routes on which the old version currently has enough samples.
-    fn note_load(&mut self, watched: &Watched<'_>, now: Instant) {
-        let least = u64::from(watched.service.harm.least_samples);
-        let older = watched.older.iter();
+    fn record_load(&mut self, candidate: &Candidate<'_>, now: Instant) {
+        let min_samples = u64::from(candidate.service.harm.least_samples);
+        let older = candidate.older.iter();
         let routes: BTreeSet<RouteName> =
-            older.flat_map(|old| self.window.routes(watched.name, old)).collect();
+            older.flat_map(|old| self.window.routes(candidate.name, old)).collect();
         for route in routes {
-            let Some(pair) = self.pair(watched, &route) else { continue };
-            if self.window.sum(&pair.old_key(&route), LOAD_TIME, now).total() < least {
+            let Some(pair) = self.pair(candidate, &route) else { continue };
+            if self.window.sum(&pair.old_key(&route), LOAD_SAMPLE_TIME, now).total() < min_samples {
                 continue;
             }
             let load = self.window.load(pair.name, &route, now);
@@ -285,7 +290,7 @@
 
     /// Returns the counts of each version over an interval, for operators.
     #[must_use]
-    pub fn figures(&self, interval: Duration, now: Instant) -> Vec<VersionStatistics> {
+    pub fn statistics(&self, interval: Duration, now: Instant) -> Vec<VersionStatistics> {
         let sums = self.window.sums(interval, now);
         sums.into_iter().map(|(key, counts)| counts.statistics(key)).collect()
     }
@@ -294,7 +299,7 @@
 /// Returns whether a report is about the version that is currently judged.
 fn is_judged(bundle: &Bundle, harm: &HarmReport) -> bool {
     let service = bundle.services.get_key_value(&harm.service);
-    service.and_then(|(name, s)| watched(name, s)).is_some_and(|w| *w.new == harm.version)
+    service.and_then(|(name, s)| candidate(name, s)).is_some_and(|w| *w.new == harm.version)
 }
 
 /// Returns all versions of a bundle that have the given state.
@@ -308,18 +313,18 @@
 }
 
 /// Returns the newest sound version and the older sound ones; `None` if there is no older one.
-fn watched<'a>(name: &'a ServiceName, service: &'a Service) -> Option<Watched<'a>> {
+fn candidate<'a>(name: &'a ServiceName, service: &'a Service) -> Option<Candidate<'a>> {
     let sound = service.versions.iter().rev().filter(|v| v.state == VersionState::Sound);
     let mut sound = sound.map(|v| &v.version);
     let new = sound.next()?;
     let older: Vec<&ServiceVersion> = sound.collect();
-    (!older.is_empty()).then_some(Watched { name, service, new, older })
+    (!older.is_empty()).then_some(Candidate { name, service, new, older })
 }
 
 /// Returns whether harm found over a longer interval still shows in the most recent samples.
 /// Without recent samples it is assumed to continue.
-fn shows_still(
-    finding: &Finding,
+fn still_shows(
+    kind: &HarmKind,
     recent: &Counts,
     old: &Counts,
     thresholds: &HarmThresholds,
@@ -327,11 +332,11 @@
     if recent.total() == 0 {
         return true;
     }
-    match finding {
-        Finding::Errors => {
+    match kind {
+        HarmKind::Errors => {
             recent.error_share() - old.error_share() > thresholds.error_share_above / 2.0
         }
-        Finding::Latency => old.p95().is_none_or(|p95| {
+        HarmKind::Latency => old.p95().is_none_or(|p95| {
             // Of the old version's requests, at most 5 % are above the bucket of its 95th
             // percentile.
             share(recent.slower_than(p95.bucket), recent.total()) > 0.05
--- a/crates/control/src/judge/readiness.rs
+++ b/crates/control/src/judge/readiness.rs
@@ -9,11 +9,11 @@
 use hooklug_state::meta::HarmReport;
 use hooklug_types::{ServiceName, ServiceVersion};
 
-use super::{JudgedVersion, Watched, watched};
+use super::{Candidate, JudgedVersion, candidate};
 
 /// Number of engines of one version, in total and ready.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct EngineCounts {
     /// Engines in the view, whatever their state.
     pub listed: usize,
     /// Engines among them that respond, report that they are ready and are not draining.
@@ -22,7 +22,7 @@
 
 /// Returns the engine counts of all versions; a version without engines has no entry.
 #[must_use]
-pub fn standings(view: &ClusterView) -> BTreeMap<JudgedVersion, Standing> {
+pub fn engine_counts(view: &ClusterView) -> BTreeMap<JudgedVersion, EngineCounts> {
     let hosts = view.members.values().filter_map(|member| {
         let engine = member.engine.as_ref()?;
         let alive = member.health == MemberHealth::Alive;
@@ -32,28 +32,28 @@
         .engines
         .values()
         .map(|engine| (&engine.service, &engine.version, engine.healthy && !engine.draining));
-    let mut standings: BTreeMap<JudgedVersion, Standing> = BTreeMap::new();
+    let mut engine_counts: BTreeMap<JudgedVersion, EngineCounts> = BTreeMap::new();
     for (service, version, ready) in hosts.chain(applications) {
-        let standing = standings.entry(JudgedVersion::new(service, version)).or_default();
-        standing.listed += 1;
-        standing.ready += usize::from(ready);
+        let counts = engine_counts.entry(JudgedVersion::new(service, version)).or_default();
+        counts.listed += 1;
+        counts.ready += usize::from(ready);
     }
-    standings
+    engine_counts
 }
 
 /// Detects newest versions without a ready engine.
 #[derive(Debug, Clone)]
-pub struct ReadinessWatch {
+pub struct ReadinessMonitor {
     bound: Duration,
     /// Time since which a version has had no ready engine.
-    waiting: BTreeMap<JudgedVersion, Instant>,
+    unready_since: BTreeMap<JudgedVersion, Instant>,
 }
 
-impl ReadinessWatch {
+impl ReadinessMonitor {
     /// Creates a monitor that reports a version after `bound` without a ready engine.
     #[must_use]
     pub fn new(bound: Duration) -> Self {
-        Self { bound, waiting: BTreeMap::new() }
+        Self { bound, unready_since: BTreeMap::new() }
     }
 
     /// Returns a report for each newest version that has had no ready engine for the full bound
@@ -62,43 +62,45 @@
     pub fn evaluate(
         &mut self,
         bundle: &Bundle,
-        standings: &BTreeMap<JudgedVersion, Standing>,
+        engine_counts: &BTreeMap<JudgedVersion, EngineCounts>,
         now: Instant,
     ) -> Vec<HarmReport> {
         let mut reports = Vec::new();
-        let mut waiting = BTreeMap::new();
-        for watched in bundle.services.iter().filter_map(|(name, service)| watched(name, service)) {
-            let judged = JudgedVersion::new(watched.name, watched.new);
-            let standing = standings.get(&judged).copied().unwrap_or_default();
-            if standing.ready > 0 {
+        let mut unready_since = BTreeMap::new();
+        for candidate in
+            bundle.services.iter().filter_map(|(name, service)| candidate(name, service))
+        {
+            let judged = JudgedVersion::new(candidate.name, candidate.new);
+            let counts = engine_counts.get(&judged).copied().unwrap_or_default();
+            if counts.ready > 0 {
                 continue;
             }
-            let since = self.waiting.get(&judged).copied().unwrap_or(now);
+            let since = self.unready_since.get(&judged).copied().unwrap_or(now);
             if now.saturating_duration_since(since) >= self.bound
-                && let Some(older) = ready_older(&watched, standings)
+                && let Some(older) = ready_older(&candidate, engine_counts)
             {
-                reports.push(self.report(&watched, standing, older));
+                reports.push(self.report(&candidate, counts, older));
             }
-            waiting.insert(judged, since);
+            unready_since.insert(judged, since);
         }
-        self.waiting = waiting;
+        self.unready_since = unready_since;
         reports
     }
 
     fn report(
         &self,
-        watched: &Watched<'_>,
-        standing: Standing,
+        candidate: &Candidate<'_>,
+        counts: EngineCounts,
         (older, ready): (&ServiceVersion, usize),
     ) -> HarmReport {
         let reason = format!(
             "no engine of it was ready for {} s ({} listed), of {older} {ready} are ready",
             self.bound.as_secs(),
-            standing.listed,
+            counts.listed,
         );
         HarmReport {
-            service: ServiceName::clone(watched.name),
-            version: watched.new.clone(),
+            service: ServiceName::clone(candidate.name),
+            version: candidate.new.clone(),
             route: None,
             reason,
         }
@@ -107,11 +109,11 @@
 
 /// Returns the newest older version that has ready engines, and their number.
 fn ready_older<'a>(
-    watched: &Watched<'a>,
-    standings: &BTreeMap<JudgedVersion, Standing>,
+    candidate: &Candidate<'a>,
+    engine_counts: &BTreeMap<JudgedVersion, EngineCounts>,
 ) -> Option<(&'a ServiceVersion, usize)> {
-    watched.older.iter().find_map(|older| {
-        let standing = standings.get(&JudgedVersion::new(watched.name, older))?;
-        (standing.ready > 0).then_some((*older, standing.ready))
+    candidate.older.iter().find_map(|older| {
+        let counts = engine_counts.get(&JudgedVersion::new(candidate.name, older))?;
+        (counts.ready > 0).then_some((*older, counts.ready))
     })
 }
--- a/crates/control/src/judge/window.rs
+++ b/crates/control/src/judge/window.rs
@@ -9,7 +9,7 @@
 use super::counts::{Counts, VersionOnRoute};
 
 /// Time for which counts are retained.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(120);
+pub(super) const RETENTION_TIME: Duration = Duration::from_secs(120);
 
 /// Statistics that arrive within this time, the time between heartbeats, share a slot.
 const SLOT_TIME: Duration = Duration::from_secs(1);
@@ -36,7 +36,11 @@
         seen: impl Iterator<Item = (VersionOnRoute, Counts)>,
         now: Instant,
     ) {
-        while self.slots.front().is_some_and(|s| now.saturating_duration_since(s.at) > REMEMBERED) {
+        while self
+            .slots
+            .front()
+            .is_some_and(|s| now.saturating_duration_since(s.at) > RETENTION_TIME)
+        {
             self.slots.pop_front();
         }
         let same_slot = |s: &&mut Slot| now.saturating_duration_since(s.at) < SLOT_TIME;
@@ -85,7 +89,7 @@
 
     /// Returns the counts of two versions from only those slots in which both had traffic, so that
     /// a fault during which only one of them had traffic does not count against that one.
-    pub(super) fn sum_together(
+    pub(super) fn paired_sums(
         &self,
         (one, other): (&VersionOnRoute, &VersionOnRoute),
         interval: Duration,
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -99,31 +99,31 @@
 
 /// Result of applying an item of the view stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyResult {
     /// The view changed.
     Changed,
     /// The item is not newer than the view; nothing changed.
-    Old,
+    Stale,
     /// The changes do not start at the view's revision; the stream must be reopened.
     Gap,
 }
 
 /// Applies an item of the view stream. The revision never decreases.
-pub fn apply_item(view: &mut ClusterView, item: ViewItem) -> Applied {
+pub fn apply_item(view: &mut ClusterView, item: ViewItem) -> ApplyResult {
     match item {
         ViewItem::Whole(whole) if whole.revision > view.revision => {
             *view = *whole;
-            Applied::Changed
+            ApplyResult::Changed
         }
-        ViewItem::Whole(_) => Applied::Old,
-        ViewItem::Changes { to, .. } if to <= view.revision => Applied::Old,
-        ViewItem::Changes { from, .. } if from != view.revision => Applied::Gap,
+        ViewItem::Whole(_) => ApplyResult::Stale,
+        ViewItem::Changes { to, .. } if to <= view.revision => ApplyResult::Stale,
+        ViewItem::Changes { from, .. } if from != view.revision => ApplyResult::Gap,
         ViewItem::Changes { to, changes, .. } => {
             for change in changes {
                 apply_change(view, change);
             }
             view.revision = to;
-            Applied::Changed
+            ApplyResult::Changed
         }
     }
 }
--- a/crates/control/tests/backends.rs
+++ b/crates/control/tests/backends.rs
@@ -31,9 +31,9 @@
     let follower = cluster.start(NodeRole::Core, &[]).await;
     let context = follower.context.clone();
     let listener = RpcServer::bind("127.21.0.200:0".parse().unwrap()).await.expect("loopback");
-    let place: SocketAddr = listener.local_addr().expect("bound");
+    let rpc: SocketAddr = listener.local_addr().expect("bound");
     let mut address = context.identity.address.clone();
-    (address.node, address.rpc) = (NodeId(1), place);
+    (address.node, address.rpc) = (NodeId(1), rpc);
     let identity = LocalIdentity::new(address, SECRET);
     let (bundle, installed) = watch::channel(None);
     let reader = BackendReader::default();
@@ -45,7 +45,7 @@
         reader.run(&reading, &EmptyList, Duration::from_secs(3_600)).await;
     });
     let request = WatchBackends { from: context.identity.address.clone() };
-    let mut items = context.client.open(place, &request, deadline()).await.expect("it opens");
+    let mut items = context.client.open(rpc, &request, deadline()).await.expect("it opens");
     let first = timeout(PATIENCE, items.next()).await.expect("in time").expect("an item");
     assert_eq!(first, Some(BackendsItem::Whole(Vec::new())));
     identity.bundles.set_installed(BundleVersion(7));
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -81,12 +81,12 @@
     let observer = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
     let first = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
     eventually("the first is seen", || sees_alive(&observer, &first)).await;
-    let place = first.rpc();
+    let address = first.rpc();
     first.kill();
-    let mut listener = RpcServer::bind(place).await;
+    let mut listener = RpcServer::bind(address).await;
     while listener.is_err() {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        listener = RpcServer::bind(place).await;
+        listener = RpcServer::bind(address).await;
     }
     let listener = listener.expect("free by now");
     let second = cluster.start_on(NodeRole::Gateway, &[core.rpc()], listener, None);
@@ -166,12 +166,12 @@
     let cluster = Cluster::new(20).await;
     let leader = cluster.start(NodeRole::Core, &[]).await;
     eventually("it leads", || leader.view().meta.leader.is_some()).await;
-    let place = leader.rpc();
+    let address = leader.rpc();
     leader.kill();
-    let mut listener = RpcServer::bind(place).await;
+    let mut listener = RpcServer::bind(address).await;
     while listener.is_err() {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        listener = RpcServer::bind(place).await;
+        listener = RpcServer::bind(address).await;
     }
     let successor = cluster.start_on(NodeRole::Core, &[], listener.expect("bound"), None);
     eventually("it knows who led", || successor.context.node.reach.borrow().core).await;
@@ -183,10 +183,10 @@
         statistics: Vec::new(),
         slot_uses: Vec::new(),
     };
-    let asking = cluster.start(NodeRole::Core, &[place]).await;
+    let asking = cluster.start(NodeRole::Core, &[address]).await;
     let client = &asking.context.client;
     for _ in 0..3 {
-        let _ = client.call(place, &heartbeat, common::deadline()).await;
+        let _ = client.call(address, &heartbeat, common::deadline()).await;
     }
     let sent = successor.context.identity.traffic.counts().sent_frames;
     assert!(sent < 500, "{sent} frames");
--- a/crates/control/tests/engines.rs
+++ b/crates/control/tests/engines.rs
@@ -16,13 +16,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-fn place(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 fn listed(ports: &[u16]) -> Vec<ListedEngine> {
     let zone = ZoneName::new("z1").expect("valid");
-    ports.iter().map(|p| ListedEngine { address: place(*p), zone: zone.clone() }).collect()
+    ports.iter().map(|p| ListedEngine { address: address(*p), zone: zone.clone() }).collect()
 }
 
 fn engine(engine: &str, incarnation: u64) -> ProbedEngine {
@@ -40,8 +40,8 @@
     ProbeFinding::Engine(engine(engine_id, incarnation))
 }
 
-fn probed(table: &mut EngineTable, port: u16, finding: ProbeFinding, now: Instant) {
-    table.probed(&ProbeOutcome { address: place(port), finding }, now);
+fn record(table: &mut EngineTable, port: u16, finding: ProbeFinding, now: Instant) {
+    table.record_probe(&ProbeOutcome { address: address(port), finding }, now);
 }
 
 fn find(table: &EngineTable, engine: &str) -> Option<ApplicationEngine> {
@@ -52,9 +52,9 @@
 fn an_address_that_never_answers_is_no_engine() {
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    probed(&mut table, 1, ProbeFinding::NoAnswer, Instant::now());
+    record(&mut table, 1, ProbeFinding::NoAnswer, Instant::now());
     assert!(table.engines().is_empty());
-    assert!(table.addresses().contains(&place(1)), "it is asked again");
+    assert!(table.addresses().contains(&address(1)), "it is asked again");
 }
 
 #[test]
@@ -62,15 +62,15 @@
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
-    probed(&mut table, 1, answer("a", 1), now);
-    probed(&mut table, 2, answer("b", 1), now);
-    probed(&mut table, 1, ProbeFinding::Refused, now);
-    probed(&mut table, 2, ProbeFinding::NoAnswer, now);
+    record(&mut table, 1, answer("a", 1), now);
+    record(&mut table, 2, answer("b", 1), now);
+    record(&mut table, 1, ProbeFinding::Refused, now);
+    record(&mut table, 2, ProbeFinding::NoAnswer, now);
     assert_eq!(find(&table, "a").map(|e| e.healthy), Some(false));
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(true));
-    probed(&mut table, 2, ProbeFinding::NoAnswer, now);
+    record(&mut table, 2, ProbeFinding::NoAnswer, now);
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(false));
-    probed(&mut table, 2, answer("b", 1), now);
+    record(&mut table, 2, answer("b", 1), now);
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(true));
 }
 
@@ -79,10 +79,10 @@
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    probed(&mut table, 1, answer("a", 1), now);
-    probed(&mut table, 1, answer("b", 2), now);
+    record(&mut table, 1, answer("a", 1), now);
+    record(&mut table, 1, answer("b", 2), now);
     assert_eq!(find(&table, "a"), None);
-    assert_eq!(find(&table, "b").map(|e| e.address), Some(place(1)));
+    assert_eq!(find(&table, "b").map(|e| e.address), Some(address(1)));
 }
 
 #[test]
@@ -90,11 +90,11 @@
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
-    probed(&mut table, 1, answer("a", 1), now);
-    probed(&mut table, 2, answer("a", 2), now);
-    probed(&mut table, 1, answer("a", 1), now);
+    record(&mut table, 1, answer("a", 1), now);
+    record(&mut table, 2, answer("a", 2), now);
+    record(&mut table, 1, answer("a", 1), now);
     let engine = find(&table, "a").expect("known");
-    assert_eq!((engine.address, engine.incarnation), (place(2), Incarnation(2)));
+    assert_eq!((engine.address, engine.incarnation), (address(2), Incarnation(2)));
 }
 
 #[test]
@@ -102,12 +102,12 @@
     let start = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    probed(&mut table, 1, answer("a", 1), start);
+    record(&mut table, 1, answer("a", 1), start);
     table.set_list(Vec::new());
-    assert!(table.addresses().contains(&place(1)));
-    table.look(start + Duration::from_secs(10));
+    assert!(table.addresses().contains(&address(1)));
+    table.remove_expired(start + Duration::from_secs(10));
     assert!(find(&table, "a").is_some());
-    table.look(start + Duration::from_secs(60));
+    table.remove_expired(start + Duration::from_secs(60));
     assert!(find(&table, "a").is_none());
 }
 
@@ -116,9 +116,9 @@
     let start = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
-    probed(&mut table, 1, answer("a", 1), start);
-    assert_eq!(table.overdue(start), [place(2)].into());
-    assert_eq!(table.overdue(start + Duration::from_secs(3)), [place(1), place(2)].into());
+    record(&mut table, 1, answer("a", 1), start);
+    assert_eq!(table.overdue(start), [address(2)].into());
+    assert_eq!(table.overdue(start + Duration::from_secs(3)), [address(1), address(2)].into());
 }
 
 #[test]
@@ -127,9 +127,9 @@
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
     let draining = ProbedEngine { draining: true, ..engine("a", 1) };
-    probed(&mut table, 1, ProbeFinding::Engine(draining), now);
-    probed(&mut table, 2, answer("m", 1), now);
-    probed(&mut table, 2, ProbeFinding::Other, now);
+    record(&mut table, 1, ProbeFinding::Engine(draining), now);
+    record(&mut table, 2, answer("m", 1), now);
+    record(&mut table, 2, ProbeFinding::Other, now);
     assert_eq!(find(&table, "a").map(|e| e.draining), Some(true));
     assert_eq!(find(&table, "m"), None, "a model server is reached through its session host");
 }
@@ -138,7 +138,7 @@
 fn the_source_of_the_list_is_an_endpoint_or_a_file() {
     let endpoint = ListSource::parse("http://127.0.0.1:80/engines?region=a");
     let expected =
-        ListSource::Endpoint { address: place(80), path: "/engines?region=a".to_owned() };
+        ListSource::Endpoint { address: address(80), path: "/engines?region=a".to_owned() };
     assert_eq!(endpoint, expected);
     assert_eq!(ListSource::parse("list.json"), ListSource::File("list.json".into()));
 }
@@ -165,8 +165,8 @@
         tokio::spawn(async move {
             let mut request = vec![0_u8; 4096];
             while let Ok(read @ 1..) = stream.read(&mut request).await {
-                let asked = String::from_utf8_lossy(&request[..read]).into_owned();
-                let body = if asked.starts_with("GET /identity") {
+                let head = String::from_utf8_lossy(&request[..read]).into_owned();
+                let body = if head.starts_with("GET /identity") {
                     serde_json::json!({"service": "notices", "engine": id.as_str(),
                         "incarnation": 5, "version": "v1", "kind": "application"})
                 } else {
@@ -216,9 +216,9 @@
         for engine in &engines[..4] {
             engine.draining.fetch_xor(true, Ordering::SeqCst);
         }
-        let wanted = engines[0].draining.load(Ordering::SeqCst);
+        let expected = engines[0].draining.load(Ordering::SeqCst);
         for engine in &engines[..4] {
-            eventually("a drain is seen", || seen(engine).is_some_and(|e| e.draining == wanted))
+            eventually("a drain is seen", || seen(engine).is_some_and(|e| e.draining == expected))
                 .await;
         }
         assert!(engines[4..].iter().all(|e| seen(e).is_some_and(|e| !e.draining && e.healthy)));
--- a/crates/control/tests/readiness.rs
+++ b/crates/control/tests/readiness.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hooklug_bundle::{Bundle, Service, VersionState};
-use hooklug_control::judge::{JudgedVersion, ReadinessWatch, Standing};
+use hooklug_control::judge::{EngineCounts, JudgedVersion, ReadinessMonitor};
 use hooklug_state::meta::HarmReport;
 use hooklug_types::{ServiceName, ServiceVersion};
 
@@ -37,29 +37,32 @@
 const BOUND: Duration = Duration::from_secs(60);
 
 /// How the engines of versions 1 and 2 stand; a version that has none is missing.
-fn standings(old: Option<Standing>, new: Option<Standing>) -> BTreeMap<JudgedVersion, Standing> {
+fn engine_counts(
+    old: Option<EngineCounts>,
+    new: Option<EngineCounts>,
+) -> BTreeMap<JudgedVersion, EngineCounts> {
     let service = ServiceName::new(SERVICE).expect("valid");
     let both = [("v1", old), ("v2", new)].into_iter();
-    both.filter_map(|(version, standing)| {
+    both.filter_map(|(version, counts)| {
         let version = ServiceVersion::new(version).expect("valid");
-        Some((JudgedVersion::new(&service, &version), standing?))
+        Some((JudgedVersion::new(&service, &version), counts?))
     })
     .collect()
 }
 
-const READY: Option<Standing> = Some(Standing { listed: 3, ready: 3 });
-const UNREADY: Option<Standing> = Some(Standing { listed: 2, ready: 0 });
+const READY: Option<EngineCounts> = Some(EngineCounts { listed: 3, ready: 3 });
+const UNREADY: Option<EngineCounts> = Some(EngineCounts { listed: 2, ready: 0 });
 
 /// Looks once a second at engines that stand so; the second in which the newest version is reported.
 fn watch_readiness(
-    watch: &mut ReadinessWatch,
+    watch: &mut ReadinessMonitor,
     simulation: &Simulation,
     seconds: std::ops::Range<u64>,
-    standings: &BTreeMap<JudgedVersion, Standing>,
+    engine_counts: &BTreeMap<JudgedVersion, EngineCounts>,
 ) -> Option<(u64, HarmReport)> {
     seconds.into_iter().find_map(|second| {
         let now = simulation.start + Duration::from_secs(second);
-        let mut reports = watch.evaluate(&simulation.bundle, standings, now);
+        let mut reports = watch.evaluate(&simulation.bundle, engine_counts, now);
         Some((second, reports.pop()?))
     })
 }
@@ -68,9 +71,9 @@
 fn a_version_that_never_becomes_ready_is_rolled_back_after_the_bound() {
     let simulation = Simulation::new();
     for (new, listed) in [(UNREADY, 2), (None, 0)] {
-        let mut watch = ReadinessWatch::new(BOUND);
-        let standings = standings(READY, new);
-        let found = watch_readiness(&mut watch, &simulation, 0..200, &standings);
+        let mut watch = ReadinessMonitor::new(BOUND);
+        let engine_counts = engine_counts(READY, new);
+        let found = watch_readiness(&mut watch, &simulation, 0..200, &engine_counts);
         let (second, report) = found.expect("the version is reported");
         assert_eq!(second, BOUND.as_secs());
         assert_eq!((report.version.as_str(), &report.route), ("v2", &None));
@@ -83,8 +86,8 @@
 #[test]
 fn a_version_that_is_ready_now_and_then_is_left_alone() {
     let simulation = Simulation::new();
-    let mut watch = ReadinessWatch::new(BOUND);
-    let (waiting, ready) = (standings(READY, UNREADY), standings(READY, READY));
+    let mut watch = ReadinessMonitor::new(BOUND);
+    let (waiting, ready) = (engine_counts(READY, UNREADY), engine_counts(READY, READY));
     for round in 0..5 {
         let start = 100 * round;
         let early = watch_readiness(&mut watch, &simulation, start..start + 59, &waiting);
@@ -98,11 +101,12 @@
 fn without_a_ready_engine_of_an_older_version_nothing_is_rolled_back() {
     let simulation = Simulation::new();
     for old in [None, UNREADY] {
-        let mut watch = ReadinessWatch::new(BOUND);
-        let none_ready = standings(old, UNREADY);
+        let mut watch = ReadinessMonitor::new(BOUND);
+        let none_ready = engine_counts(old, UNREADY);
         assert_eq!(watch_readiness(&mut watch, &simulation, 0..200, &none_ready), None);
         // The wait counts from the beginning, whenever the older one comes back.
-        let found = watch_readiness(&mut watch, &simulation, 200..202, &standings(READY, UNREADY));
+        let found =
+            watch_readiness(&mut watch, &simulation, 200..202, &engine_counts(READY, UNREADY));
         assert_eq!(found.map(|(second, _)| second), Some(200));
     }
 }
@@ -110,8 +114,8 @@
 #[test]
 fn a_version_released_again_gets_the_whole_bound_again() {
     let mut simulation = Simulation::new();
-    let mut watch = ReadinessWatch::new(BOUND);
-    let waiting = standings(READY, UNREADY);
+    let mut watch = ReadinessMonitor::new(BOUND);
+    let waiting = engine_counts(READY, UNREADY);
     assert!(watch_readiness(&mut watch, &simulation, 0..61, &waiting).is_some());
     simulation.set_newest(VersionState::RolledBack);
     assert_eq!(watch_readiness(&mut watch, &simulation, 61..62, &waiting), None);
--- a/crates/control/tests/repair_watch.rs
+++ b/crates/control/tests/repair_watch.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hooklug_control::core::repair::monitor::{GroupNews, RepairWatch, STALL_TIME};
+use hooklug_control::core::repair::monitor::{GroupEvent, GroupMonitor, STALL_TIME};
 use hooklug_protocol::store::{MemberProgress, ReplicaStatus};
 use hooklug_raft::{ConfState, ProgressState, Role};
 use hooklug_state::meta::{GroupPlacement, MetaState};
@@ -49,54 +49,54 @@
 
 #[test]
 fn a_lost_voter_and_the_time_until_its_place_is_filled_are_told_once() {
-    let (mut watch, start, all) = (RepairWatch::default(), Instant::now(), nodes(&[1, 2, 3]));
-    assert_eq!(watch.look(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start), []);
+    let (mut monitor, start, all) = (GroupMonitor::default(), Instant::now(), nodes(&[1, 2, 3]));
+    assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start), []);
     let lost = nodes(&[1, 2]);
-    let news = watch.look(&meta(), &leader(&[1, 2, 3], 9, 9), &lost, start + SECOND);
-    assert!(matches!(news[..], [GroupNews::Degraded { group: GROUP, .. }]), "{news:?}");
-    assert_eq!(watch.degraded(), 1);
-    assert_eq!(watch.look(&meta(), &leader(&[1, 2], 9, 9), &lost, start + 2 * SECOND), []);
-    let news = watch.look(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start + 4 * SECOND);
-    assert_eq!(news, [GroupNews::Whole { group: GROUP, took: 3 * SECOND }]);
-    assert_eq!(watch.degraded(), 0);
+    let events = monitor.update(&meta(), &leader(&[1, 2, 3], 9, 9), &lost, start + SECOND);
+    assert!(matches!(events[..], [GroupEvent::Degraded { group: GROUP, .. }]), "{events:?}");
+    assert_eq!(monitor.degraded(), 1);
+    assert_eq!(monitor.update(&meta(), &leader(&[1, 2], 9, 9), &lost, start + 2 * SECOND), []);
+    let events = monitor.update(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start + 4 * SECOND);
+    assert_eq!(events, [GroupEvent::Repaired { group: GROUP, degraded_for: 3 * SECOND }]);
+    assert_eq!(monitor.degraded(), 0);
 }
 
 #[test]
 fn a_group_that_commits_nothing_is_told_with_its_members_and_again_when_it_moves() {
-    let (mut watch, start, all) = (RepairWatch::default(), Instant::now(), nodes(&[1, 2, 3]));
-    assert_eq!(watch.look(&meta(), &leader(&[1, 2, 3], 9, 12), &all, start), []);
-    let news = watch.look(&meta(), &leader(&[1, 2, 3], 9, 15), &all, start + STALL_TIME);
-    let [GroupNews::Stalled { stalled_for, leader: Some(stalled), .. }] = &news[..] else {
-        panic!("{news:?}");
+    let (mut monitor, start, all) = (GroupMonitor::default(), Instant::now(), nodes(&[1, 2, 3]));
+    assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 12), &all, start), []);
+    let events = monitor.update(&meta(), &leader(&[1, 2, 3], 9, 15), &all, start + STALL_TIME);
+    let [GroupEvent::Stalled { stalled_for, leader: Some(stalled), .. }] = &events[..] else {
+        panic!("{events:?}");
     };
     assert_eq!((*stalled_for, stalled.commit, stalled.last_index), (STALL_TIME, 9, 15));
-    assert_eq!((watch.stalled(), stalled.progress.len()), (1, 3));
+    assert_eq!((monitor.stalled(), stalled.progress.len()), (1, 3));
     let later = start + STALL_TIME + SECOND;
-    assert_eq!(watch.look(&meta(), &leader(&[1, 2, 3], 9, 16), &all, later), [], "told once");
-    let news = watch.look(&meta(), &leader(&[1, 2, 3], 16, 16), &all, later + SECOND);
-    assert!(matches!(news[..], [GroupNews::Moving { .. }]), "{news:?}");
-    assert_eq!(watch.stalled(), 0);
+    assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 16), &all, later), [], "told once");
+    let events = monitor.update(&meta(), &leader(&[1, 2, 3], 16, 16), &all, later + SECOND);
+    assert!(matches!(events[..], [GroupEvent::Resumed { .. }]), "{events:?}");
+    assert_eq!(monitor.stalled(), 0);
 }
 
 #[test]
 fn a_group_that_commits_under_load_or_is_idle_is_not_stalled() {
-    let (mut watch, start, all) = (RepairWatch::default(), Instant::now(), nodes(&[1, 2, 3]));
+    let (mut monitor, start, all) = (GroupMonitor::default(), Instant::now(), nodes(&[1, 2, 3]));
     for second in 0..10 {
         let busy = leader(&[1, 2, 3], 9 + u64::from(second), 20);
-        assert_eq!(watch.look(&meta(), &busy, &all, start + second * SECOND), []);
+        assert_eq!(monitor.update(&meta(), &busy, &all, start + second * SECOND), []);
     }
     for second in 10..20 {
         let idle = leader(&[1, 2, 3], 20, 20);
-        assert_eq!(watch.look(&meta(), &idle, &all, start + second * SECOND), []);
+        assert_eq!(monitor.update(&meta(), &idle, &all, start + second * SECOND), []);
     }
 }
 
 #[test]
 fn a_group_without_a_leader_is_stalled() {
-    let (mut watch, start, all) = (RepairWatch::default(), Instant::now(), nodes(&[1, 2, 3]));
-    assert_eq!(watch.look(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start), []);
-    watch.look(&meta(), &[], &all, start + SECOND);
-    let news = watch.look(&meta(), &[], &all, start + SECOND + STALL_TIME);
-    let stalled = GroupNews::Stalled { group: GROUP, stalled_for: STALL_TIME, leader: None };
-    assert!(news.contains(&stalled), "{news:?}");
+    let (mut monitor, start, all) = (GroupMonitor::default(), Instant::now(), nodes(&[1, 2, 3]));
+    assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start), []);
+    monitor.update(&meta(), &[], &all, start + SECOND);
+    let events = monitor.update(&meta(), &[], &all, start + SECOND + STALL_TIME);
+    let stalled = GroupEvent::Stalled { group: GROUP, stalled_for: STALL_TIME, leader: None };
+    assert!(events.contains(&stalled), "{events:?}");
 }
--- a/crates/control/tests/slot_uses.rs
+++ b/crates/control/tests/slot_uses.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hooklug_control::core::members::DEAD_AFTER;
-use hooklug_control::core::slot_usage::SlotUses;
+use hooklug_control::core::slot_usage::SlotUsageTable;
 use hooklug_protocol::control::{Heartbeat, HostedEngine, NodeAddress, ServiceSlotUse, SlotUse};
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole};
 
@@ -51,26 +51,29 @@
 #[test]
 fn uses_add_up_by_service_and_group_and_loans_are_counted_engine_by_engine() {
     let now = Instant::now();
-    let mut uses = SlotUses::default();
-    uses.heard(&heartbeat(1, "advisor", vec![of(Some("frost"), 4, 6), of(None, 0, 2)]), now);
-    uses.heard(&heartbeat(2, "advisor", vec![of(Some("frost"), 4, 1)]), now);
-    uses.heard(&heartbeat(3, "planner", vec![of(Some("frost"), 2, 2)]), now);
+    let mut usage = SlotUsageTable::default();
+    usage.record_heartbeat(
+        &heartbeat(1, "advisor", vec![of(Some("frost"), 4, 6), of(None, 0, 2)]),
+        now,
+    );
+    usage.record_heartbeat(&heartbeat(2, "advisor", vec![of(Some("frost"), 4, 1)]), now);
+    usage.record_heartbeat(&heartbeat(3, "planner", vec![of(Some("frost"), 2, 2)]), now);
     let expected = [
         sum("advisor", None, [1, 0, 2, 2]),
         sum("advisor", Some("frost"), [2, 8, 7, 2]),
         sum("planner", Some("frost"), [1, 2, 2, 0]),
     ];
-    assert_eq!(uses.sums(), expected);
-    uses.heard(&heartbeat(1, "advisor", Vec::new()), now + Duration::from_secs(1));
-    assert_eq!(uses.sums()[0], sum("advisor", Some("frost"), [1, 4, 1, 0]), "the newest counts");
+    assert_eq!(usage.sums(), expected);
+    usage.record_heartbeat(&heartbeat(1, "advisor", Vec::new()), now + Duration::from_secs(1));
+    assert_eq!(usage.sums()[0], sum("advisor", Some("frost"), [1, 4, 1, 0]), "the newest counts");
 }
 
 #[test]
 fn an_engine_that_is_silent_for_long_no_longer_counts() {
     let now = Instant::now();
-    let mut uses = SlotUses::default();
-    uses.heard(&heartbeat(1, "advisor", vec![of(None, 0, 1)]), now);
-    uses.heard(&heartbeat(2, "advisor", vec![of(None, 0, 1)]), now + DEAD_AFTER / 2);
-    uses.look(now + DEAD_AFTER);
-    assert_eq!(uses.sums(), [sum("advisor", None, [1, 0, 1, 1])]);
+    let mut usage = SlotUsageTable::default();
+    usage.record_heartbeat(&heartbeat(1, "advisor", vec![of(None, 0, 1)]), now);
+    usage.record_heartbeat(&heartbeat(2, "advisor", vec![of(None, 0, 1)]), now + DEAD_AFTER / 2);
+    usage.remove_expired(now + DEAD_AFTER);
+    assert_eq!(usage.sums(), [sum("advisor", None, [1, 0, 1, 1])]);
 }
--- a/crates/control/tests/store_signs.rs
+++ b/crates/control/tests/store_signs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hooklug_control::core::repair::liveness::{LOST_AFTER, Signs};
+use hooklug_control::core::repair::liveness::{LOST_AFTER, StoreLiveness};
 use hooklug_protocol::store::{MemberProgress, ReplicaStatus};
 use hooklug_raft::{ConfState, ProgressState, Role};
 use hooklug_store::placement::StoreReport;
@@ -36,22 +36,22 @@
 #[test]
 fn a_store_is_lost_after_its_time_of_silence_and_not_before() {
     let start = Instant::now();
-    let mut signs = Signs::new(start);
-    signs.note(&[answer(false)], start);
+    let mut liveness = StoreLiveness::new(start);
+    liveness.record(&[answer(false)], start);
     let almost = start + LOST_AFTER - Duration::from_millis(1);
-    assert!(signs.is_alive(OTHER, almost), "this leader has not asked for long enough");
-    assert!(!signs.is_alive(OTHER, start + LOST_AFTER));
-    signs.note(&[answer(false)], almost);
-    assert!(signs.is_alive(LEADER, start + LOST_AFTER), "it answered");
+    assert!(liveness.is_alive(OTHER, almost), "this leader has not asked for long enough");
+    assert!(!liveness.is_alive(OTHER, start + LOST_AFTER));
+    liveness.record(&[answer(false)], almost);
+    assert!(liveness.is_alive(LEADER, start + LOST_AFTER), "it last_reply");
 }
 
 #[test]
 fn a_store_that_only_this_core_cannot_reach_lives() {
     let start = Instant::now();
-    let mut signs = Signs::new(start);
+    let mut liveness = StoreLiveness::new(start);
     let later = start + 10 * LOST_AFTER;
-    signs.note(&[answer(true)], later);
-    assert!(signs.is_alive(OTHER, later));
-    signs.note(&[answer(false)], later);
-    assert!(!signs.is_alive(OTHER, later));
+    liveness.record(&[answer(true)], later);
+    assert!(liveness.is_alive(OTHER, later));
+    liveness.record(&[answer(false)], later);
+    assert!(!liveness.is_alive(OTHER, later));
 }
--- a/crates/control/tests/views.rs
+++ b/crates/control/tests/views.rs
@@ -96,7 +96,7 @@
     (2..=1_000).for_each(|node| peers.learn(address(node, 1, role(node))));
     assert_eq!(peers.count(), 999);
     let seed = 7;
-    let told = peers.introduction(&mut ChaCha8Rng::seed_from_u64(seed));
+    let told = peers.discovery_reply(&mut ChaCha8Rng::seed_from_u64(seed));
     assert_eq!(told[0], own);
     let nodes: BTreeSet<NodeId> = told.iter().map(|a| a.node).collect();
     assert!((1..=9).all(|node| nodes.contains(&NodeId(node))), "seed {seed}: {nodes:?}");
