--- a/crates/control/src/agent/heartbeat.rs
+++ b/crates/control/src/agent/heartbeat.rs
@@ -57,7 +57,7 @@
 
 fn handle_reply(shared: &Shared, core: SocketAddr, reply: &HeartbeatReply) {
     shared.reachability.record_core_reply();
-    shared.note_leader(Some(reply.leader.unwrap_or(core)));
+    shared.set_leader(Some(reply.leader.unwrap_or(core)));
     if let Some(record) = &reply.bundle {
         shared.learn_record(record, RecordSource::Heartbeat);
     }
--- a/crates/control/src/agent/installer.rs
+++ b/crates/control/src/agent/installer.rs
@@ -34,8 +34,9 @@
 /// Delay between queries of a quorum at start, while none is reachable.
 const QUERY_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest wait for the view or a heartbeat to report a version, in milliseconds. The limit is 1 ms
-/// per known node, so that at most about a thousand nodes per second query the stores.
+/// Upper limit, in milliseconds, of the random time that a node waits for the view or a heartbeat
+/// to report a version. The wait is up to 1 ms per known node, so that at most about a thousand
+/// nodes per second query the stores.
 const MAX_UPDATE_WAIT_MILLIS: u64 = 500;
 
 /// Maximum number of concurrent section fetches. A first installation fetches some 260 sections,
@@ -65,7 +66,8 @@
     );
 }
 
-/// Keeps the node unready until it has installed the newest bundle that a quorum knew at its start.
+/// Keeps the node unready until it has installed the newest bundle that a quorum knew when the
+/// process started.
 async fn wait_for_newest_bundle(shared: &Shared) {
     let newest = loop {
         if let Some(newest) = query_newest_bundle(shared).await {
@@ -78,7 +80,7 @@
         shared.readiness.unready(COMPONENT, reason);
         let mut installed = shared.bundle.subscribe();
         let target = record.version;
-        // The sender lives as long as `shared`, so the wait only ends by the condition.
+        // `shared` holds the sender, so the wait ends only when the condition is met.
         let _ =
             installed.wait_for(|b| b.as_ref().is_some_and(|b| b.record.version >= target)).await;
     }
@@ -121,11 +123,11 @@
     }
 }
 
-/// Waits briefly for the view or a heartbeat to report the version, and returns whether one did.
-/// The limit grows with the number of nodes, so that not all of them query the stores at once.
+/// Waits a random time for the view or a heartbeat to report the version, and returns whether one
+/// did. The wait grows with the number of nodes, so that not all of them query the stores at once.
 async fn wait_for_record(shared: &Shared, version: BundleVersion) -> bool {
-    let most = shared.peers().count().min(MAX_UPDATE_WAIT_MILLIS);
-    let limit = Duration::from_millis(rand::rng().random_range(0..=most));
+    let max_millis = shared.peers().count().min(MAX_UPDATE_WAIT_MILLIS);
+    let limit = Duration::from_millis(rand::rng().random_range(0..=max_millis));
     let mut record = shared.newest_record.subscribe();
     let reported = record.wait_for(|r| r.as_ref().is_some_and(|r| r.version >= version));
     matches!(tokio::time::timeout(limit, reported).await, Ok(Ok(_)))
@@ -135,7 +137,7 @@
 /// core may report a bundle older than the one that a previous run of this process had installed.
 async fn install_newer(shared: &Shared) {
     let mut replied = shared.quorum_replied.subscribe();
-    // The sender lives as long as `shared`, so the wait only ends by the condition.
+    // `shared` holds the sender, so the wait ends only when the condition is met.
     let _ = replied.wait_for(|replied| *replied).await;
     let mut records = shared.newest_record.subscribe();
     loop {
@@ -187,14 +189,14 @@
 
 async fn fetch_all<'a>(
     shared: &Shared,
-    wanted: impl Iterator<Item = (&'a String, &'a Digest)>,
+    needed: impl Iterator<Item = (&'a String, &'a Digest)>,
 ) -> Result<Fetched, InstallError> {
-    let wanted: Vec<(&String, &Digest)> = wanted.collect();
-    shared.sections().retain_pending(&wanted.iter().map(|(_, digest)| **digest).collect());
+    let needed: Vec<(&String, &Digest)> = needed.collect();
+    shared.sections().retain_pending(&needed.iter().map(|(_, digest)| **digest).collect());
     // Connections to peers are closed after the installation; open ones would send pings forever.
     let peers = RpcClient::new(shared.identity.clone());
     let slots = Semaphore::new(MAX_CONCURRENT_FETCHES);
-    let fetches = wanted.into_iter().map(|(name, digest)| async {
+    let fetches = needed.into_iter().map(|(name, digest)| async {
         let _slot = slots.acquire().await;
         let bytes = fetch(shared, &peers, digest).await;
         let missing = || InstallError::Missing { name: name.clone(), digest: *digest };
@@ -247,7 +249,7 @@
 /// Returns the sources in order: cores, then a few peers, and the stores last, to spare them load.
 fn sources(shared: &Shared) -> Vec<Source> {
     let cores = cores(shared).into_iter().map(Source::Core);
-    let peers = some_peers(shared).into_iter().map(Source::Peer);
+    let peers = random_peers(shared).into_iter().map(Source::Peer);
     cores.chain(peers).chain([Source::Stores]).collect()
 }
 
@@ -289,6 +291,6 @@
 }
 
 /// Returns a few random peers.
-fn some_peers(shared: &Shared) -> Vec<SocketAddr> {
+fn random_peers(shared: &Shared) -> Vec<SocketAddr> {
     shared.peers().sample(PEERS_PER_FETCH, &mut rand::rng())
 }
--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -70,7 +70,7 @@
     view: channel::Sender<Arc<ClusterView>>,
     bundle: channel::Sender<Option<Arc<InstalledBundle>>>,
     stores: channel::Sender<Vec<SocketAddr>>,
-    reach_feed: channel::Sender<Reach>,
+    reach_sender: channel::Sender<Reach>,
 }
 
 impl Shared {
@@ -118,11 +118,11 @@
         self.publish_stores();
         let leader = view.meta.leader.as_ref().filter(|l| !l.expired).map(|l| l.address);
         if leader.is_some() {
-            self.note_leader(leader);
+            self.set_leader(leader);
         }
     }
 
-    fn note_leader(&self, leader: Option<SocketAddr>) {
+    fn set_leader(&self, leader: Option<SocketAddr>) {
         self.leader.send_if_modified(|known| {
             let changed = *known != leader;
             *known = leader;
@@ -184,12 +184,13 @@
             view: feeds.view,
             bundle: feeds.bundle,
             stores: feeds.stores,
-            reach_feed: feeds.reach,
+            reach_sender: feeds.reach,
         };
         Self { shared: Arc::new(shared), report: feeds.report, harm: feeds.harm }
     }
 
-    /// Handles requests of peers: discovery, and fetches of bundle sections that this node holds.
+    /// Returns the handlers of peers' requests: discovery, and fetches of bundle sections that this
+    /// node holds.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
         let (discover_shared, fetch_shared) = (self.shared.clone(), self.shared.clone());
--- a/crates/control/src/agent/reachability.rs
+++ b/crates/control/src/agent/reachability.rs
@@ -64,7 +64,7 @@
         };
         metrics::set_rpc_traffic(shared.identity.traffic.counts());
         metrics::set_node_state(shared.readiness.reasons().is_empty(), reach);
-        shared.reach_feed.send_if_modified(|known| {
+        shared.reach_sender.send_if_modified(|known| {
             let changed = *known != reach;
             *known = reach;
             changed
--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -67,8 +67,8 @@
 }
 
 impl BackendReader {
-    /// Handles requests of followers. Each frame names the installed bundle, so an item is also
-    /// sent with each new bundle to announce it to followers at once.
+    /// Returns the handler of followers' requests. Each frame names the installed bundle, so an
+    /// item is also sent with each new bundle to announce it to followers at once.
     #[must_use]
     pub fn rpc_router(&self, bundle: BundleWatch) -> Router {
         let readings = self.reading.clone();
--- a/crates/control/src/core/leader.rs
+++ b/crates/control/src/core/leader.rs
@@ -26,7 +26,7 @@
 const META_READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest wait of the leader for its own copy of a bundle before it announces the bundle.
-const BUNDLE_WAIT: Duration = Duration::from_secs(1);
+const OWN_BUNDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Minimum time between two updates, however many heartbeats arrive.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(25);
@@ -51,7 +51,7 @@
     pub(super) epoch: FencingEpoch,
     pub(super) meta: watch::Sender<Option<CopyOnWrite<MetaState>>>,
     /// Notified when this leader itself changed the meta state.
-    pub(super) meta_due: Notify,
+    pub(super) meta_changed: Notify,
     lost: Mutex<VecDeque<(Instant, JudgedVersion)>>,
 }
 
@@ -103,7 +103,7 @@
     let leader_ctx = LeaderContext {
         epoch,
         meta: watch::Sender::new(None),
-        meta_due: Notify::new(),
+        meta_changed: Notify::new(),
         lost: Mutex::default(),
     };
     let controllers = async {
@@ -141,7 +141,7 @@
         tokio::select! {
             () = tokio::time::sleep(META_READ_INTERVAL) => {}
             Ok(()) = announced.changed() => {}
-            () = leader_ctx.meta_due.notified() => {}
+            () = leader_ctx.meta_changed.notified() => {}
         }
     }
 }
@@ -154,7 +154,7 @@
     shared.ctx.identity.bundles.saw(version);
     let mut bundle = shared.ctx.node.bundle.clone();
     let installed = bundle.wait_for(|b| b.as_ref().is_some_and(|b| b.record.version >= version));
-    let _ = tokio::time::timeout(BUNDLE_WAIT, installed).await;
+    let _ = tokio::time::timeout(OWN_BUNDLE_TIMEOUT, installed).await;
 }
 
 /// Clears the renewal number of the leader's lease, since a renewal is no change of the view.
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -109,7 +109,7 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Handles requests of nodes.
+    /// Returns the handlers of nodes' requests.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
         let (heartbeat_shared, view_shared) = (self.shared.clone(), self.shared.clone());
--- a/crates/control/src/core/published.rs
+++ b/crates/control/src/core/published.rs
@@ -49,7 +49,7 @@
         self.step.borrow().view.clone()
     }
 
-    /// Records that the view was up to date with the core leader's at this time.
+    /// Records that the view currently matches the core leader's.
     pub fn mark_fresh(&self) {
         *self.confirmed_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
     }
--- a/crates/control/src/core/repair/changes.rs
+++ b/crates/control/src/core/repair/changes.rs
@@ -180,7 +180,7 @@
             }
             PlannedChange::SetPlacement { .. } | PlannedChange::RemoveStore { .. } => {}
         }
-        self.leader_ctx.meta_due.notify_one();
+        self.leader_ctx.meta_changed.notify_one();
     }
 
     /// Records a refusal, and logs a warning only for the first of repeated refusals.
--- a/crates/control/src/core/repair/liveness.rs
+++ b/crates/control/src/core/repair/liveness.rs
@@ -35,8 +35,8 @@
         self.last_reply.extend(reports.iter().map(|report| (report.node, now)));
         let replicas = reports.iter().flat_map(|report| &report.replicas);
         let leaders = replicas.filter(|replica| replica.role == Role::Leader);
-        let heard = leaders.flat_map(|leader| &leader.progress).filter(|member| member.active);
-        self.active_at_leaders = heard.map(|member| member.node).collect();
+        let active = leaders.flat_map(|leader| &leader.progress).filter(|member| member.active);
+        self.active_at_leaders = active.map(|member| member.node).collect();
     }
 
     /// Returns whether a store is alive. One that this core cannot reach is alive as long as the
--- a/crates/control/src/core/repair/mod.rs
+++ b/crates/control/src/core/repair/mod.rs
@@ -70,7 +70,7 @@
 }
 
 impl Repair<'_> {
-    /// Queries all stores once, starts the plan_changes changes, and returns the pause before the next
+    /// Queries all stores once, starts the planned changes, and returns the pause before the next
     /// round.
     async fn run_round(&mut self, meta: &MetaState) -> Duration {
         // Changes that finish while the stores are queried may not be visible in the replies, so
@@ -84,18 +84,18 @@
         log_events(&self.monitor.update(meta, &reports, &alive, now));
         metrics::set_group_health(self.monitor.degraded(), self.monitor.stalled());
         // Moves that only balance the load are made one at a time, with a pause between them.
-        let plan_changes = if self.changes.idle_time(now) < IDLE_INTERVAL {
+        let planned_changes = if self.changes.idle_time(now) < IDLE_INTERVAL {
             plan_repairs(meta, &reports, &alive)
         } else {
             plan(meta, &reports, &alive)
         };
         // With an unresponsive store, rounds are frequent so that its loss is detected in time.
         let has_unresponsive = alive.iter().any(|store| self.statuses.is_unresponsive(*store));
-        let is_calm = plan_changes.is_empty() && self.changes.is_idle() && !has_unresponsive;
-        for change in plan_changes {
+        let is_idle = planned_changes.is_empty() && self.changes.is_idle() && !has_unresponsive;
+        for change in planned_changes {
             self.changes.start(meta, change, now);
         }
-        if is_calm { IDLE_INTERVAL } else { BUSY_INTERVAL }
+        if is_idle { IDLE_INTERVAL } else { BUSY_INTERVAL }
     }
 
     fn alive(&self, meta: &MetaState, now: Instant) -> BTreeSet<NodeId> {
--- a/crates/control/src/core/rollouts.rs
+++ b/crates/control/src/core/rollouts.rs
@@ -31,9 +31,9 @@
 const SAMPLES_TO_SHIFT: u64 = 15;
 
 /// Steps of a rollout: the elapsed fraction of its time at which a step starts, and the phase,
-/// which sets the share of requests that go to the target. Before the last two steps, the target
-/// gets less than a tenth of all requests in total, so that harm that shows only under load is
-/// found while few requests are affected.
+/// which sets the share of requests that go to the target. Before the last two steps the target
+/// gets about a tenth of all requests in total, so that harm that shows only under load is found
+/// while few requests are affected.
 const STEPS: [(f64, RolloutPhase); 6] = [
     (0.0, RolloutPhase::Trial { share_permille: 50 }),
     (0.55, RolloutPhase::Trial { share_permille: 100 }),
@@ -76,7 +76,7 @@
         let kind = compare(target, others, &thresholds, Baseline::SameInterval);
         // Latencies are compared only within a route, since those of different routes are not
         // comparable.
-        enough && kind.is_some_and(|f| route.is_some() || f == HarmKind::Errors)
+        enough && kind.is_some_and(|kind| route.is_some() || kind == HarmKind::Errors)
     });
     Evidence { samples: all, is_harmful: harmful }
 }
@@ -164,7 +164,7 @@
     let deadline = tokio::time::Instant::now() + COMMIT_TIMEOUT;
     match shared.ctx.state.execute_meta(&command, deadline).await {
         Ok(MetaReply::Refused(refusal)) => warn!(%refusal, "change of the rollout's phase refused"),
-        Ok(_) => leader_ctx.meta_due.notify_one(),
+        Ok(_) => leader_ctx.meta_changed.notify_one(),
         Err(error) => warn!(%error, "change of the rollout's phase not confirmed"),
     }
 }
--- a/crates/control/src/judge/mod.rs
+++ b/crates/control/src/judge/mod.rs
@@ -1,7 +1,7 @@
 //! Judges new versions by the requests that gateways observed, compared with the old version in the
 //! same interval or, if it has no traffic any more, with its history.
 //!
-//! Pure: time, statistics and the bundle are passed in. A version is candidate as long as the bundle
+//! Pure: time, statistics and the bundle are passed in. A version is watched as long as the bundle
 //! lists an older sound one, so harm that shows only under load or after minutes is found too.
 
 mod compare;
@@ -299,7 +299,7 @@
 /// Returns whether a report is about the version that is currently judged.
 fn is_judged(bundle: &Bundle, harm: &HarmReport) -> bool {
     let service = bundle.services.get_key_value(&harm.service);
-    service.and_then(|(name, s)| candidate(name, s)).is_some_and(|w| *w.new == harm.version)
+    service.and_then(|(name, s)| candidate(name, s)).is_some_and(|c| *c.new == harm.version)
 }
 
 /// Returns all versions of a bundle that have the given state.
--- a/crates/control/tests/backends.rs
+++ b/crates/control/tests/backends.rs
@@ -1,4 +1,4 @@
-//! The platform's list of back ends from a core to its followers.
+//! The platform's list of backends, served by a core to its followers.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use common::{Cluster, PATIENCE, SECRET, deadline};
+use common::{Cluster, SECRET, WAIT_LIMIT, deadline};
 use hooklug_control::backends::{BackendReader, BackendSource, SourceError};
 use hooklug_protocol::backends::{BackendsItem, ListedBackend, WatchBackends};
 use hooklug_rpc::{LocalIdentity, RpcServer};
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// A list without back ends.
+/// A source whose list is empty.
 struct EmptyList;
 
 #[async_trait]
@@ -39,18 +39,18 @@
     let reader = BackendReader::default();
     let server = RpcServer::new(listener, identity.clone(), reader.rpc_router(installed));
     tokio::spawn(server.run(CancellationToken::new()));
-    let reading = context.clone();
-    // The next reading is an hour away.
+    let reader_context = context.clone();
+    // The next read is an hour away.
     tokio::spawn(async move {
-        reader.run(&reading, &EmptyList, Duration::from_secs(3_600)).await;
+        reader.run(&reader_context, &EmptyList, Duration::from_secs(3_600)).await;
     });
     let request = WatchBackends { from: context.identity.address.clone() };
     let mut items = context.client.open(rpc, &request, deadline()).await.expect("it opens");
-    let first = timeout(PATIENCE, items.next()).await.expect("in time").expect("an item");
+    let first = timeout(WAIT_LIMIT, items.next()).await.expect("in time").expect("an item");
     assert_eq!(first, Some(BackendsItem::Whole(Vec::new())));
     identity.bundles.set_installed(BundleVersion(7));
     bundle.send_replace(None);
-    let next = timeout(PATIENCE, items.next()).await.expect("in time").expect("an item");
+    let next = timeout(WAIT_LIMIT, items.next()).await.expect("in time").expect("an item");
     assert_eq!(next, Some(BackendsItem::Changes { changed: Vec::new(), gone: Vec::new() }));
     assert_eq!(*context.identity.bundles.watch_newest().borrow(), BundleVersion(7));
 }
--- a/crates/control/tests/bundles.rs
+++ b/crates/control/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! How bundles come to nodes whose sources are silent, old or busy.
+//! Distribution of bundles to nodes whose sources are unresponsive, outdated or busy.
 
 mod common;
 
@@ -13,37 +13,37 @@
 use hooklug_types::{BundleVersion, Digest, Incarnation, NodeId, NodeRole, TenantId, ZoneName};
 use tokio_util::sync::CancellationToken;
 
-/// How many silent sources are being asked for one section, and whether two ever were at once.
+/// Counts the requests in flight for one section, and records whether there ever were two.
 #[derive(Debug)]
-struct Asked {
+struct RequestCounter {
     section: Digest,
-    under_way: AtomicUsize,
-    twice: AtomicBool,
+    in_flight: AtomicUsize,
+    overlapped: AtomicBool,
 }
 
-impl Asked {
-    fn begin(self: Arc<Self>, digest: Digest) -> Option<Question> {
+impl RequestCounter {
+    fn start(self: Arc<Self>, digest: Digest) -> Option<InFlight> {
         if digest != self.section {
             return None;
         }
-        if self.under_way.fetch_add(1, Ordering::SeqCst) > 0 {
-            self.twice.store(true, Ordering::SeqCst);
+        if self.in_flight.fetch_add(1, Ordering::SeqCst) > 0 {
+            self.overlapped.store(true, Ordering::SeqCst);
         }
-        Some(Question(self))
+        Some(InFlight(self))
     }
 }
 
-/// A question that ends when its asker no longer waits.
-struct Question(Arc<Asked>);
+/// A request that ends when the requester no longer waits.
+struct InFlight(Arc<RequestCounter>);
 
-impl Drop for Question {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.under_way.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// A core that takes questions for sections and never answers.
-async fn silent_core(ip: IpAddr, asked: &Arc<Asked>) -> NodeAddress {
+/// Starts a fake core that accepts requests for sections and never replies.
+async fn unresponsive_core(ip: IpAddr, counter: &Arc<RequestCounter>) -> NodeAddress {
     let listener = RpcServer::bind(SocketAddr::new(ip, 0)).await.expect("loopback");
     let address = NodeAddress {
         node: NodeId(rand::random()),
@@ -53,11 +53,11 @@
         http: SocketAddr::new(ip, 1),
         zone: ZoneName::new("z1").expect("valid"),
     };
-    let asked = asked.clone();
+    let counter = counter.clone();
     let router = Router::new().route(move |_peer, request: FetchSection| {
-        let question = asked.clone().begin(request.digest);
+        let in_flight_request = counter.clone().start(request.digest);
         async move {
-            let _question = question;
+            let _guard = in_flight_request;
             std::future::pending::<Option<Vec<u8>>>().await
         }
     });
@@ -66,34 +66,40 @@
     address
 }
 
-/// Guards against bundles that come into force late because nodes wait for one silent source after the other.
+/// Guards against bundles that are installed late because nodes wait for one unresponsive source
+/// after the other.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_silent_source_of_sections_does_not_hold_a_bundle_up() {
     let cluster = Cluster::new(41).await;
     let node = cluster.start(NodeRole::Gateway, &[]).await;
-    eventually("a quorum was asked", || node.context.node.reach.borrow().newest_bundle).await;
+    eventually("a quorum has replied", || node.context.node.reach.borrow().newest_bundle).await;
     let bundle = bundle(1, "tenant");
     let tenant = tenant_section(&TenantId::new("tenant").expect("valid"));
-    let asked = Arc::new(Asked {
+    let counter = Arc::new(RequestCounter {
         section: section_digests(&bundle)[&tenant],
-        under_way: AtomicUsize::new(0),
-        twice: AtomicBool::new(false),
+        in_flight: AtomicUsize::new(0),
+        overlapped: AtomicBool::new(false),
     });
     for last in 200..204 {
-        let address = silent_core(IpAddr::V4(Ipv4Addr::new(127, 41, 0, last)), &asked).await;
+        let address =
+            unresponsive_core(IpAddr::V4(Ipv4Addr::new(127, 41, 0, last)), &counter).await;
         let discover = Discover { from: address };
-        node.context.client.call(node.rpc(), &discover, deadline()).await.expect("an answer");
+        node.context.client.call(node.rpc(), &discover, deadline()).await.expect("a reply");
     }
     cluster.submit_accepted(&bundle).await;
     node.context.identity.bundles.saw(BundleVersion(1));
-    eventually("in force", || node.installed() == BundleVersion(1)).await;
-    assert!(asked.twice.load(Ordering::SeqCst), "the next source waited for the silent one's end");
+    eventually("installed", || node.installed() == BundleVersion(1)).await;
+    assert!(
+        counter.overlapped.load(Ordering::SeqCst),
+        "the next source was queried only after the unresponsive one"
+    );
 }
 
-/// Routes of a large deployment.
+/// Number of routes of a large deployment.
 const ROUTES: u64 = 300;
 
-/// A bundle of many routes with the operators' text, in which one route has another time limit in each version.
+/// Creates a bundle of many routes with the operators' source text, in which one route has a
+/// different timeout in each version.
 fn large_bundle(version: u64) -> Bundle {
     let route = |number: u64| {
         let timeout_ms = if number == 7 { 1_000 + version } else { 1_000 };
@@ -115,7 +121,8 @@
     }
 }
 
-/// Guards against links that are filled by a whole configuration to each node for each change of one route.
+/// Guards against links saturated by sending the full configuration to each node for each change of
+/// one route.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_node_fetches_what_a_change_touched() {
     let cluster = Cluster::new(42).await;
@@ -125,11 +132,11 @@
     let whole = hooklug_bundle::canonical_bytes(&large_bundle(1)).len() as u64;
     cluster.submit_accepted(&large_bundle(1)).await;
     core.context.identity.bundles.saw(BundleVersion(1));
-    eventually("the first is in force", || node.installed() == BundleVersion(1)).await;
+    eventually("the first is installed", || node.installed() == BundleVersion(1)).await;
     let before = received();
     cluster.submit_accepted(&large_bundle(2)).await;
     core.context.identity.bundles.saw(BundleVersion(2));
-    eventually("the second is in force", || node.installed() == BundleVersion(2)).await;
+    eventually("the second is installed", || node.installed() == BundleVersion(2)).await;
     let bytes = received() - before;
     assert!(bytes < whole / 4, "{bytes} bytes for a change in {whole}");
     let installed = node.context.node.bundle.borrow().clone().expect("installed");
@@ -137,7 +144,8 @@
     assert_eq!(*routes, large_bundle(2).http.expect("routing").routes);
 }
 
-/// Guards against restarted nodes that act on an older bundle than their former run, since a core that lags told them of it.
+/// Guards against restarted nodes that install an older bundle than their previous run had, because
+/// a lagging core reported it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_node_that_starts_installs_nothing_before_a_quorum_has_told_it_the_newest() {
     let cluster = Cluster::new(43).await;
@@ -145,18 +153,18 @@
     cluster.submit_accepted(&bundle(1, "old")).await;
     core.context.identity.bundles.saw(BundleVersion(1));
     eventually("the core has it", || core.installed() == BundleVersion(1)).await;
-    let node = cluster.start_cut_off_from_stores(NodeRole::Gateway, &[core.rpc()]).await;
-    let told = |version| {
+    let node = cluster.start_without_stores(NodeRole::Gateway, &[core.rpc()]).await;
+    let reported = |version| {
         let view = node.view();
         view.meta.bundle.as_ref().is_some_and(|record| record.version == BundleVersion(version))
     };
-    eventually("the core tells of the first", || told(1)).await;
+    eventually("the core reports the first", || reported(1)).await;
     let mut seen = node.context.node.bundle.clone();
     cluster.submit_accepted(&bundle(2, "new")).await;
     core.context.identity.bundles.saw(BundleVersion(2));
-    eventually("the core tells of the second", || told(2)).await;
-    assert_eq!(node.installed(), BundleVersion(0), "no quorum has said that it is the newest");
-    node.state.set_cut(false);
+    eventually("the core reports the second", || reported(2)).await;
+    assert_eq!(node.installed(), BundleVersion(0), "no quorum has confirmed that it is the newest");
+    node.state.set_unreachable(false);
     seen.changed().await.expect("the node runs");
     assert_eq!(node.installed(), BundleVersion(2));
 }
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Node agents and cores together, over real connections.
+//! Node agents and cores in one cluster, over real connections.
 
 mod common;
 
@@ -46,26 +46,27 @@
     }
 }
 
-/// All start together, and the core that a node asks first knows no store yet. Without a leader there is no view to
-/// learn from.
+/// A node must keep querying a core that knew no store at first: without a leader there is no view
+/// from which it could learn of the stores.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_node_that_met_a_core_before_the_stores_did_goes_on_asking() {
     let cluster = Cluster::new(19).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
-    core.state.set_cut(true);
+    core.state.set_unreachable(true);
     let early = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
-    early.state.set_cut(true);
-    eventually("the core answers", || early.context.node.reach.borrow().core).await;
-    // A store that asks nobody but the core.
+    early.state.set_unreachable(true);
+    eventually("the core replies", || early.context.node.reach.borrow().core).await;
+    // A store that queries only the core.
     let mut store = early.context.identity.address.clone();
     (store.node, store.role) = (NodeId(1), NodeRole::Store);
     store.rpc = "127.19.0.200:7".parse().expect("an address");
-    let asked = Discover { from: store.clone() };
-    core.context.client.call(core.rpc(), &asked, common::deadline()).await.expect("an answer");
+    let request = Discover { from: store.clone() };
+    core.context.client.call(core.rpc(), &request, common::deadline()).await.expect("a reply");
     eventually("the store is known", || *early.context.node.stores.borrow() == [store.rpc]).await;
 }
 
-/// Guards against nodes that beat to a leader for ever, whom the stores named, and follow no view.
+/// Guards against a node that learns of the leader only from the stores, sends it heartbeats
+/// forever and never follows a view.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_node_that_only_the_stores_told_of_the_leader_finds_the_others() {
     let cluster = Cluster::new(20).await;
@@ -119,14 +120,14 @@
     .await;
     let after = gateway.view();
     assert!(revision_epoch(after.revision) > revision_epoch(before.revision));
-    assert!(sees_alive(&gateway, &store), "living nodes stay in the view");
+    assert!(sees_alive(&gateway, &store), "live nodes stay in the view");
     let late = cluster.start(NodeRole::Gateway, &seeds).await;
-    eventually("the view goes on", || sees_alive(&gateway, &late)).await;
-    eventually("the dead core is given up", || {
+    eventually("the view is still updated", || sees_alive(&gateway, &late)).await;
+    eventually("the killed core is considered dead", || {
         gateway.view().members.get(&killed).is_none_or(|m| m.health == MemberHealth::Dead)
     })
     .await;
-    assert_rising(&revisions.all());
+    assert_non_decreasing(&revisions.all());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -156,11 +157,11 @@
     })
     .await;
     assert_eq!(revision_epoch(gateway.view().revision), new_epoch);
-    assert_rising(&revisions.all());
+    assert_non_decreasing(&revisions.all());
 }
 
-/// Cuts a node off from others in both directions, and from the stores' state.
-/// The meta group still names the former run as the leader, at the address that the new run has.
+/// The meta group still names the previous run as the leader, at the address of the new run. The
+/// core must not forward heartbeats to itself.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_core_in_its_former_leaders_place_does_not_pass_heartbeats_on_to_itself() {
     let cluster = Cluster::new(20).await;
@@ -174,7 +175,7 @@
         listener = RpcServer::bind(address).await;
     }
     let successor = cluster.start_on(NodeRole::Core, &[], listener.expect("bound"), None);
-    eventually("it knows who led", || successor.context.node.reach.borrow().core).await;
+    eventually("a core replies", || successor.context.node.reach.borrow().core).await;
     let heartbeat = Heartbeat {
         from: leader.context.identity.address.clone(),
         bundle: BundleVersion(0),
@@ -183,8 +184,8 @@
         statistics: Vec::new(),
         slot_uses: Vec::new(),
     };
-    let asking = cluster.start(NodeRole::Core, &[address]).await;
-    let client = &asking.context.client;
+    let sender = cluster.start(NodeRole::Core, &[address]).await;
+    let client = &sender.context.client;
     for _ in 0..3 {
         let _ = client.call(address, &heartbeat, common::deadline()).await;
     }
@@ -192,6 +193,7 @@
     assert!(sent < 500, "{sent} frames");
 }
 
+/// Partitions a node from others in both directions, and from the stores' state, or heals both.
 fn cut(node: &Node, others: &[&Node], cut: bool) {
     let fault = LinkFault { cut, delay_micros: 0 };
     let others = others.iter().filter(|o| o.id() != node.id());
@@ -200,7 +202,7 @@
     for other in others {
         other.context.identity.faults.set(BTreeMap::from([(node.ip(), fault)]));
     }
-    node.state.set_cut(cut);
+    node.state.set_unreachable(cut);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -229,7 +231,7 @@
     })
     .await;
     for seen in installed {
-        assert_rising(&seen.all());
+        assert_non_decreasing(&seen.all());
     }
 }
 
@@ -249,19 +251,19 @@
     let cluster = Cluster::new(17).await;
     cluster.submit_accepted(&bundle(1, "growers")).await;
     let alone = cluster.start(NodeRole::Gateway, &[]).await;
-    alone.state.set_cut(true);
+    alone.state.set_unreachable(true);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let reasons = alone.context.node.readiness.reasons();
     assert!(reasons.contains_key("reach") && reasons.contains_key("bundle"), "{reasons:?}");
-    alone.state.set_cut(false);
+    alone.state.set_unreachable(false);
     eventually("the stores answer", || alone.context.node.readiness.reasons().is_empty()).await;
     assert_eq!(alone.installed(), BundleVersion(1), "ready only with the newest bundle");
-    alone.state.set_cut(true);
-    eventually("out of reach of everyone", || {
+    alone.state.set_unreachable(true);
+    eventually("no core or store is reachable", || {
         alone.context.node.readiness.reasons().contains_key("reach")
     })
     .await;
-    assert_eq!(alone.installed(), BundleVersion(1), "it goes on under its last bundle");
+    assert_eq!(alone.installed(), BundleVersion(1), "it keeps its last bundle");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -276,24 +278,24 @@
     let (winner, loser) = if accepted(&first) { (&one, &two) } else { (&two, &one) };
     let record = cluster.submit_accepted(winner).await;
     cluster.submit_accepted(&bundle(2, "growers")).await;
-    assert_eq!(cluster.submit_accepted(winner).await, record, "a resend gets the first answer");
+    assert_eq!(cluster.submit_accepted(winner).await, record, "a resend gets the first reply");
     let refused = cluster.submit(loser).await;
     assert!(matches!(refused, MetaReply::Refused(MetaRefusal::VersionTaken { .. })), "{refused:?}");
-    eventually("the newest is in force", || gateway.installed() == BundleVersion(2)).await;
+    eventually("the newest is installed", || gateway.installed() == BundleVersion(2)).await;
 }
 
-/// Values that a watch channel has shown.
-struct Seen<T> {
+/// All values observed on a watch channel.
+struct Observed<T> {
     values: std::sync::Arc<std::sync::Mutex<Vec<T>>>,
 }
 
-impl<T: Clone> Seen<T> {
+impl<T: Clone> Observed<T> {
     fn all(&self) -> Vec<T> {
         self.values.lock().expect("not poisoned").clone()
     }
 }
 
-fn watch_revisions(node: &Node) -> Seen<Revision> {
+fn watch_revisions(node: &Node) -> Observed<Revision> {
     let values = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let (seen, mut view) = (values.clone(), node.context.node.view.clone());
     tokio::spawn(async move {
@@ -305,10 +307,10 @@
             }
         }
     });
-    Seen { values }
+    Observed { values }
 }
 
-fn watch_installed(node: &Node) -> Seen<BundleVersion> {
+fn watch_installed(node: &Node) -> Observed<BundleVersion> {
     let values = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let (seen, mut bundle) = (values.clone(), node.context.node.bundle.clone());
     tokio::spawn(async move {
@@ -320,10 +322,10 @@
             }
         }
     });
-    Seen { values }
+    Observed { values }
 }
 
-fn assert_rising<T: PartialOrd + std::fmt::Debug>(values: &[T]) {
+fn assert_non_decreasing<T: PartialOrd + std::fmt::Debug>(values: &[T]) {
     assert!(!values.is_empty());
-    assert!(values.windows(2).all(|pair| pair[0] <= pair[1]), "went back: {values:?}");
+    assert!(values.windows(2).all(|pair| pair[0] <= pair[1]), "decreased: {values:?}");
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster inside the test's process: real rpc over loopback, the stores' state in memory.
+//! An in-process test cluster: real RPC over loopback, with the stores' state in memory.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -29,31 +29,34 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Longest wait for a condition; generous, since it bounds no promise.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for a condition; generous, since it checks no requirement.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 pub const SECRET: &str = "a secret of the test cluster";
 
-/// The stores' state as one node reaches it: may be cut off.
+/// The stores' state as seen by one node; a test can make it unreachable.
 #[derive(Debug, Clone)]
 pub struct ReachableState {
     inner: MemoryState,
-    cut: Arc<AtomicBool>,
+    unreachable: Arc<AtomicBool>,
 }
 
 impl ReachableState {
     pub fn new(inner: MemoryState) -> Self {
-        Self { inner, cut: Arc::default() }
+        Self { inner, unreachable: Arc::default() }
     }
 
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    pub fn set_unreachable(&self, unreachable: bool) {
+        self.unreachable.store(unreachable, Ordering::SeqCst);
     }
 
-    async fn pass(&self, group: GroupId, deadline: Instant) -> Result<(), Unavailable> {
-        while self.cut.load(Ordering::SeqCst) {
+    async fn wait_reachable(&self, group: GroupId, deadline: Instant) -> Result<(), Unavailable> {
+        while self.unreachable.load(Ordering::SeqCst) {
             if Instant::now() >= deadline {
-                return Err(Unavailable { group, reason: "cut off by the test".to_owned() });
+                return Err(Unavailable {
+                    group,
+                    reason: "made unreachable by the test".to_owned(),
+                });
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -69,7 +72,7 @@
         command: &ShardCommand,
         deadline: Instant,
     ) -> Result<ShardReply, Unavailable> {
-        self.pass(group, deadline).await?;
+        self.wait_reachable(group, deadline).await?;
         self.inner.execute_shard(group, command, deadline).await
     }
 
@@ -79,7 +82,7 @@
         query: &ShardQuery,
         deadline: Instant,
     ) -> Result<ShardAnswer, Unavailable> {
-        self.pass(group, deadline).await?;
+        self.wait_reachable(group, deadline).await?;
         self.inner.query_shard(group, query, deadline).await
     }
 
@@ -88,7 +91,7 @@
         command: &MetaCommand,
         deadline: Instant,
     ) -> Result<MetaReply, Unavailable> {
-        self.pass(hooklug_types::META_GROUP, deadline).await?;
+        self.wait_reachable(hooklug_types::META_GROUP, deadline).await?;
         self.inner.execute_meta(command, deadline).await
     }
 
@@ -97,7 +100,7 @@
         query: &MetaQuery,
         deadline: Instant,
     ) -> Result<MetaAnswer, Unavailable> {
-        self.pass(hooklug_types::META_GROUP, deadline).await?;
+        self.wait_reachable(hooklug_types::META_GROUP, deadline).await?;
         self.inner.query_meta(query, deadline).await
     }
 
@@ -107,7 +110,7 @@
         subject: LeaseSubject,
         deadline: Instant,
     ) -> Result<LeaseVerdict, Unavailable> {
-        self.pass(group, deadline).await?;
+        self.wait_reachable(group, deadline).await?;
         self.inner.expire_lease(group, subject, deadline).await
     }
 }
@@ -139,7 +142,7 @@
         self.context.node.bundle.borrow().as_ref().map_or(BundleVersion(0), |b| b.record.version)
     }
 
-    /// Ends the node as a kill does: no word to anyone.
+    /// Stops the node like a kill, without notifying any other node.
     pub fn kill(&self) {
         self.context.stop.cancel();
         self.halt.cancel();
@@ -155,12 +158,12 @@
 pub struct Cluster {
     pub state: MemoryState,
     next_ip: AtomicU8,
-    /// Second number of the addresses, so that tests of one file do not meet.
+    /// Second octet of the IP addresses, so that the tests of one file use different ones.
     net: u8,
 }
 
 impl Cluster {
-    /// A formed cluster without nodes.
+    /// Creates a formed cluster without nodes.
     pub async fn new(net: u8) -> Self {
         let state = MemoryState::default();
         let form = MetaCommand::Form { cluster: 77, stores: Vec::new(), placements: Vec::new() };
@@ -176,13 +179,13 @@
         self.start_on(role, seeds, listener, None)
     }
 
-    /// A node that does not reach the stores until the test says so.
-    pub async fn start_cut_off_from_stores(&self, role: NodeRole, seeds: &[SocketAddr]) -> Node {
+    /// Starts a node that cannot reach the stores until the test allows it.
+    pub async fn start_without_stores(&self, role: NodeRole, seeds: &[SocketAddr]) -> Node {
         let last = self.next_ip.fetch_add(1, Ordering::SeqCst);
         let ip = IpAddr::V4(Ipv4Addr::new(127, self.net, 0, last));
         let listener = RpcServer::bind(SocketAddr::new(ip, 0)).await.expect("loopback");
         let state = ReachableState::new(self.state.clone());
-        state.set_cut(true);
+        state.set_unreachable(true);
         self.launch(role, seeds, listener, None, state)
     }
 
@@ -265,10 +268,10 @@
 }
 
 pub fn deadline() -> Instant {
-    Instant::now() + PATIENCE
+    Instant::now() + WAIT_LIMIT
 }
 
-/// A bundle built on the version before it, with a tenant that tells it from others.
+/// Creates a bundle based on the previous version; the tenant's name distinguishes it from others.
 pub fn bundle(version: u64, tenant: &str) -> Bundle {
     let mut bundle = Bundle {
         version: BundleVersion(version),
@@ -299,11 +302,11 @@
     }
 }
 
-/// Waits until a condition holds; what is awaited is printed when it never does.
+/// Waits until a condition holds; panics with `what` if it does not within [`WAIT_LIMIT`].
 pub async fn eventually(what: &str, condition: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !condition() {
-        assert!(Instant::now() < until, "never happened: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/control/tests/engines.rs
+++ b/crates/control/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Application engines: the platform's list joined with each engine's own word.
+//! Application engines: the platform's list combined with the probe result of each engine.
 
 mod common;
 
@@ -36,11 +36,11 @@
     }
 }
 
-fn answer(engine_id: &str, incarnation: u64) -> ProbeFinding {
+fn engine_found(engine_id: &str, incarnation: u64) -> ProbeFinding {
     ProbeFinding::Engine(engine(engine_id, incarnation))
 }
 
-fn record(table: &mut EngineTable, port: u16, finding: ProbeFinding, now: Instant) {
+fn record_probe(table: &mut EngineTable, port: u16, finding: ProbeFinding, now: Instant) {
     table.record_probe(&ProbeOutcome { address: address(port), finding }, now);
 }
 
@@ -52,9 +52,9 @@
 fn an_address_that_never_answers_is_no_engine() {
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    record(&mut table, 1, ProbeFinding::NoAnswer, Instant::now());
+    record_probe(&mut table, 1, ProbeFinding::NoAnswer, Instant::now());
     assert!(table.engines().is_empty());
-    assert!(table.addresses().contains(&address(1)), "it is asked again");
+    assert!(table.addresses().contains(&address(1)), "it is probed again");
 }
 
 #[test]
@@ -62,15 +62,15 @@
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
-    record(&mut table, 1, answer("a", 1), now);
-    record(&mut table, 2, answer("b", 1), now);
-    record(&mut table, 1, ProbeFinding::Refused, now);
-    record(&mut table, 2, ProbeFinding::NoAnswer, now);
+    record_probe(&mut table, 1, engine_found("a", 1), now);
+    record_probe(&mut table, 2, engine_found("b", 1), now);
+    record_probe(&mut table, 1, ProbeFinding::Refused, now);
+    record_probe(&mut table, 2, ProbeFinding::NoAnswer, now);
     assert_eq!(find(&table, "a").map(|e| e.healthy), Some(false));
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(true));
-    record(&mut table, 2, ProbeFinding::NoAnswer, now);
+    record_probe(&mut table, 2, ProbeFinding::NoAnswer, now);
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(false));
-    record(&mut table, 2, answer("b", 1), now);
+    record_probe(&mut table, 2, engine_found("b", 1), now);
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(true));
 }
 
@@ -79,8 +79,8 @@
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    record(&mut table, 1, answer("a", 1), now);
-    record(&mut table, 1, answer("b", 2), now);
+    record_probe(&mut table, 1, engine_found("a", 1), now);
+    record_probe(&mut table, 1, engine_found("b", 2), now);
     assert_eq!(find(&table, "a"), None);
     assert_eq!(find(&table, "b").map(|e| e.address), Some(address(1)));
 }
@@ -90,9 +90,9 @@
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
-    record(&mut table, 1, answer("a", 1), now);
-    record(&mut table, 2, answer("a", 2), now);
-    record(&mut table, 1, answer("a", 1), now);
+    record_probe(&mut table, 1, engine_found("a", 1), now);
+    record_probe(&mut table, 2, engine_found("a", 2), now);
+    record_probe(&mut table, 1, engine_found("a", 1), now);
     let engine = find(&table, "a").expect("known");
     assert_eq!((engine.address, engine.incarnation), (address(2), Incarnation(2)));
 }
@@ -102,7 +102,7 @@
     let start = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    record(&mut table, 1, answer("a", 1), start);
+    record_probe(&mut table, 1, engine_found("a", 1), start);
     table.set_list(Vec::new());
     assert!(table.addresses().contains(&address(1)));
     table.remove_expired(start + Duration::from_secs(10));
@@ -116,7 +116,7 @@
     let start = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
-    record(&mut table, 1, answer("a", 1), start);
+    record_probe(&mut table, 1, engine_found("a", 1), start);
     assert_eq!(table.overdue(start), [address(2)].into());
     assert_eq!(table.overdue(start + Duration::from_secs(3)), [address(1), address(2)].into());
 }
@@ -127,9 +127,9 @@
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
     let draining = ProbedEngine { draining: true, ..engine("a", 1) };
-    record(&mut table, 1, ProbeFinding::Engine(draining), now);
-    record(&mut table, 2, answer("m", 1), now);
-    record(&mut table, 2, ProbeFinding::Other, now);
+    record_probe(&mut table, 1, ProbeFinding::Engine(draining), now);
+    record_probe(&mut table, 2, engine_found("m", 1), now);
+    record_probe(&mut table, 2, ProbeFinding::Other, now);
     assert_eq!(find(&table, "a").map(|e| e.draining), Some(true));
     assert_eq!(find(&table, "m"), None, "a model server is reached through its session host");
 }
@@ -143,20 +143,20 @@
     assert_eq!(ListSource::parse("list.json"), ListSource::File("list.json".into()));
 }
 
-/// An engine that answers `/identity` and `/status` as docs/BACKENDS.md says.
-struct Listening {
+/// A fake engine that serves `/identity` and `/status` as described in docs/BACKENDS.md.
+struct FakeEngine {
     id: EngineId,
     address: SocketAddr,
     draining: Arc<AtomicBool>,
 }
 
-async fn listen(number: usize) -> Listening {
+async fn start_engine(number: usize) -> FakeEngine {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     let draining = Arc::new(AtomicBool::new(false));
     let id: EngineId = format!("n{number}").parse().expect("valid");
     tokio::spawn(serve(listener, id.clone(), draining.clone()));
-    Listening { id, address, draining }
+    FakeEngine { id, address, draining }
 }
 
 async fn serve(listener: TcpListener, id: EngineId, draining: Arc<AtomicBool>) {
@@ -174,9 +174,9 @@
                     serde_json::json!({"ready": true, "draining": draining, "slots": 8, "running": 0})
                 };
                 let body = body.to_string();
-                let answer =
+                let response =
                     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-                if stream.write_all(answer.as_bytes()).await.is_err() {
+                if stream.write_all(response.as_bytes()).await.is_err() {
                     return;
                 }
             }
@@ -188,7 +188,7 @@
 async fn engines_and_their_drains_reach_every_view_also_when_a_core_is_killed() {
     let mut engines = Vec::new();
     for number in 0..8 {
-        engines.push(listen(number).await);
+        engines.push(start_engine(number).await);
     }
     let entries: Vec<_> =
         engines.iter().map(|e| serde_json::json!({"address": e.address, "zone": "z2"})).collect();
@@ -206,7 +206,7 @@
     }
     let seeds: Vec<SocketAddr> = cores.iter().map(Node::rpc).collect();
     let gateway = cluster.start(NodeRole::Gateway, &seeds).await;
-    let seen = |engine: &Listening| gateway.view().engines.get(&engine.id).cloned();
+    let seen = |engine: &FakeEngine| gateway.view().engines.get(&engine.id).cloned();
     for engine in &engines {
         eventually("healthy engines are seen", || seen(engine).is_some_and(|e| e.healthy)).await;
         let seen = seen(engine).expect("just seen");
--- a/crates/control/tests/judge.rs
+++ b/crates/control/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge on simulated traffic: time and chance are inputs, so each run is the same.
+//! The judge on simulated traffic. Time and random seeds are inputs, so each run is the same.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -18,16 +18,16 @@
 const OTHER_ROUTE: &str = "read-sensor";
 const SEEDS: std::ops::Range<u64> = 0..20;
 
-/// What the back ends of one version do on one route in one second.
+/// Traffic and behaviour of the backends of one version on one route in one second.
 #[derive(Clone, Copy)]
 struct Behaviour {
     requests: u32,
     error_share: f64,
-    /// Middle of the latency, in milliseconds; single requests lie between half and twice that.
+    /// Median latency, in milliseconds; single requests take between half and twice that.
     latency_ms: f64,
 }
 
-fn well(requests: u32) -> Behaviour {
+fn healthy(requests: u32) -> Behaviour {
     Behaviour { requests, error_share: 0.01, latency_ms: 40.0 }
 }
 
@@ -40,7 +40,7 @@
     lost: BTreeSet<JudgedVersion>,
 }
 
-/// Harm and the simulated second in which it was reported.
+/// A harm report and the simulated second in which it was returned.
 type Report = (u32, HarmReport);
 
 impl Simulation {
@@ -99,7 +99,7 @@
         seen
     }
 
-    /// One second in which versions 1 and 2 behave so on a route; the first report, if any.
+    /// Simulates one second of the given traffic; returns the first report, if any.
     fn second(&mut self, seen: &[(&str, &str, &str, Behaviour)]) -> Option<Report> {
         self.second += 1;
         let statistics: Vec<VersionStatistics> = seen
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Many such seconds; stops at the first report.
+    /// Simulates many seconds of versions 1 and 2 on one route; stops at the first report.
     fn run(&mut self, seconds: u32, old: Behaviour, new: Behaviour) -> Option<Report> {
         (0..seconds)
             .find_map(|_| self.second(&[(SERVICE, "v1", ROUTE, old), (SERVICE, "v2", ROUTE, new)]))
@@ -135,8 +135,8 @@
 fn failing_from_the_first_second_is_found_within_five() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        let bad = Behaviour { error_share: 0.9, ..well(20) };
-        let (second, harm) = expect_report(simulation.run(20, well(380), bad), seed);
+        let bad = Behaviour { error_share: 0.9, ..healthy(20) };
+        let (second, harm) = expect_report(simulation.run(20, healthy(380), bad), seed);
         assert!(second <= 5, "seed {seed}: found in second {second}: {}", harm.reason);
         assert!(harm.reason.contains("failed"), "{}", harm.reason);
     }
@@ -146,12 +146,12 @@
 fn failing_on_one_route_only_is_found_and_the_route_is_named() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        let bad = Behaviour { error_share: 0.5, ..well(10) };
+        let bad = Behaviour { error_share: 0.5, ..healthy(10) };
         let report = (0..20).find_map(|_| {
             simulation.second(&[
-                (SERVICE, "v1", ROUTE, well(200)),
-                (SERVICE, "v2", ROUTE, well(200)),
-                (SERVICE, "v1", OTHER_ROUTE, well(30)),
+                (SERVICE, "v1", ROUTE, healthy(200)),
+                (SERVICE, "v2", ROUTE, healthy(200)),
+                (SERVICE, "v1", OTHER_ROUTE, healthy(30)),
                 (SERVICE, "v2", OTHER_ROUTE, bad),
             ])
         });
@@ -164,9 +164,13 @@
 fn slow_under_load_only_is_found_when_the_load_comes() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(60, well(40), well(10)), None, "seed {seed}: no load, no harm");
-        let slow = Behaviour { latency_ms: 400.0, ..well(40) };
-        let (second, harm) = expect_report(simulation.run(20, well(160), slow), seed);
+        assert_eq!(
+            simulation.run(60, healthy(40), healthy(10)),
+            None,
+            "seed {seed}: no load, no harm"
+        );
+        let slow = Behaviour { latency_ms: 400.0, ..healthy(40) };
+        let (second, harm) = expect_report(simulation.run(20, healthy(160), slow), seed);
         assert!(second <= 65, "seed {seed}: found in second {second}");
         assert!(harm.reason.contains("latency"), "{}", harm.reason);
     }
@@ -176,9 +180,9 @@
 fn failing_after_minutes_is_found_while_the_old_version_has_traffic() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(240, well(50), well(50)), None, "seed {seed}");
-        let bad = Behaviour { error_share: 0.4, ..well(50) };
-        let (second, _) = expect_report(simulation.run(20, well(50), bad), seed);
+        assert_eq!(simulation.run(240, healthy(50), healthy(50)), None, "seed {seed}");
+        let bad = Behaviour { error_share: 0.4, ..healthy(50) };
+        let (second, _) = expect_report(simulation.run(20, healthy(50), bad), seed);
         assert!(second <= 245, "seed {seed}: found in second {second}");
     }
 }
@@ -187,10 +191,10 @@
 fn failing_after_minutes_is_found_when_the_old_version_has_no_traffic_any_more() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(30, well(50), well(50)), None, "seed {seed}");
-        assert_eq!(simulation.run(240, well(0), well(100)), None, "seed {seed}");
-        let bad = Behaviour { error_share: 0.8, ..well(100) };
-        let (second, harm) = expect_report(simulation.run(20, well(0), bad), seed);
+        assert_eq!(simulation.run(30, healthy(50), healthy(50)), None, "seed {seed}");
+        assert_eq!(simulation.run(240, healthy(0), healthy(100)), None, "seed {seed}");
+        let bad = Behaviour { error_share: 0.8, ..healthy(100) };
+        let (second, harm) = expect_report(simulation.run(20, healthy(0), bad), seed);
         assert!(second <= 276, "seed {seed}: found in second {second}: {}", harm.reason);
     }
 }
@@ -199,10 +203,10 @@
 fn no_alarm_when_both_versions_suffer_alike() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(30, well(100), well(25)), None, "seed {seed}");
-        let suffering = |requests| Behaviour { requests, error_share: 0.4, latency_ms: 900.0 };
-        assert_eq!(simulation.run(120, suffering(100), suffering(25)), None, "seed {seed}");
-        assert_eq!(simulation.run(60, well(100), well(25)), None, "seed {seed}");
+        assert_eq!(simulation.run(30, healthy(100), healthy(25)), None, "seed {seed}");
+        let degraded = |requests| Behaviour { requests, error_share: 0.4, latency_ms: 900.0 };
+        assert_eq!(simulation.run(120, degraded(100), degraded(25)), None, "seed {seed}");
+        assert_eq!(simulation.run(60, healthy(100), healthy(25)), None, "seed {seed}");
     }
 }
 
@@ -210,7 +214,7 @@
 fn no_alarm_by_chance_over_an_hour_of_equal_versions() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed);
-        let noisy = |requests| Behaviour { error_share: 0.05, ..well(requests) };
+        let noisy = |requests| Behaviour { error_share: 0.05, ..healthy(requests) };
         assert_eq!(simulation.run(3_600, noisy(30), noisy(3)), None, "seed {seed}");
     }
 }
@@ -218,21 +222,21 @@
 #[test]
 fn no_alarm_before_there_are_samples_enough() {
     let mut simulation = Simulation::new(1);
-    let bad = Behaviour { error_share: 1.0, ..well(1) };
-    assert_eq!(simulation.run(19, well(100), bad), None, "19 samples of 20");
-    expect_report(simulation.run(10, well(100), bad), 1);
+    let bad = Behaviour { error_share: 1.0, ..healthy(1) };
+    assert_eq!(simulation.run(19, healthy(100), bad), None, "19 samples of 20");
+    expect_report(simulation.run(10, healthy(100), bad), 1);
 }
 
 #[test]
 fn latency_is_held_under_a_load_that_the_old_version_never_saw() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(60, well(50), well(50)), None, "seed {seed}");
-        assert_eq!(simulation.run(60, well(0), well(100)), None, "seed {seed}");
-        let loaded = Behaviour { latency_ms: 800.0, ..well(400) };
-        assert_eq!(simulation.run(60, well(0), loaded), None, "seed {seed}: held");
-        let slow = Behaviour { latency_ms: 800.0, ..well(100) };
-        let (_, harm) = expect_report(simulation.run(60, well(0), slow), seed);
+        assert_eq!(simulation.run(60, healthy(50), healthy(50)), None, "seed {seed}");
+        assert_eq!(simulation.run(60, healthy(0), healthy(100)), None, "seed {seed}");
+        let loaded = Behaviour { latency_ms: 800.0, ..healthy(400) };
+        assert_eq!(simulation.run(60, healthy(0), loaded), None, "seed {seed}: not reported");
+        let slow = Behaviour { latency_ms: 800.0, ..healthy(100) };
+        let (_, harm) = expect_report(simulation.run(60, healthy(0), slow), seed);
         assert!(harm.reason.contains("latency"), "{}", harm.reason);
     }
 }
@@ -241,8 +245,8 @@
 fn errors_are_held_while_other_services_fail_too_and_the_old_version_has_no_traffic() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(60, well(50), well(50)), None, "seed {seed}");
-        let bad = |requests| Behaviour { error_share: 0.8, ..well(requests) };
+        assert_eq!(simulation.run(60, healthy(50), healthy(50)), None, "seed {seed}");
+        let bad = |requests| Behaviour { error_share: 0.8, ..healthy(requests) };
         let report = (0..60).find_map(|_| {
             simulation.second(&[
                 (SERVICE, "v2", ROUTE, bad(100)),
@@ -257,16 +261,16 @@
 fn failures_while_an_engine_is_lost_are_no_harm_by_the_version() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        assert_eq!(simulation.run(30, well(50), well(50)), None, "seed {seed}");
+        assert_eq!(simulation.run(30, healthy(50), healthy(50)), None, "seed {seed}");
         simulation.lost.insert(JudgedVersion {
             service: ServiceName::new(SERVICE).expect("valid"),
             version: ServiceVersion::new("v2").expect("valid"),
         });
-        let losing = Behaviour { error_share: 0.35, ..well(50) };
-        assert_eq!(simulation.run(2, well(50), losing), None, "seed {seed}");
-        assert_eq!(simulation.run(60, well(50), well(50)), None, "seed {seed}");
-        let bad = Behaviour { error_share: 0.6, ..well(50) };
-        let (second, _) = expect_report(simulation.run(20, well(50), bad), seed);
+        let with_lost_engine = Behaviour { error_share: 0.35, ..healthy(50) };
+        assert_eq!(simulation.run(2, healthy(50), with_lost_engine), None, "seed {seed}");
+        assert_eq!(simulation.run(60, healthy(50), healthy(50)), None, "seed {seed}");
+        let bad = Behaviour { error_share: 0.6, ..healthy(50) };
+        let (second, _) = expect_report(simulation.run(20, healthy(50), bad), seed);
         assert!(second <= 99, "seed {seed}: lasting harm is found, in second {second}");
     }
 }
@@ -281,25 +285,25 @@
         reason: "seen by a gateway".to_owned(),
     };
     simulation.judge.report(harm("v1"));
-    assert_eq!(simulation.run(1, well(1), well(1)), None, "v1 is the old version");
+    assert_eq!(simulation.run(1, healthy(1), healthy(1)), None, "v1 is the old version");
     simulation.judge.report(harm("v2"));
-    assert_eq!(simulation.run(1, well(1), well(1)), Some((2, harm("v2"))));
+    assert_eq!(simulation.run(1, healthy(1), healthy(1)), Some((2, harm("v2"))));
 }
 
 #[test]
 fn a_version_released_again_is_not_judged_by_the_figures_that_condemned_it() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
-        let bad = Behaviour { error_share: 0.9, ..well(20) };
-        expect_report(simulation.run(20, well(380), bad), seed);
+        let bad = Behaviour { error_share: 0.9, ..healthy(20) };
+        expect_report(simulation.run(20, healthy(380), bad), seed);
         simulation.set_state("v2", VersionState::RolledBack);
-        let old_alone = [(SERVICE, "v1", ROUTE, well(400))];
-        assert!((0..5).all(|_| simulation.second(&old_alone).is_none()), "seed {seed}");
+        let old_only = [(SERVICE, "v1", ROUTE, healthy(400))];
+        assert!((0..5).all(|_| simulation.second(&old_only).is_none()), "seed {seed}");
         simulation.set_state("v2", VersionState::Sound);
-        // No engine of it has taken a request yet.
-        let early = (0..10).find_map(|_| simulation.second(&old_alone));
+        // No engine of the version has received a request yet.
+        let early = (0..10).find_map(|_| simulation.second(&old_only));
         assert_eq!(early, None, "seed {seed}");
-        expect_report(simulation.run(20, well(380), bad), seed);
+        expect_report(simulation.run(20, healthy(380), bad), seed);
     }
 }
 
@@ -312,9 +316,9 @@
         let mut next = service.versions[1].clone();
         next.version = ServiceVersion::new("v3").expect("valid");
         service.versions.push(next);
-        let bad = Behaviour { error_share: 0.6, ..well(20) };
+        let bad = Behaviour { error_share: 0.6, ..healthy(20) };
         let found = (0..20).find_map(|_| {
-            let seen = [(SERVICE, "v1", ROUTE, well(20)), (SERVICE, "v3", ROUTE, bad)];
+            let seen = [(SERVICE, "v1", ROUTE, healthy(20)), (SERVICE, "v3", ROUTE, bad)];
             simulation.second(&seen)
         });
         let (second, report) = found.expect("harm is found");
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which nodes count as living: by deadline, run and address.
+//! Member table: health of nodes by heartbeat timeout, incarnation and address.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Looks twice a second from one instant to another, as the leader does.
+/// Updates the health twice per second for `span`, as the leader does, and returns the end time.
 fn update_until(table: &mut MemberTable, from: Instant, span: Duration) -> Instant {
     let mut passed = Duration::ZERO;
     while passed < span {
@@ -51,7 +51,7 @@
     let now = update_until(&mut table, now, DEAD_AFTER - SUSPECT_AFTER);
     assert_eq!(health(&table, 1), Some(MemberHealth::Dead));
     table.record_heartbeat(&heartbeat(1, 1, 1), now);
-    assert_eq!(health(&table, 1), Some(MemberHealth::Alive), "a sign of life counts at once");
+    assert_eq!(health(&table, 1), Some(MemberHealth::Alive), "a heartbeat takes effect at once");
     update_until(&mut table, now, REMOVE_AFTER);
     assert_eq!(health(&table, 1), None);
 }
@@ -77,7 +77,7 @@
     assert_eq!(health(&table, 1), None);
     assert_eq!(health(&table, 2), Some(MemberHealth::Alive));
     table.record_heartbeat(&heartbeat(1, 5, 1), now);
-    assert_eq!(health(&table, 1), None, "a late word of the node before");
+    assert_eq!(health(&table, 1), None, "a late heartbeat of the previous node");
 }
 
 #[test]
@@ -90,7 +90,7 @@
     table.update_health(resumed);
     assert_eq!(health(&table, 1), Some(MemberHealth::Alive));
     update_until(&mut table, resumed, DEAD_AFTER);
-    assert_eq!(health(&table, 1), Some(MemberHealth::Dead), "from then on time counts");
+    assert_eq!(health(&table, 1), Some(MemberHealth::Dead), "time counts again after the pause");
 }
 
 #[test]
@@ -101,7 +101,7 @@
     before.record_heartbeat(&heartbeat(2, 1, 2), start + DEAD_AFTER);
     let now = update_until(&mut before, start, DEAD_AFTER);
     let mut table = MemberTable::take_over(&before.members(), now);
-    assert_eq!(health(&table, 1), None, "the dead are not taken over");
+    assert_eq!(health(&table, 1), None, "dead members are not taken over");
     update_until(&mut table, now, SUSPECT_AFTER - Duration::from_millis(500));
     assert_eq!(health(&table, 2), Some(MemberHealth::Alive));
 }
@@ -128,7 +128,7 @@
     let mut table = MemberTable::default();
     table.record_heartbeat(&heartbeat(1, 5, 1), now);
     table.record_heartbeat(&heartbeat(1, 6, 2), now);
-    // An earlier run than the one that left: the address is free.
+    // The incarnation is older than that of the node that left, but the address is free.
     table.record_heartbeat(&heartbeat(3, 2, 1), now);
     assert!(table.members().contains_key(&NodeId(1)));
     assert!(table.members().contains_key(&NodeId(3)));
@@ -139,10 +139,13 @@
     let now = Instant::now();
     let mut sent = SentRecords::default();
     let (old, new, newer) = (BundleVersion(1), BundleVersion(2), BundleVersion(3));
-    assert!(!sent.is_due(NodeId(1), new, new, now), "it is installed");
+    assert!(!sent.is_due(NodeId(1), new, new, now), "it is installed already");
     assert!(sent.is_due(NodeId(1), old, new, now));
     assert!(!sent.is_due(NodeId(1), old, new, now + RESEND_AFTER / 2));
     assert!(sent.is_due(NodeId(2), old, new, now + RESEND_AFTER / 2), "another node");
     assert!(sent.is_due(NodeId(1), old, newer, now + RESEND_AFTER / 2), "another version");
-    assert!(sent.is_due(NodeId(1), old, newer, now + RESEND_AFTER * 2), "it may have been lost");
+    assert!(
+        sent.is_due(NodeId(1), old, newer, now + RESEND_AFTER * 2),
+        "the reply may have been lost"
+    );
 }
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Ordered roll-outs step by step: good versions are completed in time, bad ones are turned back early.
+//! Rollouts requested by an operator: good versions are completed in time, harmful ones are rolled
+//! back early.
 
 use hooklug_control::core::rollouts::{Evidence, evidence, next_phase};
 use hooklug_protocol::control::{LATENCY_BUCKETS, VersionStatistics};
@@ -40,14 +41,14 @@
 
 const GOOD: Evidence = Evidence { samples: 100, is_harmful: false };
 
-/// Runs a roll-out with a look every fiftieth of its time.
+/// Runs a rollout with a check every fiftieth of its time.
 fn run(evidence: impl Fn(f64) -> Evidence) -> Vec<(f64, RolloutPhase)> {
     let mut phase = record().phase;
     let mut phases = Vec::new();
-    for look in 0..50 {
-        let part = f64::from(look) / 50.0;
-        phase = next_phase(phase, part, evidence(part));
-        phases.push((part, phase));
+    for step in 0..50 {
+        let elapsed = f64::from(step) / 50.0;
+        phase = next_phase(phase, elapsed, evidence(elapsed));
+        phases.push((elapsed, phase));
     }
     phases
 }
@@ -65,7 +66,7 @@
     let phases = run(|_| GOOD);
     assert_eq!(phases.last().map(|(_, phase)| *phase), Some(RolloutPhase::Completed));
     let shifted = phases.iter().filter(|(_, phase)| *phase == RolloutPhase::Shifted).count();
-    assert!(shifted >= 5, "older engines need time to end what they run");
+    assert!(shifted >= 5, "older engines need time to finish running work");
 }
 
 #[test]
@@ -80,7 +81,7 @@
 fn harm_at_any_time_turns_it_back_for_good() {
     for begins in 0..45 {
         let begins = f64::from(begins) / 50.0;
-        let phases = run(|part| Evidence { samples: 100, is_harmful: part == begins });
+        let phases = run(|elapsed| Evidence { samples: 100, is_harmful: elapsed == begins });
         assert_eq!(phases.last().map(|(_, phase)| *phase), Some(RolloutPhase::RolledBack));
     }
 }
@@ -93,30 +94,30 @@
 
 #[test]
 fn errors_on_one_route_are_harm() {
-    let figures = [
+    let statistics = [
         seen("v1", "ask", 200, 1, 7),
         seen("v2", "ask", 12, 0, 7),
         seen("v1", "plan", 100, 0, 7),
         seen("v2", "plan", 3, 5, 7),
     ];
-    assert!(evidence(&service(), &record(), &figures).is_harmful);
+    assert!(evidence(&service(), &record(), &statistics).is_harmful);
 }
 
 #[test]
 fn answers_that_come_several_times_slower_are_harm() {
-    let figures = [seen("v1", "ask", 200, 0, 7), seen("v2", "ask", 12, 0, 10)];
-    assert!(evidence(&service(), &record(), &figures).is_harmful);
+    let statistics = [seen("v1", "ask", 200, 0, 7), seen("v2", "ask", 12, 0, 10)];
+    assert!(evidence(&service(), &record(), &statistics).is_harmful);
 }
 
 #[test]
 fn the_same_errors_and_times_as_before_are_no_harm() {
-    let figures = [
+    let statistics = [
         seen("v1", "ask", 200, 20, 7),
         seen("v2", "ask", 18, 2, 7),
         seen("v1", "plan", 100, 0, 10),
         seen("v2", "plan", 9, 0, 10),
     ];
-    let found = evidence(&service(), &record(), &figures);
+    let found = evidence(&service(), &record(), &statistics);
     assert_eq!(found, Evidence { samples: 29, is_harmful: false });
 }
 
--- a/crates/control/tests/readiness.rs
+++ b/crates/control/tests/readiness.rs
@@ -1,4 +1,5 @@
-//! Versions whose engines never become ready. Time is an input, so nothing waits.
+//! Detection of versions whose engines never become ready. Time is passed in, so the tests do not
+//! wait.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -36,7 +37,7 @@
 /// How long a version may be without a ready engine in these tests.
 const BOUND: Duration = Duration::from_secs(60);
 
-/// How the engines of versions 1 and 2 stand; a version that has none is missing.
+/// Engine counts of versions 1 and 2; a version without engines is missing.
 fn engine_counts(
     old: Option<EngineCounts>,
     new: Option<EngineCounts>,
@@ -53,7 +54,8 @@
 const READY: Option<EngineCounts> = Some(EngineCounts { listed: 3, ready: 3 });
 const UNREADY: Option<EngineCounts> = Some(EngineCounts { listed: 2, ready: 0 });
 
-/// Looks once a second at engines that stand so; the second in which the newest version is reported.
+/// Evaluates the same engine counts once per second; returns the second in which the newest version
+/// is reported, and the report.
 fn watch_readiness(
     watch: &mut ReadinessMonitor,
     simulation: &Simulation,
@@ -90,10 +92,10 @@
     let (waiting, ready) = (engine_counts(READY, UNREADY), engine_counts(READY, READY));
     for round in 0..5 {
         let start = 100 * round;
-        let early = watch_readiness(&mut watch, &simulation, start..start + 59, &waiting);
-        assert_eq!(early, None, "round {round}");
-        let well = watch_readiness(&mut watch, &simulation, start + 59..start + 100, &ready);
-        assert_eq!(well, None, "round {round}");
+        let while_waiting = watch_readiness(&mut watch, &simulation, start..start + 59, &waiting);
+        assert_eq!(while_waiting, None, "round {round}");
+        let while_ready = watch_readiness(&mut watch, &simulation, start + 59..start + 100, &ready);
+        assert_eq!(while_ready, None, "round {round}");
     }
 }
 
@@ -104,7 +106,7 @@
         let mut watch = ReadinessMonitor::new(BOUND);
         let none_ready = engine_counts(old, UNREADY);
         assert_eq!(watch_readiness(&mut watch, &simulation, 0..200, &none_ready), None);
-        // The wait counts from the beginning, whenever the older one comes back.
+        // The wait counts from the start, no matter when the older version becomes ready again.
         let found =
             watch_readiness(&mut watch, &simulation, 200..202, &engine_counts(READY, UNREADY));
         assert_eq!(found.map(|(second, _)| second), Some(200));
--- a/crates/control/tests/repair_watch.rs
+++ b/crates/control/tests/repair_watch.rs
@@ -1,4 +1,4 @@
-//! What operators are told of each group: how long it lacked replicas, and that it commits nothing.
+//! Group monitor: events for degraded and for stalled groups.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     meta
 }
 
-/// The answer of store 1, which leads.
+/// Report of store 1, which leads the group.
 fn leader(voters: &[u64], commit: u64, last_index: u64) -> Vec<StoreReport> {
     let conf = ConfState { voters: nodes(voters), learners: BTreeSet::new() };
     let state = ProgressState::Replicate;
@@ -72,7 +72,11 @@
     assert_eq!((*stalled_for, stalled.commit, stalled.last_index), (STALL_TIME, 9, 15));
     assert_eq!((monitor.stalled(), stalled.progress.len()), (1, 3));
     let later = start + STALL_TIME + SECOND;
-    assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 16), &all, later), [], "told once");
+    assert_eq!(
+        monitor.update(&meta(), &leader(&[1, 2, 3], 9, 16), &all, later),
+        [],
+        "reported once"
+    );
     let events = monitor.update(&meta(), &leader(&[1, 2, 3], 16, 16), &all, later + SECOND);
     assert!(matches!(events[..], [GroupEvent::Resumed { .. }]), "{events:?}");
     assert_eq!(monitor.stalled(), 0);
--- a/crates/control/tests/slot_uses.rs
+++ b/crates/control/tests/slot_uses.rs
@@ -1,4 +1,4 @@
-//! What engines tell of their slots, added up for operators.
+//! Slot usage reported by engines, summed for operators.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
     }
 }
 
-fn of(group: Option<&str>, reserved: u32, running: u32) -> SlotUse {
+fn slot_use(group: Option<&str>, reserved: u32, running: u32) -> SlotUse {
     SlotUse { group: group.map(|g| g.parse().expect("valid")), reserved, running }
 }
 
@@ -53,11 +53,11 @@
     let now = Instant::now();
     let mut usage = SlotUsageTable::default();
     usage.record_heartbeat(
-        &heartbeat(1, "advisor", vec![of(Some("frost"), 4, 6), of(None, 0, 2)]),
+        &heartbeat(1, "advisor", vec![slot_use(Some("frost"), 4, 6), slot_use(None, 0, 2)]),
         now,
     );
-    usage.record_heartbeat(&heartbeat(2, "advisor", vec![of(Some("frost"), 4, 1)]), now);
-    usage.record_heartbeat(&heartbeat(3, "planner", vec![of(Some("frost"), 2, 2)]), now);
+    usage.record_heartbeat(&heartbeat(2, "advisor", vec![slot_use(Some("frost"), 4, 1)]), now);
+    usage.record_heartbeat(&heartbeat(3, "planner", vec![slot_use(Some("frost"), 2, 2)]), now);
     let expected = [
         sum("advisor", None, [1, 0, 2, 2]),
         sum("advisor", Some("frost"), [2, 8, 7, 2]),
@@ -65,15 +65,22 @@
     ];
     assert_eq!(usage.sums(), expected);
     usage.record_heartbeat(&heartbeat(1, "advisor", Vec::new()), now + Duration::from_secs(1));
-    assert_eq!(usage.sums()[0], sum("advisor", Some("frost"), [1, 4, 1, 0]), "the newest counts");
+    assert_eq!(
+        usage.sums()[0],
+        sum("advisor", Some("frost"), [1, 4, 1, 0]),
+        "the latest report counts"
+    );
 }
 
 #[test]
 fn an_engine_that_is_silent_for_long_no_longer_counts() {
     let now = Instant::now();
     let mut usage = SlotUsageTable::default();
-    usage.record_heartbeat(&heartbeat(1, "advisor", vec![of(None, 0, 1)]), now);
-    usage.record_heartbeat(&heartbeat(2, "advisor", vec![of(None, 0, 1)]), now + DEAD_AFTER / 2);
+    usage.record_heartbeat(&heartbeat(1, "advisor", vec![slot_use(None, 0, 1)]), now);
+    usage.record_heartbeat(
+        &heartbeat(2, "advisor", vec![slot_use(None, 0, 1)]),
+        now + DEAD_AFTER / 2,
+    );
     usage.remove_expired(now + DEAD_AFTER);
     assert_eq!(usage.sums(), [sum("advisor", None, [1, 0, 1, 1])]);
 }
--- a/crates/control/tests/store_signs.rs
+++ b/crates/control/tests/store_signs.rs
@@ -1,4 +1,4 @@
-//! Which stores the repair counts as living.
+//! Liveness of stores as the repair judges it.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 const LEADER: NodeId = NodeId(1);
 const OTHER: NodeId = NodeId(2);
 
-/// The answer of the leader's store, which hears the other or does not.
-fn answer(hears_other: bool) -> StoreReport {
+/// Report of the leader's store, which hears from the other store or not.
+fn report(hears_other: bool) -> StoreReport {
     let state = ProgressState::Replicate;
     let member = |node, active| MemberProgress { node, matched: 9, active, state };
     let conf = ConfState { voters: [LEADER, OTHER].into(), learners: [].into() };
@@ -37,12 +37,12 @@
 fn a_store_is_lost_after_its_time_of_silence_and_not_before() {
     let start = Instant::now();
     let mut liveness = StoreLiveness::new(start);
-    liveness.record(&[answer(false)], start);
+    liveness.record(&[report(false)], start);
     let almost = start + LOST_AFTER - Duration::from_millis(1);
-    assert!(liveness.is_alive(OTHER, almost), "this leader has not asked for long enough");
+    assert!(liveness.is_alive(OTHER, almost), "this leader has not queried it for long enough");
     assert!(!liveness.is_alive(OTHER, start + LOST_AFTER));
-    liveness.record(&[answer(false)], almost);
-    assert!(liveness.is_alive(LEADER, start + LOST_AFTER), "it last_reply");
+    liveness.record(&[report(false)], almost);
+    assert!(liveness.is_alive(LEADER, start + LOST_AFTER), "it replied");
 }
 
 #[test]
@@ -50,8 +50,8 @@
     let start = Instant::now();
     let mut liveness = StoreLiveness::new(start);
     let later = start + 10 * LOST_AFTER;
-    liveness.record(&[answer(true)], later);
+    liveness.record(&[report(true)], later);
     assert!(liveness.is_alive(OTHER, later));
-    liveness.record(&[answer(false)], later);
+    liveness.record(&[report(false)], later);
     assert!(!liveness.is_alive(OTHER, later));
 }
--- a/crates/control/tests/views.rs
+++ b/crates/control/tests/views.rs
@@ -1,4 +1,4 @@
-//! Differences between views lead from one to the other, and what a node that asks is told stays short.
+//! Differences between views, and the size of discovery replies.
 
 use std::collections::BTreeSet;
 
@@ -96,12 +96,12 @@
     (2..=1_000).for_each(|node| peers.learn(address(node, 1, role(node))));
     assert_eq!(peers.count(), 999);
     let seed = 7;
-    let told = peers.discovery_reply(&mut ChaCha8Rng::seed_from_u64(seed));
-    assert_eq!(told[0], own);
-    let nodes: BTreeSet<NodeId> = told.iter().map(|a| a.node).collect();
+    let reply = peers.discovery_reply(&mut ChaCha8Rng::seed_from_u64(seed));
+    assert_eq!(reply[0], own);
+    let nodes: BTreeSet<NodeId> = reply.iter().map(|a| a.node).collect();
     assert!((1..=9).all(|node| nodes.contains(&NodeId(node))), "seed {seed}: {nodes:?}");
-    assert_eq!(nodes.len(), told.len(), "seed {seed}: someone is named twice");
-    assert!((10..=20).contains(&told.len()), "seed {seed}: {} are named", told.len());
+    assert_eq!(nodes.len(), reply.len(), "seed {seed}: a node is listed twice");
+    assert!((10..=20).contains(&reply.len()), "seed {seed}: {} nodes are listed", reply.len());
 }
 
 #[test]
@@ -114,7 +114,7 @@
         order.into_iter().for_each(|address| peers.learn(address));
         assert_eq!(peers.others(), [late.clone()]);
     }
-    // The node moves; its old address is free for another, whatever that one's run.
+    // The node moves; its old address is free for another node of any incarnation.
     let mut moved = late.clone();
     moved.incarnation = Incarnation(7);
     moved.rpc = ([127, 0, 0, 1], 900).into();
