--- a/crates/control/src/core/discovery.rs
+++ b/crates/control/src/core/discovery.rs
@@ -89,11 +89,11 @@
 }
 
 fn alive_cores(view: &ClusterView, own: NodeId) -> BTreeSet<NodeId> {
-    let living = view
+    let alive = view
         .members
         .values()
         .filter(|m| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive);
-    living.map(|m| m.address.node).chain([own]).collect()
+    alive.map(|m| m.address.node).chain([own]).collect()
 }
 
 /// Returns the core that probes an address, by rendezvous hashing: a core that joins or leaves
--- a/crates/control/src/core/inbox/tests.rs
+++ b/crates/control/src/core/inbox/tests.rs
@@ -83,6 +83,6 @@
     let (inbox, start) = (Inbox::default(), Instant::now());
     let many = (0..=MAX_STATISTICS as u64).map(statistics).collect();
     inbox.push_heartbeat(heartbeat(1, many), start);
-    let kept = inbox.take(start).statistics;
-    assert_eq!((kept.len(), kept[0].failures), (MAX_STATISTICS, 1));
+    let remaining = inbox.take(start).statistics;
+    assert_eq!((remaining.len(), remaining[0].failures), (MAX_STATISTICS, 1));
 }
--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -67,7 +67,7 @@
         self.known_leader.subscribe()
     }
 
-    fn record_lease(&self, leader: CoreLeader, sent: Instant) {
+    fn set_lease(&self, leader: CoreLeader, sent: Instant) {
         metrics::set_core_leads(true);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(sent);
         let epoch = leader.epoch;
@@ -104,9 +104,7 @@
         let sent = Instant::now();
         let command = MetaCommand::RenewLeadership { epoch };
         match ctx.state.execute_meta(&command, sent + CALL_TIMEOUT).await {
-            Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => {
-                self.record_lease(leader, sent)
-            }
+            Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => self.set_lease(leader, sent),
             Ok(reply) => {
                 warn!(%epoch, ?reply, "lost core leadership: renewal rejected");
                 self.step_down();
@@ -150,7 +148,7 @@
         match ctx.state.execute_meta(&command, sent + CALL_TIMEOUT).await {
             Ok(MetaReply::Leader(leader)) if leader.core == own.node => {
                 info!(epoch = %leader.epoch, "acquired core leadership");
-                self.record_lease(leader, sent);
+                self.set_lease(leader, sent);
                 RENEW_INTERVAL
             }
             Ok(MetaReply::Refused(MetaRefusal::LeaderAlive { leader })) => {
--- a/crates/control/src/core/rollouts.rs
+++ b/crates/control/src/core/rollouts.rs
@@ -61,11 +61,11 @@
     statistics: &[VersionStatistics],
 ) -> Evidence {
     let mut routes: BTreeMap<Option<&RouteName>, (Counts, Counts)> = BTreeMap::new();
-    for seen in statistics.iter().filter(|seen| seen.service == *service) {
-        let counts = Counts::from(seen);
-        for route in [Some(&seen.route), None] {
+    for entry in statistics.iter().filter(|entry| entry.service == *service) {
+        let counts = Counts::from(entry);
+        for route in [Some(&entry.route), None] {
             let (target, others) = routes.entry(route).or_default();
-            let side = if seen.version == record.target { target } else { others };
+            let side = if entry.version == record.target { target } else { others };
             side.add(&counts);
         }
     }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -109,8 +109,8 @@
     /// Adds counts back that could not be delivered.
     pub fn restore(&self, statistics: &[VersionStatistics]) {
         let mut counts = self.lock();
-        for seen in statistics {
-            counts.entry(VersionOnRoute::from(seen)).or_default().add(&Counts::from(seen));
+        for entry in statistics {
+            counts.entry(VersionOnRoute::from(entry)).or_default().add(&Counts::from(entry));
         }
     }
 
--- a/crates/control/src/judge/counts.rs
+++ b/crates/control/src/judge/counts.rs
@@ -25,8 +25,8 @@
 }
 
 impl From<&VersionStatistics> for VersionOnRoute {
-    fn from(seen: &VersionStatistics) -> Self {
-        Self::new(&seen.service, &seen.version, &seen.route)
+    fn from(statistics: &VersionStatistics) -> Self {
+        Self::new(&statistics.service, &statistics.version, &statistics.route)
     }
 }
 
@@ -105,14 +105,14 @@
         if total == 0 {
             return None;
         }
-        let wanted = 0.95 * total as f64;
+        let target = 0.95 * total as f64;
         let mut below = 0_u64;
         for (bucket, count) in self.latency.iter().enumerate() {
-            let reached = (below + count) as f64;
-            if *count > 0 && reached >= wanted {
-                let inside = (wanted - below as f64) / *count as f64;
+            let cumulative = (below + count) as f64;
+            if *count > 0 && cumulative >= target {
+                let fraction = (target - below as f64) / *count as f64;
                 let (low, high) = bounds(bucket);
-                return Some(Percentile { bucket, millis: low + inside * (high - low) });
+                return Some(Percentile { bucket, millis: low + fraction * (high - low) });
             }
             below += count;
         }
@@ -141,35 +141,35 @@
     (if bucket == 0 { 0.0 } else { high / 2.0 }, high)
 }
 
-/// Returns the share of `part` in `whole`, or 0 if `whole` is 0.
+/// Returns the share of `part` in `total`, or 0 if `total` is 0.
 #[must_use]
-pub fn share(part: u64, whole: u64) -> f64 {
-    if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
+pub fn share(part: u64, total: u64) -> f64 {
+    if total == 0 { 0.0 } else { part as f64 / total as f64 }
 }
 
 /// Returns by how many standard errors the share `new` lies above the share `old`, each given as
-/// part and whole. This is the signed root of the likelihood ratio under the hypothesis that both
+/// part and total. This is the signed root of the likelihood ratio under the hypothesis that both
 /// shares are equal; unlike a plain z-test it is valid for small counts too.
 #[must_use]
 pub fn standard_errors_above(new: (u64, u64), old: (u64, u64)) -> f64 {
-    let ((new_part, new_whole), (old_part, old_whole)) = (new, old);
-    if new_whole == 0 || old_whole == 0 {
+    let ((new_part, new_total), (old_part, old_total)) = (new, old);
+    if new_total == 0 || old_total == 0 {
         return 0.0;
     }
-    let pooled = share(new_part + old_part, new_whole + old_whole);
-    let ratio = log_likelihood_gain(new_part, new_whole, pooled)
-        + log_likelihood_gain(old_part, old_whole, pooled);
+    let pooled = share(new_part + old_part, new_total + old_total);
+    let ratio = log_likelihood_gain(new_part, new_total, pooled)
+        + log_likelihood_gain(old_part, old_total, pooled);
     let root = (2.0 * ratio.max(0.0)).sqrt();
-    if share(new_part, new_whole) >= share(old_part, old_whole) { root } else { -root }
+    if share(new_part, new_total) >= share(old_part, old_total) { root } else { -root }
 }
 
 /// Returns the log-likelihood of a count under its own share minus that under the share `given`.
-fn log_likelihood_gain(part: u64, whole: u64, given: f64) -> f64 {
+fn log_likelihood_gain(part: u64, total: u64, given: f64) -> f64 {
     let term = |count: u64, own: f64, given: f64| {
         if count == 0 { 0.0 } else { count as f64 * (own / given).ln() }
     };
-    let own = share(part, whole);
-    term(part, own, given) + term(whole - part, 1.0 - own, 1.0 - given)
+    let own = share(part, total);
+    term(part, own, given) + term(total - part, 1.0 - own, 1.0 - given)
 }
 
 /// Returns the histogram bucket of a latency; bucket `i` holds latencies below `2^i` ms.
--- a/crates/control/src/judge/mod.rs
+++ b/crates/control/src/judge/mod.rs
@@ -125,9 +125,9 @@
     /// Adds the statistics that a gateway collected since its last heartbeat.
     pub fn observe(&mut self, statistics: &[VersionStatistics], now: Instant) {
         self.window.add(statistics.iter().map(|s| (VersionOnRoute::from(s), Counts::from(s))), now);
-        for seen in statistics {
-            let history = self.history.entry(seen.into()).or_default();
-            history.add(&Counts::from(seen));
+        for entry in statistics {
+            let history = self.history.entry(entry.into()).or_default();
+            history.add(&Counts::from(entry));
             if history.total() > HISTORY_SAMPLES {
                 history.halve();
             }
@@ -175,12 +175,14 @@
     fn forget_rereleased(&mut self, bundle: &Bundle) {
         let rolled_back = versions(bundle, VersionState::RolledBack);
         let sound = versions(bundle, VersionState::Sound);
-        for again in self.rolled_back.intersection(&sound) {
-            self.window.forget(&again.service, &again.version);
-            self.history
-                .retain(|key, _| key.service != again.service || key.version != again.version);
-            self.reported
-                .retain(|harm| harm.service != again.service || harm.version != again.version);
+        for released in self.rolled_back.intersection(&sound) {
+            self.window.forget(&released.service, &released.version);
+            self.history.retain(|key, _| {
+                key.service != released.service || key.version != released.version
+            });
+            self.reported.retain(|harm| {
+                harm.service != released.service || harm.version != released.version
+            });
         }
         self.rolled_back = rolled_back;
     }
@@ -196,8 +198,8 @@
         let min_samples = u64::from(candidate.service.harm.least_samples);
         let Candidate { name, service, new, older } = candidate;
         let known = older.iter().find(|old| {
-            let seen = self.history.get(&VersionOnRoute::new(name, old, route));
-            seen.is_some_and(|counts| counts.total() >= min_samples)
+            let counts = self.history.get(&VersionOnRoute::new(name, old, route));
+            counts.is_some_and(|counts| counts.total() >= min_samples)
         });
         Some(Pair { name, service, new, old: known? })
     }
--- a/crates/control/src/judge/window.rs
+++ b/crates/control/src/judge/window.rs
@@ -33,7 +33,7 @@
     /// Adds counts that arrived at `now`.
     pub(super) fn add(
         &mut self,
-        seen: impl Iterator<Item = (VersionOnRoute, Counts)>,
+        counts_by_version: impl Iterator<Item = (VersionOnRoute, Counts)>,
         now: Instant,
     ) {
         while self
@@ -48,7 +48,7 @@
             self.slots.push_back(Slot { at: now, counts: BTreeMap::new() });
         }
         let Some(slot) = self.slots.back_mut() else { return };
-        for (key, counts) in seen {
+        for (key, counts) in counts_by_version {
             slot.counts.entry(key).or_default().add(&counts);
         }
     }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -58,10 +58,10 @@
     let differs =
         |(id, engine): &(&EngineId, &ApplicationEngine)| before.engines.get(*id) != Some(*engine);
     let changed = after.engines.iter().filter(differs);
-    let gone = before.engines.keys().filter(|id| !after.engines.contains_key(*id));
+    let removed = before.engines.keys().filter(|id| !after.engines.contains_key(*id));
     changed
         .map(|(_, engine)| ViewChange::Engine(engine.clone()))
-        .chain(gone.map(|id| ViewChange::EngineGone(id.clone())))
+        .chain(removed.map(|id| ViewChange::EngineGone(id.clone())))
         .collect()
 }
 
@@ -111,8 +111,8 @@
 /// Applies an item of the view stream. The revision never decreases.
 pub fn apply_item(view: &mut ClusterView, item: ViewItem) -> ApplyResult {
     match item {
-        ViewItem::Whole(whole) if whole.revision > view.revision => {
-            *view = *whole;
+        ViewItem::Whole(full) if full.revision > view.revision => {
+            *view = *full;
             ApplyResult::Changed
         }
         ViewItem::Whole(_) => ApplyResult::Stale,
--- a/crates/control/tests/bundles.rs
+++ b/crates/control/tests/bundles.rs
@@ -129,7 +129,7 @@
     let core = cluster.start(NodeRole::Core, &[]).await;
     let node = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
     let received = || node.context.identity.traffic.counts().received_bytes;
-    let whole = hooklug_bundle::canonical_bytes(&large_bundle(1)).len() as u64;
+    let full_size = hooklug_bundle::canonical_bytes(&large_bundle(1)).len() as u64;
     cluster.submit_accepted(&large_bundle(1)).await;
     core.context.identity.bundles.saw(BundleVersion(1));
     eventually("the first is installed", || node.installed() == BundleVersion(1)).await;
@@ -138,7 +138,7 @@
     core.context.identity.bundles.saw(BundleVersion(2));
     eventually("the second is installed", || node.installed() == BundleVersion(2)).await;
     let bytes = received() - before;
-    assert!(bytes < whole / 4, "{bytes} bytes for a change in {whole}");
+    assert!(bytes < full_size / 4, "{bytes} bytes for a change in {full_size}");
     let installed = node.context.node.bundle.borrow().clone().expect("installed");
     let routes = &installed.bundle.http.as_ref().expect("routing").routes;
     assert_eq!(*routes, large_bundle(2).http.expect("routing").routes);
@@ -159,12 +159,12 @@
         view.meta.bundle.as_ref().is_some_and(|record| record.version == BundleVersion(version))
     };
     eventually("the core reports the first", || reported(1)).await;
-    let mut seen = node.context.node.bundle.clone();
+    let mut installed = node.context.node.bundle.clone();
     cluster.submit_accepted(&bundle(2, "new")).await;
     core.context.identity.bundles.saw(BundleVersion(2));
     eventually("the core reports the second", || reported(2)).await;
     assert_eq!(node.installed(), BundleVersion(0), "no quorum has confirmed that it is the newest");
     node.state.set_unreachable(false);
-    seen.changed().await.expect("the node runs");
+    installed.changed().await.expect("the node runs");
     assert_eq!(node.installed(), BundleVersion(2));
 }
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -230,8 +230,8 @@
             && view.members.values().all(|m| m.bundle == BundleVersion(5))
     })
     .await;
-    for seen in installed {
-        assert_non_decreasing(&seen.all());
+    for observed in installed {
+        assert_non_decreasing(&observed.all());
     }
 }
 
@@ -256,7 +256,7 @@
     let reasons = alone.context.node.readiness.reasons();
     assert!(reasons.contains_key("reach") && reasons.contains_key("bundle"), "{reasons:?}");
     alone.state.set_unreachable(false);
-    eventually("the stores answer", || alone.context.node.readiness.reasons().is_empty()).await;
+    eventually("the stores reply", || alone.context.node.readiness.reasons().is_empty()).await;
     assert_eq!(alone.installed(), BundleVersion(1), "ready only with the newest bundle");
     alone.state.set_unreachable(true);
     eventually("no core or store is reachable", || {
@@ -297,11 +297,11 @@
 
 fn watch_revisions(node: &Node) -> Observed<Revision> {
     let values = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
-    let (seen, mut view) = (values.clone(), node.context.node.view.clone());
+    let (observed, mut view) = (values.clone(), node.context.node.view.clone());
     tokio::spawn(async move {
         loop {
             let revision = view.borrow_and_update().revision;
-            seen.lock().expect("not poisoned").push(revision);
+            observed.lock().expect("not poisoned").push(revision);
             if view.changed().await.is_err() {
                 return;
             }
@@ -312,11 +312,11 @@
 
 fn watch_installed(node: &Node) -> Observed<BundleVersion> {
     let values = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
-    let (seen, mut bundle) = (values.clone(), node.context.node.bundle.clone());
+    let (observed, mut bundle) = (values.clone(), node.context.node.bundle.clone());
     tokio::spawn(async move {
         loop {
             let installed = bundle.borrow_and_update().as_ref().map(|b| b.record.version);
-            seen.lock().expect("not poisoned").extend(installed);
+            observed.lock().expect("not poisoned").extend(installed);
             if bundle.changed().await.is_err() {
                 return;
             }
--- a/crates/control/tests/judge.rs
+++ b/crates/control/tests/judge.rs
@@ -78,7 +78,7 @@
         route: &str,
         behaviour: Behaviour,
     ) -> VersionStatistics {
-        let mut seen = VersionStatistics {
+        let mut statistics = VersionStatistics {
             service: ServiceName::new(service).expect("valid"),
             version: ServiceVersion::new(version).expect("valid"),
             route: RouteName::new(route).expect("valid"),
@@ -89,20 +89,20 @@
         for _ in 0..behaviour.requests {
             let factor = 2_f64.powf(self.random.random_range(-1.0..1.0));
             let latency = Duration::from_secs_f64(behaviour.latency_ms * factor / 1_000.0);
-            seen.latency[latency_bucket(latency)] += 1;
+            statistics.latency[latency_bucket(latency)] += 1;
             if self.random.random_bool(behaviour.error_share) {
-                seen.failures += 1;
+                statistics.failures += 1;
             } else {
-                seen.successes += 1;
+                statistics.successes += 1;
             }
         }
-        seen
+        statistics
     }
 
     /// Simulates one second of the given traffic; returns the first report, if any.
-    fn second(&mut self, seen: &[(&str, &str, &str, Behaviour)]) -> Option<Report> {
+    fn second(&mut self, traffic: &[(&str, &str, &str, Behaviour)]) -> Option<Report> {
         self.second += 1;
-        let statistics: Vec<VersionStatistics> = seen
+        let statistics: Vec<VersionStatistics> = traffic
             .iter()
             .map(|(service, version, route, behaviour)| {
                 self.statistics(service, version, route, *behaviour)
@@ -318,8 +318,8 @@
         service.versions.push(next);
         let bad = Behaviour { error_share: 0.6, ..healthy(20) };
         let found = (0..20).find_map(|_| {
-            let seen = [(SERVICE, "v1", ROUTE, healthy(20)), (SERVICE, "v3", ROUTE, bad)];
-            simulation.second(&seen)
+            let traffic = [(SERVICE, "v1", ROUTE, healthy(20)), (SERVICE, "v3", ROUTE, bad)];
+            simulation.second(&traffic)
         });
         let (second, report) = found.expect("harm is found");
         assert_eq!(report.version.as_str(), "v3");
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn seen(
+fn version_statistics(
     version: &str,
     route: &str,
     successes: u64,
@@ -79,9 +79,9 @@
 
 #[test]
 fn harm_at_any_time_turns_it_back_for_good() {
-    for begins in 0..45 {
-        let begins = f64::from(begins) / 50.0;
-        let phases = run(|elapsed| Evidence { samples: 100, is_harmful: elapsed == begins });
+    for start in 0..45 {
+        let start = f64::from(start) / 50.0;
+        let phases = run(|elapsed| Evidence { samples: 100, is_harmful: elapsed == start });
         assert_eq!(phases.last().map(|(_, phase)| *phase), Some(RolloutPhase::RolledBack));
     }
 }
@@ -95,27 +95,28 @@
 #[test]
 fn errors_on_one_route_are_harm() {
     let statistics = [
-        seen("v1", "ask", 200, 1, 7),
-        seen("v2", "ask", 12, 0, 7),
-        seen("v1", "plan", 100, 0, 7),
-        seen("v2", "plan", 3, 5, 7),
+        version_statistics("v1", "ask", 200, 1, 7),
+        version_statistics("v2", "ask", 12, 0, 7),
+        version_statistics("v1", "plan", 100, 0, 7),
+        version_statistics("v2", "plan", 3, 5, 7),
     ];
     assert!(evidence(&service(), &record(), &statistics).is_harmful);
 }
 
 #[test]
 fn answers_that_come_several_times_slower_are_harm() {
-    let statistics = [seen("v1", "ask", 200, 0, 7), seen("v2", "ask", 12, 0, 10)];
+    let statistics =
+        [version_statistics("v1", "ask", 200, 0, 7), version_statistics("v2", "ask", 12, 0, 10)];
     assert!(evidence(&service(), &record(), &statistics).is_harmful);
 }
 
 #[test]
 fn the_same_errors_and_times_as_before_are_no_harm() {
     let statistics = [
-        seen("v1", "ask", 200, 20, 7),
-        seen("v2", "ask", 18, 2, 7),
-        seen("v1", "plan", 100, 0, 10),
-        seen("v2", "plan", 9, 0, 10),
+        version_statistics("v1", "ask", 200, 20, 7),
+        version_statistics("v2", "ask", 18, 2, 7),
+        version_statistics("v1", "plan", 100, 0, 10),
+        version_statistics("v2", "plan", 9, 0, 10),
     ];
     let found = evidence(&service(), &record(), &statistics);
     assert_eq!(found, Evidence { samples: 29, is_harmful: false });
@@ -123,7 +124,10 @@
 
 #[test]
 fn another_services_figures_say_nothing() {
-    let mut other = seen("v2", "ask", 0, 50, 7);
+    let mut other = version_statistics("v2", "ask", 0, 50, 7);
     other.service = ServiceName::new("other").unwrap();
-    assert!(!evidence(&service(), &record(), &[seen("v1", "ask", 100, 0, 7), other]).is_harmful);
+    assert!(
+        !evidence(&service(), &record(), &[version_statistics("v1", "ask", 100, 0, 7), other])
+            .is_harmful
+    );
 }
