--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -29,7 +29,7 @@
 /// Timeout for opening a stream to that core.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Error of a read of the platform's list; the last list read stays in use for a while.
+/// Error while reading the platform's list; the last list read stays in use for a while.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot read the platform's backend list: {0}")]
 pub struct SourceError(pub String);
@@ -81,8 +81,8 @@
     /// Keeps the list up to date and never returns; `pause` is the delay between two reads.
     pub async fn run(&self, context: &NodeContext, source: &dyn BackendSource, pause: Duration) {
         loop {
-            if let Some(first) = first_core(context) {
-                self.follow(context, first).await;
+            if let Some(reader) = reading_core(context) {
+                self.follow(context, reader).await;
             }
             self.read(source).await;
             tokio::time::sleep(pause).await;
@@ -98,19 +98,19 @@
 
     /// Follows the core that reads for all, until it stops responding or another core takes its
     /// role.
-    async fn follow(&self, context: &NodeContext, first: SocketAddr) {
+    async fn follow(&self, context: &NodeContext, reader: SocketAddr) {
         let request = WatchBackends { from: context.identity.address.clone() };
         let deadline = Instant::now() + OPEN_TIMEOUT;
-        let Ok(mut items) = context.client.open(first, &request, deadline).await else { return };
+        let Ok(mut items) = context.client.open(reader, &request, deadline).await else { return };
         let mut list = BackendList::default();
         while let Ok(Ok(Some(item))) = timeout(READER_TIMEOUT, items.next()).await {
             list.apply(item);
             self.publish(list.clone());
-            if first_core(context) != Some(first) {
+            if reading_core(context) != Some(reader) {
                 return;
             }
         }
-        info!(%first, "stream from the core that reads the backend list ended; reading the list on this core");
+        info!(%reader, "stream from the core that reads the backend list ended; reading the list on this core");
     }
 
     fn publish(&self, list: BackendList) {
@@ -120,13 +120,13 @@
 
 /// Returns the core that reads the list for all, the live one with the lowest address; `None` if
 /// that is this core.
-fn first_core(context: &NodeContext) -> Option<SocketAddr> {
+fn reading_core(context: &NodeContext) -> Option<SocketAddr> {
     let view = context.node.view.borrow();
     let is_alive =
         |m: &&Member| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive;
     let cores = view.members.values().filter(is_alive);
-    let first = cores.map(|member| member.address.rpc).min()?;
-    (first < context.identity.address.rpc).then_some(first)
+    let reader = cores.map(|member| member.address.rpc).min()?;
+    (reader < context.identity.address.rpc).then_some(reader)
 }
 
 /// Sends the full list, then an item for each read and each new bundle, until the list is stale or
--- a/crates/control/src/core/engines.rs
+++ b/crates/control/src/core/engines.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Removes engines that have not responded for [`FORGET_AFTER`].
+    /// Removes engines that have not responded for `FORGET_AFTER`.
     pub fn remove_expired(&mut self, now: Instant) {
         self.entries.retain(|_, e| now.saturating_duration_since(e.last_response) < FORGET_AFTER);
         self.last_probed.retain(|_, at| now.saturating_duration_since(*at) < FORGET_AFTER);
--- a/crates/control/src/core/platform.rs
+++ b/crates/control/src/core/platform.rs
@@ -37,7 +37,7 @@
     engines: Vec<ListedEngine>,
 }
 
-/// Error of a read of the list; the last list read stays in use.
+/// Error while reading the list; the last list read stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// The file cannot be read.
--- a/crates/control/src/core/rollback.rs
+++ b/crates/control/src/core/rollback.rs
@@ -51,7 +51,7 @@
     match shared.ctx.state.execute_meta(&command, deadline).await {
         Ok(MetaReply::Bundle(record)) => {
             metrics::count_rollback();
-            info!(%service, %version, bundle = %record.version, "rolled back");
+            info!(%service, %version, bundle = %record.version, "version rolled back");
             shared.ctx.identity.bundles.saw(record.version);
         }
         Ok(MetaReply::Refused(MetaRefusal::NothingToRollBack { reason })) => {
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -95,7 +95,7 @@
         latency: Duration,
     ) {
         let key = VersionOnRoute::new(service, version, route);
-        self.lock().entry(key).or_default().note(success, latency);
+        self.lock().entry(key).or_default().record(success, latency);
     }
 
     /// Removes and returns all counts; return them with [`Statistics::restore`] if the heartbeat
--- a/crates/control/src/judge/counts.rs
+++ b/crates/control/src/judge/counts.rs
@@ -53,7 +53,7 @@
 
 impl Counts {
     /// Records one request.
-    pub fn note(&mut self, success: bool, latency: Duration) {
+    pub fn record(&mut self, success: bool, latency: Duration) {
         *(if success { &mut self.successes } else { &mut self.failures }) += 1;
         self.latency[latency_bucket(latency)] += 1;
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -73,8 +73,8 @@
 }
 
 /// Records how long a group lacked replicas until it was repaired.
-pub(crate) fn record_group_repair(took: Duration) {
-    histogram!("hooklug_group_repair_seconds").record(took.as_secs_f64());
+pub(crate) fn record_group_repair(degraded_for: Duration) {
+    histogram!("hooklug_group_repair_seconds").record(degraded_for.as_secs_f64());
 }
 
 /// Counts a requested replica change by whether it was confirmed.
