--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// A node must keep querying a core that knew no store at first: without a leader there is no view
-/// from which it could learn of the stores.
+/// Guards against a node that stops querying a core that knew no store at first: all start at the
+/// same time, and without a leader there is no view from which the node could learn of the stores.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_node_that_met_a_core_before_the_stores_did_goes_on_asking() {
     let cluster = Cluster::new(19).await;
@@ -144,14 +144,14 @@
     }
     let revisions = watch_revisions(&gateway);
     let old_epoch = revision_epoch(gateway.view().revision);
-    cut(leader, &[&cores[0], &cores[1], &gateway], true);
+    set_partitioned(leader, &[&cores[0], &cores[1], &gateway], true);
     eventually("the other core leads", || {
         leader_of(&cores, &gateway).is_some_and(|l| l.id() != leader.id())
             && revision_epoch(gateway.view().revision) > old_epoch
     })
     .await;
     let new_epoch = revision_epoch(gateway.view().revision);
-    cut(leader, &[&cores[0], &cores[1], &gateway], false);
+    set_partitioned(leader, &[&cores[0], &cores[1], &gateway], false);
     eventually("the old leader follows", || {
         sees_alive(&gateway, leader) && revision_epoch(leader.view().revision) == new_epoch
     })
@@ -160,8 +160,8 @@
     assert_non_decreasing(&revisions.all());
 }
 
-/// The meta group still names the previous run as the leader, at the address of the new run. The
-/// core must not forward heartbeats to itself.
+/// Guards against a restarted core that forwards heartbeats to itself: the meta group still names
+/// its previous run as the leader, at the address that the new run has.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_core_in_its_former_leaders_place_does_not_pass_heartbeats_on_to_itself() {
     let cluster = Cluster::new(20).await;
@@ -193,8 +193,9 @@
     assert!(sent < 500, "{sent} frames");
 }
 
-/// Partitions a node from others in both directions, and from the stores' state, or heals both.
-fn cut(node: &Node, others: &[&Node], cut: bool) {
+/// Partitions a node from others in both directions and makes the stores' state unreachable for it,
+/// or heals both.
+fn set_partitioned(node: &Node, others: &[&Node], cut: bool) {
     let fault = LinkFault { cut, delay_micros: 0 };
     let others = others.iter().filter(|o| o.id() != node.id());
     let links: BTreeMap<_, _> = others.clone().map(|o| (o.ip(), fault)).collect();
