--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -1,12 +1,12 @@
-//! The part of every process that takes part in the cluster: finds the others, follows the view, tells
-//! of itself, and installs bundles.
+//! The node agent, which runs in every process: discovers peers, follows the cluster view, sends
+//! heartbeats and installs bundles.
 
 mod discovery;
 mod harm;
 mod heartbeat;
 mod installer;
 mod peers;
-mod reach;
+mod reachability;
 mod sections;
 mod watch;
 
@@ -28,16 +28,16 @@
 
 use crate::handle::{InstalledBundle, NodeFeeds, NodeReport, Reach, Readiness, Statistics};
 pub use peers::Peers;
-use reach::ReachClock;
+use reachability::ReachabilityTracker;
 use sections::SectionCache;
 
-/// Longest wait for one answer of a peer (ours).
-const CALL_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a request to a peer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a node heard of a bundle.
+/// How a node learned of a bundle.
 #[derive(Debug, Clone, Copy)]
-enum NewsSource {
-    /// A core's answer to a heartbeat.
+enum RecordSource {
+    /// A core's reply to a heartbeat.
     Heartbeat,
     /// A linearizable read of the meta group.
     Quorum,
@@ -45,7 +45,7 @@
     View,
 }
 
-/// What the agent's tasks share.
+/// State shared by the agent's tasks.
 #[derive(Debug)]
 struct Shared {
     identity: LocalIdentity,
@@ -56,21 +56,21 @@
     readiness: Readiness,
     peers: Mutex<Peers>,
     sections: Mutex<SectionCache>,
-    reach: ReachClock,
-    /// The newest bundle record heard of, installed or not.
-    heard: channel::Sender<Option<BundleRecord>>,
-    /// Whether a quorum has told which bundle is the newest, since the process started.
-    quorum_answered: channel::Sender<bool>,
-    /// Whether a quorum has been asked for the newest bundle and it is installed.
+    reachability: ReachabilityTracker,
+    /// The newest bundle record known, installed or not.
+    newest_record: channel::Sender<Option<BundleRecord>>,
+    /// Whether a quorum has reported the newest bundle since the process started.
+    quorum_replied: channel::Sender<bool>,
+    /// Whether a quorum was queried for the newest bundle and that bundle is installed.
     newest_bundle: channel::Sender<bool>,
-    /// Where the core leader is, as far as known.
+    /// Address of the core leader, if known.
     leader: channel::Sender<Option<SocketAddr>>,
-    /// Set when the node's own report or bundle changed.
+    /// Notified when the node's own report or bundle has changed.
     heartbeat_due: Notify,
     view: channel::Sender<Arc<ClusterView>>,
     bundle: channel::Sender<Option<Arc<InstalledBundle>>>,
     stores: channel::Sender<Vec<SocketAddr>>,
-    reach_feed: channel::Sender<Reach>,
+    reach_sender: channel::Sender<Reach>,
 }
 
 impl Shared {
@@ -82,45 +82,47 @@
         self.sections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a bundle record; the installer fetches it when it is newer than what is installed.
-    fn heard_of(&self, record: &BundleRecord, source: NewsSource) {
-        self.heard.send_if_modified(|heard| {
-            let newer = heard.as_ref().is_none_or(|h| h.version < record.version);
+    /// Records that a bundle exists; the installer fetches it if it is newer than the installed
+    /// one.
+    fn learn_record(&self, record: &BundleRecord, source: RecordSource) {
+        self.newest_record.send_if_modified(|known| {
+            let newer = known.as_ref().is_none_or(|k| k.version < record.version);
             if newer {
-                info!(version = %record.version, ?source, "heard of a bundle");
-                *heard = Some(record.clone());
+                info!(version = %record.version, ?source, "learned of a newer bundle");
+                *known = Some(record.clone());
             }
             newer
         });
     }
 
-    /// Changes the view; readers are woken only by a real change. The view is changed in place unless a reader
-    /// holds it; then the reader's copy shares all that stays the same.
+    /// Changes the view; readers are notified only of an actual change. The view is changed in
+    /// place unless a reader holds it; otherwise the new copy shares all unchanged parts with the
+    /// reader's.
     fn change_view(&self, change: impl FnOnce(&mut ClusterView) -> bool) -> bool {
         self.view.send_if_modified(|view| change(Arc::make_mut(view)))
     }
 
-    /// Acts on a changed view, of which these members came or changed.
+    /// Updates the state derived from a changed view; `members` are those added or changed.
     fn view_changed(&self, members: &[SharedMember]) {
         let view = self.view.borrow().clone();
         if view.meta.cluster != 0 {
             self.identity.set_cluster(view.meta.cluster);
         }
         if let Some(record) = &view.meta.bundle {
-            self.heard_of(record, NewsSource::View);
+            self.learn_record(record, RecordSource::View);
         }
         let mut peers = self.peers();
-        peers.follow_members(members.iter().map(|member| &**member));
-        peers.follow_stores(&view.meta.stores);
+        peers.update_members(members.iter().map(|member| &**member));
+        peers.set_listed_stores(&view.meta.stores);
         drop(peers);
         self.publish_stores();
         let leader = view.meta.leader.as_ref().filter(|l| !l.expired).map(|l| l.address);
         if leader.is_some() {
-            self.note_leader(leader);
+            self.set_leader(leader);
         }
     }
 
-    fn note_leader(&self, leader: Option<SocketAddr>) {
+    fn set_leader(&self, leader: Option<SocketAddr>) {
         self.leader.send_if_modified(|known| {
             let changed = *known != leader;
             *known = leader;
@@ -138,11 +140,11 @@
     }
 
     fn deadline(&self) -> Instant {
-        Instant::now() + CALL_TIME
+        Instant::now() + CALL_TIMEOUT
     }
 }
 
-/// A process's part in the cluster.
+/// The agent that connects a process to the cluster.
 #[derive(Debug)]
 pub struct NodeAgent {
     shared: Arc<Shared>,
@@ -151,7 +153,7 @@
 }
 
 impl NodeAgent {
-    /// An agent that feeds a [`crate::NodeHandle`]'s other ends.
+    /// Creates an agent that holds the opposite ends of a [`crate::NodeHandle`].
     #[must_use]
     pub fn new(
         settings: &Settings,
@@ -162,7 +164,7 @@
         statistics: Statistics,
         readiness: Readiness,
     ) -> Self {
-        readiness.unready(reach::COMPONENT, "no core and no store has answered yet");
+        readiness.unready(reachability::COMPONENT, "no core or store has replied yet");
         readiness.unready(installer::COMPONENT, "the newest bundle is not known yet");
         let shared = Shared {
             peers: Mutex::new(Peers::new(identity.address.clone())),
@@ -173,39 +175,40 @@
             statistics,
             readiness,
             sections: Mutex::default(),
-            reach: ReachClock::default(),
-            heard: channel::Sender::new(None),
-            quorum_answered: channel::Sender::new(false),
+            reachability: ReachabilityTracker::default(),
+            newest_record: channel::Sender::new(None),
+            quorum_replied: channel::Sender::new(false),
             newest_bundle: channel::Sender::new(false),
             leader: channel::Sender::new(None),
             heartbeat_due: Notify::new(),
             view: feeds.view,
             bundle: feeds.bundle,
             stores: feeds.stores,
-            reach_feed: feeds.reach,
+            reach_sender: feeds.reach,
         };
         Self { shared: Arc::new(shared), report: feeds.report, harm: feeds.harm }
     }
 
-    /// Answers to peers: which others this node knows, and bundle sections that it holds.
+    /// Returns the handlers of peers' requests: discovery, and fetches of bundle sections that this
+    /// node holds.
     #[must_use]
     pub fn rpc_router(&self) -> Router {
-        let (discovering, fetching) = (self.shared.clone(), self.shared.clone());
+        let (discover_shared, fetch_shared) = (self.shared.clone(), self.shared.clone());
         Router::new()
             .route_inline(move |_peer, request: Discover| {
-                let mut peers = discovering.peers();
+                let mut peers = discover_shared.peers();
                 peers.learn(request.from);
-                let introduced = peers.introduction(&mut rand::rng());
+                let reply = peers.discovery_reply(&mut rand::rng());
                 drop(peers);
-                discovering.publish_stores();
-                introduced
+                discover_shared.publish_stores();
+                reply
             })
             .route_inline(move |_peer, request: FetchSection| {
-                fetching.sections().get(&request.digest).map(|section| section.to_vec())
+                fetch_shared.sections().get(&request.digest).map(|section| section.to_vec())
             })
     }
 
-    /// Takes part in the cluster until stopped.
+    /// Runs the agent until `stop` is cancelled.
     pub async fn run(self, stop: CancellationToken) {
         let shared = self.shared;
         let tasks = async {
@@ -214,7 +217,7 @@
                 watch::run(shared.clone()),
                 heartbeat::run(shared.clone(), self.report),
                 installer::run(shared.clone()),
-                reach::run(shared.clone()),
+                reachability::run(shared.clone()),
                 harm::run(shared.clone(), self.harm),
             );
         };
--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -1,7 +1,8 @@
-//! A core's side: has the list read again and again, and serves it to followers.
+//! Core side: reads the platform's list at intervals and serves it to followers.
 //!
-//! One core reads it for all, since the platform bounds and prices readings: the first of the cores that live. The
-//! others follow that one, and read the list themselves as soon as it falls silent.
+//! One core reads the list for all, since the platform limits and charges for reads: the live core
+//! with the lowest address. The others follow that core, and read the list themselves as soon as it
+//! stops responding.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,34 +20,34 @@
 use super::BackendList;
 use crate::{InstalledBundle, NodeContext};
 
-/// Age of the last reading at which the list is no longer served (ours): followers try another core.
+/// Age of the last read at which the list is no longer served, so that followers try another core.
 const STALE_AFTER: Duration = Duration::from_secs(3);
 
-/// Silence of the core that reads for all after which another reads the list itself (ours).
-const FIRST_SILENCE: Duration = Duration::from_millis(1_500);
+/// Time without an item from the core that reads for all after which another reads the list itself.
+const READER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for that core to take the request (ours).
-const OPEN_TIME: Duration = Duration::from_millis(500);
+/// Timeout for opening a stream to that core.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why the platform's list could not be read; the last one read stays in use for a while.
+/// Error while reading the platform's list; the last list read stays in use for a while.
 #[derive(Debug, thiserror::Error)]
-#[error("the platform's list cannot be read: {0}")]
+#[error("cannot read the platform's backend list: {0}")]
 pub struct SourceError(pub String);
 
-/// Where the platform's list comes from.
+/// Source of the platform's list of backends.
 #[async_trait]
 pub trait BackendSource: Send + Sync {
-    /// Reads the whole list.
+    /// Reads the complete list.
     ///
     /// # Errors
-    /// [`SourceError`] when any part of it could not be had.
+    /// [`SourceError`] if any part of the list is unavailable.
     async fn read(&self) -> Result<Vec<ListedBackend>, SourceError>;
 }
 
-/// The bundle in force here, as it changes.
+/// Receiver of the installed bundle.
 pub type BundleWatch = watch::Receiver<Option<Arc<InstalledBundle>>>;
 
-/// One reading of the list.
+/// The list and the time at which it was read.
 #[derive(Debug, Clone, Default)]
 struct Reading {
     list: BackendList,
@@ -66,8 +67,8 @@
 }
 
 impl BackendReader {
-    /// Answers to followers. Each frame names the bundle that is in force here, so one is sent with each new bundle too:
-    /// followers then hear of it at once.
+    /// Returns the handler of followers' requests. Each frame names the installed bundle, so an
+    /// item is also sent with each new bundle to announce it to followers at once.
     #[must_use]
     pub fn rpc_router(&self, bundle: BundleWatch) -> Router {
         let readings = self.reading.clone();
@@ -77,11 +78,11 @@
         })
     }
 
-    /// Keeps the list fresh, for ever; `pause` lies between two readings.
+    /// Keeps the list up to date and never returns; `pause` is the delay between two reads.
     pub async fn run(&self, context: &NodeContext, source: &dyn BackendSource, pause: Duration) {
         loop {
-            if let Some(first) = first_core(context) {
-                self.follow(context, first).await;
+            if let Some(reader) = reading_core(context) {
+                self.follow(context, reader).await;
             }
             self.read(source).await;
             tokio::time::sleep(pause).await;
@@ -91,24 +92,25 @@
     async fn read(&self, source: &dyn BackendSource) {
         match source.read().await {
             Ok(backends) => self.publish(BackendList::new(backends)),
-            Err(error) => warn!(%error, "the last list stays in use"),
+            Err(error) => warn!(%error, "the last backend list stays in use"),
         }
     }
 
-    /// Follows the core that reads for all, until it falls silent.
-    async fn follow(&self, context: &NodeContext, first: SocketAddr) {
+    /// Follows the core that reads for all, until it stops responding or another core takes its
+    /// role.
+    async fn follow(&self, context: &NodeContext, reader: SocketAddr) {
         let request = WatchBackends { from: context.identity.address.clone() };
-        let deadline = Instant::now() + OPEN_TIME;
-        let Ok(mut items) = context.client.open(first, &request, deadline).await else { return };
+        let deadline = Instant::now() + OPEN_TIMEOUT;
+        let Ok(mut items) = context.client.open(reader, &request, deadline).await else { return };
         let mut list = BackendList::default();
-        while let Ok(Ok(Some(item))) = timeout(FIRST_SILENCE, items.next()).await {
+        while let Ok(Ok(Some(item))) = timeout(READER_TIMEOUT, items.next()).await {
             list.apply(item);
             self.publish(list.clone());
-            if first_core(context) != Some(first) {
+            if reading_core(context) != Some(reader) {
                 return;
             }
         }
-        info!(%first, "the core that reads the list is silent, reading it here");
+        info!(%reader, "stream from the core that reads the backend list ended; reading the list on this core");
     }
 
     fn publish(&self, list: BackendList) {
@@ -116,18 +118,19 @@
     }
 }
 
-/// The core that reads the list for all: the one with the lowest address among those that live; `None` when that is
-/// this one.
-fn first_core(context: &NodeContext) -> Option<SocketAddr> {
+/// Returns the core that reads the list for all, the live one with the lowest address; `None` if
+/// that is this core.
+fn reading_core(context: &NodeContext) -> Option<SocketAddr> {
     let view = context.node.view.borrow();
-    let lives = |m: &&Member| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive;
-    let cores = view.members.values().filter(lives);
-    let first = cores.map(|member| member.address.rpc).min()?;
-    (first < context.identity.address.rpc).then_some(first)
+    let is_alive =
+        |m: &&Member| m.address.role == NodeRole::Core && m.health == MemberHealth::Alive;
+    let cores = view.members.values().filter(is_alive);
+    let reader = cores.map(|member| member.address.rpc).min()?;
+    (reader < context.identity.address.rpc).then_some(reader)
 }
 
-/// Sends the whole list, then an item with each reading and each new bundle, until the list is stale or the follower
-/// gone.
+/// Sends the full list, then an item for each read and each new bundle, until the list is stale or
+/// the follower disconnects.
 async fn serve(
     mut readings: watch::Receiver<Reading>,
     mut bundle: BundleWatch,
@@ -139,7 +142,7 @@
         if reading.is_fresh() {
             let item = match &sent {
                 Some(sent) => reading.list.changes_since(sent),
-                None => reading.list.whole(),
+                None => reading.list.full(),
             };
             if sink.send(&item).await.is_err() {
                 return;
--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -1,5 +1,5 @@
-//! The core leader's lease: renewed each half second, given up by the leader's own clock before any
-//! other core can have taken it.
+//! The core leader's lease: renewed every half second, and given up by the leader's own clock
+//! before any other core can acquire it.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -11,27 +11,28 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-use crate::{NodeContext, figures};
+use crate::{NodeContext, metrics};
 
-/// Lease of the core leader, counted on its own clock from sending the last accepted renewal (design,
-/// section 3: 3 s; stores wait for longer before they let another core take it).
+/// Duration of the core leader's lease, measured on its own clock from the time at which the last
+/// accepted renewal was sent (design document, section 3: 3 s). Stores wait longer before they let
+/// another core acquire it.
 pub const LEASE_TIME: Duration = Duration::from_secs(3);
 
-/// Pause between renewals (ours).
-const RENEW_PAUSE: Duration = Duration::from_millis(500);
+/// Time between renewals.
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest pause before a core that follows looks again whether the lease has run out (ours).
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+/// Longest time between checks by a core that follows whether the lease has expired.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for one answer of the stores (ours).
-const CALL_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a request to the stores.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Leadership of this core, as far as its own clock lets it claim it.
+/// Leadership state of this core, valid as long as the lease is fresh by its own clock.
 #[derive(Debug)]
 pub struct Leadership {
     epoch: watch::Sender<Option<FencingEpoch>>,
     /// The leader as last read from the stores.
-    known: watch::Sender<Option<CoreLeader>>,
+    known_leader: watch::Sender<Option<CoreLeader>>,
     accepted_at: Mutex<Option<Instant>>,
 }
 
@@ -39,14 +40,14 @@
     fn default() -> Self {
         Self {
             epoch: watch::Sender::new(None),
-            known: watch::Sender::new(None),
+            known_leader: watch::Sender::new(None),
             accepted_at: Mutex::new(None),
         }
     }
 }
 
 impl Leadership {
-    /// The epoch that this core leads under, if its lease is fresh.
+    /// Returns the epoch under which this core leads, if its lease is fresh.
     #[must_use]
     pub fn epoch(&self) -> Option<FencingEpoch> {
         let accepted = *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner);
@@ -54,23 +55,23 @@
         self.epoch.borrow().filter(|_| fresh)
     }
 
-    /// Follows changes of this core's epoch.
+    /// Returns a receiver of this core's epoch.
     #[must_use]
     pub fn watch_epoch(&self) -> watch::Receiver<Option<FencingEpoch>> {
         self.epoch.subscribe()
     }
 
-    /// The leader as last read from the stores, this core or another.
+    /// Returns a receiver of the leader as last read from the stores, whether this core or another.
     #[must_use]
     pub fn watch_leader(&self) -> watch::Receiver<Option<CoreLeader>> {
-        self.known.subscribe()
+        self.known_leader.subscribe()
     }
 
-    fn accept(&self, leader: CoreLeader, sent: Instant) {
-        figures::core_leads(true);
+    fn set_lease(&self, leader: CoreLeader, sent: Instant) {
+        metrics::set_core_leads(true);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(sent);
         let epoch = leader.epoch;
-        self.known.send_replace(Some(leader));
+        self.known_leader.send_replace(Some(leader));
         self.epoch.send_if_modified(|held| {
             let changed = *held != Some(epoch);
             *held = Some(epoch);
@@ -78,18 +79,18 @@
         });
     }
 
-    fn give_up(&self) {
-        figures::core_leads(false);
+    fn step_down(&self) {
+        metrics::set_core_leads(false);
         *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner) = None;
         self.epoch.send_if_modified(|held| held.take().is_some());
     }
 
-    /// Takes, renews and loses the leadership, for ever.
+    /// Acquires, renews and gives up the leadership; never returns.
     pub async fn run(&self, ctx: &NodeContext) {
         loop {
             let pause = match self.held_epoch() {
                 Some(epoch) => self.renew(ctx, epoch).await,
-                None => self.try_to_take(ctx).await,
+                None => self.try_acquire(ctx).await,
             };
             tokio::time::sleep(pause).await;
         }
@@ -102,28 +103,28 @@
     async fn renew(&self, ctx: &NodeContext, epoch: FencingEpoch) -> Duration {
         let sent = Instant::now();
         let command = MetaCommand::RenewLeadership { epoch };
-        match ctx.state.execute_meta(&command, sent + CALL_TIME).await {
-            Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => self.accept(leader, sent),
+        match ctx.state.execute_meta(&command, sent + CALL_TIMEOUT).await {
+            Ok(MetaReply::Leader(leader)) if leader.epoch == epoch => self.set_lease(leader, sent),
             Ok(reply) => {
-                warn!(%epoch, ?reply, "no longer the core leader");
-                self.give_up();
+                warn!(%epoch, ?reply, "lost core leadership: renewal rejected");
+                self.step_down();
             }
             Err(error) if self.epoch().is_none() => {
-                warn!(%epoch, %error, "lease of the core leader has run out");
-                self.give_up();
+                warn!(%epoch, %error, "lost core leadership: lease expired");
+                self.step_down();
             }
             Err(_) => {}
         }
-        RENEW_PAUSE
+        RENEW_INTERVAL
     }
 
-    async fn try_to_take(&self, ctx: &NodeContext) -> Duration {
-        let answer = ctx.state.query_meta(&MetaQuery::State, Instant::now() + CALL_TIME).await;
-        let Ok(MetaAnswer::State(state)) = answer else { return LOOK_PAUSE };
+    async fn try_acquire(&self, ctx: &NodeContext) -> Duration {
+        let reply = ctx.state.query_meta(&MetaQuery::State, Instant::now() + CALL_TIMEOUT).await;
+        let Ok(MetaAnswer::State(state)) = reply else { return CHECK_INTERVAL };
         if state.cluster == 0 {
-            return LOOK_PAUSE;
+            return CHECK_INTERVAL;
         }
-        self.known.send_replace(state.leader.clone());
+        self.known_leader.send_replace(state.leader.clone());
         let seen = match state.leader {
             Some(leader) if !leader.expired => match expire(ctx, &leader).await {
                 Ok(()) => leader.epoch,
@@ -132,10 +133,10 @@
             Some(leader) => leader.epoch,
             None => FencingEpoch(0),
         };
-        self.take(ctx, seen).await
+        self.acquire(ctx, seen).await
     }
 
-    async fn take(&self, ctx: &NodeContext, seen: FencingEpoch) -> Duration {
+    async fn acquire(&self, ctx: &NodeContext, seen: FencingEpoch) -> Duration {
         let own = &ctx.identity.address;
         let command = MetaCommand::AcquireLeadership {
             core: own.node,
@@ -144,22 +145,22 @@
             seen,
         };
         let sent = Instant::now();
-        match ctx.state.execute_meta(&command, sent + CALL_TIME).await {
+        match ctx.state.execute_meta(&command, sent + CALL_TIMEOUT).await {
             Ok(MetaReply::Leader(leader)) if leader.core == own.node => {
-                info!(epoch = %leader.epoch, "leads the cores");
-                self.accept(leader, sent);
-                RENEW_PAUSE
+                info!(epoch = %leader.epoch, "acquired core leadership");
+                self.set_lease(leader, sent);
+                RENEW_INTERVAL
             }
             Ok(MetaReply::Refused(MetaRefusal::LeaderAlive { leader })) => {
-                self.known.send_replace(Some(leader));
-                LOOK_PAUSE
+                self.known_leader.send_replace(Some(leader));
+                CHECK_INTERVAL
             }
-            _ => LOOK_PAUSE,
+            _ => CHECK_INTERVAL,
         }
     }
 }
 
-/// Has a lease ended by the stores; otherwise how long to wait before asking again.
+/// Expires a lease through the stores; otherwise returns how long to wait before the next attempt.
 async fn expire(ctx: &NodeContext, leader: &CoreLeader) -> Result<(), Duration> {
     let (epoch, address) = (leader.epoch, ctx.identity.address.rpc);
     let subject = if leader.address == address {
@@ -167,10 +168,12 @@
     } else {
         LeaseSubject::CoreLeader(epoch)
     };
-    let deadline = Instant::now() + CALL_TIME;
+    let deadline = Instant::now() + CALL_TIMEOUT;
     match ctx.state.expire_lease(META_GROUP, subject, deadline).await {
         Ok(LeaseVerdict::Expired | LeaseVerdict::Unknown) => Ok(()),
-        Ok(LeaseVerdict::Held { left_ms }) => Err(Duration::from_millis(left_ms).min(LOOK_PAUSE)),
-        Err(_) => Err(LOOK_PAUSE),
+        Ok(LeaseVerdict::Held { left_ms }) => {
+            Err(Duration::from_millis(left_ms).min(CHECK_INTERVAL))
+        }
+        Err(_) => Err(CHECK_INTERVAL),
     }
 }
--- a/crates/control/src/core/probe.rs
+++ b/crates/control/src/core/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an engine over HTTP/1.1 who it is and how it is (docs/BACKENDS.md).
+//! Queries the identity and status of an engine over HTTP/1.1 (docs/BACKENDS.md).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use tokio::net::TcpStream;
 use tracing::debug;
 
-/// Longest time for one exchange of probes (ours).
-const EXCHANGE_TIME: Duration = Duration::from_millis(900);
+/// Timeout of one probe or request.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest body accepted, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why an endpoint gave no answer that can be used.
+/// Why an endpoint gave no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// Nobody listens there.
+    /// The connection was refused.
     #[error("connection refused")]
     Refused,
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No response before the timeout.
+    #[error("request timed out")]
     Timeout,
-    /// The connection broke, or the answer is not whole.
+    /// The connection failed, or the response is incomplete.
     #[error("{0}")]
-    Broken(String),
-    /// The answer is not `200`.
-    #[error("answered with status {0}")]
+    Connection(String),
+    /// The status of the response is not `200`.
+    #[error("response has status {0}, expected 200")]
     Status(u16),
-    /// The body is not what the contract says.
-    #[error("the answer does not decode: {0}")]
+    /// The body does not match the contract.
+    #[error("cannot decode the response: {0}")]
     Decode(#[from] serde_json::Error),
 }
 
-/// What kind of back end an engine says that it is.
+/// The kind of backend that an endpoint reports to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum BackendKind {
@@ -49,14 +49,14 @@
     Application,
 }
 
-/// Answer to `GET /identity`.
+/// Response to `GET /identity`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct BackendIdentity {
-    /// Its service.
+    /// The service that it belongs to.
     service: ServiceName,
     /// Its engine id.
     engine: EngineId,
-    /// Its run.
+    /// The incarnation of its process.
     incarnation: Incarnation,
     /// Its version.
     version: ServiceVersion,
@@ -64,30 +64,30 @@
     kind: BackendKind,
 }
 
-/// Answer to `GET /status`.
+/// Response to `GET /status`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct BackendStatus {
-    /// Whether it can take work.
+    /// Whether it can accept work.
     ready: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     draining: bool,
 }
 
-/// Asks identity and status over one connection, so that both are of one process.
+/// Queries identity and status over one connection, so that both describe the same process.
 pub async fn probe(address: SocketAddr) -> ProbeOutcome {
-    let exchange = tokio::time::timeout(EXCHANGE_TIME, ask(address)).await;
-    let finding = match exchange.unwrap_or(Err(HttpError::Timeout)) {
+    let request = tokio::time::timeout(EXCHANGE_TIMEOUT, query(address)).await;
+    let finding = match request.unwrap_or(Err(HttpError::Timeout)) {
         Ok(finding) => finding,
         Err(HttpError::Refused) => ProbeFinding::Refused,
         Err(error) => {
-            debug!(%address, %error, "probe without an answer");
+            debug!(%address, %error, "probe failed");
             ProbeFinding::NoAnswer
         }
     };
     ProbeOutcome { address, finding }
 }
 
-async fn ask(address: SocketAddr) -> Result<ProbeFinding, HttpError> {
+async fn query(address: SocketAddr) -> Result<ProbeFinding, HttpError> {
     let mut sender = connect(address).await?;
     let identity: BackendIdentity =
         serde_json::from_slice(&fetch(&mut sender, address, "/identity").await?)?;
@@ -106,24 +106,25 @@
     }))
 }
 
-/// One `GET` over a connection of its own.
+/// Sends one `GET` request over a new connection and returns the body.
 ///
 /// # Errors
-/// [`HttpError`].
+/// [`HttpError`] if there is no usable response.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Bytes, HttpError> {
-    let exchange = async {
+    let request = async {
         let mut sender = connect(address).await?;
         fetch(&mut sender, address, path).await
     };
-    tokio::time::timeout(EXCHANGE_TIME, exchange).await.unwrap_or(Err(HttpError::Timeout))
+    tokio::time::timeout(EXCHANGE_TIMEOUT, request).await.unwrap_or(Err(HttpError::Timeout))
 }
 
 async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
     let stream = TcpStream::connect(address).await.map_err(|e| match e.kind() {
         std::io::ErrorKind::ConnectionRefused => HttpError::Refused,
-        _ => HttpError::Broken(e.to_string()),
+        _ => HttpError::Connection(e.to_string()),
     })?;
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| broken(&e))?;
+    let (sender, connection) =
+        handshake(TokioIo::new(stream)).await.map_err(|e| connection_error(&e))?;
     // The connection ends when its sender is dropped.
     tokio::spawn(connection);
     Ok(sender)
@@ -137,15 +138,15 @@
     let request = http::Request::get(path)
         .header(http::header::HOST, address.to_string())
         .body(Empty::new())
-        .map_err(|e| HttpError::Broken(e.to_string()))?;
-    sender.ready().await.map_err(|e| broken(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| broken(&e))?;
+        .map_err(|e| HttpError::Connection(e.to_string()))?;
+    sender.ready().await.map_err(|e| connection_error(&e))?;
+    let response = sender.send_request(request).await.map_err(|e| connection_error(&e))?;
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES);
-    let body = body.collect().await.map_err(|e| HttpError::Broken(e.to_string()))?.to_bytes();
+    let body = body.collect().await.map_err(|e| HttpError::Connection(e.to_string()))?.to_bytes();
     if status == http::StatusCode::OK { Ok(body) } else { Err(HttpError::Status(status.as_u16())) }
 }
 
-fn broken(error: &hyper::Error) -> HttpError {
-    HttpError::Broken(error.to_string())
+fn connection_error(error: &hyper::Error) -> HttpError {
+    HttpError::Connection(error.to_string())
 }
--- a/crates/control/src/core/repair/mod.rs
+++ b/crates/control/src/core/repair/mod.rs
@@ -1,14 +1,14 @@
-//! Keeps each group's replicas where they should be: replaces lost stores, empties retiring ones, uses new
-//! ones. What to do next is decided by [`hooklug_store::placement::plan`]; here it is carried out.
+//! Repairs the placement of replicas: replaces lost stores, empties retiring ones and uses new
+//! ones. [`hooklug_store::placement::plan`] decides on the changes; this module carries them out.
 //!
-//! A group's places have to be filled before the next disk is lost. So no round waits for a store that is
-//! silent or for a group that is slow: stores are asked and groups changed side by side, and the next round
-//! begins when a change has ended or a store has been registered.
+//! The replicas of a group have to be replaced before the next disk is lost. So no round waits for
+//! an unresponsive store or a slow group: stores are queried and groups changed concurrently, and
+//! the next round starts when a change has finished or a store was registered.
 
 mod changes;
-pub mod signs;
+pub mod liveness;
+pub mod monitor;
 mod statuses;
-pub mod watch;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,95 +22,97 @@
 use tracing::{info, warn};
 
 use super::Shared;
-use super::leader::Leading;
-use crate::figures;
+use super::leader::LeaderContext;
+use crate::metrics;
 use changes::Changes;
-use signs::Signs;
+use liveness::StoreLiveness;
+use monitor::{GroupEvent, GroupMonitor};
 use statuses::Statuses;
-use watch::{GroupNews, RepairWatch};
 
-/// Pause between looks while nothing is to be done (ours).
-const CALM_PAUSE: Duration = Duration::from_secs(1);
+/// Time between rounds while nothing is to be done.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause between looks while replicas move and no change ends (ours).
-const BUSY_PAUSE: Duration = Duration::from_millis(100);
+/// Time between rounds while replicas move and no change finishes.
+const BUSY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause after a change has ended, for others that end about then (ours).
-const GATHER_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a change has finished, to collect others that finish at about the same time.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// The meta state as this core leader last read it.
 type KnownMeta = tokio::sync::watch::Receiver<Option<CopyOnWrite<MetaState>>>;
 
-/// The repair under one core leadership.
+/// Repair state of one core leadership.
 struct Repair<'a> {
     shared: &'a Shared,
-    signs: Signs,
+    liveness: StoreLiveness,
     statuses: Statuses,
     changes: Changes<'a>,
-    watch: RepairWatch,
+    monitor: GroupMonitor,
 }
 
-pub(super) async fn run(shared: &Shared, leading: &Leading) {
+pub(super) async fn run(shared: &Shared, leader_ctx: &LeaderContext) {
     let mut repair = Repair {
         shared,
-        signs: Signs::new(Instant::now()),
+        liveness: StoreLiveness::new(Instant::now()),
         statuses: Statuses::default(),
-        changes: Changes::new(shared, leading),
-        watch: RepairWatch::default(),
+        changes: Changes::new(shared, leader_ctx),
+        monitor: GroupMonitor::default(),
     };
-    let mut known = leading.meta.subscribe();
+    let mut known = leader_ctx.meta.subscribe();
     loop {
         let meta = known.borrow_and_update().clone();
         let (pause, stores) = match &meta {
-            Some(meta) => (repair.round(meta).await, meta.stores.clone()),
-            None => (BUSY_PAUSE, Vec::new()),
+            Some(meta) => (repair.run_round(meta).await, meta.stores.clone()),
+            None => (BUSY_INTERVAL, Vec::new()),
         };
-        repair.rest(pause, &mut known, &stores).await;
+        repair.wait(pause, &mut known, &stores).await;
     }
 }
 
 impl Repair<'_> {
-    /// One look at all stores; begins the changes that it asks for.
-    async fn round(&mut self, meta: &MetaState) -> Duration {
-        // What ends while the stores are asked may not show in their answers: it counts from the next round on.
-        self.changes.note_ended();
-        let reports = self.statuses.ask(&self.shared.ctx.client, &meta.stores).await;
+    /// Queries all stores once, starts the planned changes, and returns the pause before the next
+    /// round.
+    async fn run_round(&mut self, meta: &MetaState) -> Duration {
+        // Changes that finish while the stores are queried may not be visible in the replies, so
+        // they count from the next round on.
+        self.changes.collect_finished();
+        let reports = self.statuses.query(&self.shared.ctx.client, &meta.stores).await;
         let now = Instant::now();
-        self.signs.note(&reports, now);
-        let meta = &*self.changes.as_of(meta);
+        self.liveness.record(&reports, now);
+        let meta = &*self.changes.with_written(meta);
         let alive = self.alive(meta, now);
-        tell(&self.watch.look(meta, &reports, &alive, now));
-        figures::groups_watched(self.watch.degraded(), self.watch.stalled());
-        // Moves that only even out the load come one by one, with a pause between them.
-        let planned = if self.changes.rested_for(now) < CALM_PAUSE {
+        log_events(&self.monitor.update(meta, &reports, &alive, now));
+        metrics::set_group_health(self.monitor.degraded(), self.monitor.stalled());
+        // Moves that only balance the load are made one at a time, with a pause between them.
+        let planned_changes = if self.changes.idle_time(now) < IDLE_INTERVAL {
             plan_repairs(meta, &reports, &alive)
         } else {
             plan(meta, &reports, &alive)
         };
-        // A store that fell silent is looked at often, so that its loss is seen in time.
-        let has_silent = alive.iter().any(|store| self.statuses.is_silent(*store));
-        let is_calm = planned.is_empty() && self.changes.is_idle() && !has_silent;
-        for change in planned {
-            self.changes.begin(meta, change, now);
+        // With an unresponsive store, rounds are frequent so that its loss is detected in time.
+        let has_unresponsive = alive.iter().any(|store| self.statuses.is_unresponsive(*store));
+        let is_idle = planned_changes.is_empty() && self.changes.is_idle() && !has_unresponsive;
+        for change in planned_changes {
+            self.changes.start(meta, change, now);
         }
-        if is_calm { CALM_PAUSE } else { BUSY_PAUSE }
+        if is_idle { IDLE_INTERVAL } else { BUSY_INTERVAL }
     }
 
     fn alive(&self, meta: &MetaState, now: Instant) -> BTreeSet<NodeId> {
         let is_alive = |store: &&StoreRecord| {
-            self.signs.is_alive(store.node, now) && !is_superseded(meta, store)
+            self.liveness.is_alive(store.node, now) && !is_superseded(meta, store)
         };
         meta.stores.iter().filter(is_alive).map(|store| store.node).collect()
     }
 
-    /// Waits until a change has ended, the stores are not as they were, or a while has passed.
-    async fn rest(&mut self, pause: Duration, known: &mut KnownMeta, stores: &[StoreRecord]) {
+    /// Waits until a change has finished, the list of stores has changed, or `pause` has passed.
+    async fn wait(&mut self, pause: Duration, known: &mut KnownMeta, stores: &[StoreRecord]) {
         let end = tokio::time::sleep(pause);
         tokio::pin!(end);
         loop {
             tokio::select! {
                 () = &mut end => return,
-                () = self.changes.ended() => break,
+                () = self.changes.next_finished() => break,
                 Ok(()) = known.changed() => {
                     let meta = known.borrow_and_update().clone();
                     if meta.is_some_and(|meta| meta.stores != stores) {
@@ -119,30 +121,30 @@
                 }
             }
         }
-        tokio::time::sleep(GATHER_PAUSE).await;
+        tokio::time::sleep(BATCH_DELAY).await;
     }
 }
 
-/// Tells operators what became of the groups.
-fn tell(news: &[GroupNews]) {
-    for news in news {
-        match news {
-            GroupNews::Degraded { group, wanted, members } => {
-                info!(%group, ?wanted, ?members, "a group lacks replicas");
+/// Logs changes in the health of groups.
+fn log_events(events: &[GroupEvent]) {
+    for event in events {
+        match event {
+            GroupEvent::Degraded { group, desired, members } => {
+                info!(%group, ?desired, ?members, "a group lacks replicas");
             }
-            GroupNews::Whole { group, took } => {
-                info!(%group, ?took, "a group has all its replicas again");
-                figures::group_repaired(*took);
+            GroupEvent::Repaired { group, degraded_for } => {
+                info!(%group, ?degraded_for, "a group has all its replicas again");
+                metrics::record_group_repair(*degraded_for);
             }
-            GroupNews::Stalled { group, stalled_for, leader: None } => {
+            GroupEvent::Stalled { group, stalled_for, leader: None } => {
                 warn!(%group, ?stalled_for, "a group has no leader");
             }
-            GroupNews::Stalled { group, stalled_for, leader: Some(leader) } => {
+            GroupEvent::Stalled { group, stalled_for, leader: Some(leader) } => {
                 warn!(%group, ?stalled_for, leader = %leader.node, commit = leader.commit,
                     last_index = leader.last_index, members = ?leader.newest_conf,
                     progress = ?leader.progress, "a group commits nothing");
             }
-            GroupNews::Moving { group, stalled_for } => {
+            GroupEvent::Resumed { group, stalled_for } => {
                 warn!(%group, ?stalled_for, "a group commits again");
             }
         }
--- a/crates/control/src/judge/mod.rs
+++ b/crates/control/src/judge/mod.rs
@@ -1,7 +1,8 @@
-//! Judges new versions by what gateways saw of them, against the old version in the same interval.
+//! Judges new versions by the requests that gateways observed, compared with the old version in the
+//! same interval or, if it has no traffic any more, with its history.
 //!
-//! Pure: time, statistics and the bundle are passed in. A version stays under watch as long as the
-//! bundle lists a sound older one, so harm that shows only under load or after minutes is found too.
+//! Pure: time, statistics and the bundle are passed in. A version is watched as long as the bundle
+//! lists an older sound one, so harm that shows only under load or after minutes is found too.
 
 mod compare;
 mod counts;
@@ -17,38 +18,42 @@
 use hooklug_state::meta::HarmReport;
 use hooklug_types::{RouteName, ServiceName, ServiceVersion};
 
-pub use compare::{Against, Finding, compare};
+pub use compare::{Baseline, HarmKind, compare};
 pub use counts::{
     Counts, Percentile, VersionOnRoute, latency_bucket, share, standard_errors_above,
 };
-pub use readiness::{ReadinessWatch, Standing, standings};
+pub use readiness::{EngineCounts, ReadinessMonitor, engine_counts};
 use reason::reason;
 use window::Window;
 
-/// Intervals that are looked at, shortest first: a short one finds clear harm at once, a long one finds
-/// it where there is little traffic (ours).
-pub const INTERVALS: [Duration; 4] =
-    [Duration::from_secs(3), Duration::from_secs(10), Duration::from_secs(30), window::REMEMBERED];
+/// Intervals over which versions are compared, shortest first: a short one finds clear harm
+/// quickly, a long one finds it where there is little traffic.
+pub const INTERVALS: [Duration; 4] = [
+    Duration::from_secs(3),
+    Duration::from_secs(10),
+    Duration::from_secs(30),
+    window::RETENTION_TIME,
+];
 
-/// Harm must show for so long without a break before it is acted on (ours).
+/// Time for which harm must show without interruption before it is acted on.
 pub const CONFIRM_TIME: Duration = Duration::from_millis(1_500);
 
-/// The same, when an engine of the version was lost lately: its requests fail until gateways leave it,
-/// which is no harm by the version (ours).
+/// [`CONFIRM_TIME`] for a version that lost an engine recently. Its requests fail until gateways
+/// stop using that engine, which is not the version's fault.
 pub const CONFIRM_TIME_AFTER_LOSS: Duration = Duration::from_secs(4);
 
-/// Harm must still show in so recent a time (ours).
-const RECENT: Duration = Duration::from_secs(3);
+/// Most recent period in which harm must still show.
+const RECENT_TIME: Duration = Duration::from_secs(3);
 
-/// The old version must have its samples within so long for a load to count as known (ours).
-const LOAD_TIME: Duration = Duration::from_secs(10);
+/// Period in which the old version must have enough samples for the load of a route to be recorded.
+const LOAD_SAMPLE_TIME: Duration = Duration::from_secs(10);
 
-/// Samples beyond which the figures of the past are halved (ours).
+/// Number of samples above which the historical counts are halved.
 const HISTORY_SAMPLES: u64 = 20_000;
 
-/// Load beyond so many times the highest that the old version was seen under: its latency then says
-/// nothing about the new one's (ours).
-const LOAD_COMPARABLE: f64 = 1.5;
+/// Highest comparable load, as a multiple of the maximum load at which the old version was
+/// observed. Above it the old version's latency says nothing about the new one's.
+const MAX_COMPARABLE_LOAD: f64 = 1.5;
 
 /// A version of a service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -60,7 +65,7 @@
 }
 
 impl JudgedVersion {
-    /// A version of a service.
+    /// Creates the key of a version of a service.
     #[must_use]
     pub fn new(service: &ServiceName, version: &ServiceVersion) -> Self {
         Self { service: service.clone(), version: version.clone() }
@@ -72,7 +77,7 @@
 pub struct Judge {
     window: Window,
     history: BTreeMap<VersionOnRoute, Counts>,
-    /// Highest load of a route, in requests a second, while the history was gathered.
+    /// Maximum load of a route, in requests per second, while the history was collected.
     history_load: BTreeMap<(ServiceName, RouteName), f64>,
     suspected: BTreeMap<JudgedVersion, Instant>,
     /// Versions that the last bundle listed as rolled back.
@@ -80,8 +85,8 @@
     reported: Vec<HarmReport>,
 }
 
-/// The newest version of a service, and those that it may be compared with.
-struct Watched<'a> {
+/// The newest version of a service, and the versions that it may be compared with.
+struct Candidate<'a> {
     name: &'a ServiceName,
     service: &'a Service,
     new: &'a ServiceVersion,
@@ -108,47 +113,48 @@
     }
 }
 
-/// Harm on one route, with the figures that show it.
-struct Found {
-    finding: Finding,
+/// Harm on one route, with the counts that show it.
+struct HarmOnRoute {
+    kind: HarmKind,
     new: Counts,
     old: Counts,
-    against: Against,
+    baseline: Baseline,
 }
 
 impl Judge {
-    /// Takes what a gateway saw since its last heartbeat.
+    /// Adds the statistics that a gateway collected since its last heartbeat.
     pub fn observe(&mut self, statistics: &[VersionStatistics], now: Instant) {
         self.window.add(statistics.iter().map(|s| (VersionOnRoute::from(s), Counts::from(s))), now);
-        for seen in statistics {
-            let history = self.history.entry(seen.into()).or_default();
-            history.add(&Counts::from(seen));
+        for entry in statistics {
+            let history = self.history.entry(entry.into()).or_default();
+            history.add(&Counts::from(entry));
             if history.total() > HISTORY_SAMPLES {
                 history.halve();
             }
         }
     }
 
-    /// Takes harm that a gateway found by its own evidence.
+    /// Adds a report of a harmful version that a gateway detected itself.
     pub fn report(&mut self, harm: HarmReport) {
         self.reported.push(harm);
     }
 
-    /// Versions that do clear harm. `lost_engines` are versions that lost an engine lately.
+    /// Returns a report for each version that is clearly harmful. `lost_engines` are versions that
+    /// lost an engine recently.
     pub fn evaluate(
         &mut self,
         bundle: &Bundle,
         lost_engines: &BTreeSet<JudgedVersion>,
         now: Instant,
     ) -> Vec<HarmReport> {
-        self.forget_released_again(bundle);
+        self.forget_rereleased(bundle);
         let mut reports = std::mem::take(&mut self.reported);
         reports.retain(|harm| is_judged(bundle, harm));
-        let mut still_suspected = BTreeMap::new();
+        let mut suspected = BTreeMap::new();
         for (name, service) in &bundle.services {
-            let Some(watched) = watched(name, service) else { continue };
-            self.note_load(&watched, now);
-            let Some(report) = self.judge(&watched, now) else { continue };
+            let Some(candidate) = candidate(name, service) else { continue };
+            self.record_load(&candidate, now);
+            let Some(report) = self.judge(&candidate, now) else { continue };
             let judged = JudgedVersion::new(name, &report.version);
             let since = self.suspected.get(&judged).copied().unwrap_or(now);
             let confirm = match lost_engines.contains(&judged) {
@@ -158,40 +164,42 @@
             if now.saturating_duration_since(since) >= confirm {
                 reports.push(report);
             }
-            still_suspected.insert(judged, since);
+            suspected.insert(judged, since);
         }
-        self.suspected = still_suspected;
+        self.suspected = suspected;
         reports
     }
 
-    /// A version that was rolled back and is released again under its old name is judged by what is seen
-    /// from then on: the figures that condemned it are those of another build.
-    fn forget_released_again(&mut self, bundle: &Bundle) {
+    /// Drops the statistics of versions that were rolled back and are released again under the same
+    /// name, since those statistics belong to another build.
+    fn forget_rereleased(&mut self, bundle: &Bundle) {
         let rolled_back = versions(bundle, VersionState::RolledBack);
         let sound = versions(bundle, VersionState::Sound);
-        for again in self.rolled_back.intersection(&sound) {
-            self.window.forget(&again.service, &again.version);
-            self.history
-                .retain(|key, _| key.service != again.service || key.version != again.version);
-            self.reported
-                .retain(|harm| harm.service != again.service || harm.version != again.version);
+        for released in self.rolled_back.intersection(&sound) {
+            self.window.forget(&released.service, &released.version);
+            self.history.retain(|key, _| {
+                key.service != released.service || key.version != released.version
+            });
+            self.reported.retain(|harm| {
+                harm.service != released.service || harm.version != released.version
+            });
         }
         self.rolled_back = rolled_back;
     }
 
-    fn judge(&self, watched: &Watched<'_>, now: Instant) -> Option<HarmReport> {
-        let routes = self.window.routes(watched.name, watched.new);
-        routes.iter().find_map(|route| self.judge_route(&self.pair(watched, route)?, route, now))
+    fn judge(&self, candidate: &Candidate<'_>, now: Instant) -> Option<HarmReport> {
+        let routes = self.window.routes(candidate.name, candidate.new);
+        routes.iter().find_map(|route| self.judge_route(&self.pair(candidate, route)?, route, now))
     }
 
-    /// The newest version and the newest older one of which enough is known on a route: a version that was
-    /// listed and never ran says nothing about the next.
-    fn pair<'a>(&self, watched: &Watched<'a>, route: &RouteName) -> Option<Pair<'a>> {
-        let least = u64::from(watched.service.harm.least_samples);
-        let Watched { name, service, new, older } = watched;
+    /// Returns the newest version and the newest older one with enough samples on a route. An older
+    /// version that was listed but never ran cannot serve as the baseline.
+    fn pair<'a>(&self, candidate: &Candidate<'a>, route: &RouteName) -> Option<Pair<'a>> {
+        let min_samples = u64::from(candidate.service.harm.least_samples);
+        let Candidate { name, service, new, older } = candidate;
         let known = older.iter().find(|old| {
-            let seen = self.history.get(&VersionOnRoute::new(name, old, route));
-            seen.is_some_and(|counts| counts.total() >= least)
+            let counts = self.history.get(&VersionOnRoute::new(name, old, route));
+            counts.is_some_and(|counts| counts.total() >= min_samples)
         });
         Some(Pair { name, service, new, old: known? })
     }
@@ -199,47 +207,48 @@
     fn judge_route(&self, pair: &Pair<'_>, route: &RouteName, now: Instant) -> Option<HarmReport> {
         let thresholds = &pair.service.harm;
         INTERVALS.iter().find_map(|interval| {
-            let Found { finding, new, old, against } = self.find(pair, route, *interval, now)?;
-            let recent = self.window.sum(&pair.new_key(route), RECENT, now);
-            shows_still(&finding, &recent, &old, thresholds).then(|| HarmReport {
+            let HarmOnRoute { kind, new, old, baseline } =
+                self.find_harm(pair, route, *interval, now)?;
+            let recent = self.window.sum(&pair.new_key(route), RECENT_TIME, now);
+            still_shows(&kind, &recent, &old, thresholds).then(|| HarmReport {
                 service: pair.name.clone(),
                 version: pair.new.clone(),
                 route: Some(route.clone()),
-                reason: reason(&finding, &new, (&old, pair.old), against, *interval),
+                reason: reason(&kind, &new, (&old, pair.old), baseline, *interval),
             })
         })
     }
 
-    fn find(
+    fn find_harm(
         &self,
         pair: &Pair<'_>,
         route: &RouteName,
         interval: Duration,
         now: Instant,
-    ) -> Option<Found> {
+    ) -> Option<HarmOnRoute> {
         let thresholds = &pair.service.harm;
-        let least = u64::from(thresholds.least_samples);
+        let min_samples = u64::from(thresholds.least_samples);
         let (new_key, old_key) = (pair.new_key(route), pair.old_key(route));
-        let (new, old) = self.window.sum_together((&new_key, &old_key), interval, now);
-        if new.total() >= least && old.total() >= least {
-            let against = Against::SameInterval;
-            let finding = compare(&new, &old, thresholds, against)?;
-            return Some(Found { finding, new, old, against });
+        let (new, old) = self.window.paired_sums((&new_key, &old_key), interval, now);
+        if new.total() >= min_samples && old.total() >= min_samples {
+            let baseline = Baseline::SameInterval;
+            let kind = compare(&new, &old, thresholds, baseline)?;
+            return Some(HarmOnRoute { kind, new, old, baseline });
         }
         let new = self.window.sum(&new_key, interval, now);
-        let old = *self.history.get(&old_key).filter(|h| h.total() >= least)?;
-        if new.total() < least {
+        let old = *self.history.get(&old_key).filter(|h| h.total() >= min_samples)?;
+        if new.total() < min_samples {
             return None;
         }
-        let against = Against::History;
-        let finding = compare(&new, &old, thresholds, against)?;
-        let held = self.others_suffer(pair, thresholds, interval, now)
-            || (finding == Finding::Latency && self.load_is_beyond(pair, route, now));
-        (!held).then_some(Found { finding, new, old, against })
+        let baseline = Baseline::History;
+        let kind = compare(&new, &old, thresholds, baseline)?;
+        let is_inconclusive = self.other_services_fail(pair, thresholds, interval, now)
+            || (kind == HarmKind::Latency && self.load_exceeds_history(pair, route, now));
+        (!is_inconclusive).then_some(HarmOnRoute { kind, new, old, baseline })
     }
 
-    /// Whether other services fail as well: then something else than this version is at fault.
-    fn others_suffer(
+    /// Returns whether other services fail as well, in which case this version is not the cause.
+    fn other_services_fail(
         &self,
         pair: &Pair<'_>,
         thresholds: &HarmThresholds,
@@ -258,21 +267,21 @@
         })
     }
 
-    fn load_is_beyond(&self, pair: &Pair<'_>, route: &RouteName, now: Instant) -> bool {
+    fn load_exceeds_history(&self, pair: &Pair<'_>, route: &RouteName, now: Instant) -> bool {
         let key = (pair.name.clone(), route.clone());
         let known = self.history_load.get(&key).copied().unwrap_or(0.0);
-        self.window.load(pair.name, route, now) > LOAD_COMPARABLE * known
+        self.window.load(pair.name, route, now) > MAX_COMPARABLE_LOAD * known
     }
 
-    /// Remembers the load of routes on which the old version has enough samples now.
-    fn note_load(&mut self, watched: &Watched<'_>, now: Instant) {
-        let least = u64::from(watched.service.harm.least_samples);
-        let older = watched.older.iter();
+    /// Records the load of routes on which the old version currently has enough samples.
+    fn record_load(&mut self, candidate: &Candidate<'_>, now: Instant) {
+        let min_samples = u64::from(candidate.service.harm.least_samples);
+        let older = candidate.older.iter();
         let routes: BTreeSet<RouteName> =
-            older.flat_map(|old| self.window.routes(watched.name, old)).collect();
+            older.flat_map(|old| self.window.routes(candidate.name, old)).collect();
         for route in routes {
-            let Some(pair) = self.pair(watched, &route) else { continue };
-            if self.window.sum(&pair.old_key(&route), LOAD_TIME, now).total() < least {
+            let Some(pair) = self.pair(candidate, &route) else { continue };
+            if self.window.sum(&pair.old_key(&route), LOAD_SAMPLE_TIME, now).total() < min_samples {
                 continue;
             }
             let load = self.window.load(pair.name, &route, now);
@@ -281,21 +290,21 @@
         }
     }
 
-    /// What was seen of each version over an interval, for operators.
+    /// Returns the counts of each version over an interval, for operators.
     #[must_use]
-    pub fn figures(&self, interval: Duration, now: Instant) -> Vec<VersionStatistics> {
+    pub fn statistics(&self, interval: Duration, now: Instant) -> Vec<VersionStatistics> {
         let sums = self.window.sums(interval, now);
         sums.into_iter().map(|(key, counts)| counts.statistics(key)).collect()
     }
 }
 
-/// Whether a report is about the version that is under watch now.
+/// Returns whether a report is about the version that is currently judged.
 fn is_judged(bundle: &Bundle, harm: &HarmReport) -> bool {
     let service = bundle.services.get_key_value(&harm.service);
-    service.and_then(|(name, s)| watched(name, s)).is_some_and(|w| *w.new == harm.version)
+    service.and_then(|(name, s)| candidate(name, s)).is_some_and(|c| *c.new == harm.version)
 }
 
-/// All versions of a bundle in one state.
+/// Returns all versions of a bundle that have the given state.
 fn versions(bundle: &Bundle, state: VersionState) -> BTreeSet<JudgedVersion> {
     let of = |(name, service): (&ServiceName, &Service)| {
         let listed = service.versions.iter().filter(|entry| entry.state == state);
@@ -305,19 +314,19 @@
     bundle.services.iter().flat_map(of).collect()
 }
 
-/// The newest sound version and the sound ones before it.
-fn watched<'a>(name: &'a ServiceName, service: &'a Service) -> Option<Watched<'a>> {
+/// Returns the newest sound version and the older sound ones; `None` if there is no older one.
+fn candidate<'a>(name: &'a ServiceName, service: &'a Service) -> Option<Candidate<'a>> {
     let sound = service.versions.iter().rev().filter(|v| v.state == VersionState::Sound);
     let mut sound = sound.map(|v| &v.version);
     let new = sound.next()?;
     let older: Vec<&ServiceVersion> = sound.collect();
-    (!older.is_empty()).then_some(Watched { name, service, new, older })
+    (!older.is_empty()).then_some(Candidate { name, service, new, older })
 }
 
-/// Whether what was found over a longer time shows in the last moments too; without recent samples it
-/// counts as still there.
-fn shows_still(
-    finding: &Finding,
+/// Returns whether harm found over a longer interval still shows in the most recent samples.
+/// Without recent samples it is assumed to continue.
+fn still_shows(
+    kind: &HarmKind,
     recent: &Counts,
     old: &Counts,
     thresholds: &HarmThresholds,
@@ -325,12 +334,13 @@
     if recent.total() == 0 {
         return true;
     }
-    match finding {
-        Finding::Errors => {
+    match kind {
+        HarmKind::Errors => {
             recent.error_share() - old.error_share() > thresholds.error_share_above / 2.0
         }
-        Finding::Latency => old.p95().is_none_or(|p95| {
-            // Among the last samples more are slow than the twentieth that always is.
+        HarmKind::Latency => old.p95().is_none_or(|p95| {
+            // Of the old version's requests, at most 5 % are above the bucket of its 95th
+            // percentile.
             share(recent.slower_than(p95.bucket), recent.total()) > 0.05
         }),
     }
--- a/crates/control/src/figures.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Names of the metrics of the node agent and the cores, and what sets them.
+//! Records the metrics of the node agent and the cores.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use crate::handle::Reach;
 
-fn as_gauge(on: bool) -> f64 {
+fn gauge_value(on: bool) -> f64 {
     if on { 1.0 } else { 0.0 }
 }
 
-/// Whether the node is ready, and what of the cluster is within reach.
-pub(crate) fn node_state(ready: bool, reach: Reach) {
-    gauge!("hooklug_ready").set(as_gauge(ready));
-    gauge!("hooklug_core_within_reach").set(as_gauge(reach.core));
-    gauge!("hooklug_store_within_reach").set(as_gauge(reach.store));
+/// Sets whether the node is ready and which parts of the cluster it reaches.
+pub(crate) fn set_node_state(ready: bool, reach: Reach) {
+    gauge!("hooklug_ready").set(gauge_value(ready));
+    gauge!("hooklug_core_within_reach").set(gauge_value(reach.core));
+    gauge!("hooklug_store_within_reach").set(gauge_value(reach.store));
 }
 
-/// What the process has sent and received by rpc since its start.
-pub(crate) fn rpc_traffic(counts: TrafficCounts) {
+/// Sets the RPC traffic of the process since its start.
+pub(crate) fn set_rpc_traffic(counts: TrafficCounts) {
     counter!("hooklug_rpc_bytes_total", "direction" => "sent").absolute(counts.sent_bytes);
     counter!("hooklug_rpc_bytes_total", "direction" => "received").absolute(counts.received_bytes);
     counter!("hooklug_rpc_frames_total", "direction" => "sent").absolute(counts.sent_frames);
@@ -29,23 +29,23 @@
         .absolute(counts.received_frames);
 }
 
-/// A bundle came into force here.
-pub(crate) fn bundle_installed(version: u64) {
+/// Sets the version of the installed bundle.
+pub(crate) fn set_bundle_version(version: u64) {
     gauge!("hooklug_bundle_version").set(version as f64);
 }
 
-/// A bundle that was heard of could not be fetched.
-pub(crate) fn bundle_not_fetched() {
+/// Counts a failed fetch of a known bundle.
+pub(crate) fn count_bundle_fetch_failure() {
     counter!("hooklug_bundle_fetch_failures_total").increment(1);
 }
 
-/// Whether this core leads.
-pub(crate) fn core_leads(leads: bool) {
-    gauge!("hooklug_core_leads").set(as_gauge(leads));
+/// Sets whether this core is the leader.
+pub(crate) fn set_core_leads(leads: bool) {
+    gauge!("hooklug_core_leads").set(gauge_value(leads));
 }
 
-/// The view as the core leader shows it.
-pub(crate) fn view_shown(view: &ClusterView) {
+/// Sets the member and engine counts of the view that the core leader publishes.
+pub(crate) fn set_view(view: &ClusterView) {
     let count = |health: MemberHealth| view.members.values().filter(|m| m.health == health).count();
     gauge!("hooklug_members", "health" => "alive").set(count(MemberHealth::Alive) as f64);
     gauge!("hooklug_members", "health" => "suspect").set(count(MemberHealth::Suspect) as f64);
@@ -56,29 +56,29 @@
     gauge!("hooklug_application_engines", "state" => "unhealthy").set(unhealthy as f64);
 }
 
-/// The platform's list could not be read.
-pub(crate) fn list_not_read() {
+/// Counts a failed read of the platform's list.
+pub(crate) fn count_platform_list_failure() {
     counter!("hooklug_platform_list_failures_total").increment(1);
 }
 
-/// A version was rolled back.
-pub(crate) fn rolled_back() {
+/// Counts a rollback of a version.
+pub(crate) fn count_rollback() {
     counter!("hooklug_rollbacks_total").increment(1);
 }
 
-/// Groups that lack replicas, and groups that commit nothing.
-pub(crate) fn groups_watched(degraded: usize, stalled: usize) {
+/// Sets the number of groups that lack replicas and of groups that commit nothing.
+pub(crate) fn set_group_health(degraded: usize, stalled: usize) {
     gauge!("hooklug_groups_degraded").set(degraded as f64);
     gauge!("hooklug_groups_stalled").set(stalled as f64);
 }
 
-/// A group has all its replicas again; how long it lacked some.
-pub(crate) fn group_repaired(took: Duration) {
-    histogram!("hooklug_group_repair_seconds").record(took.as_secs_f64());
+/// Records how long a group lacked replicas until it was repaired.
+pub(crate) fn record_group_repair(degraded_for: Duration) {
+    histogram!("hooklug_group_repair_seconds").record(degraded_for.as_secs_f64());
 }
 
-/// A change of replicas was asked for; whether it was confirmed.
-pub(crate) fn replicas_changed(confirmed: bool) {
+/// Counts a requested replica change by whether it was confirmed.
+pub(crate) fn count_replica_change(confirmed: bool) {
     let outcome = if confirmed { "confirmed" } else { "unconfirmed" };
     counter!("hooklug_replica_changes_total", "outcome" => outcome).increment(1);
 }
