--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -16,8 +16,8 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use crate::frame::{ClientFrame, ServerBody, ServerFrame, encode, read};
-use crate::link::{BUFFER_BYTES, Outgoing, WRITE_QUEUE_FRAMES, write_frames};
-use crate::{Fault, LocalIdentity, Peer, RpcError, hello};
+use crate::writer::{BUFFER_BYTES, Outgoing, WRITE_QUEUE_FRAMES, write_frames};
+use crate::{Fault, LocalIdentity, Peer, RpcError, handshake};
 
 /// How often an open connection asks for a sign of life.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
@@ -75,7 +75,7 @@
         }
         let mut stream = socket.connect(to).await?;
         stream.set_nodelay(true)?;
-        let hello = hello::connect(&mut stream, identity, to.ip()).await;
+        let hello = handshake::connect(&mut stream, identity, to.ip()).await;
         let peer = hello.map_err(OpenError::Hello)?;
         let (reading, writing) = stream.into_split();
         let (queue, frames) = mpsc::channel(WRITE_QUEUE_FRAMES);
--- a/crates/rpc/src/identity.rs
+++ b/crates/rpc/src/identity.rs
@@ -8,7 +8,7 @@
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole};
 use tokio::sync::watch;
 
-use crate::runs::NewestRuns;
+use crate::incarnations::NewestRuns;
 use crate::{LinkFaults, Traffic};
 
 /// The installed bundle version of this process, the newest that it knows to be committed, and the newest that any peer
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -13,13 +13,13 @@
 mod error;
 mod faults;
 mod frame;
-mod hello;
+mod handshake;
 mod identity;
-mod link;
+mod incarnations;
 mod router;
-mod runs;
 mod server;
 mod traffic;
+mod writer;
 
 pub use client::{HELLO_PAUSE, ItemStream, RpcClient};
 pub use deferred::Replier;
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -16,9 +16,9 @@
 
 use crate::deferred::RawReplier;
 use crate::frame::{ClientFrame, ServerBody, ServerFrame, encode, read};
-use crate::link::{BUFFER_BYTES, Outgoing, WRITE_QUEUE_FRAMES, write_frames};
 use crate::router::{Encoded, Handler};
-use crate::{Fault, LocalIdentity, Peer, Router, hello};
+use crate::writer::{BUFFER_BYTES, Outgoing, WRITE_QUEUE_FRAMES, write_frames};
+use crate::{Fault, LocalIdentity, Peer, Router, handshake};
 
 /// Time a peer has to prove the cluster secret.
 const HELLO_TIME: Duration = Duration::from_secs(5);
@@ -84,7 +84,7 @@
     router: Arc<Router>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let hello = hello::accept(&mut stream, &identity, from.ip());
+    let hello = handshake::accept(&mut stream, &identity, from.ip());
     let peer = tokio::time::timeout(HELLO_TIME, hello).await??;
     let (reading, writing) = stream.into_split();
     let (queue, frames) = mpsc::channel(WRITE_QUEUE_FRAMES);
