--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The opening side: one connection a peer address, reused by all calls.
+//! RPC client: keeps one connection per peer address, shared by all calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,66 +12,69 @@
 use tokio::sync::{Mutex, mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-use crate::connection::{Connection, OpenError, READER_QUEUE_ITEMS, Registration, Waiter};
+use crate::connection::{Connection, OpenError, PendingRequest, READER_QUEUE_ITEMS, Waiter};
 use crate::{LocalIdentity, Peer, RpcError};
 
-/// Longest time to open a connection.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+/// Timeout for opening a connection, handshake included.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time in which an address is not tried again after a peer there did not complete the hello (ours):
-/// such a peer costs a connection each time, and will hardly think better of it sooner.
-pub const HELLO_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before an address is tried again after its peer failed the handshake. Each attempt costs a
+/// connection, and such a peer is unlikely to accept the next one sooner.
+pub const HANDSHAKE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What is known of one address.
+/// Connection state of one peer address.
 #[derive(Default)]
-struct Line {
+struct AddressState {
     connection: Option<Arc<Connection>>,
-    /// Newest run that had been seen there when the connection was open.
-    newest_run: Option<Incarnation>,
-    /// Until when the address is not tried, and why.
-    paused: Option<(Instant, String)>,
+    /// Newest incarnation known at the address once the connection was open.
+    newest_incarnation: Option<Incarnation>,
+    /// When the address may be tried again, and why its handshake failed.
+    retry_after: Option<(Instant, String)>,
 }
 
-impl Line {
-    /// The open connection, or a new one.
+impl AddressState {
+    /// Returns the open connection, or opens one. A connection is replaced once a newer incarnation
+    /// has been seen at the address.
     async fn connection(
         &mut self,
         to: SocketAddr,
         identity: &LocalIdentity,
     ) -> Result<Arc<Connection>, String> {
-        let newest_run = identity.runs.at(to.ip());
-        let is_open = |c: &&Arc<Connection>| !c.is_closed() && newest_run <= self.newest_run;
+        let newest_incarnation = identity.newest_incarnations.newest_at(to.ip());
+        let is_open =
+            |c: &&Arc<Connection>| !c.is_closed() && newest_incarnation <= self.newest_incarnation;
         if let Some(connection) = self.connection.as_ref().filter(is_open) {
             return Ok(connection.clone());
         }
-        if let Some((until, reason)) = &self.paused
+        if let Some((until, reason)) = &self.retry_after
             && Instant::now() < *until
         {
             return Err(reason.clone());
         }
         match Connection::open(to, identity).await {
             Ok(connection) => {
-                self.paused = None;
-                self.newest_run = identity.runs.at(to.ip());
+                self.retry_after = None;
+                self.newest_incarnation = identity.newest_incarnations.newest_at(to.ip());
                 Ok(self.connection.insert(connection).clone())
             }
             Err(error) => {
                 let reason = error.to_string();
-                let is_hello = matches!(error, OpenError::Hello(_));
-                self.paused = is_hello.then(|| (Instant::now() + HELLO_PAUSE, reason.clone()));
+                let is_handshake = matches!(error, OpenError::Handshake(_));
+                self.retry_after =
+                    is_handshake.then(|| (Instant::now() + HANDSHAKE_RETRY_DELAY, reason.clone()));
                 Err(reason)
             }
         }
     }
 }
 
-type Slot = Arc<Mutex<Line>>;
+type SharedAddressState = Arc<Mutex<AddressState>>;
 
-/// Calls peers by address. Cheap to clone; clones share connections.
+/// Sends calls to peers by address. Cheap to clone; clones share connections.
 #[derive(Clone)]
 pub struct RpcClient {
     identity: LocalIdentity,
-    slots: Arc<std::sync::Mutex<HashMap<SocketAddr, Slot>>>,
+    addresses: Arc<std::sync::Mutex<HashMap<SocketAddr, SharedAddressState>>>,
 }
 
 impl std::fmt::Debug for RpcClient {
@@ -83,13 +86,13 @@
 }
 
 impl RpcClient {
-    /// A client that speaks for an identity.
+    /// Creates a client that authenticates as the given identity.
     #[must_use]
     pub fn new(identity: LocalIdentity) -> Self {
-        Self { identity, slots: Arc::default() }
+        Self { identity, addresses: Arc::default() }
     }
 
-    /// Who this client speaks for.
+    /// Identity that this client authenticates as.
     #[must_use]
     pub fn identity(&self) -> &LocalIdentity {
         &self.identity
@@ -98,7 +101,7 @@
     /// Calls a peer and waits for its reply until the deadline.
     ///
     /// # Errors
-    /// [`RpcError`]; only `NotSent` says that the peer has not seen the call.
+    /// Only [`RpcError::NotSent`] guarantees that the peer has not received the call.
     pub async fn call<R: Request>(
         &self,
         to: SocketAddr,
@@ -109,7 +112,7 @@
         let connection = self.connection(to, deadline).await?;
         let (waiter, reply) = oneshot::channel();
         let exchange = async {
-            let _registration = connection.send(R::METHOD, body, Waiter::Call(waiter)).await?;
+            let _pending = connection.send(R::METHOD, body, Waiter::Call(waiter)).await?;
             reply.await.map_err(|_| RpcError::ConnectionLost)?
         };
         let bytes =
@@ -117,10 +120,10 @@
         decode(&bytes)
     }
 
-    /// Opens a stream; the deadline is for the opening only.
+    /// Opens a stream; the deadline applies to sending the request only.
     ///
     /// # Errors
-    /// [`RpcError`]; only `NotSent` says that the peer has not seen the request.
+    /// Only [`RpcError::NotSent`] guarantees that the peer has not received the request.
     pub async fn open<R: StreamRequest>(
         &self,
         to: SocketAddr,
@@ -131,27 +134,22 @@
         let connection = self.connection(to, deadline).await?;
         let (sink, items) = mpsc::channel(READER_QUEUE_ITEMS);
         let sending = connection.send(R::METHOD, body, Waiter::Stream(sink));
-        let registration =
+        let pending =
             timeout_at(deadline, sending).await.map_err(|_| RpcError::DeadlineExceeded)??;
-        Ok(ItemStream {
-            items,
-            connection,
-            _registration: registration,
-            item: std::marker::PhantomData,
-        })
+        Ok(ItemStream { items, connection, _pending: pending, item: std::marker::PhantomData })
     }
 
-    /// Who answers at an address, connecting if need be.
+    /// Returns the authenticated peer at an address, connecting if necessary.
     ///
     /// # Errors
-    /// `NotSent` when no connection could be had.
+    /// [`RpcError::NotSent`] when no connection can be opened.
     pub async fn peer(&self, to: SocketAddr, deadline: Instant) -> Result<Peer, RpcError> {
         Ok(self.connection(to, deadline).await?.peer.clone())
     }
 
-    /// Drops the connection to an address; calls under way on it go on until it is unused.
+    /// Drops the client's connection to an address; calls in flight on it still complete.
     pub fn forget(&self, to: SocketAddr) {
-        self.slots.lock().unwrap_or_else(std::sync::PoisonError::into_inner).remove(&to);
+        self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner).remove(&to);
     }
 
     async fn connection(
@@ -159,12 +157,13 @@
         to: SocketAddr,
         deadline: Instant,
     ) -> Result<Arc<Connection>, RpcError> {
-        let slot = {
-            let mut slots = self.slots.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-            slots.entry(to).or_default().clone()
+        let state = {
+            let mut addresses =
+                self.addresses.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+            addresses.entry(to).or_default().clone()
         };
-        let deadline = deadline.min(Instant::now() + CONNECT_TIME);
-        let opening = async { slot.lock().await.connection(to, &self.identity).await };
+        let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
+        let opening = async { state.lock().await.connection(to, &self.identity).await };
         let opened = timeout_at(deadline, opening)
             .await
             .map_err(|_| RpcError::NotSent(format!("no connection to {to} in time")))?;
@@ -180,11 +179,11 @@
     postcard::from_bytes(bytes).map_err(|e| RpcError::Decode(e.to_string()))
 }
 
-/// Items of an open stream. Dropping it cancels the stream.
+/// Receiver of an open stream's items. Dropping it cancels the stream.
 pub struct ItemStream<T> {
     items: mpsc::Receiver<Result<Bytes, RpcError>>,
     connection: Arc<Connection>,
-    _registration: Registration,
+    _pending: PendingRequest,
     item: std::marker::PhantomData<fn() -> T>,
 }
 
@@ -195,10 +194,11 @@
 }
 
 impl<T: DeserializeOwned> ItemStream<T> {
-    /// The next item; `None` when the peer ended the stream.
+    /// Waits for the next item; `None` when the peer ended the stream.
     ///
     /// # Errors
-    /// `ConnectionLost` when the connection broke before the end, `SlowReader` when the stream was cut.
+    /// [`RpcError::ConnectionLost`] when the connection closed before the end of the stream, and
+    /// [`RpcError::SlowReader`] when the stream was closed because its items were not read fast enough.
     pub async fn next(&mut self) -> Result<Option<T>, RpcError> {
         match self.items.recv().await {
             Some(Ok(bytes)) => decode(&bytes).map(Some),
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the opening side, shared by all calls to a peer.
+//! Client side of a connection, shared by all calls to a peer.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,19 +16,19 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use crate::frame::{ClientFrame, ServerBody, ServerFrame, encode, read};
-use crate::writer::{BUFFER_BYTES, Outgoing, WRITE_QUEUE_FRAMES, write_frames};
+use crate::writer::{BUFFER_BYTES, QueuedFrame, WRITE_QUEUE_FRAMES, write_frames};
 use crate::{Fault, LocalIdentity, Peer, RpcError, handshake};
 
-/// How often an open connection asks for a sign of life.
+/// Interval between pings on an open connection.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Silence after which a peer counts as gone and the connection is closed.
-const SERVER_SILENCE: Duration = Duration::from_secs(4);
+/// Time without a frame from the server after which the connection is closed.
+const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Items of one stream that may wait for its reader before the stream is cut.
+/// Items of one stream that may wait for its reader before the stream is closed.
 pub(crate) const READER_QUEUE_ITEMS: usize = 1024;
 
-/// What a waiting call or stream gets.
+/// Channel that delivers replies or items to the caller.
 pub(crate) enum Waiter {
     Call(oneshot::Sender<Result<Bytes, RpcError>>),
     Stream(mpsc::Sender<Result<Bytes, RpcError>>),
@@ -36,10 +36,10 @@
 
 type Waiters = Arc<Mutex<HashMap<u64, Waiter>>>;
 
-/// A live connection. Dropping the last handle closes it.
+/// An open connection to a peer. Dropping the last handle closes it.
 pub(crate) struct Connection {
     pub(crate) peer: Peer,
-    queue: mpsc::Sender<Outgoing>,
+    queue: mpsc::Sender<QueuedFrame>,
     waiters: Waiters,
     next_id: AtomicU64,
     closed: CancellationToken,
@@ -50,19 +50,19 @@
     waiters.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Why a connection could not be had.
+/// Reason why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum OpenError {
-    /// Nobody takes connections at the address.
+    /// No TCP connection could be established.
     #[error(transparent)]
     Connect(#[from] io::Error),
-    /// Who answers there did not complete the hello.
+    /// The peer accepted the connection but failed the handshake.
     #[error("hello: {0}")]
-    Hello(#[source] io::Error),
+    Handshake(#[source] io::Error),
 }
 
 impl Connection {
-    /// Opens a connection from this node's own address and proves the secret.
+    /// Connects from this node's own IP address and performs the handshake.
     pub(crate) async fn open(
         to: SocketAddr,
         identity: &LocalIdentity,
@@ -75,8 +75,8 @@
         }
         let mut stream = socket.connect(to).await?;
         stream.set_nodelay(true)?;
-        let hello = handshake::connect(&mut stream, identity, to.ip()).await;
-        let peer = hello.map_err(OpenError::Hello)?;
+        let handshake = handshake::connect(&mut stream, identity, to.ip()).await;
+        let peer = handshake.map_err(OpenError::Handshake)?;
         let (reading, writing) = stream.into_split();
         let (queue, frames) = mpsc::channel(WRITE_QUEUE_FRAMES);
         let closed = CancellationToken::new();
@@ -106,7 +106,7 @@
                 () = pinger => {}
             }
             closed.cancel();
-            // Waiters see their channel close and report the connection as lost.
+            // Closes the waiters' channels, so that they report `ConnectionLost`.
             lock(&waiters).clear();
         });
         Ok(connection)
@@ -116,13 +116,13 @@
         self.closed.is_cancelled()
     }
 
-    /// Sends a request and registers who waits for its answer.
+    /// Sends a request and registers the waiter for its reply.
     pub(crate) async fn send(
         self: &Arc<Self>,
         method: Method,
         body: Bytes,
         waiter: Waiter,
-    ) -> Result<Registration, RpcError> {
+    ) -> Result<PendingRequest, RpcError> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let frame = match waiter {
             Waiter::Call(_) => ClientFrame::Call { id, method, body },
@@ -130,38 +130,38 @@
         };
         let bytes = encode(&frame).map_err(|e| RpcError::NotSent(e.to_string()))?;
         lock(&self.waiters).insert(id, waiter);
-        let registration = Registration { connection: self.clone(), id };
+        let pending = PendingRequest { connection: self.clone(), id };
         if self.is_closed() {
             return Err(RpcError::NotSent("connection closed".to_owned()));
         }
-        let sent = self.queue.send(Outgoing::new(bytes)).await;
+        let sent = self.queue.send(QueuedFrame::new(bytes)).await;
         sent.map_err(|_| RpcError::NotSent("connection closed".to_owned()))?;
-        Ok(registration)
+        Ok(pending)
     }
 }
 
-/// A request under way; dropping it tells the peer that its answer is not wanted any more.
-pub(crate) struct Registration {
+/// A request in flight. Dropping it before the reply has arrived cancels the request at the peer.
+pub(crate) struct PendingRequest {
     connection: Arc<Connection>,
     id: u64,
 }
 
-impl Drop for Registration {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         if lock(&self.connection.waiters).remove(&self.id).is_none() {
             return;
         }
         if let Ok(bytes) = encode(&ClientFrame::Cancel { id: self.id }) {
-            let _ = self.connection.queue.try_send(Outgoing::new(bytes));
+            let _ = self.connection.queue.try_send(QueuedFrame::new(bytes));
         }
     }
 }
 
-async fn ping(queue: mpsc::Sender<Outgoing>, identity: LocalIdentity) {
+async fn ping(queue: mpsc::Sender<QueuedFrame>, identity: LocalIdentity) {
     loop {
-        let frame = ClientFrame::Ping { bundle: identity.bundles.named() };
+        let frame = ClientFrame::Ping { bundle: identity.bundles.advertised() };
         let Ok(bytes) = encode(&frame) else { return };
-        if queue.send(Outgoing::new(bytes)).await.is_err() {
+        if queue.send(QueuedFrame::new(bytes)).await.is_err() {
             return;
         }
         tokio::time::sleep(PING_INTERVAL).await;
@@ -176,7 +176,7 @@
     let mut reader = BufReader::with_capacity(BUFFER_BYTES, half);
     loop {
         let reading = read(&mut reader, &identity.traffic);
-        let frame: ServerFrame = tokio::time::timeout(SERVER_SILENCE, reading).await??;
+        let frame: ServerFrame = tokio::time::timeout(SERVER_IDLE_TIMEOUT, reading).await??;
         identity.bundles.saw(frame.bundle);
         deliver(&waiters, frame.body);
     }
@@ -191,7 +191,7 @@
         ServerBody::Item { id, body } => {
             let mut waiters = lock(waiters);
             let Some(Waiter::Stream(items)) = waiters.get(&id) else { return };
-            // One slot is kept for the word that the stream was cut.
+            // The last slot is reserved for the `SlowReader` error.
             if items.capacity() > 1 {
                 let _ = items.try_send(Ok(body));
             } else {
--- a/crates/rpc/src/deferred.rs
+++ b/crates/rpc/src/deferred.rs
@@ -1,4 +1,4 @@
-//! Replies that are given later and from any thread, without a task that waits for them.
+//! Replies sent after the handler has returned, from any thread and without a task that waits.
 
 use std::marker::PhantomData;
 
@@ -9,9 +9,9 @@
 use crate::Fault;
 use crate::frame::ServerBody;
 use crate::router::encode_reply;
-use crate::server::{Answers, reply_body};
+use crate::server::{ReplySender, reply_body};
 
-/// Where the reply to one request goes. Dropped without a reply, it answers that the handler failed.
+/// Sends the reply to one request. Dropping it without a reply reports a failed handler to the caller.
 #[derive(Debug)]
 pub struct Replier<T> {
     raw: RawReplier,
@@ -23,25 +23,25 @@
         Self { raw, reply: PhantomData }
     }
 
-    /// Answers the request. Does not wait, and may be called outside of the runtime.
+    /// Sends the reply without waiting. May be called outside of the async runtime.
     pub fn send(mut self, reply: &T) {
         self.raw.send(reply_body(self.raw.id, encode_reply(reply)));
     }
 }
 
-/// A [`Replier`] of any type.
+/// Untyped [`Replier`].
 #[derive(Debug)]
 pub(crate) struct RawReplier {
     id: u64,
-    /// `None` once it is used.
-    answers: Option<Answers>,
+    /// `None` once the reply has been sent.
+    replies: Option<ReplySender>,
     runtime: Handle,
 }
 
 impl RawReplier {
-    /// Must be made within the runtime.
-    pub(crate) fn new(id: u64, answers: Answers) -> Self {
-        Self { id, answers: Some(answers), runtime: Handle::current() }
+    /// Must be called within the async runtime.
+    pub(crate) fn new(id: u64, replies: ReplySender) -> Self {
+        Self { id, replies: Some(replies), runtime: Handle::current() }
     }
 
     pub(crate) fn fail(&mut self, fault: Fault) {
@@ -49,12 +49,12 @@
     }
 
     fn send(&mut self, body: ServerBody) {
-        let Some(answers) = self.answers.take() else { return };
-        let Some(frame) = answers.frame(body) else { return };
-        if let Err(TrySendError::Full(frame)) = answers.queue.try_send(frame) {
-            // The connection is slow; the frame waits for room.
+        let Some(replies) = self.replies.take() else { return };
+        let Some(frame) = replies.frame(body) else { return };
+        if let Err(TrySendError::Full(frame)) = replies.queue.try_send(frame) {
+            // The connection's write queue is full; a task waits for capacity.
             self.runtime.spawn(async move {
-                let _ = answers.queue.send(frame).await;
+                let _ = replies.queue.send(frame).await;
             });
         }
     }
@@ -62,7 +62,7 @@
 
 impl Drop for RawReplier {
     fn drop(&mut self) {
-        if self.answers.is_some() {
+        if self.replies.is_some() {
             self.fail(Fault::Failed("the handler gave no reply".to_owned()));
         }
     }
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -1,48 +1,48 @@
-//! Why a call got no reply.
+//! Errors of calls and streams.
 
 use serde::{Deserialize, Serialize};
 
-/// Why a call got no reply. Only [`RpcError::NotSent`] says that the peer has not seen it.
+/// Error of a call or stream. Only [`RpcError::NotSent`] guarantees that the peer has not received it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RpcError {
-    /// No connection could be had, so not one byte of the call was written.
+    /// No connection was available, so no part of the request was written.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The connection broke after the call may have been written.
+    /// The connection closed after the request may have been written.
     #[error("connection lost")]
     ConnectionLost,
-    /// No reply came by the deadline; the call may have run or may run yet.
+    /// No reply arrived before the deadline; the call may have run or may still run.
     #[error("deadline exceeded")]
     DeadlineExceeded,
-    /// The peer answered with a fault of the transport.
+    /// The peer's RPC layer replied with a fault.
     #[error("peer answered: {0}")]
     Fault(Fault),
-    /// The reply did not decode.
+    /// The reply could not be decoded.
     #[error("reply does not decode: {0}")]
     Decode(String),
-    /// The items came faster than they were taken, and the stream was cut; resume it.
-    #[error("stream was cut: its reader is too slow")]
+    /// Items arrived faster than they were read, so the stream was closed; the caller should resume it.
+    #[error("stream was closed: its reader is too slow")]
     SlowReader,
 }
 
 impl RpcError {
-    /// Whether the peer certainly has not seen the call.
+    /// Whether it is certain that the peer has not received the call.
     #[must_use]
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 }
 
-/// A fault that a peer's transport answers with.
+/// Fault that a peer's RPC layer replies with.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Fault {
-    /// The process has no handler for the method.
+    /// The peer has no handler for the method.
     #[error("no handler for this method")]
     NoHandler,
-    /// The request did not decode.
+    /// The request could not be decoded.
     #[error("request does not decode: {0}")]
     Decode(String),
-    /// The handler failed.
+    /// The handler panicked, returned no reply, or its reply could not be encoded.
     #[error("handler failed: {0}")]
     Failed(String),
 }
--- a/crates/rpc/src/faults.rs
+++ b/crates/rpc/src/faults.rs
@@ -1,7 +1,7 @@
-//! Cuts and delays of links, for failure tests. Opened only by `--enable-faults`.
+//! Injected link faults (cuts and delays) for failure tests. They can be set only with `--enable-faults`.
 //!
-//! Faults act on the sending side: a cut holds frames back, as a network that drops packets makes
-//! TCP do, and lets them go when it heals. A one-way cut is a cut at one end only.
+//! Faults act on the sending side. A cut link holds frames back until the cut is lifted, as TCP does
+//! on a network that drops packets. A one-way partition is a cut at one end only.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -10,17 +10,17 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// What is wrong with the link towards one address.
+/// Injected fault of the link to one address.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkFault {
-    /// Nothing gets through.
+    /// Whether frames are held back.
     pub cut: bool,
-    /// Added delay of each frame, in microseconds.
+    /// Delay added to each frame, in microseconds.
     pub delay_micros: u64,
 }
 
-/// Faults of this process's links, by the peer's IP address.
+/// Injected faults of this process's links, by the peer's IP address.
 #[derive(Debug)]
 pub struct LinkFaults {
     links: watch::Sender<BTreeMap<IpAddr, LinkFault>>,
@@ -38,29 +38,29 @@
         self.links.send_replace(links);
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     #[must_use]
     pub fn get(&self) -> BTreeMap<IpAddr, LinkFault> {
         self.links.borrow().clone()
     }
 
-    /// Delay of frames towards an address.
+    /// Delay of frames sent to an address.
     #[must_use]
     pub fn delay_to(&self, ip: IpAddr) -> Duration {
         let links = self.links.borrow();
         links.get(&ip).map_or(Duration::ZERO, |l| Duration::from_micros(l.delay_micros))
     }
 
-    /// Whether the link towards an address is cut.
+    /// Whether the link to an address is cut.
     #[must_use]
     pub fn is_cut(&self, ip: IpAddr) -> bool {
         self.links.borrow().get(&ip).is_some_and(|l| l.cut)
     }
 
-    /// Waits until the link towards an address is not cut.
+    /// Waits until the link to an address is not cut.
     pub async fn passable(&self, ip: IpAddr) {
         let mut links = self.links.subscribe();
-        // The sender lives as long as `self`, so the wait only ends by the condition.
+        // The sender lives as long as `self`, so the wait cannot fail.
         let _ = links.wait_for(|l| !l.get(&ip).is_some_and(|f| f.cut)).await;
     }
 }
--- a/crates/rpc/src/frame.rs
+++ b/crates/rpc/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames and their length prefix.
+//! Frame types, and encoding and decoding of length-prefixed frames.
 
 use std::io;
 
@@ -10,33 +10,34 @@
 
 use crate::{Fault, Traffic};
 
-/// Length of the length prefix.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Longest frame accepted, in bytes.
+/// Maximum length of a frame, in bytes.
 pub(crate) const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// From the side that opened the connection.
+/// Frame sent by the client, which opened the connection.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum ClientFrame {
     /// A request with one reply.
     Call { id: u64, method: Method, body: Bytes },
-    /// A request answered by a stream.
+    /// A request whose response is a stream.
     Open { id: u64, method: Method, body: Bytes },
-    /// The reply or the rest of the stream is not wanted any more.
+    /// Cancels a call or a stream.
     Cancel { id: u64 },
-    /// Asks for a sign of life.
+    /// Requests a [`ServerBody::Pong`]; carries the bundle version that the client advertises.
     Ping { bundle: BundleVersion },
 }
 
-/// From the side that accepted it.
+/// Frame sent by the server, which accepted the connection.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ServerFrame {
-    /// Bundle version in force at the sender.
+    /// Newest bundle version that the sender has installed or knows to be committed.
     pub(crate) bundle: BundleVersion,
     pub(crate) body: ServerBody,
 }
 
+/// Content of a [`ServerFrame`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum ServerBody {
     Reply { id: u64, body: Bytes },
@@ -46,12 +47,15 @@
     Pong,
 }
 
-/// Encodes a value with its length in front.
+/// Encodes a value with a length prefix.
 pub(crate) fn encode<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let mut bytes = postcard::to_extend(value, vec![0_u8; 4]).map_err(io::Error::other)?;
     let length = bytes.len() - 4;
     if length > MAX_FRAME_BYTES {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "frame too long"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "frame exceeds the maximum length",
+        ));
     }
     let prefix = u32::try_from(length).map_err(io::Error::other)?;
     bytes[..4].copy_from_slice(&prefix.to_le_bytes());
@@ -66,10 +70,10 @@
 {
     let length = reader.read_u32_le().await? as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "frame too long"));
+        return Err(io::Error::new(io::ErrorKind::InvalidData, "frame exceeds the maximum length"));
     }
     let mut bytes = vec![0_u8; length];
     reader.read_exact(&mut bytes).await?;
-    traffic.received(LENGTH_BYTES + length);
+    traffic.record_received(LENGTH_BYTES + length);
     postcard::from_bytes(&bytes).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
--- a/crates/rpc/src/handshake.rs
+++ b/crates/rpc/src/handshake.rs
@@ -1,4 +1,7 @@
-//! The first frames of a connection: both ends prove that they hold the cluster secret.
+//! Handshake of a new connection: both ends prove that they hold the cluster secret.
+//!
+//! The server sends a challenge, and each side then sends a [`Hello`] with a keyed hash over the other
+//! side's nonce, its own nonce and its identity.
 
 use std::io;
 use std::net::IpAddr;
@@ -44,7 +47,7 @@
     side: Side,
     challenge: &Nonce,
     own: &Nonce,
-    who: (NodeId, u64),
+    sender: (NodeId, u64),
 ) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(match side {
@@ -52,7 +55,7 @@
         Side::Server => b"server",
     });
     hasher.update(challenge).update(own);
-    hasher.update(&who.0.0.to_le_bytes()).update(&who.1.to_le_bytes());
+    hasher.update(&sender.0.0.to_le_bytes()).update(&sender.1.to_le_bytes());
     *hasher.finalize().as_bytes()
 }
 
@@ -64,34 +67,34 @@
         incarnation,
         role: identity.address.role,
         cluster: identity.cluster(),
-        bundle: identity.bundles.named(),
+        bundle: identity.bundles.advertised(),
         nonce,
         proof: proof(identity.secret_key(), side, challenge, &nonce, (node, incarnation.0)),
     }
 }
 
-fn check_hello(
+fn verify_hello(
     identity: &LocalIdentity,
     side: Side,
     challenge: &Nonce,
     hello: &Hello,
     ip: IpAddr,
 ) -> io::Result<Peer> {
-    let who = (hello.node, hello.incarnation.0);
-    let expected = proof(identity.secret_key(), side, challenge, &hello.nonce, who);
+    let sender = (hello.node, hello.incarnation.0);
+    let expected = proof(identity.secret_key(), side, challenge, &hello.nonce, sender);
     if !bool::from(expected.ct_eq(&hello.proof)) {
-        return Err(refuse("peer does not hold the cluster secret"));
+        return Err(refusal("peer does not hold the cluster secret"));
     }
     let (own, other) = (identity.cluster(), hello.cluster);
     if own != 0 && other != 0 && own != other {
-        return Err(refuse("peer belongs to another cluster"));
+        return Err(refusal("peer belongs to another cluster"));
     }
     identity.bundles.saw(hello.bundle);
-    identity.runs.note(ip, hello.incarnation);
+    identity.newest_incarnations.record(ip, hello.incarnation);
     Ok(Peer { node: hello.node, incarnation: hello.incarnation, role: hello.role, ip })
 }
 
-fn refuse(reason: &str) -> io::Error {
+fn refusal(reason: &str) -> io::Error {
     io::Error::new(io::ErrorKind::PermissionDenied, reason)
 }
 
@@ -102,11 +105,11 @@
 ) -> io::Result<()> {
     let bytes = encode(value)?;
     stream.write_all(&bytes).await?;
-    identity.traffic.sent(bytes.len());
+    identity.traffic.record_sent(bytes.len());
     stream.flush().await
 }
 
-/// The opening side's part.
+/// Performs the client's side of the handshake and returns the authenticated peer.
 pub(crate) async fn connect<S>(
     stream: &mut S,
     identity: &LocalIdentity,
@@ -117,15 +120,15 @@
 {
     let challenge: Challenge = read(stream, &identity.traffic).await?;
     if challenge.protocol != PROTOCOL_VERSION {
-        return Err(refuse("peer speaks another protocol version"));
+        return Err(refusal("peer speaks another protocol version"));
     }
     let nonce: Nonce = rand::rng().random();
     send(stream, identity, &make_hello(identity, Side::Client, &challenge.nonce, nonce)).await?;
     let reply: Hello = read(stream, &identity.traffic).await?;
-    check_hello(identity, Side::Server, &nonce, &reply, ip)
+    verify_hello(identity, Side::Server, &nonce, &reply, ip)
 }
 
-/// The accepting side's part.
+/// Performs the server's side of the handshake and returns the authenticated peer.
 pub(crate) async fn accept<S>(
     stream: &mut S,
     identity: &LocalIdentity,
@@ -137,7 +140,7 @@
     let nonce: Nonce = rand::rng().random();
     send(stream, identity, &Challenge { protocol: PROTOCOL_VERSION, nonce }).await?;
     let hello: Hello = read(stream, &identity.traffic).await?;
-    let peer = check_hello(identity, Side::Client, &nonce, &hello, ip)?;
+    let peer = verify_hello(identity, Side::Client, &nonce, &hello, ip)?;
     let own: Nonce = rand::rng().random();
     send(stream, identity, &make_hello(identity, Side::Server, &hello.nonce, own)).await?;
     Ok(peer)
--- a/crates/rpc/src/identity.rs
+++ b/crates/rpc/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who this process is to its peers, and what it learns from them.
+//! Identity of this process towards its peers, and state learned from their frames.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -8,19 +8,19 @@
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole};
 use tokio::sync::watch;
 
-use crate::incarnations::NewestRuns;
+use crate::incarnations::NewestIncarnations;
 use crate::{LinkFaults, Traffic};
 
-/// The installed bundle version of this process, the newest that it knows to be committed, and the newest that any peer
-/// has named.
+/// Bundle versions known to this process: installed, known to be committed, and newest advertised by
+/// any peer.
 #[derive(Debug)]
-pub struct BundleNews {
+pub struct BundleVersions {
     installed: AtomicU64,
     committed: AtomicU64,
     newest_seen: watch::Sender<BundleVersion>,
 }
 
-impl Default for BundleNews {
+impl Default for BundleVersions {
     fn default() -> Self {
         Self {
             installed: AtomicU64::new(0),
@@ -30,33 +30,33 @@
     }
 }
 
-impl BundleNews {
-    /// The version in force here.
+impl BundleVersions {
+    /// Version installed in this process.
     #[must_use]
     pub fn installed(&self) -> BundleVersion {
         BundleVersion(self.installed.load(Ordering::Acquire))
     }
 
-    /// The version told on every frame: the newest that is in force here or known to be committed.
+    /// Version sent to peers: the newer of the installed and the newest known committed version.
     #[must_use]
-    pub fn named(&self) -> BundleVersion {
+    pub fn advertised(&self) -> BundleVersion {
         self.installed().max(BundleVersion(self.committed.load(Ordering::Acquire)))
     }
 
-    /// Notes that a version is committed. A store that has applied it tells all that call it, so that the news does not
-    /// rest on the one process that acknowledged the bundle.
+    /// Records that a version is committed. Stores that have applied it advertise it to all their
+    /// clients, so its spread does not depend on the one process that acknowledged the bundle.
     pub fn note_committed(&self, version: BundleVersion) {
         self.committed.fetch_max(version.0, Ordering::AcqRel);
         self.saw(version);
     }
 
-    /// Notes that a version came into force here. An older one changes nothing.
+    /// Records that a version has been installed. An older version has no effect.
     pub fn set_installed(&self, version: BundleVersion) {
         self.installed.fetch_max(version.0, Ordering::AcqRel);
         self.saw(version);
     }
 
-    /// Notes that a peer named a version.
+    /// Records a version that a peer advertised.
     pub fn saw(&self, version: BundleVersion) {
         self.newest_seen.send_if_modified(|newest| {
             let newer = version > *newest;
@@ -67,34 +67,34 @@
         });
     }
 
-    /// Follows the newest version that any peer has named.
+    /// Subscribes to the newest version that any peer has advertised.
     #[must_use]
     pub fn watch_newest(&self) -> watch::Receiver<BundleVersion> {
         self.newest_seen.subscribe()
     }
 }
 
-/// This process towards its peers. Cheap to clone.
+/// Identity of this process towards its peers, and its shared RPC state. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct LocalIdentity {
-    /// Who and where.
+    /// Node id, incarnation, role and addresses.
     pub address: NodeAddress,
-    /// Key derived from the cluster secret; both ends prove that they hold it.
+    /// Key derived from the cluster secret; both ends prove in the handshake that they hold it.
     secret_key: [u8; 32],
-    /// Cluster id; 0 until known. Peers of another cluster are refused.
+    /// Cluster id; 0 until known. Peers of another cluster are rejected.
     cluster: Arc<AtomicU64>,
-    /// Bundle versions, told and heard.
-    pub bundles: Arc<BundleNews>,
-    /// Cuts and delays of this process's links; empty unless faults are enabled.
+    /// Bundle versions known to this process.
+    pub bundles: Arc<BundleVersions>,
+    /// Injected faults of this process's links; empty unless faults are enabled.
     pub faults: Arc<LinkFaults>,
-    /// What this process sends and receives.
+    /// Counters of bytes and frames sent and received.
     pub traffic: Arc<Traffic>,
-    /// Newest runs of peers.
-    pub(crate) runs: Arc<NewestRuns>,
+    /// Newest known incarnation at each peer's address.
+    pub(crate) newest_incarnations: Arc<NewestIncarnations>,
 }
 
 impl LocalIdentity {
-    /// Makes an identity; the secret is never stored as it is.
+    /// Creates an identity. Only a key derived from the secret is stored.
     #[must_use]
     pub fn new(address: NodeAddress, cluster_secret: &str) -> Self {
         Self {
@@ -104,20 +104,20 @@
                 cluster_secret.as_bytes(),
             ),
             cluster: Arc::new(AtomicU64::new(0)),
-            bundles: Arc::new(BundleNews::default()),
+            bundles: Arc::new(BundleVersions::default()),
             faults: Arc::new(LinkFaults::default()),
             traffic: Arc::default(),
-            runs: Arc::default(),
+            newest_incarnations: Arc::default(),
         }
     }
 
-    /// The cluster id; 0 until known.
+    /// Cluster id; 0 until known.
     #[must_use]
     pub fn cluster(&self) -> u64 {
         self.cluster.load(Ordering::Acquire)
     }
 
-    /// Notes the cluster id, once; a later different one is ignored.
+    /// Sets the cluster id. Once set, later values are ignored.
     pub fn set_cluster(&self, cluster: u64) {
         let _ = self.cluster.compare_exchange(0, cluster, Ordering::AcqRel, Ordering::Acquire);
     }
@@ -127,15 +127,15 @@
     }
 }
 
-/// The other end of a connection, proven to hold the cluster secret.
+/// Authenticated process at the other end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its node id.
+    /// Node id.
     pub node: NodeId,
-    /// Its run.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Role of the node.
     pub role: NodeRole,
-    /// Its address as the connection shows it.
+    /// Remote IP address of the connection.
     pub ip: IpAddr,
 }
--- a/crates/rpc/src/incarnations.rs
+++ b/crates/rpc/src/incarnations.rs
@@ -1,4 +1,4 @@
-//! The newest run of a process that was seen at each address.
+//! Newest incarnation of a process seen at each address.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -6,26 +6,27 @@
 
 use hooklug_types::Incarnation;
 
-/// Newest runs by machine. A machine that lost power answers nothing: a connection to its former run looks alive until it
-/// has been silent for long, and is known to be dead as soon as a newer run has shown itself.
+/// Newest known incarnations by IP address. A machine that lost power does not close its connections,
+/// so a connection to its previous incarnation looks open until the idle timeout. A handshake with a
+/// newer incarnation shows earlier that such a connection is dead.
 #[derive(Debug, Default)]
-pub(crate) struct NewestRuns {
+pub(crate) struct NewestIncarnations {
     newest: RwLock<HashMap<IpAddr, Incarnation>>,
 }
 
-impl NewestRuns {
-    /// Notes a run that proved the secret.
-    pub(crate) fn note(&self, ip: IpAddr, run: Incarnation) {
-        if self.at(ip) >= Some(run) {
+impl NewestIncarnations {
+    /// Records the incarnation of a peer that completed the handshake.
+    pub(crate) fn record(&self, ip: IpAddr, incarnation: Incarnation) {
+        if self.newest_at(ip) >= Some(incarnation) {
             return;
         }
         let mut newest = self.newest.write().unwrap_or_else(PoisonError::into_inner);
-        let known = newest.entry(ip).or_insert(run);
-        *known = run.max(*known);
+        let known = newest.entry(ip).or_insert(incarnation);
+        *known = incarnation.max(*known);
     }
 
-    /// The newest run seen at a machine.
-    pub(crate) fn at(&self, ip: IpAddr) -> Option<Incarnation> {
+    /// Newest incarnation seen at an IP address.
+    pub(crate) fn newest_at(&self, ip: IpAddr) -> Option<Incarnation> {
         self.newest.read().unwrap_or_else(PoisonError::into_inner).get(&ip).copied()
     }
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,8 +1,9 @@
-//! Framed TCP between hooklug processes: typed calls and streams over one multiplexed connection a peer.
+//! RPC between hooklug processes: typed calls and streams over one multiplexed TCP connection per peer.
 //!
-//! A frame is a four-byte length and a postcard body. Each connection starts with a mutual proof of
-//! the cluster secret; each server frame carries the sender's bundle version, so that news of a
-//! bundle spreads with ordinary traffic. Links can be cut or delayed for tests (see [`LinkFaults`]).
+//! A frame is a four-byte length and a postcard body. Each connection starts with a handshake in which
+//! both ends prove that they hold the cluster secret. Each server frame carries the sender's bundle
+//! version, so new bundle versions spread with ordinary traffic. Tests can cut or delay links (see
+//! [`LinkFaults`]).
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -21,11 +22,11 @@
 mod traffic;
 mod writer;
 
-pub use client::{HELLO_PAUSE, ItemStream, RpcClient};
+pub use client::{HANDSHAKE_RETRY_DELAY, ItemStream, RpcClient};
 pub use deferred::Replier;
 pub use error::{Fault, RpcError};
 pub use faults::{LinkFault, LinkFaults};
-pub use identity::{BundleNews, LocalIdentity, Peer};
+pub use identity::{BundleVersions, LocalIdentity, Peer};
 pub use router::{ItemSink, Router};
 pub use server::RpcServer;
 pub use traffic::{Traffic, TrafficCounts};
--- a/crates/rpc/src/router.rs
+++ b/crates/rpc/src/router.rs
@@ -1,4 +1,4 @@
-//! Typed handlers by method.
+//! Registry of typed request handlers by method.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -13,15 +13,15 @@
 use crate::deferred::{RawReplier, Replier};
 use crate::{Fault, Peer};
 
-/// An encoded reply.
-pub(crate) type Encoded = Result<Vec<u8>, Fault>;
-type UnaryHandler = Arc<dyn Fn(Peer, Bytes) -> BoxFuture<'static, Encoded> + Send + Sync>;
-type InlineHandler = Arc<dyn Fn(&Peer, &[u8]) -> Encoded + Send + Sync>;
+/// Result of a handler: the encoded reply, or a fault.
+pub(crate) type EncodedReply = Result<Vec<u8>, Fault>;
+type UnaryHandler = Arc<dyn Fn(Peer, Bytes) -> BoxFuture<'static, EncodedReply> + Send + Sync>;
+type InlineHandler = Arc<dyn Fn(&Peer, &[u8]) -> EncodedReply + Send + Sync>;
 type DeferredHandler = Arc<dyn Fn(&Peer, &[u8], RawReplier) + Send + Sync>;
 type StreamHandler =
     Arc<dyn Fn(Peer, Bytes, RawSink) -> BoxFuture<'static, Result<(), Fault>> + Send + Sync>;
 
-/// Encoded items of one stream, towards the connection's writer.
+/// Channel for the encoded items of one stream.
 pub(crate) type RawSink = mpsc::Sender<Vec<u8>>;
 
 #[derive(Clone)]
@@ -32,35 +32,35 @@
     Stream(StreamHandler),
 }
 
-/// Where a stream handler puts its items.
+/// Sends the items of a stream to its receiver.
 #[derive(Debug)]
 pub struct ItemSink<T> {
     sink: RawSink,
     item: std::marker::PhantomData<fn(T)>,
 }
 
-/// The receiver of a stream is gone.
+/// Error of [`ItemSink::send`]: the receiver has cancelled the stream or disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the stream's receiver is gone")]
-pub struct ReceiverGone;
+#[error("the stream's receiver has disconnected")]
+pub struct ReceiverDisconnected;
 
 impl<T: Serialize> ItemSink<T> {
-    /// Sends one item; waits while the connection is slow.
+    /// Sends one item; waits while the connection's write queue is full.
     ///
     /// # Errors
-    /// When the receiver cancelled the stream or its connection broke.
-    pub async fn send(&self, item: &T) -> Result<(), ReceiverGone> {
-        let bytes = postcard::to_stdvec(item).map_err(|_| ReceiverGone)?;
-        self.sink.send(bytes).await.map_err(|_| ReceiverGone)
+    /// When the receiver has cancelled the stream or its connection has closed.
+    pub async fn send(&self, item: &T) -> Result<(), ReceiverDisconnected> {
+        let bytes = postcard::to_stdvec(item).map_err(|_| ReceiverDisconnected)?;
+        self.sink.send(bytes).await.map_err(|_| ReceiverDisconnected)
     }
 
-    /// Waits until the receiver is gone.
+    /// Waits until the receiver has cancelled the stream or disconnected.
     pub async fn closed(&self) {
         self.sink.closed().await;
     }
 }
 
-/// Handlers of one process.
+/// Request handlers of one process, by method.
 #[derive(Clone, Default)]
 pub struct Router {
     handlers: BTreeMap<Method, Handler>,
@@ -73,13 +73,13 @@
 }
 
 impl Router {
-    /// No handlers.
+    /// Creates a router without handlers.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a handler; each request runs in a task of its own, cancelled when its caller gives up.
+    /// Adds a handler. Each request runs in its own task, which is aborted when the caller cancels.
     #[must_use]
     pub fn route<R, F, Fut>(mut self, handler: F) -> Self
     where
@@ -99,7 +99,7 @@
         self
     }
 
-    /// Adds a handler that runs in the connection's reading loop, in the order of arrival. It must not block.
+    /// Adds a handler that runs in the connection's read loop, in order of arrival. It must not block.
     #[must_use]
     pub fn route_inline<R, F>(mut self, handler: F) -> Self
     where
@@ -114,8 +114,8 @@
         self
     }
 
-    /// Adds a handler that runs in the connection's reading loop and replies later, from any thread. It must
-    /// not block; that its caller gives up changes nothing.
+    /// Adds a handler that runs in the connection's read loop and replies later, from any thread. It
+    /// must not block, and it is not notified when the caller cancels.
     #[must_use]
     pub fn route_deferred<R, F>(mut self, handler: F) -> Self
     where
@@ -131,7 +131,7 @@
         self
     }
 
-    /// Adds a handler that answers with a stream; the stream ends when the handler returns.
+    /// Adds a handler whose response is a stream; the stream ends when the handler returns.
     #[must_use]
     pub fn stream<R, F, Fut>(mut self, handler: F) -> Self
     where
@@ -153,7 +153,7 @@
         self
     }
 
-    /// All handlers of both; the other's win.
+    /// Merges the handlers of two routers; on conflict those of `other` are used.
     #[must_use]
     pub fn merge(mut self, other: Self) -> Self {
         self.handlers.extend(other.handlers);
@@ -169,6 +169,6 @@
     postcard::from_bytes(body).map_err(|e| Fault::Decode(e.to_string()))
 }
 
-pub(crate) fn encode_reply<T: Serialize>(reply: &T) -> Encoded {
+pub(crate) fn encode_reply<T: Serialize>(reply: &T) -> EncodedReply {
     postcard::to_stdvec(reply).map_err(|e| Fault::Failed(e.to_string()))
 }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side.
+//! RPC server: accepts connections and dispatches requests to handlers.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,20 +16,20 @@
 
 use crate::deferred::RawReplier;
 use crate::frame::{ClientFrame, ServerBody, ServerFrame, encode, read};
-use crate::router::{Encoded, Handler};
-use crate::writer::{BUFFER_BYTES, Outgoing, WRITE_QUEUE_FRAMES, write_frames};
+use crate::router::{EncodedReply, Handler};
+use crate::writer::{BUFFER_BYTES, QueuedFrame, WRITE_QUEUE_FRAMES, write_frames};
 use crate::{Fault, LocalIdentity, Peer, Router, handshake};
 
-/// Time a peer has to prove the cluster secret.
-const HELLO_TIME: Duration = Duration::from_secs(5);
+/// Time allowed for the handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence after which the other end of a connection counts as gone; clients ping each second.
-const CLIENT_SILENCE: Duration = Duration::from_secs(30);
+/// Time without a frame from the client after which a connection is closed; clients ping each second.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Items of one stream that may wait for the connection's writer.
+/// Items of one stream that may wait for the connection's write queue.
 const STREAM_QUEUE_ITEMS: usize = 64;
 
-/// Accepts connections and runs handlers.
+/// Accepts connections and runs request handlers.
 #[derive(Debug)]
 pub struct RpcServer {
     listener: TcpListener,
@@ -38,21 +38,21 @@
 }
 
 impl RpcServer {
-    /// Listens on an address (port 0 for any).
+    /// Binds a listener to an address (port 0 for any free port).
     ///
     /// # Errors
-    /// When the address cannot be had.
+    /// When the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
         TcpListener::bind(address).await
     }
 
-    /// A server on a listener; nothing is accepted before [`RpcServer::run`].
+    /// Creates a server on a listener; connections are accepted only once [`RpcServer::run`] is called.
     #[must_use]
     pub fn new(listener: TcpListener, identity: LocalIdentity, router: Router) -> Self {
         Self { listener, identity, router: Arc::new(router) }
     }
 
-    /// Serves until stopped; open connections are then closed.
+    /// Serves until `stop` is cancelled, then closes the open connections.
     pub async fn run(self, stop: CancellationToken) {
         let mut connections = JoinSet::new();
         loop {
@@ -61,14 +61,14 @@
                 accepted = self.listener.accept() => accepted,
             };
             let Ok((stream, from)) = accepted else {
-                // Out of descriptors, most likely: give the rest of the process time to free some.
+                // Most likely the process is out of file descriptors; wait until some are freed.
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
             let (identity, router) = (self.identity.clone(), self.router.clone());
             connections.spawn(async move {
                 if let Err(error) = serve(stream, from, identity, router).await {
-                    debug!(%from, %error, "rpc connection ended");
+                    debug!(%from, %error, "rpc connection closed");
                 }
             });
             while connections.try_join_next().is_some() {}
@@ -84,8 +84,8 @@
     router: Arc<Router>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let hello = handshake::accept(&mut stream, &identity, from.ip());
-    let peer = tokio::time::timeout(HELLO_TIME, hello).await??;
+    let handshake = handshake::accept(&mut stream, &identity, from.ip());
+    let peer = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await??;
     let (reading, writing) = stream.into_split();
     let (queue, frames) = mpsc::channel(WRITE_QUEUE_FRAMES);
     let writer = tokio::spawn(write_frames(
@@ -99,30 +99,30 @@
         peer,
         identity,
         router,
-        answers: Answers { queue, bundles: Arc::default() },
+        replies: ReplySender { queue, bundles: Arc::default() },
         tasks: JoinSet::new(),
         running: HashMap::new(),
     };
-    connection.answers.bundles = connection.identity.bundles.clone();
+    connection.replies.bundles = connection.identity.bundles.clone();
     let reader = tokio::io::BufReader::with_capacity(BUFFER_BYTES, reading);
-    let ended = connection.read_frames(reader).await;
+    let result = connection.read_frames(reader).await;
     connection.tasks.shutdown().await;
     drop(connection);
     writer.abort();
-    ended
+    result
 }
 
-/// Where replies of one connection go.
+/// Queues the replies of one connection for its writer.
 #[derive(Debug, Clone)]
-pub(crate) struct Answers {
-    pub(crate) queue: mpsc::Sender<Outgoing>,
-    bundles: Arc<crate::BundleNews>,
+pub(crate) struct ReplySender {
+    pub(crate) queue: mpsc::Sender<QueuedFrame>,
+    bundles: Arc<crate::BundleVersions>,
 }
 
-impl Answers {
-    pub(crate) fn frame(&self, body: ServerBody) -> Option<Outgoing> {
-        let frame = ServerFrame { bundle: self.bundles.named(), body };
-        encode(&frame).ok().map(Outgoing::new)
+impl ReplySender {
+    pub(crate) fn frame(&self, body: ServerBody) -> Option<QueuedFrame> {
+        let frame = ServerFrame { bundle: self.bundles.advertised(), body };
+        encode(&frame).ok().map(QueuedFrame::new)
     }
 
     async fn send(&self, body: ServerBody) -> bool {
@@ -131,11 +131,12 @@
     }
 }
 
+/// Server side of a connection.
 struct Connection {
     peer: Peer,
     identity: LocalIdentity,
     router: Arc<Router>,
-    answers: Answers,
+    replies: ReplySender,
     tasks: JoinSet<u64>,
     running: HashMap<u64, AbortHandle>,
 }
@@ -145,22 +146,22 @@
         loop {
             let traffic = self.identity.traffic.clone();
             let reading = read(&mut reader, &traffic);
-            let frame = tokio::time::timeout(CLIENT_SILENCE, reading).await??;
+            let frame = tokio::time::timeout(CLIENT_IDLE_TIMEOUT, reading).await??;
             while let Some(done) = self.tasks.try_join_next() {
                 match done {
                     Ok(id) => drop(self.running.remove(&id)),
-                    Err(error) => self.failed(&error).await,
+                    Err(error) => self.report_panic(&error).await,
                 }
             }
-            self.handle(frame).await;
+            self.handle_frame(frame).await;
         }
     }
 
-    async fn handle(&mut self, frame: ClientFrame) {
+    async fn handle_frame(&mut self, frame: ClientFrame) {
         match frame {
             ClientFrame::Ping { bundle } => {
                 self.identity.bundles.saw(bundle);
-                self.answers.send(ServerBody::Pong).await;
+                self.replies.send(ServerBody::Pong).await;
             }
             ClientFrame::Cancel { id } => {
                 if let Some(task) = self.running.remove(&id) {
@@ -169,52 +170,53 @@
             }
             ClientFrame::Call { id, method, body } | ClientFrame::Open { id, method, body } => {
                 match self.router.get(method).cloned() {
-                    Some(handler) => self.start(id, handler, body).await,
-                    None => self.fault(id, Fault::NoHandler).await,
+                    Some(handler) => self.start_handler(id, handler, body).await,
+                    None => self.send_fault(id, Fault::NoHandler).await,
                 }
             }
         }
     }
 
-    /// A handler that panicked has sent no answer; one that was cancelled is not waited for any more.
-    async fn failed(&mut self, error: &JoinError) {
+    /// Sends a fault for a handler that panicked. Cancelled handlers are not in `running` any more and
+    /// need no reply.
+    async fn report_panic(&mut self, error: &JoinError) {
         let found = self.running.iter().find(|(_, task)| task.id() == error.id());
         let Some(id) = found.map(|(id, _)| *id) else { return };
         self.running.remove(&id);
-        error!(%error, "a handler panicked");
-        self.fault(id, Fault::Failed("the handler panicked".to_owned())).await;
+        error!(%error, "rpc handler panicked");
+        self.send_fault(id, Fault::Failed("the handler panicked".to_owned())).await;
     }
 
-    async fn fault(&self, id: u64, fault: Fault) {
-        self.answers.send(ServerBody::Fault { id, fault }).await;
+    async fn send_fault(&self, id: u64, fault: Fault) {
+        self.replies.send(ServerBody::Fault { id, fault }).await;
     }
 
-    async fn start(&mut self, id: u64, handler: Handler, body: Bytes) {
-        let answers = self.answers.clone();
+    async fn start_handler(&mut self, id: u64, handler: Handler, body: Bytes) {
+        let replies = self.replies.clone();
         let peer = self.peer.clone();
         let task = match handler {
             Handler::Inline(handler) => {
-                answers.send(reply_body(id, handler(&peer, &body))).await;
+                replies.send(reply_body(id, handler(&peer, &body))).await;
                 return;
             }
             Handler::Deferred(handler) => {
-                handler(&peer, &body, RawReplier::new(id, answers));
+                handler(&peer, &body, RawReplier::new(id, replies));
                 return;
             }
             Handler::Unary(handler) => self.tasks.spawn(async move {
                 let reply = handler(peer, body).await;
-                answers.send(reply_body(id, reply)).await;
+                replies.send(reply_body(id, reply)).await;
                 id
             }),
             Handler::Stream(handler) => self.tasks.spawn(async move {
                 let (sink, items) = mpsc::channel(STREAM_QUEUE_ITEMS);
-                let ((), ended) =
-                    tokio::join!(forward_items(id, items, &answers), handler(peer, body, sink));
-                let last = match ended {
+                let ((), result) =
+                    tokio::join!(forward_items(id, items, &replies), handler(peer, body, sink));
+                let last = match result {
                     Ok(()) => ServerBody::End { id },
                     Err(fault) => ServerBody::Fault { id, fault },
                 };
-                answers.send(last).await;
+                replies.send(last).await;
                 id
             }),
         };
@@ -222,16 +224,16 @@
     }
 }
 
-pub(crate) fn reply_body(id: u64, reply: Encoded) -> ServerBody {
+pub(crate) fn reply_body(id: u64, reply: EncodedReply) -> ServerBody {
     match reply {
         Ok(body) => ServerBody::Reply { id, body: body.into() },
         Err(fault) => ServerBody::Fault { id, fault },
     }
 }
 
-async fn forward_items(id: u64, mut items: mpsc::Receiver<Vec<u8>>, answers: &Answers) {
+async fn forward_items(id: u64, mut items: mpsc::Receiver<Vec<u8>>, replies: &ReplySender) {
     while let Some(body) = items.recv().await {
-        if !answers.send(ServerBody::Item { id, body: body.into() }).await {
+        if !replies.send(ServerBody::Item { id, body: body.into() }).await {
             return;
         }
     }
--- a/crates/rpc/src/traffic.rs
+++ b/crates/rpc/src/traffic.rs
@@ -1,8 +1,8 @@
-//! Counts what a process sends and receives by rpc.
+//! Counters of RPC traffic.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Frames and bytes of all rpc connections of a process, without the headers of TCP and IP.
+/// Counters of the frames and bytes of all RPC connections of a process, without TCP and IP headers.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent_bytes: AtomicU64,
@@ -11,7 +11,7 @@
     received_frames: AtomicU64,
 }
 
-/// What was counted until now.
+/// Values of the [`Traffic`] counters at one point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
     /// Bytes sent, length prefixes included.
@@ -25,17 +25,17 @@
 }
 
 impl Traffic {
-    pub(crate) fn sent(&self, bytes: usize) {
+    pub(crate) fn record_sent(&self, bytes: usize) {
         self.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.sent_frames.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn received(&self, bytes: usize) {
+    pub(crate) fn record_received(&self, bytes: usize) {
         self.received_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.received_frames.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// What was counted until now.
+    /// Reads the counters.
     #[must_use]
     pub fn counts(&self) -> TrafficCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
--- a/crates/rpc/src/writer.rs
+++ b/crates/rpc/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writing half of a connection: batches frames, and applies cuts and delays.
+//! Writer of a connection: batches frames and applies injected link faults.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -9,31 +9,31 @@
 
 use crate::{LinkFaults, Traffic};
 
-/// Frames that may wait for one connection's writer.
+/// Capacity of a connection's write queue, in frames.
 pub(crate) const WRITE_QUEUE_FRAMES: usize = 4096;
 
-/// Bytes of small frames that gather before they are written (ours). A process has a connection to many others, so the
-/// buffers of idle ones must cost little; larger frames pass them by.
+/// Size of a connection's read and write buffers, in bytes. Small, because a process has connections
+/// to many others and most are idle; larger frames bypass the buffer.
 pub(crate) const BUFFER_BYTES: usize = 8 << 10;
 
-/// An encoded frame and when it was handed over.
+/// An encoded frame and the time at which it was queued.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct QueuedFrame {
     pub(crate) bytes: Vec<u8>,
-    pub(crate) since: Instant,
+    pub(crate) queued_at: Instant,
 }
 
-impl Outgoing {
+impl QueuedFrame {
     pub(crate) fn new(bytes: Vec<u8>) -> Self {
-        Self { bytes, since: Instant::now() }
+        Self { bytes, queued_at: Instant::now() }
     }
 }
 
-/// Writes frames until the queue closes or the connection breaks. Flushes whenever the queue runs dry,
-/// so that a lone frame never waits and many share one system call.
+/// Writes frames until the queue closes or the connection fails. Flushes whenever the queue is empty,
+/// so that a single frame is sent at once and a burst of frames shares one system call.
 pub(crate) async fn write_frames<W: AsyncWrite + Unpin>(
     half: W,
-    mut queue: mpsc::Receiver<Outgoing>,
+    mut queue: mpsc::Receiver<QueuedFrame>,
     faults: Arc<LinkFaults>,
     traffic: Arc<Traffic>,
     peer: IpAddr,
@@ -42,9 +42,9 @@
     while let Some(frame) = queue.recv().await {
         let mut next = Some(frame);
         while let Some(frame) = next {
-            hold_back(&mut writer, &faults, peer, frame.since).await?;
+            apply_faults(&mut writer, &faults, peer, frame.queued_at).await?;
             writer.write_all(&frame.bytes).await?;
-            traffic.sent(frame.bytes.len());
+            traffic.record_sent(frame.bytes.len());
             next = queue.try_recv().ok();
         }
         writer.flush().await?;
@@ -52,14 +52,14 @@
     writer.shutdown().await
 }
 
-/// Waits out a delay or a cut; what is buffered already goes out first.
-async fn hold_back<W: AsyncWrite + Unpin>(
+/// Waits until an injected delay or cut of the link is over, after flushing the buffered frames.
+async fn apply_faults<W: AsyncWrite + Unpin>(
     writer: &mut BufWriter<W>,
     faults: &LinkFaults,
     peer: IpAddr,
-    since: Instant,
+    queued_at: Instant,
 ) -> std::io::Result<()> {
-    let due = since + faults.delay_to(peer);
+    let due = queued_at + faults.delay_to(peer);
     let cut = faults.is_cut(peer);
     if !cut && due <= Instant::now() {
         return Ok(());
--- a/crates/rpc/tests/transport.rs
+++ b/crates/rpc/tests/transport.rs
@@ -1,4 +1,4 @@
-//! The transport between two processes, over real sockets: replies, streams, secrets, cuts.
+//! RPC between a client and a server over real sockets: replies, streams, the handshake and link faults.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -9,7 +9,7 @@
 use hooklug_protocol::control::NodeAddress;
 use hooklug_protocol::{Method, Request, StreamRequest};
 use hooklug_rpc::{
-    Fault, HELLO_PAUSE, LinkFault, LocalIdentity, Router, RpcClient, RpcError, RpcServer,
+    Fault, HANDSHAKE_RETRY_DELAY, LinkFault, LocalIdentity, Router, RpcClient, RpcError, RpcServer,
 };
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -33,7 +33,7 @@
     const METHOD: Method = Method::WatchView;
 }
 
-/// A request that no server here handles.
+/// A request for which the test server has no handler.
 #[derive(Debug, Serialize, Deserialize)]
 struct Unhandled;
 
@@ -51,11 +51,11 @@
     const METHOD: Method = Method::Heartbeat;
 }
 
-/// A request that is answered from another thread, or not at all.
+/// A request that gets its reply from another thread, or no reply.
 #[derive(Debug, Serialize, Deserialize)]
 enum Deferred {
-    Answer(u32),
-    Forget,
+    Reply(u32),
+    DropReplier,
 }
 
 impl Request for Deferred {
@@ -75,25 +75,25 @@
     LocalIdentity::new(address, secret)
 }
 
-struct Running {
+struct RunningServer {
     address: SocketAddr,
     identity: LocalIdentity,
     stop: CancellationToken,
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
-async fn start(secret: &str) -> Running {
+async fn start(secret: &str) -> RunningServer {
     let router = Router::new()
         .route(|peer, Echo(text)| async move { format!("{} from {}", text, peer.node) })
-        .route(|_, _: Panicking| async move { panic!("as the test asks") })
+        .route(|_, _: Panicking| async move { panic!("requested by the test") })
         .route_deferred(|_, request: Deferred, replier| match request {
-            Deferred::Answer(number) => drop(std::thread::spawn(move || replier.send(&number))),
-            Deferred::Forget => drop(replier),
+            Deferred::Reply(number) => drop(std::thread::spawn(move || replier.send(&number))),
+            Deferred::DropReplier => drop(replier),
         })
         .stream(|_, Count(to), sink| async move {
             for i in 1..=to {
@@ -107,7 +107,7 @@
     let identity = identity(1, secret);
     let stop = CancellationToken::new();
     tokio::spawn(RpcServer::new(listener, identity.clone(), router).run(stop.clone()));
-    Running { address, identity, stop }
+    RunningServer { address, identity, stop }
 }
 
 fn soon() -> Instant {
@@ -132,11 +132,11 @@
     let server = start("a shared secret").await;
     let client = RpcClient::new(identity(2, "a shared secret"));
     for number in 0..50 {
-        let reply = client.call(server.address, &Deferred::Answer(number), soon()).await;
+        let reply = client.call(server.address, &Deferred::Reply(number), soon()).await;
         assert_eq!(reply, Ok(number));
     }
-    let forgotten = client.call(server.address, &Deferred::Forget, soon()).await;
-    assert!(matches!(forgotten, Err(RpcError::Fault(Fault::Failed(_)))), "{forgotten:?}");
+    let dropped = client.call(server.address, &Deferred::DropReplier, soon()).await;
+    assert!(matches!(dropped, Err(RpcError::Fault(Fault::Failed(_)))), "{dropped:?}");
 }
 
 #[tokio::test]
@@ -163,7 +163,7 @@
     let end = loop {
         match slow.next().await {
             Ok(Some(item)) => {
-                assert_eq!(item, expected, "items come in order, without gaps");
+                assert_eq!(item, expected, "items arrive in order, without gaps");
                 expected += 1;
             }
             other => break other,
@@ -191,7 +191,7 @@
     let failed = client.call(server.address, &Panicking, soon()).await;
     assert!(matches!(failed, Err(RpcError::Fault(Fault::Failed(_)))), "{failed:?}");
     let next = client.call(server.address, &Echo("on".into()), soon()).await;
-    assert_eq!(next, Ok("on from 2".to_owned()), "the connection goes on");
+    assert_eq!(next, Ok("on from 2".to_owned()), "the connection stays usable");
 }
 
 #[tokio::test]
@@ -206,14 +206,14 @@
         }
     });
     let client = RpcClient::new(identity(2, "a shared secret"));
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..100 {
         let refused = client.call(to, &Echo("x".into()), soon()).await;
         assert!(refused.expect_err("refused").is_not_sent());
     }
-    let pauses = begun.elapsed().as_millis() / HELLO_PAUSE.as_millis();
+    let delays = started.elapsed().as_millis() / HANDSHAKE_RETRY_DELAY.as_millis();
     let opened = accepted.load(Ordering::SeqCst);
-    assert!(u128::from(opened) <= pauses + 1, "{opened} connections in {pauses} pauses");
+    assert!(u128::from(opened) <= delays + 1, "{opened} connections in {delays} retry delays");
 }
 
 #[tokio::test]
@@ -235,7 +235,7 @@
     client.call(server.address, &Echo("x".into()), soon()).await.expect("a reply");
     assert_eq!(*own.bundles.watch_newest().borrow(), BundleVersion(9));
     server.identity.bundles.set_installed(BundleVersion(4));
-    assert_eq!(server.identity.bundles.installed(), BundleVersion(9), "never slips back");
+    assert_eq!(server.identity.bundles.installed(), BundleVersion(9), "never goes back");
     server.identity.bundles.note_committed(BundleVersion(11));
     client.call(server.address, &Echo("x".into()), soon()).await.expect("a reply");
     assert_eq!(*own.bundles.watch_newest().borrow(), BundleVersion(11), "committed, not installed");
@@ -267,7 +267,7 @@
     let client = RpcClient::new(identity(2, "a shared secret"));
     client.call(to, &Echo("x".into()), soon()).await.expect("a reply");
     server.stop.cancel();
-    // Calls on the dying connection may be lost; once it is closed, a new one cannot be had.
+    // Calls on the closing connection may fail otherwise; once it is closed, no new one can be opened.
     loop {
         match client.call(to, &Echo("x".into()), soon()).await {
             Err(error) if error.is_not_sent() => break,
@@ -276,11 +276,11 @@
     }
 }
 
-/// Frames that a server sends to open a connection: its challenge and its hello.
+/// Frames that a server sends in a handshake: its challenge and its hello.
 const OPENING_FRAMES: u64 = 2;
 
-/// Guards against seconds of calls into the connection to a machine that lost power and is back: its former run can't close
-/// it, and it looks alive until it has been silent for long.
+/// Guards against calls that fail for seconds after a machine lost power and restarted: its previous
+/// incarnation cannot close the connection, which looks open until the idle timeout.
 #[tokio::test]
 async fn a_connection_is_opened_anew_once_a_newer_run_has_shown_itself_at_the_address() {
     let server = start("a shared secret").await;
@@ -288,16 +288,16 @@
     let client = RpcClient::new(own.identity.clone());
     let sent_in_a_call = async || {
         let before = server.identity.traffic.counts().sent_frames;
-        client.call(server.address, &Echo("it".to_owned()), soon()).await.expect("answered");
+        client.call(server.address, &Echo("it".to_owned()), soon()).await.expect("a reply");
         server.identity.traffic.counts().sent_frames - before
     };
-    // An answer to a ping may come beside the reply.
+    // A pong may be counted together with the reply.
     let kept = ..=OPENING_FRAMES;
     sent_in_a_call().await;
-    assert!(kept.contains(&sent_in_a_call().await), "the connection is kept");
+    assert!(kept.contains(&sent_in_a_call().await), "the connection is reused");
     let mut newer = identity(3, "a shared secret");
     newer.address.incarnation = Incarnation(9);
-    RpcClient::new(newer).peer(own.address, soon()).await.expect("it shows itself");
-    assert!(!kept.contains(&sent_in_a_call().await), "opened anew");
-    assert!(kept.contains(&sent_in_a_call().await), "once");
+    RpcClient::new(newer).peer(own.address, soon()).await.expect("a completed handshake");
+    assert!(!kept.contains(&sent_in_a_call().await), "a new connection is opened");
+    assert!(kept.contains(&sent_in_a_call().await), "it is opened only once");
 }
