--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,12 +5,12 @@
 #![forbid(unsafe_code)]
 
 mod check;
-mod fault;
+mod error;
 mod load;
 pub mod model;
 pub mod schema;
 
-pub use fault::SettingFault;
+pub use error::SettingFault;
 pub use load::{Overrides, VARIABLE_PREFIX};
 pub use model::{
     CoreSettings, EngineSettings, GatewayMode, GatewaySettings, OperatorSettings, Secret, Settings,
