--- a/crates/admin/src/answers.rs
+++ b/crates/admin/src/answers.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' API, shared with the command line.
+//! Request and response bodies of the operators' API, shared with the command line.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,53 +12,53 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// `GET /readyz`.
+/// Response of `GET /readyz`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadyAnswer {
     /// Whether the node is ready.
     pub ready: bool,
-    /// Why not, by component.
+    /// Reasons why the node is not ready, by component.
     pub reasons: BTreeMap<String, String>,
 }
 
-/// Body of `POST /admin/v1/bundles`.
+/// Request body of `POST /admin/v1/bundles`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Submission {
-    /// The bundle.
+    /// Bundle to commit.
     pub bundle: Bundle,
-    /// Signatures on its digest, in hexadecimal.
+    /// Signatures on the bundle's digest by operator, in hexadecimal.
     #[serde(default)]
     pub signatures: BTreeMap<OperatorName, String>,
 }
 
-/// A committed bundle without its content.
+/// Metadata of a committed bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleAnswer {
-    /// Its version.
+    /// Version of the bundle.
     pub version: BundleVersion,
-    /// The version that it was built on.
+    /// Version that the bundle is based on.
     pub base: BundleVersion,
-    /// Digest of its canonical bytes, in hexadecimal.
+    /// Digest of the bundle's canonical bytes, in hexadecimal.
     pub digest: String,
-    /// Operators who signed it.
+    /// Operators who signed the bundle.
     pub signed_by: Vec<OperatorName>,
-    /// Why the system made it, if it did.
+    /// Reason for the rollback, if the system created this bundle to roll a version back.
     pub rollback: Option<HarmAnswer>,
-    /// When it was committed, in milliseconds since 1970.
+    /// Time of the commit, in milliseconds since 1970.
     pub committed_ms: UnixMillis,
 }
 
-/// Why a version was rolled back.
+/// Reason why a version was rolled back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HarmAnswer {
-    /// The service.
+    /// Service of the version.
     pub service: ServiceName,
-    /// The harmful version.
+    /// Version that was rolled back.
     pub version: ServiceVersion,
-    /// The route on which it showed.
+    /// Route on which the regression was observed.
     pub route: Option<RouteName>,
-    /// The figures.
+    /// Description of the regression, with its measurements.
     pub reason: String,
 }
 
@@ -90,73 +90,73 @@
     }
 }
 
-/// Answer to `POST /admin/v1/bundles`, given after commit.
+/// Response of `POST /admin/v1/bundles`, sent after the commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitAnswer {
-    /// The bundle as committed, now or before.
+    /// The committed bundle; a resubmission gets the record of the first commit.
     pub bundle: BundleAnswer,
-    /// Nodes that live, as this node's view shows them.
+    /// Number of live nodes in this node's view.
     pub live_nodes: usize,
-    /// How many of them have it, or a newer one, in force.
+    /// Number of live nodes that have installed this version or a newer one.
     pub installed_nodes: usize,
 }
 
-/// `GET /admin/v1/bundles/{version}`.
+/// Response of `GET /admin/v1/bundles/{version}`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BundleContent {
-    /// Its record.
+    /// Metadata of the bundle.
     pub record: BundleAnswer,
-    /// Its content.
+    /// Content of the bundle.
     pub bundle: Bundle,
 }
 
-/// One node of `GET /admin/v1/members`.
+/// One node in the response of `GET /admin/v1/members`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberAnswer {
     /// Node id.
     pub node: NodeId,
-    /// Run of its process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Role of the node.
     pub role: NodeRole,
-    /// Its rpc address.
+    /// RPC address.
     pub rpc: SocketAddr,
-    /// Its HTTP address.
+    /// HTTP address.
     pub http: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// What the core leader thinks of it.
+    /// Health as determined by the core leader.
     pub health: MemberHealth,
-    /// Bundle version that it has in force.
+    /// Installed bundle version.
     pub bundle: BundleVersion,
-    /// Whether it is the core leader.
+    /// Whether the node is the core leader.
     pub core_leader: bool,
-    /// Its state, for stores.
+    /// Membership state, for stores.
     pub store: Option<StoreState>,
 }
 
-/// One engine of `GET /admin/v1/engines`.
+/// One engine in the response of `GET /admin/v1/engines`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineAnswer {
     /// Engine id.
     pub engine: EngineId,
-    /// Run of its process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// `session_host` or `application`.
     pub kind: EngineKind,
-    /// Service that it serves.
+    /// Service that the engine belongs to.
     pub service: ServiceName,
-    /// Version that it runs.
+    /// Version that the engine runs.
     pub version: ServiceVersion,
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// Whether it can take work.
+    /// Whether the engine is ready to accept work.
     pub ready: bool,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining and accepts no new work.
     pub draining: bool,
-    /// Turns that it can run at once, for session hosts.
+    /// Number of turns that a session host runs concurrently.
     pub slots: Option<u32>,
 }
 
@@ -164,202 +164,203 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineKind {
-    /// A session-host engine beside a model server.
+    /// A session-host engine with a model server.
     SessionHost,
     /// An application engine.
     Application,
 }
 
-/// `GET /admin/v1/rollouts`.
+/// Response of `GET /admin/v1/rollouts`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutsAnswer {
-    /// Bundle that the services are of.
+    /// Installed bundle that defines the services.
     pub bundle: Option<BundleVersion>,
-    /// Each service's versions.
+    /// Versions of each service.
     pub services: Vec<ServiceRollout>,
-    /// What gateways saw of each version over the last minute.
+    /// Statistics of each version and route over the last minute, as measured by the gateways.
     pub figures: Vec<VersionFigure>,
-    /// Roll-backs that the system made, newest last.
+    /// Rollbacks initiated by the system, newest last.
     pub rollbacks: Vec<RollbackAnswer>,
 }
 
-/// A service and its versions.
+/// Rollout state of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRollout {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its newest sound version.
+    /// Newest version that is not rolled back.
     pub newest: Option<ServiceVersion>,
-    /// The sound version before it, that the newest is judged against.
+    /// Previous version that is not rolled back: the baseline for judging the newest.
     pub former: Option<ServiceVersion>,
     /// Versions that were rolled back.
     pub rolled_back: Vec<ServiceVersion>,
 }
 
-/// What gateways saw of a version on a route.
+/// Statistics of a version on a route, as measured by the gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionFigure {
-    /// The service.
+    /// Service of the version.
     pub service: ServiceName,
-    /// The version.
+    /// Version that the requests were sent to.
     pub version: ServiceVersion,
-    /// The route.
+    /// Route of the requests.
     pub route: RouteName,
-    /// Requests that ended well.
+    /// Number of successful requests.
     pub successes: u64,
-    /// Requests that ended badly.
+    /// Number of failed requests.
     pub failures: u64,
-    /// 95th percentile of latency, in milliseconds, taken from wide buckets.
+    /// 95th percentile of the latency in milliseconds, approximated from wide histogram buckets.
     pub p95_ms: Option<u64>,
 }
 
 impl From<&VersionStatistics> for VersionFigure {
-    fn from(seen: &VersionStatistics) -> Self {
-        let p95 = hooklug_control::judge::Counts::from(seen).p95();
+    fn from(statistics: &VersionStatistics) -> Self {
+        let p95 = hooklug_control::judge::Counts::from(statistics).p95();
         Self {
-            service: seen.service.clone(),
-            version: seen.version.clone(),
-            route: seen.route.clone(),
-            successes: seen.successes,
-            failures: seen.failures,
+            service: statistics.service.clone(),
+            version: statistics.version.clone(),
+            route: statistics.route.clone(),
+            successes: statistics.successes,
+            failures: statistics.failures,
             p95_ms: p95.map(|p| p.millis.round() as u64),
         }
     }
 }
 
-/// A roll-back that the system made.
+/// A rollback initiated by the system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RollbackAnswer {
-    /// The bundle that carries it.
+    /// Bundle version that marks the version as rolled back.
     pub bundle: BundleVersion,
-    /// Why.
+    /// Reason for the rollback.
     pub harm: HarmAnswer,
-    /// When, in milliseconds since 1970.
+    /// Time of the commit, in milliseconds since 1970.
     pub committed_ms: UnixMillis,
 }
 
-/// One group of `GET /admin/v1/shards`.
+/// One group in the response of `GET /admin/v1/shards`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardAnswer {
     /// Name of the group.
     pub group: String,
-    /// The store that leads it, as far as any store says.
+    /// Store that leads the group, if a store reports itself as the leader.
     pub leader: Option<NodeId>,
-    /// Its highest committed index.
+    /// Highest committed index that any replica reports.
     pub commit: u64,
-    /// Its replicas: those that answer, and the members that do not.
+    /// Replicas that responded, and members of the group that did not.
     pub replicas: Vec<ReplicaAnswer>,
-    /// Where its replicas should be.
+    /// Desired placement of the replicas.
     pub placement: GroupPlacement,
 }
 
 /// One replica of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaAnswer {
-    /// The store that holds it.
+    /// Store that holds the replica.
     pub store: NodeId,
-    /// `voter`, `learner` or `none`, as the leader's configuration says.
+    /// `voter`, `learner` or `none` in the leader's configuration; `unknown` without a leader.
     pub member: String,
-    /// Entries behind the highest committed index; `None` when the store does not answer.
+    /// Entries behind the highest committed index; `None` if the store did not respond.
     pub lag: Option<u64>,
-    /// Its term; `None` when the store does not answer.
+    /// Raft term of the replica; `None` if the store did not respond.
     pub term: Option<u64>,
 }
 
-/// A session of `GET /admin/v1/sessions`.
+/// A session in the response of `GET /admin/v1/sessions`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionAnswer {
-    /// Its program.
+    /// Program of the session.
     pub program: String,
-    /// Its name in the program.
+    /// Session id within the program.
     pub session: String,
-    /// The engine that owns it.
+    /// Engine that owns the session.
     pub owner: Option<EngineId>,
-    /// Run of the owner.
+    /// Incarnation of the owner.
     pub incarnation: Option<Incarnation>,
     /// Epoch of the ownership.
     pub epoch: SessionEpoch,
-    /// Service that it runs on.
+    /// Service that runs the session.
     pub service: ServiceName,
-    /// Version of its owner.
+    /// Service version of the owner.
     pub version: ServiceVersion,
-    /// The open turn.
+    /// Turn that is currently open.
     pub open_turn: Option<String>,
-    /// The last ended turn.
+    /// Last turn that ended.
     pub head: Option<String>,
-    /// Whether it is closed.
+    /// Whether the session is closed.
     pub closed: bool,
 }
 
-/// `GET /admin/v1/sessions`.
+/// Response of `GET /admin/v1/sessions`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionsAnswer {
-    /// Open sessions.
+    /// Open sessions, up to the requested limit.
     pub sessions: Vec<SessionAnswer>,
-    /// Open sessions by owner, over all that were read.
+    /// Number of open sessions by owner, over all groups that were read.
     pub by_owner: BTreeMap<String, usize>,
-    /// Groups that could not be read in time; their sessions are missing here.
+    /// Groups that could not be read in time; their sessions are not included.
     pub unread_groups: Vec<String>,
 }
 
-/// A window of `GET /admin/v1/windows`.
+/// A window in the response of `GET /admin/v1/windows`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowAnswer {
-    /// Its name.
+    /// Name of the window.
     pub window: WindowName,
-    /// Programs that it is for.
+    /// Group of programs that the slots are reserved for.
     pub group: WindowGroup,
-    /// Service whose slots it keeps.
+    /// Service whose slots are reserved.
     pub service: ServiceName,
-    /// Slots kept.
+    /// Number of reserved slots.
     pub slots: u32,
-    /// First instant, in milliseconds since 1970.
+    /// Start of the window (inclusive), in milliseconds since 1970.
     pub start_ms: UnixMillis,
-    /// First instant after it.
+    /// End of the window (exclusive), in milliseconds since 1970.
     pub end_ms: UnixMillis,
-    /// Whether it is open now, by this node's clock.
+    /// Whether the window is open now, by this node's clock.
     pub open: bool,
 }
 
-/// One service and group of `GET /admin/v1/slots`: how session hosts' slots are used, as they told last.
+/// Slot usage of one service and window group in the response of `GET /admin/v1/slots`, from the
+/// last reports of the session hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUseAnswer {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// The group; `None` for turns of no group.
+    /// Window group; `None` for turns without a group.
     pub group: Option<WindowGroup>,
-    /// Engines that told of the group.
+    /// Number of engines that reported the group.
     pub engines: u32,
-    /// Slots that open windows keep for it.
+    /// Number of slots that open windows reserve for the group.
     pub reserved: u32,
-    /// Its turns that run.
+    /// Number of running turns of the group.
     pub used: u32,
-    /// Those of them beyond the slots kept for it at their engine.
+    /// Number of running turns in excess of the slots reserved for the group at their engine.
     pub borrowed: u32,
 }
 
 impl From<ServiceSlotUse> for SlotUseAnswer {
-    fn from(told: ServiceSlotUse) -> Self {
-        let ServiceSlotUse { service, group, engines, reserved, used, borrowed } = told;
+    fn from(usage: ServiceSlotUse) -> Self {
+        let ServiceSlotUse { service, group, engines, reserved, used, borrowed } = usage;
         Self { service, group, engines, reserved, used, borrowed }
     }
 }
 
-/// Where the cluster stands, for `GET /admin/v1/view`.
+/// Response of `GET /admin/v1/view`: summary of this node's view of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewAnswer {
     /// Revision of this node's view.
     pub revision: Revision,
     /// Cluster id.
     pub cluster: u64,
-    /// The core leader.
+    /// Node id of the core leader.
     pub core_leader: Option<NodeId>,
-    /// Bundle version in force at this node.
+    /// Bundle version installed at this node.
     pub installed_bundle: BundleVersion,
-    /// Newest bundle version that this node has heard of.
+    /// Newest bundle version known to this node.
     pub newest_bundle: BundleVersion,
-    /// Nodes in the view.
+    /// Number of nodes in the view.
     pub members: usize,
-    /// Application engines in the view.
+    /// Number of application engines in the view.
     pub engines: usize,
 }
--- a/crates/admin/src/authorize.rs
+++ b/crates/admin/src/authorize.rs
@@ -1,4 +1,4 @@
-//! Operators' keys. They are separate from callers' keys.
+//! Authorization of operators by key. Operators' keys are separate from callers' keys.
 
 use std::sync::Arc;
 
@@ -12,7 +12,8 @@
 use crate::AdminContext;
 use crate::problem::Problem;
 
-/// Lets operators through. Without keys in the settings the API is open on loopback addresses only.
+/// Middleware that admits requests with an operator's key. Without keys in the settings, the API is
+/// open on loopback addresses only.
 pub(crate) async fn authorize(
     State(admin): State<Arc<AdminContext>>,
     request: Request,
@@ -23,7 +24,7 @@
     let allowed = if digests.is_empty() {
         settings.http.ip().is_loopback()
     } else {
-        holds_key(request.headers(), digests)
+        has_valid_key(request.headers(), digests)
     };
     if allowed {
         return next.run(request).await;
@@ -33,8 +34,8 @@
         .into_response()
 }
 
-/// Compares with every digest, each in constant time.
-fn holds_key(headers: &HeaderMap, digests: &[String]) -> bool {
+/// Whether the request carries a valid key. Compares with every digest, each in constant time.
+fn has_valid_key(headers: &HeaderMap, digests: &[String]) -> bool {
     let value = headers.get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
     let Some(key) = value.and_then(|v| v.strip_prefix("Bearer ")) else { return false };
     let own = Digest::of(key.as_bytes()).to_string();
--- a/crates/admin/src/bundles.rs
+++ b/crates/admin/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Submitting and reading bundles.
+//! Handlers that submit and read bundles.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use axum::Json;
 use axum::body::Bytes;
 use axum::extract::{Path, Query, State};
-use hooklug_bundle::SignatureFault;
+use hooklug_bundle::SignatureError;
 use hooklug_protocol::control::{ClusterView, MemberHealth};
 use hooklug_state::meta::{
     BundleRecord, MetaAnswer, MetaCommand, MetaQuery, MetaRefusal, MetaReply,
@@ -20,23 +20,23 @@
 use crate::answers::{BundleAnswer, BundleContent, Submission, SubmitAnswer};
 use crate::problem::Problem;
 
-type Admin = State<Arc<AdminContext>>;
+type AdminState = State<Arc<AdminContext>>;
 
-/// Longest wait for the commit of a bundle (ours).
-const COMMIT_TIME: Duration = Duration::from_secs(5);
+/// Timeout for the commit of a bundle.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait for all live nodes to have the bundle in force (brief: about 2 s).
-const INSTALL_TIME: Duration = Duration::from_secs(2);
+/// Maximum time to wait until all live nodes have installed the bundle (requirement: about 2 s).
+const INSTALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for a read (ours).
-const READ_TIME: Duration = Duration::from_secs(3);
+/// Timeout for a read from the meta group.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Records that a history names when not asked for another number (ours).
+/// Default number of records in a history response.
 const HISTORY_RECORDS: u32 = 64;
 
-/// Takes a bundle at any node; the answer comes after its commit.
+/// Commits a bundle; any node accepts it, and the response is sent after the commit.
 pub(crate) async fn submit(
-    State(admin): Admin,
+    State(admin): AdminState,
     body: Bytes,
 ) -> Result<Json<SubmitAnswer>, Problem> {
     let submission = parse(&body)?;
@@ -45,13 +45,13 @@
     let submit = admin.context.node.submission(&submission.bundle, signed_by);
     let command = MetaCommand::SubmitBundle(submit);
     let state = admin.context.state.clone();
-    // A caller that gives up must not stop a commit half way.
+    // Runs in its own task, so that a caller that disconnects does not cancel the commit.
     let committing =
         tokio::spawn(
-            async move { state.execute_meta(&command, Instant::now() + COMMIT_TIME).await },
+            async move { state.execute_meta(&command, Instant::now() + COMMIT_TIMEOUT).await },
         );
     let reply = committing.await.map_err(|_| unexpected())??;
-    let record = committed(reply)?;
+    let record = committed_record(reply)?;
     admin.context.identity.bundles.note_committed(record.version);
     let (live_nodes, installed_nodes) = wait_until_installed(&admin, record.version).await;
     Ok(Json(SubmitAnswer { bundle: BundleAnswer::from(&record), live_nodes, installed_nodes }))
@@ -87,7 +87,7 @@
     )
     .map_err(|fault| {
         let code = match fault {
-            SignatureFault::TooFew { .. } => "signatures_missing",
+            SignatureError::TooFew { .. } => "signatures_missing",
             _ => "bad_signature",
         };
         Problem::new(StatusCode::FORBIDDEN, code, "the bundle is not signed off")
@@ -96,7 +96,7 @@
     })
 }
 
-fn committed(reply: MetaReply) -> Result<BundleRecord, Problem> {
+fn committed_record(reply: MetaReply) -> Result<BundleRecord, Problem> {
     let refusal = match reply {
         MetaReply::Bundle(record) => return Ok(record),
         MetaReply::Refused(refusal) => refusal,
@@ -135,25 +135,26 @@
     )
 }
 
-/// Waits until all live nodes of the view have the version in force, for a while; then counts.
+/// Waits until all live nodes have installed the version, for [`INSTALL_TIMEOUT`] at most, and
+/// returns the numbers of live nodes and of those that have installed it.
 async fn wait_until_installed(admin: &AdminContext, version: BundleVersion) -> (usize, usize) {
     let mut view = admin.context.node.view.clone();
     let all = view.wait_for(|view| {
-        let (live, installed) = count(view, version);
+        let (live, installed) = count_installed(view, version);
         live > 0 && live == installed
     });
-    // A view that never shows it is counted as it is.
-    let _ = timeout_at(Instant::now() + INSTALL_TIME, all).await;
-    count(&view.borrow(), version)
+    // After a timeout the nodes that have not installed the version are counted as missing.
+    let _ = timeout_at(Instant::now() + INSTALL_TIMEOUT, all).await;
+    count_installed(&view.borrow(), version)
 }
 
-fn count(view: &ClusterView, version: BundleVersion) -> (usize, usize) {
+fn count_installed(view: &ClusterView, version: BundleVersion) -> (usize, usize) {
     let live = view.members.values().filter(|m| m.health == MemberHealth::Alive);
     let installed = live.clone().filter(|m| m.bundle >= version).count();
     (live.count(), installed)
 }
 
-/// Query of the history.
+/// Query parameters of the bundle history.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct HistoryQuery {
@@ -161,29 +162,29 @@
 }
 
 pub(crate) async fn history(
-    State(admin): Admin,
+    State(admin): AdminState,
     Query(query): Query<HistoryQuery>,
 ) -> Result<Json<Vec<BundleAnswer>>, Problem> {
     let query = MetaQuery::History(query.limit.unwrap_or(HISTORY_RECORDS));
-    match admin.context.state.query_meta(&query, Instant::now() + READ_TIME).await? {
+    match admin.context.state.query_meta(&query, Instant::now() + READ_TIMEOUT).await? {
         MetaAnswer::History(records) => Ok(Json(records.iter().map(BundleAnswer::from).collect())),
         _ => Err(unexpected()),
     }
 }
 
-/// `current`, or a version number.
+/// Returns a committed bundle by its version number, or the newest one for `current`.
 pub(crate) async fn show(
-    State(admin): Admin,
+    State(admin): AdminState,
     Path(version): Path<String>,
 ) -> Result<Json<BundleContent>, Problem> {
-    let wanted = match version.as_str() {
+    let requested = match version.as_str() {
         "current" => None,
         number => Some(BundleVersion(number.parse().map_err(|_| {
-            Problem::bad_field("version", format!("is {number:?}, must be a number or current"))
+            Problem::bad_field("version", format!("is {number:?}, must be a number or `current`"))
         })?)),
     };
-    let query = MetaQuery::BundleBytes(wanted);
-    let answer = admin.context.state.query_meta(&query, Instant::now() + READ_TIME).await?;
+    let query = MetaQuery::BundleBytes(requested);
+    let answer = admin.context.state.query_meta(&query, Instant::now() + READ_TIMEOUT).await?;
     let MetaAnswer::BundleBytes(found) = answer else { return Err(unexpected()) };
     let (record, bytes) =
         found.ok_or_else(|| Problem::not_found("no_bundle", "there is no such bundle"))?;
--- a/crates/admin/src/cluster.rs
+++ b/crates/admin/src/cluster.rs
@@ -1,4 +1,5 @@
-//! What this node sees of the cluster.
+//! Handlers that show this node's view of the cluster: members, engines, windows, slots and
+//! rollouts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,21 +20,21 @@
     ServiceRollout, SlotUseAnswer, VersionFigure, ViewAnswer, WindowAnswer,
 };
 
-type Admin = State<Arc<AdminContext>>;
+type AdminState = State<Arc<AdminContext>>;
 
-/// Longest wait for one core (ours).
-const CORE_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a request to one core.
+const CORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-fn view_of(admin: &AdminContext) -> Arc<ClusterView> {
+fn current_view(admin: &AdminContext) -> Arc<ClusterView> {
     admin.context.node.view.borrow().clone()
 }
 
-fn installed(admin: &AdminContext) -> Option<Arc<InstalledBundle>> {
+fn installed_bundle(admin: &AdminContext) -> Option<Arc<InstalledBundle>> {
     admin.context.node.bundle.borrow().clone()
 }
 
-pub(crate) async fn members(State(admin): Admin) -> Json<Vec<MemberAnswer>> {
-    let view = view_of(&admin);
+pub(crate) async fn members(State(admin): AdminState) -> Json<Vec<MemberAnswer>> {
+    let view = current_view(&admin);
     Json(view.members.values().map(|member| member_answer(&view, member)).collect())
 }
 
@@ -55,8 +56,8 @@
     }
 }
 
-pub(crate) async fn engines(State(admin): Admin) -> Json<Vec<EngineAnswer>> {
-    let view = view_of(&admin);
+pub(crate) async fn engines(State(admin): AdminState) -> Json<Vec<EngineAnswer>> {
+    let view = current_view(&admin);
     let hosts = view.members.values().filter_map(host_answer);
     let applications = view.engines.values().map(|engine| EngineAnswer {
         engine: engine.engine.clone(),
@@ -89,8 +90,8 @@
     })
 }
 
-pub(crate) async fn view(State(admin): Admin) -> Json<ViewAnswer> {
-    let view = view_of(&admin);
+pub(crate) async fn view(State(admin): AdminState) -> Json<ViewAnswer> {
+    let view = current_view(&admin);
     let bundles = &admin.context.identity.bundles;
     Json(ViewAnswer {
         revision: view.revision,
@@ -103,10 +104,10 @@
     })
 }
 
-pub(crate) async fn windows(State(admin): Admin) -> Json<Vec<WindowAnswer>> {
+pub(crate) async fn windows(State(admin): AdminState) -> Json<Vec<WindowAnswer>> {
     let now = UnixMillis::now();
-    let Some(installed) = installed(&admin) else { return Json(Vec::new()) };
-    let answer = installed.bundle.windows.iter().map(|(name, window)| WindowAnswer {
+    let Some(installed_bundle) = installed_bundle(&admin) else { return Json(Vec::new()) };
+    let answer = installed_bundle.bundle.windows.iter().map(|(name, window)| WindowAnswer {
         window: name.clone(),
         group: window.group.clone(),
         service: window.service.clone(),
@@ -118,20 +119,20 @@
     Json(answer.collect())
 }
 
-pub(crate) async fn slots(State(admin): Admin) -> Json<Vec<SlotUseAnswer>> {
-    let uses = ask_cores(&admin, &SlotUseFigures).await;
-    Json(uses.into_iter().map(SlotUseAnswer::from).collect())
+pub(crate) async fn slots(State(admin): AdminState) -> Json<Vec<SlotUseAnswer>> {
+    let usage = query_core_leader(&admin, &SlotUseFigures).await;
+    Json(usage.into_iter().map(SlotUseAnswer::from).collect())
 }
 
-pub(crate) async fn rollouts(State(admin): Admin) -> Json<RolloutsAnswer> {
-    let figures = ask_cores(&admin, &VersionFigures).await;
-    let view = view_of(&admin);
-    let installed = installed(&admin);
-    let services = installed.iter().flat_map(|i| i.bundle.services.iter());
+pub(crate) async fn rollouts(State(admin): AdminState) -> Json<RolloutsAnswer> {
+    let statistics = query_core_leader(&admin, &VersionFigures).await;
+    let view = current_view(&admin);
+    let installed_bundle = installed_bundle(&admin);
+    let services = installed_bundle.iter().flat_map(|i| i.bundle.services.iter());
     Json(RolloutsAnswer {
-        bundle: installed.as_ref().map(|i| BundleVersion(i.record.version.0)),
+        bundle: installed_bundle.as_ref().map(|i| BundleVersion(i.record.version.0)),
         services: services.map(|(name, service)| service_rollout(name, service)).collect(),
-        figures: figures.iter().map(VersionFigure::from).collect(),
+        figures: statistics.iter().map(VersionFigure::from).collect(),
         rollbacks: view
             .meta
             .rollbacks
@@ -146,28 +147,28 @@
 }
 
 fn service_rollout(name: &ServiceName, service: &Service) -> ServiceRollout {
-    let of = |state: VersionState| {
+    let versions_in = |state: VersionState| {
         service.versions.iter().filter(move |v| v.state == state).map(|v| v.version.clone())
     };
-    let mut sound = of(VersionState::Sound).collect::<Vec<_>>().into_iter().rev();
+    let mut sound = versions_in(VersionState::Sound).collect::<Vec<_>>().into_iter().rev();
     ServiceRollout {
         service: name.clone(),
         newest: sound.next(),
         former: sound.next(),
-        rolled_back: of(VersionState::RolledBack).collect(),
+        rolled_back: versions_in(VersionState::RolledBack).collect(),
     }
 }
 
-/// What the core leader knows, asked through any core; empty when none answers.
-async fn ask_cores<R, T>(admin: &AdminContext, request: &R) -> Vec<T>
+/// Queries the core leader through any core; returns an empty list if no core responds.
+async fn query_core_leader<R, T>(admin: &AdminContext, request: &R) -> Vec<T>
 where
     R: Request<Reply = Vec<T>>,
 {
-    let view = view_of(admin);
+    let view = current_view(admin);
     let cores = view.members.values().filter(|m| m.address.role == NodeRole::Core);
     let cores: Vec<SocketAddr> = cores.map(|m| m.address.rpc).collect();
     for core in cores {
-        let deadline = Instant::now() + CORE_TIME;
+        let deadline = Instant::now() + CORE_TIMEOUT;
         if let Ok(answer) = admin.client().call(core, request, deadline).await {
             return answer;
         }
--- a/crates/admin/src/health.rs
+++ b/crates/admin/src/health.rs
@@ -1,4 +1,4 @@
-//! Liveness, readiness, metrics, and the switches of failure tests.
+//! Handlers for liveness, readiness, metrics and fault injection.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -16,14 +16,14 @@
 use crate::problem::Problem;
 use crate::{AdminContext, PrometheusHandle};
 
-type Admin = State<Arc<AdminContext>>;
+type AdminState = State<Arc<AdminContext>>;
 
 pub(crate) async fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// Answers from memory, so within milliseconds whatever else goes on.
-pub(crate) async fn readyz(State(admin): Admin) -> Response {
+/// Reports readiness from memory only, so that the response does not wait for other nodes.
+pub(crate) async fn readyz(State(admin): AdminState) -> Response {
     let reasons: BTreeMap<String, String> = admin
         .context
         .node
@@ -37,19 +37,22 @@
     (status, Json(ReadyAnswer { ready, reasons })).into_response()
 }
 
-pub(crate) async fn metrics(State(admin): Admin) -> Response {
+pub(crate) async fn metrics(State(admin): AdminState) -> Response {
     let text = admin.metrics.as_ref().map(PrometheusHandle::render).unwrap_or_default();
     ([(header::CONTENT_TYPE, "text/plain; version=0.0.4")], text).into_response()
 }
 
-/// Body of `/faults`.
+/// Request and response body of `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Faults {
     links: BTreeMap<IpAddr, LinkFault>,
 }
 
-pub(crate) async fn set_faults(State(admin): Admin, body: Bytes) -> Result<Json<Faults>, Problem> {
+pub(crate) async fn set_faults(
+    State(admin): AdminState,
+    body: Bytes,
+) -> Result<Json<Faults>, Problem> {
     let faults: Faults = serde_json::from_slice(&body).map_err(|e| {
         Problem::new(StatusCode::BAD_REQUEST, "bad_json", "the body does not decode")
             .detail(e.to_string())
@@ -58,6 +61,6 @@
     Ok(Json(faults))
 }
 
-pub(crate) async fn get_faults(State(admin): Admin) -> Json<Faults> {
+pub(crate) async fn get_faults(State(admin): AdminState) -> Json<Faults> {
     Json(Faults { links: admin.context.identity.faults.get() })
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' HTTP API, readiness and metrics, mounted in every role.
+//! The operators' HTTP API, readiness and metrics, served by nodes of every role.
 //!
-//! Any node takes a bundle or a question and forwards it to the stores. Keys are compared in constant
-//! time; nothing secret is ever shown.
+//! Any node accepts a bundle or a query and forwards it to the stores. Keys are compared in
+//! constant time, and secrets are never included in a response.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -26,17 +26,17 @@
 pub use metrics_exporter_prometheus::PrometheusHandle;
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder};
 
-/// Longest body of a submitted bundle, in bytes (ours).
+/// Maximum size of a submitted bundle's request body, in bytes.
 const MAX_BUNDLE_BYTES: usize = 32 << 20;
 
-/// What the operators' API is built from.
+/// State of the operators' API, shared by its handlers.
 #[derive(Clone)]
 pub struct AdminContext {
-    /// The node.
+    /// Context of the node.
     pub context: NodeContext,
-    /// What the node does.
+    /// Role of the node.
     pub role: NodeRole,
-    /// Renders the metrics; `None` leaves `/metrics` out.
+    /// Renders the metrics; without it `/metrics` is not served.
     pub metrics: Option<PrometheusHandle>,
 }
 
@@ -52,15 +52,16 @@
     }
 }
 
-/// Starts gathering the process's metrics; once a process.
+/// Installs the process's metrics recorder; must be called only once per process.
 ///
 /// # Errors
-/// When another recorder is installed already.
+/// When a recorder is already installed.
 pub fn install_metrics() -> Result<PrometheusHandle, BuildError> {
     PrometheusBuilder::new().install_recorder()
 }
 
-/// All routes: `/healthz`, `/readyz`, `/metrics`, `/admin/v1/...`, and `/faults` where they are enabled.
+/// Builds the routes `/healthz`, `/readyz`, `/metrics`, `/admin/v1/...`, and `/faults` if faults
+/// are enabled.
 pub fn router(admin: AdminContext) -> Router {
     let admin = Arc::new(admin);
     let mut operators = Router::new()
@@ -79,15 +80,15 @@
     if admin.context.settings.enable_faults {
         operators = operators.route("/faults", put(health::set_faults).get(health::get_faults));
     }
-    let guard = axum::middleware::from_fn_with_state(admin.clone(), authorize::authorize);
-    let mut open =
+    let authorization = axum::middleware::from_fn_with_state(admin.clone(), authorize::authorize);
+    let mut public =
         Router::new().route("/healthz", get(health::healthz)).route("/readyz", get(health::readyz));
     if admin.metrics.is_some() {
-        open = open.route("/metrics", get(health::metrics));
+        public = public.route("/metrics", get(health::metrics));
     }
     operators
-        .layer(guard)
+        .layer(authorization)
         .layer(DefaultBodyLimit::max(MAX_BUNDLE_BYTES))
-        .merge(open)
+        .merge(public)
         .with_state(admin)
 }
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -1,12 +1,12 @@
 //! Errors of the operators' API, as `application/problem+json` (docs/API.md).
 
 use axum::response::{IntoResponse, Response};
-use hooklug_bundle::BundleFault;
+use hooklug_bundle::ValidationError;
 use hooklug_store::Unavailable;
 use http::{StatusCode, header};
 use serde_json::{Value, json};
 
-/// An error answer.
+/// An error response of the operators' API.
 #[derive(Debug, Clone)]
 pub(crate) struct Problem {
     status: StatusCode,
@@ -14,12 +14,12 @@
     title: &'static str,
     detail: String,
     field: Option<String>,
-    more: Vec<(&'static str, Value)>,
+    extra: Vec<(&'static str, Value)>,
 }
 
 impl Problem {
     pub(crate) fn new(status: StatusCode, code: &'static str, title: &'static str) -> Self {
-        Self { status, code, title, detail: String::new(), field: None, more: Vec::new() }
+        Self { status, code, title, detail: String::new(), field: None, extra: Vec::new() }
     }
 
     pub(crate) fn detail(mut self, detail: impl Into<String>) -> Self {
@@ -33,7 +33,7 @@
     }
 
     pub(crate) fn with(mut self, key: &'static str, value: impl Into<Value>) -> Self {
-        self.more.push((key, value.into()));
+        self.extra.push((key, value.into()));
         self
     }
 
@@ -47,17 +47,18 @@
             .detail(detail)
     }
 
-    pub(crate) fn invalid_bundle(faults: &[BundleFault]) -> Self {
+    pub(crate) fn invalid_bundle(errors: &[ValidationError]) -> Self {
         let list: Vec<Value> =
-            faults.iter().map(|f| json!({"path": f.path, "message": f.message})).collect();
+            errors.iter().map(|e| json!({"path": e.path, "message": e.message})).collect();
         Self::new(StatusCode::UNPROCESSABLE_ENTITY, "invalid_bundle", "the bundle is not valid")
-            .detail(format!("{} faults", list.len()))
+            .detail(format!("{} errors", list.len()))
             .with("faults", list)
     }
 }
 
 impl From<Unavailable> for Problem {
-    /// Claims nothing: a command may have been applied, or may be yet; the same request may be sent again.
+    /// Reports that the outcome is unknown: a command may have been applied or may still be
+    /// applied. The caller can send the same request again.
     fn from(error: Unavailable) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, "try_again", "the stores cannot be reached")
             .detail(error.to_string())
@@ -81,7 +82,7 @@
             if let Some(field) = self.field {
                 fields.insert("field".to_owned(), field.into());
             }
-            fields.extend(self.more.into_iter().map(|(key, value)| (key.to_owned(), value)));
+            fields.extend(self.extra.into_iter().map(|(key, value)| (key.to_owned(), value)));
         }
         let headers = [(header::CONTENT_TYPE, "application/problem+json")];
         (self.status, headers, body.to_string()).into_response()
--- a/crates/admin/src/sessions.rs
+++ b/crates/admin/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Open sessions and their owners, read from the shards.
+//! Handlers that show open sessions and their owners, as read from the shards.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,26 +16,26 @@
 use crate::answers::{SessionAnswer, SessionsAnswer};
 use crate::problem::Problem;
 
-type Admin = State<Arc<AdminContext>>;
+type AdminState = State<Arc<AdminContext>>;
 
-/// Longest wait for one shard (ours).
-const READ_TIME: Duration = Duration::from_secs(3);
+/// Timeout for reading one shard.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sessions read of each shard at once, and listed when not asked for another number (ours).
+/// Page size for reading a shard's sessions, and default limit of the list.
 const PAGE_SESSIONS: u32 = 1_000;
 
-/// Query of the list.
+/// Query parameters of the session list.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ListQuery {
-    /// Sessions listed at most; the counts by owner are over all.
+    /// Maximum number of listed sessions; the counts by owner include all sessions.
     limit: Option<usize>,
-    /// Only sessions of this engine.
+    /// Engine whose sessions are listed; all engines if not given.
     owner: Option<String>,
 }
 
 pub(crate) async fn list(
-    State(admin): Admin,
+    State(admin): AdminState,
     Query(query): Query<ListQuery>,
 ) -> Json<SessionsAnswer> {
     let groups: Vec<GroupId> = GroupId::all().filter(|g| *g != META_GROUP).collect();
@@ -47,7 +47,7 @@
     };
     for (group, records) in groups.iter().zip(read) {
         match records {
-            Some(records) => records.iter().for_each(|r| add(&mut answer, r, &query)),
+            Some(records) => records.iter().for_each(|r| add_session(&mut answer, r, &query)),
             None => answer.unread_groups.push(group.to_string()),
         }
     }
@@ -55,17 +55,17 @@
     Json(answer)
 }
 
-fn add(answer: &mut SessionsAnswer, record: &SessionRecord, query: &ListQuery) {
+fn add_session(answer: &mut SessionsAnswer, record: &SessionRecord, query: &ListQuery) {
     let owner = record.owner.as_ref().map_or("(none)", |o| o.engine.as_str());
     *answer.by_owner.entry(owner.to_owned()).or_default() += 1;
-    if query.owner.as_ref().is_none_or(|wanted| wanted == owner) {
+    if query.owner.as_ref().is_none_or(|requested| requested == owner) {
         answer.sessions.push(session_answer(record));
     }
 }
 
-/// All open sessions of a shard, page by page; `None` when it cannot be read in time.
+/// Reads all open sessions of a shard, page by page; `None` if it cannot be read in time.
 async fn read_shard(admin: &AdminContext, group: GroupId) -> Option<Vec<SessionRecord>> {
-    let deadline = Instant::now() + READ_TIME;
+    let deadline = Instant::now() + READ_TIMEOUT;
     let mut all: Vec<SessionRecord> = Vec::new();
     loop {
         let after = all.last().map(|s| s.key.clone());
@@ -80,7 +80,7 @@
 }
 
 pub(crate) async fn show(
-    State(admin): Admin,
+    State(admin): AdminState,
     Path((program, session)): Path<(String, String)>,
 ) -> Result<Json<SessionAnswer>, Problem> {
     let program =
@@ -89,7 +89,7 @@
         SessionId::new(&session).map_err(|e| Problem::bad_field("session", e.to_string()))?;
     let group = shard_of(program.as_str());
     let query = ShardQuery::Session(SessionKey { program, session });
-    let deadline = Instant::now() + READ_TIME;
+    let deadline = Instant::now() + READ_TIMEOUT;
     match admin.context.state.query_shard(group, &query, deadline).await? {
         ShardAnswer::Session(Some(record)) => Ok(Json(session_answer(&record))),
         _ => Err(Problem::not_found("no_session", "there is no such session")),
--- a/crates/admin/src/shards.rs
+++ b/crates/admin/src/shards.rs
@@ -1,4 +1,4 @@
-//! Groups and their replicas, and retiring a store.
+//! Handlers that show groups with their replicas and retire a store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,30 +20,30 @@
 use crate::answers::{ReplicaAnswer, ShardAnswer};
 use crate::problem::Problem;
 
-type Admin = State<Arc<AdminContext>>;
+type AdminState = State<Arc<AdminContext>>;
 
-/// Longest wait for one store (ours).
-const STORE_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a status request to one store.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for the meta group (ours).
-const META_TIME: Duration = Duration::from_secs(3);
+/// Timeout for reading from and writing to the meta group.
+const META_TIMEOUT: Duration = Duration::from_secs(3);
 
-pub(crate) async fn shards(State(admin): Admin) -> Json<Vec<ShardAnswer>> {
+pub(crate) async fn shards(State(admin): AdminState) -> Json<Vec<ShardAnswer>> {
     let meta = admin.context.node.view.borrow().meta.clone();
-    let statuses = ask_stores(&admin, &meta).await;
+    let statuses = query_stores(&admin, &meta).await;
     Json(GroupId::all().map(|group| shard_answer(group, &meta, &statuses)).collect())
 }
 
 type Statuses = BTreeMap<GroupId, Vec<(NodeId, ReplicaStatus)>>;
 
-async fn ask_stores(admin: &AdminContext, meta: &MetaState) -> Statuses {
+async fn query_stores(admin: &AdminContext, meta: &MetaState) -> Statuses {
     let stores = meta.stores.iter().filter(|s| s.state != StoreState::Removed);
-    let asked = stores.map(|store| async move {
-        let deadline = Instant::now() + STORE_TIME;
+    let requests = stores.map(|store| async move {
+        let deadline = Instant::now() + STORE_TIMEOUT;
         let answer = admin.client().call(store.address, &GroupStatus, deadline).await;
         answer.unwrap_or_default().into_iter().map(|status| (store.node, status)).collect()
     });
-    let answers: Vec<Vec<(NodeId, ReplicaStatus)>> = join_all(asked).await;
+    let answers: Vec<Vec<(NodeId, ReplicaStatus)>> = join_all(requests).await;
     let mut statuses = Statuses::new();
     for (store, status) in answers.into_iter().flatten() {
         statuses.entry(status.group).or_default().push((store, status));
@@ -60,7 +60,7 @@
     let stores: BTreeSet<NodeId> =
         replicas.iter().map(|(store, _)| *store).chain(members.copied()).collect();
     let answer = |store: NodeId| {
-        let status = replicas.iter().find(|(answering, _)| *answering == store).map(|(_, s)| s);
+        let status = replicas.iter().find(|(reporting, _)| *reporting == store).map(|(_, s)| s);
         ReplicaAnswer {
             store,
             member: membership(leader.map(|(_, s)| s), store).to_owned(),
@@ -77,7 +77,7 @@
     }
 }
 
-/// What a store is to a group, as the group's leader says.
+/// Membership of a store in a group, according to the group's leader.
 fn membership(leader: Option<&ReplicaStatus>, store: NodeId) -> &'static str {
     match leader {
         Some(status) if status.conf.voters.contains(&store) => "voter",
@@ -87,15 +87,15 @@
     }
 }
 
-/// Marks a store as retiring; the core leader then moves its replicas away.
+/// Marks a store as retiring; the core leader then moves its replicas to other stores.
 pub(crate) async fn retire(
-    State(admin): Admin,
+    State(admin): AdminState,
     Path(node): Path<String>,
 ) -> Result<StatusCode, Problem> {
     let node = node.parse().map(NodeId).map_err(|_| {
         Problem::bad_field("node", format!("is {node:?}, must be a store's node id"))
     })?;
-    let deadline = Instant::now() + META_TIME;
+    let deadline = Instant::now() + META_TIMEOUT;
     let answer = admin.context.state.query_meta(&MetaQuery::State, deadline).await?;
     let leader = match answer {
         MetaAnswer::State(state) => state.leader.filter(|l| !l.expired),
--- a/crates/admin/tests/access.rs
+++ b/crates/admin/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who may ask, readiness, fault switches and retiring a store.
+//! Authorization, readiness, fault injection and retiring a store.
 
 mod common;
 
@@ -17,11 +17,11 @@
     let api = Api::start(with_keys).await;
     let path = "/admin/v1/members";
     for key in [None, Some("wrong key"), Some("")] {
-        let refused = api.ask(Method::GET, path, key, "").await;
+        let refused = api.request(Method::GET, path, key, "").await;
         assert_eq!((refused.status, refused.code()), (StatusCode::UNAUTHORIZED, "unauthorized"));
     }
     for key in ["former key", "present key"] {
-        assert_eq!(api.ask(Method::GET, path, Some(key), "").await.status, StatusCode::OK);
+        assert_eq!(api.request(Method::GET, path, Some(key), "").await.status, StatusCode::OK);
     }
     assert_eq!(api.get("/healthz").await.status, StatusCode::OK, "health needs no key");
 }
@@ -29,9 +29,9 @@
 #[tokio::test]
 async fn without_keys_the_api_is_open_on_loopback_only() {
     assert_eq!(Api::start(settings()).await.get("/admin/v1/view").await.status, StatusCode::OK);
-    let mut elsewhere = settings();
-    elsewhere.http = "10.0.0.1:80".parse().expect("an address");
-    let refused = Api::start(elsewhere).await.get("/admin/v1/view").await;
+    let mut not_loopback = settings();
+    not_loopback.http = "10.0.0.1:80".parse().expect("an address");
+    let refused = Api::start(not_loopback).await.get("/admin/v1/view").await;
     assert_eq!(refused.status, StatusCode::UNAUTHORIZED);
 }
 
@@ -49,17 +49,17 @@
 async fn links_are_cut_only_where_faults_are_enabled() {
     let body = r#"{"links": {"127.1.2.3": {"cut": true, "delay_micros": 5}}}"#;
     let closed = Api::start(settings()).await;
-    let refused = closed.ask(Method::PUT, "/faults", None, body).await;
+    let refused = closed.request(Method::PUT, "/faults", None, body).await;
     assert_eq!(refused.status, StatusCode::NOT_FOUND);
     let mut enabled = settings();
     enabled.enable_faults = true;
     let api = Api::start(enabled).await;
-    assert_eq!(api.ask(Method::PUT, "/faults", None, body).await.status, StatusCode::OK);
+    assert_eq!(api.request(Method::PUT, "/faults", None, body).await.status, StatusCode::OK);
     let ip = "127.1.2.3".parse().expect("an address");
     assert!(api.context.identity.faults.is_cut(ip));
     assert_eq!(api.get("/faults").await.body["links"]["127.1.2.3"]["delay_micros"], 5);
-    let odd = api.ask(Method::PUT, "/faults", None, r#"{"link": {}}"#).await;
-    assert_eq!((odd.status, odd.code()), (StatusCode::BAD_REQUEST, "bad_json"));
+    let malformed = api.request(Method::PUT, "/faults", None, r#"{"link": {}}"#).await;
+    assert_eq!((malformed.status, malformed.code()), (StatusCode::BAD_REQUEST, "bad_json"));
     assert!(api.context.identity.faults.is_cut(ip), "a refused body changes nothing");
 }
 
@@ -67,22 +67,22 @@
 async fn a_store_is_retired_under_the_core_leaders_epoch() {
     let api = Api::start(settings()).await;
     let retire = |node: NodeId| format!("/admin/v1/stores/{node}/retire");
-    let none_leads = api.ask(Method::POST, &retire(STORE), None, "").await;
+    let without_leader = api.request(Method::POST, &retire(STORE), None, "").await;
     assert_eq!(
-        (none_leads.status, none_leads.code()),
+        (without_leader.status, without_leader.code()),
         (StatusCode::SERVICE_UNAVAILABLE, "try_again")
     );
-    let lead = MetaCommand::AcquireLeadership {
+    let acquire = MetaCommand::AcquireLeadership {
         core: NodeId(9),
         incarnation: Incarnation(1),
         address: api.context.settings.rpc,
         seen: FencingEpoch(0),
     };
-    let reply = api.state.execute_meta(&lead, deadline()).await.expect("in memory");
+    let reply = api.state.execute_meta(&acquire, deadline()).await.expect("in memory");
     assert!(matches!(reply, MetaReply::Leader(_)));
-    let unknown = api.ask(Method::POST, &retire(NodeId(5)), None, "").await;
+    let unknown = api.request(Method::POST, &retire(NodeId(5)), None, "").await;
     assert_eq!((unknown.status, unknown.code()), (StatusCode::NOT_FOUND, "no_store"));
-    let done = api.ask(Method::POST, &retire(STORE), None, "").await;
+    let done = api.request(Method::POST, &retire(STORE), None, "").await;
     assert_eq!(done.status, StatusCode::ACCEPTED);
     let answer = api.state.query_meta(&MetaQuery::State, deadline()).await.expect("in memory");
     let MetaAnswer::State(state) = answer else { panic!("asked for the state") };
--- a/crates/admin/tests/bundles.rs
+++ b/crates/admin/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Submitting bundles: accepted once, resent, raced, refused.
+//! Submission of bundles: accepted, resubmitted, conflicting and rejected ones.
 
 mod common;
 
@@ -31,8 +31,8 @@
     assert_eq!(history.body.as_array().map(Vec::len), Some(1));
     let missing = api.get("/admin/v1/bundles/9").await;
     assert_eq!((missing.status, missing.code()), (StatusCode::NOT_FOUND, "no_bundle"));
-    let odd = api.get("/admin/v1/bundles/nine").await;
-    assert_eq!((odd.status, odd.code()), (StatusCode::BAD_REQUEST, "bad_field"));
+    let malformed = api.get("/admin/v1/bundles/nine").await;
+    assert_eq!((malformed.status, malformed.code()), (StatusCode::BAD_REQUEST, "bad_field"));
 }
 
 #[tokio::test]
@@ -51,15 +51,15 @@
 async fn a_resend_gets_the_first_answer_and_a_rival_is_refused() {
     let api = Api::start(settings()).await;
     api.show_member(9);
-    let (ours, rival) = (bundle(1, 10), bundle(1, 11));
-    let first = api.submit(&ours).await;
-    assert_accepted(&first, &ours);
+    let (accepted_bundle, rival) = (bundle(1, 10), bundle(1, 11));
+    let first = api.submit(&accepted_bundle).await;
+    assert_accepted(&first, &accepted_bundle);
     let refused = api.submit(&rival).await;
     assert_eq!((refused.status, refused.code()), (StatusCode::CONFLICT, "version_taken"));
     assert_eq!(refused.body["field"], "version");
     assert_eq!(refused.content_type, "application/problem+json");
     assert_accepted(&api.submit(&bundle(2, 12)).await, &bundle(2, 12));
-    assert_eq!(api.submit(&ours).await.body["bundle"], first.body["bundle"]);
+    assert_eq!(api.submit(&accepted_bundle).await.body["bundle"], first.body["bundle"]);
     let mut stale = bundle(3, 10);
     stale.base = hooklug_types::BundleVersion(1);
     let refused = api.submit(&stale).await;
@@ -101,7 +101,7 @@
             "bundle.tenants.t",
         ),
     ] {
-        let refused = api.ask(Method::POST, "/admin/v1/bundles", None, body).await;
+        let refused = api.request(Method::POST, "/admin/v1/bundles", None, body).await;
         assert_eq!(
             (refused.status, refused.code()),
             (StatusCode::BAD_REQUEST, "bad_json"),
@@ -125,15 +125,15 @@
     api.show_member(9);
     let unsigned = api.submit(&bundle(1, 10)).await;
     assert_eq!((unsigned.status, unsigned.code()), (StatusCode::FORBIDDEN, "signatures_missing"));
-    let on_another = sign(&digest(&bundle(1, 11)), &keys.secret).expect("a good key");
+    let of_another = sign(&digest(&bundle(1, 11)), &keys.secret).expect("a good key");
     let good = sign(&digest(&bundle(1, 10)), &keys.secret).expect("a good key");
     let body = |signature: &str| {
         json!({"bundle": bundle(1, 10), "signatures": {"anna": signature}}).to_string()
     };
     let path = "/admin/v1/bundles";
-    let bad = api.ask(Method::POST, path, None, &body(&on_another)).await;
+    let bad = api.request(Method::POST, path, None, &body(&of_another)).await;
     assert_eq!((bad.status, bad.code()), (StatusCode::FORBIDDEN, "bad_signature"));
-    let accepted = api.ask(Method::POST, path, None, &body(&good)).await;
+    let accepted = api.request(Method::POST, path, None, &body(&good)).await;
     assert_accepted(&accepted, &bundle(1, 10));
     assert_eq!(accepted.body["bundle"]["signed_by"], json!(["anna"]));
 }
--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' API over HTTP, before stores in memory.
+//! The operators' API over HTTP, with an in-memory state instead of stores.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -26,7 +26,7 @@
 
 pub const STORE: NodeId = NodeId(41);
 
-/// An API that listens, and what is behind it.
+/// A running operators' API and the state behind it.
 pub struct Api {
     pub address: SocketAddr,
     pub state: MemoryState,
@@ -34,7 +34,7 @@
     pub feeds: NodeFeeds,
 }
 
-/// An answer.
+/// A response of the API.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -107,7 +107,7 @@
         Self { address, state, context, feeds }
     }
 
-    /// Shows one live node that has a version in force.
+    /// Publishes a view with one live node that has installed a bundle version.
     pub fn show_member(&self, bundle: u64) {
         let member = Member {
             address: self.context.identity.address.clone(),
@@ -121,10 +121,16 @@
     }
 
     pub async fn get(&self, path: &str) -> Answer {
-        self.ask(Method::GET, path, None, "").await
+        self.request(Method::GET, path, None, "").await
     }
 
-    pub async fn ask(&self, method: Method, path: &str, key: Option<&str>, body: &str) -> Answer {
+    pub async fn request(
+        &self,
+        method: Method,
+        path: &str,
+        key: Option<&str>,
+        body: &str,
+    ) -> Answer {
         let stream = TcpStream::connect(self.address).await.expect("the API listens");
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.expect("HTTP");
@@ -143,18 +149,19 @@
         let content_type = response.headers().get("content-type");
         let content_type =
             content_type.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
-        let bytes = response.into_body().collect().await.expect("whole").to_bytes();
+        let bytes = response.into_body().collect().await.expect("a complete body").to_bytes();
         let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         Answer { status, content_type, body }
     }
 
     pub async fn submit(&self, bundle: &Bundle) -> Answer {
         let body = serde_json::json!({ "bundle": bundle }).to_string();
-        self.ask(Method::POST, "/admin/v1/bundles", None, &body).await
+        self.request(Method::POST, "/admin/v1/bundles", None, &body).await
     }
 }
 
-/// A valid bundle built on the version before it; `slots` tells it from others.
+/// A valid bundle based on the previous version; `slots` distinguishes it from others of its
+/// version.
 pub fn bundle(version: u64, slots: u32) -> Bundle {
     let text = format!(
         r#"{{"version": {version}, "base": {}, "services": {{"notices": {{"kind": "application",
--- a/crates/bundle/src/canonical.rs
+++ b/crates/bundle/src/canonical.rs
@@ -1,7 +1,8 @@
-//! One byte form per bundle, its digest, and its sections.
+//! Canonical encoding of a bundle, its digest, and its division into sections.
 //!
-//! A bundle travels as sections by digest, so that a change costs a node only what changed
-//! (design page, section 7). Maps are sorted, so equal bundles give equal bytes.
+//! Nodes fetch bundles section by section and compare digests, so that they transfer only the
+//! sections that changed (design page, section 7). Maps are sorted, so equal bundles have equal
+//! bytes.
 
 use std::collections::BTreeMap;
 
@@ -9,45 +10,45 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use crate::Bundle;
-use crate::http_sections::{self, HTTP, HttpChanges};
+use crate::http_sections::{self, HTTP_SECTION, HttpChanges};
 use crate::tenants::chunk_of;
 
-const SERVICES: &str = "services";
+const SERVICES_SECTION: &str = "services";
 /// Name of the section that holds the routes.
 pub const ROUTES_SECTION: &str = "routes";
-const WINDOWS: &str = "windows";
+const WINDOWS_SECTION: &str = "windows";
 const TENANTS_PREFIX: &str = "tenants/";
 
-/// Bytes or sections that are no bundle.
+/// Error of decoding a bundle or one of its sections.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes do not decode.
-    #[error("{part} does not decode: {reason}")]
+    /// The bytes cannot be decoded.
+    #[error("{part} cannot be decoded: {reason}")]
     Malformed {
-        /// The whole bundle, or the section's name.
+        /// `bundle`, or the name of the section.
         part: String,
-        /// The decoder's words.
+        /// Error message of the decoder.
         reason: String,
     },
-    /// A section has a name that this version of the program does not know.
+    /// This version of the program does not know the section's name.
     #[error("unknown section {0:?}")]
     UnknownSection(String),
-    /// A section does not read back as the bytes it came from: another build wrote it.
-    #[error("section {0:?} is not in the one byte form")]
+    /// Encoding the decoded section gives other bytes; it was written by an incompatible build.
+    #[error("section {0:?} is not in canonical form")]
     NotCanonical(String),
 }
 
-/// What a bundle says outside its sections.
+/// Fields of a bundle that are not part of any section.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleHeader {
-    /// The bundle's version.
+    /// Version of the bundle.
     pub version: BundleVersion,
-    /// The version that it was built on.
+    /// Version that the bundle is based on.
     pub base: BundleVersion,
 }
 
 pub(crate) fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
-    // Plain data with text keys into a growing buffer: the encoder has no way to fail.
+    // Encoding plain data with string keys into a growable buffer cannot fail.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
@@ -56,16 +57,16 @@
         .map_err(|e| DecodeError::Malformed { part: part.to_owned(), reason: e.to_string() })
 }
 
-/// The bundle's one byte form: compact JSON with sorted keys.
+/// Encodes a bundle in canonical form: compact JSON with sorted keys.
 #[must_use]
 pub fn canonical_bytes(bundle: &Bundle) -> Vec<u8> {
     to_json(bundle)
 }
 
-/// Reads what [`canonical_bytes`] made.
+/// Decodes a bundle encoded by [`canonical_bytes`].
 ///
 /// # Errors
-/// When the bytes are no bundle.
+/// When the bytes are not a valid encoding of a bundle.
 pub fn decode(bytes: &[u8]) -> Result<Bundle, DecodeError> {
     from_json("bundle", bytes)
 }
@@ -76,9 +77,9 @@
     Digest::of(&canonical_bytes(bundle))
 }
 
-/// The section that holds a tenant: one of 256, by the first byte of its id's BLAKE3 digest. With 17,000
-/// tenants a section and the list of all sections' digests are then about equally long, so that a change of
-/// one tenant costs least.
+/// Name of the section that holds a tenant: one of 256, selected by the first byte of the BLAKE3
+/// digest of the tenant's id. With 17,000 tenants, a section is then about as long as the list of
+/// all sections' digests, which minimizes the cost of changing one tenant.
 #[must_use]
 pub fn tenant_section(tenant: &TenantId) -> String {
     chunk_section(chunk_of(tenant))
@@ -88,13 +89,14 @@
     format!("{TENANTS_PREFIX}{number:02x}")
 }
 
-/// The bundle's content by section name; the header travels apart. Tenant sections without tenants are left out.
+/// Encodes the bundle's content as sections by name. The header is not included; empty tenant
+/// sections are omitted.
 #[must_use]
 pub fn sections(bundle: &Bundle) -> BTreeMap<String, Vec<u8>> {
     let mut sections = BTreeMap::from([
-        (SERVICES.to_owned(), to_json(&bundle.services)),
+        (SERVICES_SECTION.to_owned(), to_json(&bundle.services)),
         (ROUTES_SECTION.to_owned(), to_json(&bundle.routes)),
-        (WINDOWS.to_owned(), to_json(&bundle.windows)),
+        (WINDOWS_SECTION.to_owned(), to_json(&bundle.windows)),
     ]);
     let chunks = bundle.tenants.chunks();
     sections.extend(chunks.map(|(number, chunk)| (chunk_section(number), to_json(chunk))));
@@ -102,16 +104,16 @@
     sections
 }
 
-/// Digest of each section.
+/// Digests of the bundle's sections by name.
 #[must_use]
 pub fn section_digests(bundle: &Bundle) -> BTreeMap<String, Digest> {
     sections(bundle).into_iter().map(|(name, bytes)| (name, Digest::of(&bytes))).collect()
 }
 
-/// Puts a bundle together from its header and all its sections.
+/// Assembles a bundle from its header and all its sections.
 ///
 /// # Errors
-/// When a section is unknown, does not decode, or is not in the one byte form.
+/// When a section is unknown, cannot be decoded, or is not in canonical form.
 pub fn from_sections(
     header: BundleHeader,
     sections: &BTreeMap<String, impl AsRef<[u8]>>,
@@ -120,33 +122,36 @@
     with_sections(&Bundle::default(), header, all)
 }
 
-/// A bundle that differs from a held one by its header and some sections; `None` stands for a section that is
-/// gone. Decodes only these. A section must read back as the bytes it came from, so when each has the digest
-/// that a record names, the whole has the record's digest too and need not be encoded for it.
+/// Builds a bundle from a base bundle, a new header and changed sections; `None` marks a removed
+/// section.
+///
+/// Only the changed sections are decoded. Each must be in canonical form, so if every section has
+/// the digest that a bundle record names, the bundle has the record's digest and need not be
+/// encoded to compute it.
 ///
 /// # Errors
-/// When a section is unknown, does not decode, or is not in the one byte form.
+/// When a section is unknown, cannot be decoded, or is not in canonical form.
 pub fn with_sections<'a>(
-    held: &Bundle,
+    base: &Bundle,
     header: BundleHeader,
     changed: impl IntoIterator<Item = (&'a str, Option<&'a [u8]>)>,
 ) -> Result<Bundle, DecodeError> {
-    let mut bundle = Bundle { version: header.version, base: header.base, ..held.clone() };
+    let mut bundle = Bundle { version: header.version, base: header.base, ..base.clone() };
     let mut http = HttpChanges::default();
     for (name, bytes) in changed {
         match name {
-            SERVICES => bundle.services = section(name, bytes)?,
-            ROUTES_SECTION => bundle.routes = section(name, bytes)?,
-            WINDOWS => bundle.windows = section(name, bytes)?,
-            _ if name.starts_with(HTTP) => http.take(name, bytes)?,
-            _ => bundle.tenants.set_chunk(chunk_number(name)?, section(name, bytes)?),
+            SERVICES_SECTION => bundle.services = decode_section(name, bytes)?,
+            ROUTES_SECTION => bundle.routes = decode_section(name, bytes)?,
+            WINDOWS_SECTION => bundle.windows = decode_section(name, bytes)?,
+            _ if name.starts_with(HTTP_SECTION) => http.add(name, bytes)?,
+            _ => bundle.tenants.set_chunk(chunk_number(name)?, decode_section(name, bytes)?),
         }
     }
     http.apply(&mut bundle.http)?;
     Ok(bundle)
 }
 
-/// Number of a section of tenants.
+/// Parses the chunk number from the name of a tenant section.
 fn chunk_number(name: &str) -> Result<u8, DecodeError> {
     let number = name.strip_prefix(TENANTS_PREFIX).and_then(|n| u8::from_str_radix(n, 16).ok());
     number
@@ -154,8 +159,8 @@
         .ok_or_else(|| DecodeError::UnknownSection(name.to_owned()))
 }
 
-/// Reads a section; one that is gone is empty.
-pub(crate) fn section<T>(name: &str, bytes: Option<&[u8]>) -> Result<T, DecodeError>
+/// Decodes a section; a removed section (`None`) decodes as empty.
+pub(crate) fn decode_section<T>(name: &str, bytes: Option<&[u8]>) -> Result<T, DecodeError>
 where
     T: Default + Serialize + DeserializeOwned,
 {
--- a/crates/bundle/src/diff.rs
+++ b/crates/bundle/src/diff.rs
@@ -1,4 +1,4 @@
-//! What one bundle changes against another, value by value.
+//! Differences between two bundles, value by value.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,11 +10,11 @@
 /// One value that differs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BundleChange {
-    /// Path of the value.
+    /// Dotted path of the value.
     pub path: String,
-    /// Its value before; `None` when it was not there.
+    /// Old value; `None` if it was added.
     pub before: Option<Value>,
-    /// Its value after; `None` when it is gone.
+    /// New value; `None` if it was removed.
     pub after: Option<Value>,
 }
 
@@ -29,11 +29,11 @@
     }
 }
 
-/// All values that differ, by path. Lists are compared as a whole.
+/// Returns all values that differ, ordered by path. A list counts as one value.
 #[must_use]
 pub fn diff(before: &Bundle, after: &Bundle) -> Vec<BundleChange> {
     let mut changes = Vec::new();
-    // A bundle is plain data with text keys, so it always becomes a value.
+    // A bundle is plain data with string keys, so the conversion cannot fail.
     let before = serde_json::to_value(before).ok();
     let after = serde_json::to_value(after).ok();
     compare("", before.as_ref(), after.as_ref(), &mut changes);
--- a/crates/bundle/src/http.rs
+++ b/crates/bundle/src/http.rs
@@ -1,65 +1,68 @@
-//! The part of a bundle that routes plain HTTP requests by host and path to pools of back ends.
+//! Bundle section that routes plain HTTP requests by host and path to pools of backends.
 //!
-//! Beside the routes of the callers' own API a bundle may say which requests are passed through as they are: calls
-//! of tools, and turns of chained sessions. The operators' own text travels with it, so that what is read back is
-//! what was sent.
+//! In addition to the routes of hooklug's own API, a bundle can name requests that are forwarded
+//! unchanged: tool calls, and turns of chained sessions. The operators' original configuration text
+//! is part of the section, so that it can be read back exactly as it was submitted.
 
 use std::collections::BTreeMap;
 
 use hooklug_types::{RouteName, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// Routes, services and limits of requests that are passed through.
+/// Routes, services and limits of forwarded HTTP requests.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpRouting {
     /// Routes by name.
     pub routes: BTreeMap<RouteName, HttpRoute>,
-    /// Pools of back ends by name.
+    /// Backend pools by name.
     pub services: BTreeMap<ServiceName, HttpService>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     #[serde(default)]
     pub limits: HttpLimits,
-    /// The operators' own text, word for word; empty when this section was written by hand.
+    /// The operators' original configuration text, verbatim; empty if the section was written
+    /// directly.
     #[serde(default)]
     pub document: String,
 }
 
-/// One route.
+/// A route of forwarded HTTP requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpRoute {
-    /// Host that it serves.
+    /// Host that the route matches.
     pub host: String,
-    /// Start of the paths that it serves; begins and ends with a slash.
+    /// Path prefix that the route matches; starts and ends with a slash.
     pub path_prefix: String,
-    /// How often a request may run.
+    /// Whether a request may run more than once.
     pub repeat: RepeatRule,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// For turns of chained sessions: how long they are kept. `None` for requests that keep nothing.
+    /// Retention of turns of chained sessions, in milliseconds; `None` if the route stores no
+    /// turns.
     pub keep_ms: Option<u64>,
-    /// Longest time a request is held, in milliseconds.
+    /// Maximum time to serve a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer (of a stream: its first event) is worth its full price, in milliseconds.
+    /// Target time to the response (for a stream: to its first event), in milliseconds. A later
+    /// response is worth less to the caller.
     pub target_latency_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority of requests; 0 is the most urgent.
     pub priority: u8,
-    /// Most back ends that one request may be sent to.
+    /// Maximum number of backends that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests with the same prefix or key should meet the same back end.
+    /// Whether requests with the same prompt prefix or key should reach the same backend.
     pub sticky: bool,
-    /// Shares of the pools that serve it.
+    /// Backend pools of the route, with weights.
     pub backends: Vec<WeightedService>,
 }
 
-/// How often a request may run.
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatRule {
-    /// Any number of times.
+    /// A request may run any number of times.
     Repeatable,
-    /// At most once.
+    /// A request may run at most once.
     Once,
 }
 
@@ -67,46 +70,46 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
-    /// The pool.
+    /// Name of the pool.
     pub service: ServiceName,
-    /// Its weight among the route's pools.
+    /// Weight of the pool relative to the route's other pools.
     pub weight: u32,
 }
 
-/// A pool of back ends.
+/// A pool of backends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HttpService {
-    /// Most connections that one back end takes from all callers together.
+    /// Maximum number of connections to one backend, from all gateways together.
     pub max_connections: u32,
-    /// For model engines.
+    /// Capacity of the engines, for pools of model engines.
     #[serde(default)]
     pub model: Option<ModelPool>,
 }
 
-/// What is known of the model engines of a pool.
+/// Capacity of the model engines in a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelPool {
-    /// Requests that an engine runs at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that an engine's memory holds.
+    /// Capacity of an engine's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one stream event.
     pub tokens_per_event: u64,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HttpLimits {
-    /// Longest head, in bytes (default 16 KiB).
+    /// Maximum size of a request head, in bytes (default 16 KiB).
     pub max_header_bytes: u64,
-    /// Longest body, in bytes (default 4 MiB).
+    /// Maximum size of a request body, in bytes (default 4 MiB).
     pub max_body_bytes: u64,
-    /// Longest time for a head, in milliseconds (default 3,000).
+    /// Timeout for receiving a request head, in milliseconds (default 3,000).
     pub header_timeout_ms: u64,
-    /// Longest rest of a connection between requests, in milliseconds (default 15,000).
+    /// Idle timeout of a connection between requests, in milliseconds (default 15,000).
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/bundle/src/http_sections.rs
+++ b/crates/bundle/src/http_sections.rs
@@ -1,7 +1,8 @@
-//! Sections of the plain HTTP routing: pools and limits, routes in chunks, and the operators' text in pieces.
+//! Sections of the HTTP_SECTION routing: pools and limits, chunks of routes, and pieces of the
+//! operators' text.
 //!
-//! A change of one route changes one chunk of routes and a piece or two of the text. The text is cut where its own
-//! content says so, so that an insertion moves no later cut.
+//! A change of one route changes one chunk of routes and one or two pieces of the text. Pieces are
+//! content-defined chunks (FastCDC), so that an insertion does not move later boundaries.
 
 use std::collections::BTreeMap;
 
@@ -9,29 +10,30 @@
 use hooklug_types::{Digest, RouteName, ServiceName};
 use serde::{Deserialize, Serialize};
 
-use crate::canonical::{DecodeError, section, to_json};
+use crate::canonical::{DecodeError, decode_section, to_json};
 use crate::http::{HttpLimits, HttpRoute, HttpRouting, HttpService};
 
-/// Begin of the names of all sections of this module.
-pub(crate) const HTTP: &str = "http";
+/// Name of the section of pools and limits, and prefix of the names of all sections of this module.
+pub(crate) const HTTP_SECTION: &str = "http";
 const ROUTES_PREFIX: &str = "http/routes/";
-const TEXT: &str = "http/text";
+const TEXT_SECTION: &str = "http/text";
 const PIECE_PREFIX: &str = "http/text/";
 
-/// Chunks of routes (ours): with 400 routes a chunk and the list of all chunks' digests are about equally long.
+/// Number of route chunks. With 400 routes, a chunk is about as long as the list of all chunks'
+/// digests.
 const ROUTE_CHUNKS: u8 = 32;
 
-/// Bytes of a piece of the operators' text, at least (ours).
-const LEAST_PIECE_BYTES: usize = 1 << 10;
-/// Bytes of a piece of the operators' text, in the mean (ours).
-const MEAN_PIECE_BYTES: usize = 4 << 10;
-/// Bytes of a piece of the operators' text, at most (ours).
-const MOST_PIECE_BYTES: usize = 16 << 10;
+/// Minimum size of a piece of the operators' text, in bytes.
+const MIN_PIECE_BYTES: usize = 1 << 10;
+/// Average size of a piece of the operators' text, in bytes.
+const AVERAGE_PIECE_BYTES: usize = 4 << 10;
+/// Maximum size of a piece of the operators' text, in bytes.
+const MAX_PIECE_BYTES: usize = 16 << 10;
 
-/// Letters of a piece's digest that its name holds.
-const PIECE_ID_LETTERS: usize = 16;
+/// Number of hexadecimal digits of a piece's digest that form its id.
+const PIECE_ID_DIGITS: usize = 16;
 
-/// What is no route and no text.
+/// Content of the [`HTTP_SECTION`]: backend pools and limits.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Pools {
@@ -39,16 +41,16 @@
     limits: HttpLimits,
 }
 
-/// Whether a section is a part of the operators' text, which only those need who read the bundle back.
+/// Whether a section belongs to the operators' text, which is needed only to read the bundle back.
 #[must_use]
 pub fn is_operators_text(name: &str) -> bool {
-    name == TEXT || name.starts_with(PIECE_PREFIX)
+    name == TEXT_SECTION || name.starts_with(PIECE_PREFIX)
 }
 
-/// The sections of a bundle's HTTP routing.
+/// Encodes a bundle's HTTP_SECTION routing as sections by name.
 pub(crate) fn sections(http: &HttpRouting) -> BTreeMap<String, Vec<u8>> {
     let pools = Pools { services: http.services.clone(), limits: http.limits.clone() };
-    let mut sections = BTreeMap::from([(HTTP.to_owned(), to_json(&pools))]);
+    let mut sections = BTreeMap::from([(HTTP_SECTION.to_owned(), to_json(&pools))]);
     let mut chunks: BTreeMap<u8, BTreeMap<&RouteName, &HttpRoute>> = BTreeMap::new();
     for (name, route) in &http.routes {
         chunks.entry(chunk_of(name)).or_default().insert(name, route);
@@ -57,14 +59,14 @@
     let pieces = pieces(&http.document);
     if !pieces.is_empty() {
         let ids: Vec<&String> = pieces.iter().map(|(id, _)| id).collect();
-        sections.insert(TEXT.to_owned(), to_json(&ids));
+        sections.insert(TEXT_SECTION.to_owned(), to_json(&ids));
     }
-    let named = |(id, piece): (String, &[u8])| (format!("{PIECE_PREFIX}{id}"), piece.to_vec());
-    sections.extend(pieces.into_iter().map(named));
+    let to_section = |(id, piece): (String, &[u8])| (format!("{PIECE_PREFIX}{id}"), piece.to_vec());
+    sections.extend(pieces.into_iter().map(to_section));
     sections
 }
 
-/// The chunk that holds a route.
+/// Number of the chunk that holds a route.
 fn chunk_of(route: &RouteName) -> u8 {
     Digest::of(route.as_str().as_bytes()).0[0] % ROUTE_CHUNKS
 }
@@ -78,21 +80,21 @@
     (number < ROUTE_CHUNKS && chunk_section(number) == name).then_some(number)
 }
 
-/// The pieces of a text, in order, with their ids.
+/// Splits a text into pieces, in order, with their ids.
 fn pieces(text: &str) -> Vec<(String, &[u8])> {
     let bytes = text.as_bytes();
-    let cuts = FastCDC::new(bytes, LEAST_PIECE_BYTES, MEAN_PIECE_BYTES, MOST_PIECE_BYTES);
+    let cuts = FastCDC::new(bytes, MIN_PIECE_BYTES, AVERAGE_PIECE_BYTES, MAX_PIECE_BYTES);
     let piece = |offset: usize, length: usize| &bytes[offset..offset + length];
     cuts.map(|cut| piece(cut.offset, cut.length)).map(|piece| (piece_id(piece), piece)).collect()
 }
 
 fn piece_id(piece: &[u8]) -> String {
     let mut id = Digest::of(piece).to_string();
-    id.truncate(PIECE_ID_LETTERS);
+    id.truncate(PIECE_ID_DIGITS);
     id
 }
 
-/// Changed sections of a bundle's HTTP routing; `None` stands for one that is gone.
+/// Changed sections of a bundle's HTTP_SECTION routing. An inner `None` marks a removed section.
 #[derive(Debug, Default)]
 pub(crate) struct HttpChanges<'a> {
     pools: Option<Option<&'a [u8]>>,
@@ -102,15 +104,15 @@
 }
 
 impl<'a> HttpChanges<'a> {
-    /// Takes one section.
-    pub(crate) fn take(
+    /// Adds one changed section.
+    pub(crate) fn add(
         &mut self,
         name: &'a str,
         bytes: Option<&'a [u8]>,
     ) -> Result<(), DecodeError> {
-        if name == HTTP {
+        if name == HTTP_SECTION {
             self.pools = Some(bytes);
-        } else if name == TEXT {
+        } else if name == TEXT_SECTION {
             self.text = Some(bytes);
         } else if let Some(number) = chunk_number(name) {
             self.routes.insert(number, bytes);
@@ -122,26 +124,26 @@
         Ok(())
     }
 
-    /// Changes what is held.
-    pub(crate) fn apply(self, held: &mut Option<HttpRouting>) -> Result<(), DecodeError> {
+    /// Applies the changed sections to the current HTTP_SECTION routing.
+    pub(crate) fn apply(self, routing: &mut Option<HttpRouting>) -> Result<(), DecodeError> {
         if self.pools == Some(None) {
-            *held = None;
+            *routing = None;
             return Ok(());
         }
         if self.pools.is_none() && self.routes.is_empty() && self.text.is_none() {
             return Ok(());
         }
-        let http = held.get_or_insert_default();
+        let http = routing.get_or_insert_default();
         if let Some(bytes) = self.pools {
-            let pools: Pools = section(HTTP, bytes)?;
+            let pools: Pools = decode_section(HTTP_SECTION, bytes)?;
             (http.services, http.limits) = (pools.services, pools.limits);
         }
         for (number, bytes) in self.routes {
             replace_chunk(&mut http.routes, number, bytes)?;
         }
         if let Some(bytes) = self.text {
-            let ids: Vec<String> = section(TEXT, bytes)?;
-            http.document = text(&ids, &http.document, &self.pieces)?;
+            let ids: Vec<String> = decode_section(TEXT_SECTION, bytes)?;
+            http.document = assemble_text(&ids, &http.document, &self.pieces)?;
         }
         Ok(())
     }
@@ -153,7 +155,7 @@
     bytes: Option<&[u8]>,
 ) -> Result<(), DecodeError> {
     let name = chunk_section(number);
-    let chunk: BTreeMap<RouteName, HttpRoute> = section(&name, bytes)?;
+    let chunk: BTreeMap<RouteName, HttpRoute> = decode_section(&name, bytes)?;
     if chunk.keys().any(|route| chunk_of(route) != number) {
         return Err(DecodeError::NotCanonical(name));
     }
@@ -162,23 +164,29 @@
     Ok(())
 }
 
-/// Puts a text together from the ids of its pieces, of which some are new and the others those of the text before.
-fn text(ids: &[String], before: &str, new: &BTreeMap<&str, &[u8]>) -> Result<String, DecodeError> {
-    let held: BTreeMap<String, &[u8]> = pieces(before).into_iter().collect();
+/// Assembles a text from the ids of its pieces, which are either new or part of the previous text.
+fn assemble_text(
+    ids: &[String],
+    previous: &str,
+    new: &BTreeMap<&str, &[u8]>,
+) -> Result<String, DecodeError> {
+    let existing: BTreeMap<String, &[u8]> = pieces(previous).into_iter().collect();
     let mut bytes = Vec::new();
     for id in ids {
-        let piece = new.get(id.as_str()).or_else(|| held.get(id)).ok_or_else(|| malformed(id))?;
+        let piece =
+            new.get(id.as_str()).or_else(|| existing.get(id)).ok_or_else(|| malformed(id))?;
         if piece_id(piece) != *id {
             return Err(malformed(id));
         }
         bytes.extend_from_slice(piece);
     }
-    let text = String::from_utf8(bytes).map_err(|_| DecodeError::NotCanonical(TEXT.to_owned()))?;
+    let text =
+        String::from_utf8(bytes).map_err(|_| DecodeError::NotCanonical(TEXT_SECTION.to_owned()))?;
     let same = pieces(&text).iter().map(|(id, _)| id).eq(ids);
-    same.then_some(text).ok_or_else(|| DecodeError::NotCanonical(TEXT.to_owned()))
+    same.then_some(text).ok_or_else(|| DecodeError::NotCanonical(TEXT_SECTION.to_owned()))
 }
 
 fn malformed(id: &str) -> DecodeError {
-    let reason = "missing, or other bytes than its name says".to_owned();
+    let reason = "the piece is missing, or its content does not match its id".to_owned();
     DecodeError::Malformed { part: format!("{PIECE_PREFIX}{id}"), reason }
 }
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,7 +1,7 @@
-//! The versioned bundle: everything that operators decide, in one value.
+//! The versioned configuration bundle: services, routes, windows and tenants, as set by operators.
 //!
-//! A bundle is parsed once, checked as a whole, and from then on carried as canonical bytes with a
-//! digest, so that two nodes with the same version hold the same content.
+//! A bundle is parsed and validated once. From then on it is transferred in canonical form with a
+//! digest, so that two nodes with the same version have the same content.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -30,7 +30,7 @@
     VersionEntry, VersionState, Window,
 };
 pub use parse::{ParseError, TextFormat, parse};
-pub use signature::{KeyPair, SignatureFault, check_public_key, generate_key_pair, sign, verify};
+pub use signature::{KeyPair, SignatureError, check_public_key, generate_key_pair, sign, verify};
 pub use tenants::TenantTable;
 pub use unique_keys::check_unique_keys;
-pub use validate::{BundleFault, validate};
+pub use validate::{ValidationError, validate};
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! The bundle as operators write it, in JSON or TOML.
+//! Data model of a bundle, as operators write it in JSON or TOML.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 use crate::TenantTable;
 use crate::http::HttpRouting;
 
-/// One whole bundle.
+/// A configuration bundle.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// This bundle's version; one higher than the base it was built on, or more.
+    /// Version of this bundle; must be higher than `base`.
     pub version: BundleVersion,
-    /// The version that its author had seen.
+    /// Version that this bundle is based on; must be the newest committed version at submission.
     pub base: BundleVersion,
     /// Services by name.
     #[serde(default)]
@@ -31,18 +31,18 @@
     /// Tenants by id.
     #[serde(default)]
     pub tenants: TenantTable,
-    /// Requests that are passed through by host and path.
+    /// Routing of HTTP requests that are forwarded by host and path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub http: Option<HttpRouting>,
 }
 
-/// What a service's back ends are.
+/// Kind of a service's backends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Session-host engines beside model servers; serves sessions.
+    /// Session-host engines with model servers; they serve sessions.
     Model,
-    /// Application engines; serve tool calls.
+    /// Application engines; they serve tool calls.
     Application,
 }
 
@@ -50,28 +50,29 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Kind of its back ends.
+    /// Kind of the service's backends.
     pub kind: ServiceKind,
-    /// Model it runs; required for `model`, forbidden for `application`.
+    /// Model that the service runs; required for `model`, forbidden for `application`.
     #[serde(default)]
     pub model: Option<ModelName>,
-    /// Versions, oldest first; the last one that is not `rolled_back` is the newest sound one.
+    /// Versions, oldest first; the last one that is not `rolled_back` is the newest sound version.
     pub versions: Vec<VersionEntry>,
-    /// Slots the whole service is sized for; windows may reserve at most these.
+    /// Number of slots of the complete service; windows that overlap can reserve at most this many.
     pub slots: u32,
-    /// Outstanding calls allowed at one back end before others are preferred (default 64).
+    /// Outstanding calls at one backend above which other backends are preferred (default 64).
     #[serde(default = "default_concurrency")]
     pub concurrency_per_engine: u32,
     /// Turns or calls that may wait at one engine (default 256).
     #[serde(default = "default_queue")]
     pub queue_per_engine: u32,
-    /// Percentages of traffic that a new version of an application service steps through (default 5, 25, 50, 100).
+    /// Traffic percentages of a new version's rollout, for application services (default 5, 25, 50,
+    /// 100).
     #[serde(default = "default_steps")]
     pub steps: Vec<u8>,
-    /// Length of one step, in seconds (default 5).
+    /// Duration of one rollout step, in seconds (default 5).
     #[serde(default = "default_step_seconds")]
     pub step_seconds: u32,
-    /// What counts as harm by a new version.
+    /// Thresholds above which a new version is rolled back.
     #[serde(default)]
     pub harm: HarmThresholds,
 }
@@ -80,33 +81,35 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionEntry {
-    /// The version's name, as its engines report it.
+    /// Name of the version, as its engines report it.
     pub version: ServiceVersion,
-    /// Whether it may get traffic.
+    /// Whether the version may receive traffic.
     #[serde(default)]
     pub state: VersionState,
 }
 
-/// Whether a version may get traffic.
+/// State of a version: whether it may receive traffic.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// May get traffic.
+    /// The version may receive traffic.
     #[default]
     Sound,
-    /// Found harmful; gets none.
+    /// The version was rolled back and receives no traffic.
     RolledBack,
 }
 
-/// When a new version counts as harmful against the old one in the same interval.
+/// Thresholds above which a new version counts as a regression from the previous version in the
+/// same interval.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HarmThresholds {
-    /// Error share of the new version above the old one's that counts as harm (default 0.1).
+    /// Increase of the error share over the previous version's that counts as a regression (default
+    /// 0.1).
     pub error_share_above: f64,
-    /// Factor on the old version's p95 latency that counts as harm (default 2.5).
+    /// Multiple of the previous version's p95 latency that counts as a regression (default 2.5).
     pub latency_factor: f64,
-    /// Samples of a version on a route before it is judged (default 20).
+    /// Minimum number of samples of a version on a route before it is judged (default 20).
     pub least_samples: u32,
 }
 
@@ -116,80 +119,80 @@
     }
 }
 
-/// Which requests a route serves.
+/// Requests that a route matches.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum RouteMatch {
-    /// Sessions that ask for this model.
+    /// Sessions that request this model.
     Session {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
     },
-    /// Tool calls with this name.
+    /// Calls of this tool.
     Tool {
-        /// The tool.
+        /// Name of the tool.
         tool: String,
     },
 }
 
-/// A route: what it matches and how its requests are treated.
+/// A route: which requests it matches and how they are served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// What it matches.
+    /// Requests that the route matches.
     #[serde(rename = "match")]
     pub matches: RouteMatch,
-    /// Service that takes its requests.
+    /// Service that serves the requests.
     pub service: ServiceName,
-    /// Whether a request may run more than once (default no).
+    /// Whether a request may run more than once (default false).
     #[serde(default)]
     pub may_repeat: bool,
-    /// Longest time a request may take, in milliseconds (default 30,000).
+    /// Maximum duration of a request, in milliseconds (default 30,000).
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether its requests use the urgent reserve (default no).
+    /// Whether requests may use the capacity reserved for urgent ones (default false).
     #[serde(default)]
     pub urgent: bool,
 }
 
-/// A span of time in which slots of a service are kept for a group of programs.
+/// A time window in which slots of a service are reserved for a group of programs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Window {
-    /// First instant, milliseconds since 1970.
+    /// Start of the window (inclusive), in milliseconds since 1970.
     pub start: UnixMillis,
-    /// First instant after it.
+    /// End of the window (exclusive), in milliseconds since 1970.
     pub end: UnixMillis,
-    /// Programs that it is for.
+    /// Group of programs that the slots are reserved for.
     pub group: WindowGroup,
-    /// Service whose slots it keeps.
+    /// Service whose slots are reserved.
     pub service: ServiceName,
-    /// Slots kept, over the whole service.
+    /// Number of reserved slots, over all engines of the service.
     pub slots: u32,
 }
 
-/// A customer.
+/// A tenant: a customer whose programs share keys, a window group and limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// BLAKE3 digests of its callers' keys, in hexadecimal.
+    /// BLAKE3 digests of the callers' keys, in hexadecimal.
     #[serde(default)]
     pub key_digests: Vec<String>,
-    /// Group that its programs belong to, for windows.
+    /// Window group of the tenant's programs.
     #[serde(default)]
     pub group: Option<WindowGroup>,
-    /// Its limits.
+    /// Request limits of the tenant.
     #[serde(default)]
     pub limits: TenantLimits,
 }
 
-/// Limits of one tenant at one gateway.
+/// Request limits of one tenant at one gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TenantLimits {
-    /// Requests a second, sustained (default 200).
+    /// Sustained request rate, in requests per second (default 200).
     pub requests_per_second: f64,
-    /// Requests at once (default 400).
+    /// Maximum number of concurrent requests (default 400).
     pub concurrency: u32,
 }
 
@@ -220,13 +223,13 @@
 }
 
 impl Service {
-    /// The newest version that may get traffic.
+    /// Newest version that may receive traffic.
     #[must_use]
     pub fn newest_sound(&self) -> Option<&ServiceVersion> {
         self.versions.iter().rev().find(|v| v.state == VersionState::Sound).map(|v| &v.version)
     }
 
-    /// Whether a version is listed and may get traffic.
+    /// Whether a version is listed and may receive traffic.
     #[must_use]
     pub fn is_sound(&self, version: &ServiceVersion) -> bool {
         self.versions.iter().any(|v| v.version == *version && v.state == VersionState::Sound)
@@ -234,7 +237,7 @@
 }
 
 impl Bundle {
-    /// The route and its name that serve sessions of a model.
+    /// Route that serves sessions of a model, with its name.
     #[must_use]
     pub fn session_route(&self, model: &ModelName) -> Option<(&RouteName, &Route)> {
         self.routes
@@ -242,7 +245,7 @@
             .find(|(_, r)| matches!(&r.matches, RouteMatch::Session { model: m } if m == model))
     }
 
-    /// The route and its name that serve calls of a tool.
+    /// Route that serves calls of a tool, with its name.
     #[must_use]
     pub fn tool_route(&self, tool: &str) -> Option<(&RouteName, &Route)> {
         self.routes
--- a/crates/bundle/src/parse.rs
+++ b/crates/bundle/src/parse.rs
@@ -1,10 +1,10 @@
-//! Reading a bundle as operators write it; a fault names the path of the value at fault.
+//! Parses bundles from JSON or TOML; errors name the path of the invalid value.
 
 use serde::Deserializer;
 
 use crate::Bundle;
 
-/// How a text is written.
+/// Format of a bundle text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TextFormat {
     /// JSON.
@@ -14,49 +14,49 @@
 }
 
 impl TextFormat {
-    /// JSON when the first character that is not white space is `{`, else TOML.
+    /// Guesses the format: JSON if the first non-whitespace character is `{`, otherwise TOML.
     #[must_use]
     pub fn guess(text: &str) -> Self {
         if text.trim_start().starts_with('{') { Self::Json } else { Self::Toml }
     }
 }
 
-/// A text that is no bundle.
+/// Error of parsing a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {message}")]
 pub struct ParseError {
-    /// Path of the value at fault, `.` for the whole.
+    /// Path of the invalid value, or `.` for the complete text.
     pub path: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Reads a bundle from a text.
+/// Parses a bundle from a text.
 ///
 /// # Errors
-/// The first fault, with its path.
+/// The first error, with its path.
 pub fn parse(text: &str, format: TextFormat) -> Result<Bundle, ParseError> {
     match format {
         TextFormat::Json => {
             let mut reader = serde_json::Deserializer::from_str(text);
-            let bundle = read(&mut reader)?;
-            reader.end().map_err(|e| whole(e.to_string()))?;
+            let bundle = deserialize_bundle(&mut reader)?;
+            reader.end().map_err(|e| document_error(e.to_string()))?;
             crate::check_unique_keys(text.as_bytes())?;
             Ok(bundle)
         }
         TextFormat::Toml => {
             let reader = toml::Deserializer::parse(text)
-                .map_err(|e| whole(e.to_string().trim_end().to_owned()))?;
-            read(reader)
+                .map_err(|e| document_error(e.to_string().trim_end().to_owned()))?;
+            deserialize_bundle(reader)
         }
     }
 }
 
-fn whole(message: String) -> ParseError {
+fn document_error(message: String) -> ParseError {
     ParseError { path: ".".to_owned(), message }
 }
 
-fn read<'de, D: Deserializer<'de>>(reader: D) -> Result<Bundle, ParseError>
+fn deserialize_bundle<'de, D: Deserializer<'de>>(reader: D) -> Result<Bundle, ParseError>
 where
     D::Error: std::fmt::Display,
 {
--- a/crates/bundle/src/tenants.rs
+++ b/crates/bundle/src/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of a bundle, in chunks that bundles share.
+//! Tenants of a bundle, in chunks that are shared between bundle versions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,55 +8,57 @@
 
 use crate::Tenant;
 
-/// Tenants of one chunk.
+/// Tenants of one chunk, by id.
 pub(crate) type Chunk = BTreeMap<TenantId, Tenant>;
 
-/// Tenants by id, in 256 chunks by the first byte of the id's BLAKE3 digest (ours). A clone copies a pointer a
-/// chunk, and a change after a clone copies one chunk: a node that installs a bundle pays for what changed,
-/// not for 17,000 tenants. Written as one map, sorted by id.
+/// Tenants by id, in 256 copy-on-write chunks selected by the first byte of the id's BLAKE3 digest.
+///
+/// A clone copies one pointer per chunk, and a change after a clone copies one chunk, so the cost
+/// of installing a bundle depends on what changed and not on the number of tenants (17,000).
+/// Serialized as one map, sorted by id.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TenantTable {
-    /// Never holds an empty chunk, so that equal tables have equal chunks.
+    /// Contains no empty chunks, so that equal tables have equal chunks.
     chunks: BTreeMap<u8, Arc<Chunk>>,
 }
 
-/// The chunk that holds a tenant.
+/// Number of the chunk that holds a tenant.
 #[must_use]
 pub(crate) fn chunk_of(tenant: &TenantId) -> u8 {
     Digest::of(tenant.as_str().as_bytes()).0[0]
 }
 
 impl TenantTable {
-    /// A tenant, if there is one of that id.
+    /// Returns the tenant with an id.
     #[must_use]
     pub fn get(&self, id: &TenantId) -> Option<&Tenant> {
         self.chunks.get(&chunk_of(id))?.get(id)
     }
 
-    /// A tenant to be changed, if there is one of that id.
+    /// Returns a mutable reference to the tenant with an id.
     pub fn get_mut(&mut self, id: &TenantId) -> Option<&mut Tenant> {
         Arc::make_mut(self.chunks.get_mut(&chunk_of(id))?).get_mut(id)
     }
 
-    /// Puts a tenant in, in place of one of the same id.
+    /// Inserts a tenant and replaces the one with the same id.
     pub fn insert(&mut self, id: TenantId, tenant: Tenant) {
         let chunk = self.chunks.entry(chunk_of(&id)).or_default();
         Arc::make_mut(chunk).insert(id, tenant);
     }
 
-    /// How many tenants there are.
+    /// Number of tenants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.chunks.values().map(|chunk| chunk.len()).sum()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no tenants.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// All tenants, in order of ids. Sorts; for reading through once.
+    /// Iterates over all tenants, ordered by id. Collects and sorts them on each call.
     pub fn iter(&self) -> impl Iterator<Item = (&TenantId, &Tenant)> {
         let mut all: Vec<(&TenantId, &Tenant)> =
             self.chunks.values().flat_map(|chunk| chunk.iter()).collect();
@@ -64,22 +66,22 @@
         all.into_iter()
     }
 
-    /// All tenants, in no particular order.
+    /// Iterates over all tenants, in no particular order.
     pub fn values(&self) -> impl Iterator<Item = &Tenant> {
         self.chunks.values().flat_map(|chunk| chunk.values())
     }
 
-    /// All tenants to be changed, in no particular order.
+    /// Iterates over mutable references to all tenants, in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Tenant> {
         self.chunks.values_mut().flat_map(|chunk| Arc::make_mut(chunk).values_mut())
     }
 
-    /// All chunks with their numbers; none is empty.
+    /// Iterates over all chunks with their numbers; none is empty.
     pub(crate) fn chunks(&self) -> impl Iterator<Item = (u8, &Chunk)> {
         self.chunks.iter().map(|(number, chunk)| (*number, &**chunk))
     }
 
-    /// Puts a whole chunk in; its tenants must belong there.
+    /// Replaces a complete chunk; all its tenants must belong to it.
     pub(crate) fn set_chunk(&mut self, number: u8, chunk: Chunk) {
         if chunk.is_empty() {
             self.chunks.remove(&number);
--- a/crates/bundle/src/unique_keys.rs
+++ b/crates/bundle/src/unique_keys.rs
@@ -1,5 +1,5 @@
-//! Refuses JSON objects that name a key twice: a map would keep the last value and drop the others
-//! without a word (ours).
+//! Rejects JSON objects with duplicate keys. Deserializing them into a map would silently keep only
+//! the last value.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,38 +8,39 @@
 
 use crate::ParseError;
 
-/// Checks that no object of a JSON text names a key twice.
+/// Checks that no object of a JSON text has duplicate keys.
 ///
 /// # Errors
-/// The first such key, with its path; or the first fault of the text.
+/// The first duplicate key with its path, or the first syntax error.
 pub fn check_unique_keys(json: &[u8]) -> Result<(), ParseError> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let mut track = serde_path_to_error::Track::new();
     let tracked = serde_path_to_error::Deserializer::new(&mut reader, &mut track);
-    let checked = Checked { is_repeated: false }.deserialize(tracked);
-    checked.map_err(|e| ParseError { path: track.path().to_string(), message: e.to_string() })
+    let result = CheckedValue { is_duplicate: false }.deserialize(tracked);
+    result.map_err(|e| ParseError { path: track.path().to_string(), message: e.to_string() })
 }
 
-/// A value, and whether its key stood in the same object before.
+/// Seed for a value; fails if its key is a duplicate within the object.
 #[derive(Clone, Copy)]
-struct Checked {
-    is_repeated: bool,
+struct CheckedValue {
+    is_duplicate: bool,
 }
 
-impl<'de> DeserializeSeed<'de> for Checked {
+impl<'de> DeserializeSeed<'de> for CheckedValue {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, reader: D) -> Result<(), D::Error> {
-        if self.is_repeated {
-            return Err(D::Error::custom("the key is given twice"));
+        if self.is_duplicate {
+            return Err(D::Error::custom("the key is a duplicate"));
         }
-        reader.deserialize_any(Walk)
+        reader.deserialize_any(ValueVisitor)
     }
 }
 
-struct Walk;
+/// Visits a value and, recursively, all values inside it.
+struct ValueVisitor;
 
-impl<'de> Visitor<'de> for Walk {
+impl<'de> Visitor<'de> for ValueVisitor {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -49,14 +50,14 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
         let mut keys = BTreeSet::new();
         while let Some(key) = map.next_key::<String>()? {
-            let is_repeated = !keys.insert(key);
-            map.next_value_seed(Checked { is_repeated })?;
+            let is_duplicate = !keys.insert(key);
+            map.next_value_seed(CheckedValue { is_duplicate })?;
         }
         Ok(())
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
-        while list.next_element_seed(Checked { is_repeated: false })?.is_some() {}
+        while list.next_element_seed(CheckedValue { is_duplicate: false })?.is_some() {}
         Ok(())
     }
 
--- a/crates/bundle/src/validate/mod.rs
+++ b/crates/bundle/src/validate/mod.rs
@@ -1,4 +1,4 @@
-//! Checks a bundle as a whole and reports every fault at once, each with its path.
+//! Validates a complete bundle and reports all errors at once, each with its path.
 
 mod http;
 mod routes;
@@ -10,31 +10,31 @@
 
 use crate::Bundle;
 
-/// One fault of a bundle.
+/// An invalid value in a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct BundleFault {
-    /// Path of the value at fault, such as `routes.send-alarm.service`.
+pub struct ValidationError {
+    /// Path of the invalid value, such as `routes.send-alarm.service`.
     pub path: String,
-    /// What is wrong: the value found and what is allowed.
+    /// Description of the error: the value found and the values allowed.
     pub message: String,
 }
 
-impl fmt::Display for BundleFault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.path, self.message)
     }
 }
 
-/// Gathers faults.
+/// Collects the errors of one validation.
 #[derive(Debug, Default)]
-struct Faults(Vec<BundleFault>);
+struct ValidationErrors(Vec<ValidationError>);
 
-impl Faults {
+impl ValidationErrors {
     fn add(&mut self, path: impl Into<String>, message: impl Into<String>) {
-        self.0.push(BundleFault { path: path.into(), message: message.into() });
+        self.0.push(ValidationError { path: path.into(), message: message.into() });
     }
 
-    /// Adds a fault unless the condition holds.
+    /// Adds an error unless the condition holds.
     fn require(&mut self, holds: bool, path: impl Into<String>, message: impl Into<String>) {
         if !holds {
             self.add(path, message);
@@ -42,21 +42,21 @@
     }
 }
 
-/// Checks a bundle.
+/// Validates a bundle.
 ///
 /// # Errors
-/// Every fault, in the order of the bundle's parts.
-pub fn validate(bundle: &Bundle) -> Result<(), Vec<BundleFault>> {
-    let mut faults = Faults::default();
-    faults.require(
+/// All errors, in the order of the bundle's parts.
+pub fn validate(bundle: &Bundle) -> Result<(), Vec<ValidationError>> {
+    let mut errors = ValidationErrors::default();
+    errors.require(
         bundle.version > bundle.base,
         "version",
         format!("is {}, must be higher than the base, {}", bundle.version, bundle.base),
     );
-    services::check(bundle, &mut faults);
-    routes::check(bundle, &mut faults);
-    windows::check(bundle, &mut faults);
-    tenants::check(bundle, &mut faults);
-    http::check(bundle, &mut faults);
-    if faults.0.is_empty() { Ok(()) } else { Err(faults.0) }
+    services::check(bundle, &mut errors);
+    routes::check(bundle, &mut errors);
+    windows::check(bundle, &mut errors);
+    tenants::check(bundle, &mut errors);
+    http::check(bundle, &mut errors);
+    if errors.0.is_empty() { Ok(()) } else { Err(errors.0) }
 }
--- a/crates/bundle/src/validate/tenants.rs
+++ b/crates/bundle/src/validate/tenants.rs
@@ -1,24 +1,24 @@
-//! Faults of tenants.
+//! Validation of tenants.
 
 use std::collections::BTreeSet;
 
-use super::Faults;
+use super::ValidationErrors;
 use crate::{Bundle, Tenant};
 
-/// Length of a BLAKE3 digest in hexadecimal.
+/// Length of a BLAKE3 digest, in hexadecimal digits.
 const DIGEST_DIGITS: usize = 64;
 
-pub(super) fn check(bundle: &Bundle, faults: &mut Faults) {
+pub(super) fn check(bundle: &Bundle, errors: &mut ValidationErrors) {
     for (id, tenant) in bundle.tenants.iter() {
         let path = format!("tenants.{id}");
-        check_keys(&path, tenant, faults);
+        check_keys(&path, tenant, errors);
         let rate = tenant.limits.requests_per_second;
-        faults.require(
+        errors.require(
             rate > 0.0 && rate.is_finite(),
             format!("{path}.limits.requests_per_second"),
             format!("is {rate}, must be above 0"),
         );
-        faults.require(
+        errors.require(
             tenant.limits.concurrency > 0,
             format!("{path}.limits.concurrency"),
             "is 0, must be at least 1",
@@ -26,17 +26,17 @@
     }
 }
 
-fn check_keys(path: &str, tenant: &Tenant, faults: &mut Faults) {
+fn check_keys(path: &str, tenant: &Tenant, errors: &mut ValidationErrors) {
     let mut seen = BTreeSet::new();
     for (index, digest) in tenant.key_digests.iter().enumerate() {
         let path = format!("{path}.key_digests[{index}]");
         let hexadecimal = |c: char| matches!(c, '0'..='9' | 'a'..='f');
-        let sound = digest.len() == DIGEST_DIGITS && digest.chars().all(hexadecimal);
-        faults.require(
-            sound,
+        let valid = digest.len() == DIGEST_DIGITS && digest.chars().all(hexadecimal);
+        errors.require(
+            valid,
             path.as_str(),
             format!("is {digest:?}, must be {DIGEST_DIGITS} lower-case hexadecimal digits"),
         );
-        faults.require(seen.insert(digest), path, "is listed a second time");
+        errors.require(seen.insert(digest), path, "is listed already; digests must be unique");
     }
 }
--- a/crates/bundle/tests/canonical.rs
+++ b/crates/bundle/tests/canonical.rs
@@ -1,4 +1,5 @@
-//! One byte form per bundle; sections that change only where the bundle does.
+//! Canonical form and sections of bundles: equal bundles have equal bytes, and a change affects few
+//! sections.
 
 mod common;
 
@@ -16,7 +17,7 @@
     (
         proptest::collection::vec("[0-9a-f]{64}", 0..3),
         proptest::option::of("[a-z]{1,8}"),
-        any::<f64>().prop_filter("JSON has no other numbers", |f| f.is_finite()),
+        any::<f64>().prop_filter("JSON has only finite numbers", |f| f.is_finite()),
         any::<u32>(),
     )
         .prop_map(|(key_digests, group, requests_per_second, concurrency)| Tenant {
@@ -111,8 +112,8 @@
         let (before, after) = (sections(&held), sections(&next));
         let changed = after.iter().filter(|(name, bytes)| before.get(*name) != Some(*bytes));
         let changed = changed.map(|(name, bytes)| (name.as_str(), Some(bytes.as_slice())));
-        let gone = before.keys().filter(|name| !after.contains_key(*name));
-        let all = changed.chain(gone.map(|name| (name.as_str(), None)));
+        let removed = before.keys().filter(|name| !after.contains_key(*name));
+        let all = changed.chain(removed.map(|name| (name.as_str(), None)));
         let built = with_sections(&held, header(&next), all).expect("sections decode");
         prop_assert_eq!(digest(&built), digest(&next));
         prop_assert_eq!(built, next);
@@ -171,16 +172,17 @@
     assert!(diff(&before, &before).is_empty());
 }
 
-/// A text of operators as long as that of a large deployment, and the same with a line put in.
+/// A configuration text as long as that of a large deployment, and the same text with a line
+/// inserted.
 fn long_texts() -> (String, String) {
     let lines = (0..3_000).map(|number| format!("route {number} to {}", number * 7919));
     let before: Vec<String> = lines.collect();
     let mut after = before.clone();
-    after.insert(1_500, "a route put in".to_owned());
+    after.insert(1_500, "an inserted route".to_owned());
     (before.join("\n"), after.join("\n"))
 }
 
-/// Guards against changes of one route that cost every node and store the whole text.
+/// Guards against a change of one route that makes every node and store transfer the complete text.
 #[test]
 fn a_line_put_into_the_operators_text_changes_few_bytes() {
     let with_text = |document| {
@@ -195,17 +197,18 @@
     assert!(bytes < after.len() / 3, "{bytes} of {} bytes changed", after.len());
 }
 
-/// Guards against texts that are put together from pieces of another text.
+/// Guards against a text that is assembled from pieces of another text.
 #[test]
 fn a_text_with_a_missing_or_false_piece_is_refused() {
     let (document, _) = long_texts();
     let http = HttpRouting { document, ..HttpRouting::default() };
     let bundle = Bundle { http: Some(http), ..valid() };
-    let whole = sections(&bundle);
-    let piece = whole.keys().find(|name| name.starts_with("http/text/")).expect("a piece").clone();
-    let mut missing = whole.clone();
+    let complete = sections(&bundle);
+    let piece =
+        complete.keys().find(|name| name.starts_with("http/text/")).expect("a piece").clone();
+    let mut missing = complete.clone();
     missing.remove(&piece);
-    let mut other = whole;
+    let mut other = complete;
     other.insert(piece.clone(), b"something else".to_vec());
     for parts in [missing, other] {
         let refused = from_sections(header(&bundle), &parts);
--- a/crates/bundle/tests/common/mod.rs
+++ b/crates/bundle/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A valid bundle that tests change.
+//! A valid bundle that the tests modify.
 
 use hooklug_bundle::{Bundle, TextFormat, parse};
 
--- a/crates/bundle/tests/signature.rs
+++ b/crates/bundle/tests/signature.rs
@@ -1,11 +1,11 @@
-//! Operators' signatures.
+//! Signing of bundles and verification of operators' signatures.
 
 mod common;
 
 use std::collections::BTreeMap;
 
 use common::valid;
-use hooklug_bundle::{SignatureFault, check_public_key, digest, generate_key_pair, sign, verify};
+use hooklug_bundle::{SignatureError, check_public_key, digest, generate_key_pair, sign, verify};
 use hooklug_types::{BundleVersion, OperatorName};
 
 fn name(text: &str) -> OperatorName {
@@ -26,7 +26,7 @@
     assert_eq!(verify(&digest, &one, &keys, 1), Ok(vec![name("anna")]));
     assert_eq!(
         verify(&digest, &one, &keys, 2),
-        Err(SignatureFault::TooFew { found: 1, required: 2 })
+        Err(SignatureError::TooFew { found: 1, required: 2 })
     );
     assert_eq!(verify(&digest, &BTreeMap::new(), &keys, 0), Ok(Vec::new()));
 }
@@ -39,7 +39,7 @@
     let mut other = valid();
     other.version = BundleVersion(9);
     let good = BTreeMap::from([(name("anna"), sign(&signed, &anna.secret).expect("good"))]);
-    let invalid = Err(SignatureFault::Invalid(name("anna")));
+    let invalid = Err(SignatureError::Invalid(name("anna")));
     assert_eq!(verify(&digest(&other), &good, &keys, 1), invalid);
     let foreign = BTreeMap::from([(name("anna"), sign(&signed, &bela.secret).expect("good"))]);
     assert_eq!(verify(&signed, &foreign, &keys, 1), invalid);
@@ -58,12 +58,12 @@
     let keys = BTreeMap::from([(name("anna"), anna.public.clone())]);
     assert_eq!(
         verify(&digest, &signatures, &keys, 1),
-        Err(SignatureFault::UnknownOperator(name("twin")))
+        Err(SignatureError::UnknownOperator(name("twin")))
     );
     let keys = BTreeMap::from([(name("anna"), anna.public.clone()), (name("twin"), anna.public)]);
     assert_eq!(
         verify(&digest, &signatures, &keys, 2),
-        Err(SignatureFault::TooFew { found: 1, required: 2 })
+        Err(SignatureError::TooFew { found: 1, required: 2 })
     );
 }
 
@@ -71,8 +71,8 @@
 fn keys_are_checked_and_secrets_not_shown() {
     let keys = generate_key_pair();
     assert_eq!(check_public_key(&keys.public), Ok(()));
-    assert_eq!(check_public_key("00"), Err(SignatureFault::BadKey));
-    assert_eq!(sign(&digest(&valid()), "short"), Err(SignatureFault::BadKey));
+    assert_eq!(check_public_key("00"), Err(SignatureError::BadKey));
+    assert_eq!(sign(&digest(&valid()), "short"), Err(SignatureError::BadKey));
     assert!(!format!("{keys:?}").contains(&keys.secret));
     assert_ne!(generate_key_pair().public, keys.public);
 }
--- a/crates/bundle/tests/validation.rs
+++ b/crates/bundle/tests/validation.rs
@@ -1,4 +1,4 @@
-//! One row a fault: the change to a valid bundle, and the path that must be named.
+//! Validation and parsing: each invalid value is reported with its path.
 
 mod common;
 
@@ -8,7 +8,7 @@
 fn paths(bundle: &Bundle) -> Vec<String> {
     match validate(bundle) {
         Ok(()) => Vec::new(),
-        Err(faults) => faults.into_iter().map(|fault| fault.path).collect(),
+        Err(errors) => errors.into_iter().map(|error| error.path).collect(),
     }
 }
 
@@ -17,7 +17,7 @@
     assert_eq!(validate(&valid()), Ok(()));
 }
 
-/// A text of the valid bundle, what takes its place, and the paths at fault.
+/// Text of the valid bundle, its replacement, and the paths of the expected errors.
 type Row = (&'static str, &'static str, &'static [&'static str]);
 
 const ROWS: &[Row] = &[
--- a/crates/hooklug/src/cli.rs
+++ b/crates/hooklug/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments of the command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hooklug_types::{NodeRole, OperatorName, ZoneName};
 
-/// Serves agent sessions: gateways, session-host engines, cores and stores in one binary.
+/// Serving tier for agent programs: gateways, session-host engines, cores and stores in one binary.
 #[derive(Debug, Parser)]
 #[command(name = "hooklug", version, propagate_version = true)]
 pub(crate) struct Cli {
@@ -16,60 +16,60 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Run a gateway: takes callers' requests and routes them
+    /// Run a gateway, which accepts and routes callers' requests
     Gateway(RoleArgs),
-    /// Run a session-host engine beside its model server
+    /// Run a session-host engine for a model server
     Engine(RoleArgs),
-    /// Run a core: members, discovery, repair and roll-outs
+    /// Run a core, which handles membership, discovery, repair and rollouts
     Core(RoleArgs),
-    /// Run a store: the replicated state, on this machine's disk
+    /// Run a store, which holds replicas of the state on this machine's disk
     Store(RoleArgs),
-    /// Check settings and print every fault; exit code 2 when there are any
+    /// Check settings and print all errors; exits with code 2 if there are any
     Check(CheckArgs),
-    /// Bundles: routes, services, versions, windows and tenants
+    /// Manage bundles: routes, services, versions, windows and tenants
     Bundle {
         #[command(subcommand)]
         command: BundleCommand,
     },
-    /// Show members, engines, shards, roll-outs, sessions and windows
+    /// Show members, engines, shards, rollouts, sessions and windows
     Status(StatusArgs),
-    /// Open sessions and their owners
+    /// Show open sessions and their owners
     Sessions {
         #[command(subcommand)]
         command: SessionsCommand,
     },
-    /// The machines of the cluster
+    /// Manage the machines of the cluster
     Cluster {
         #[command(subcommand)]
         command: ClusterCommand,
     },
 }
 
-/// How logs are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum LogFormat {
-    /// Lines for people
+    /// Human-readable lines
     Human,
-    /// One JSON object a line
+    /// One JSON object per line
     Json,
 }
 
-/// How answers are printed.
+/// Format of printed results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum OutputFormat {
-    /// Tables for people
+    /// Human-readable tables
     Table,
-    /// JSON for programs
+    /// JSON
     Json,
 }
 
-/// Settings that flags give; they win over `HOOKLUG_*` variables, and those over the file.
+/// Settings given as flags. Flags take precedence over `HOOKLUG_*` variables, and those over the file.
 #[derive(Debug, Args)]
 pub(crate) struct SettingsArgs {
-    /// Settings file (TOML); all keys are in docs/OPERATIONS.md
+    /// Settings file (TOML); docs/OPERATIONS.md lists all keys
     #[arg(long, value_name = "FILE")]
     pub(crate) settings: Option<PathBuf>,
-    /// Address for other processes
+    /// Address for RPC from other processes
     #[arg(long, value_name = "IP:PORT")]
     pub(crate) rpc: Option<SocketAddr>,
     /// Address for HTTP: callers, operators, readiness and metrics
@@ -78,13 +78,13 @@
     /// Zone of this machine
     #[arg(long)]
     pub(crate) zone: Option<ZoneName>,
-    /// Rpc address of another process, of any role; up to three
+    /// RPC address of another process of any role; may be given up to three times
     #[arg(long = "seed", value_name = "IP:PORT")]
     pub(crate) seeds: Vec<SocketAddr>,
     /// Folder for all files of this process; required for stores
     #[arg(long, value_name = "FOLDER")]
     pub(crate) data_folder: Option<PathBuf>,
-    /// Open the switches of failure tests [default: off]
+    /// Enable fault injection over HTTP, for failure tests [default: off]
     #[arg(long)]
     pub(crate) enable_faults: bool,
 }
@@ -93,7 +93,7 @@
 pub(crate) struct RoleArgs {
     #[command(flatten)]
     pub(crate) settings: SettingsArgs,
-    /// How logs are written; RUST_LOG filters them [default filter: info]
+    /// Format of log lines; RUST_LOG sets the filter [default filter: info]
     #[arg(long, value_enum, default_value_t = LogFormat::Human)]
     pub(crate) log_format: LogFormat,
 }
@@ -102,12 +102,12 @@
 pub(crate) struct CheckArgs {
     #[command(flatten)]
     pub(crate) settings: SettingsArgs,
-    /// Role that the settings are for
+    /// Role to check the settings for
     #[arg(long, value_enum)]
     pub(crate) role: RoleName,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum RoleName {
     Gateway,
@@ -127,35 +127,35 @@
     }
 }
 
-/// Which node to ask.
+/// Nodes to send a request to.
 #[derive(Debug, Args)]
 pub(crate) struct NodeArgs {
-    /// HTTP address of a node, of any role; given several times, the next is asked when one does not answer
+    /// HTTP address of a node of any role; may be repeated, the nodes are tried in order until one responds
     #[arg(long = "node", value_name = "IP:PORT", required = true)]
     pub(crate) nodes: Vec<SocketAddr>,
-    /// File that holds the operator's key for the API, where the cluster asks for one
+    /// File that contains the operator's API key, if the cluster requires one
     #[arg(long, value_name = "FILE")]
     pub(crate) key_file: Option<PathBuf>,
-    /// Longest wait for an answer of one node, in seconds
+    /// Timeout for the response of one node, in seconds
     #[arg(long, value_name = "SECONDS", default_value_t = 10)]
     pub(crate) timeout: u64,
 }
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum BundleCommand {
-    /// Check a bundle (JSON or TOML) and print every fault; exit code 2 when there are any
+    /// Check a bundle (JSON or TOML) and print all errors; exits with code 2 if there are any
     Validate {
-        /// The bundle's file
+        /// Bundle file
         file: PathBuf,
     },
-    /// Show what one bundle changes against another
+    /// Show the differences between two bundles
     Diff {
-        /// The earlier bundle's file
+        /// File of the earlier bundle
         before: PathBuf,
-        /// The later bundle's file
+        /// File of the later bundle
         after: PathBuf,
     },
-    /// Draw an operator's key pair: the secret key goes into a new file, the public key is printed
+    /// Generate an operator's key pair: write the secret key to a new file and print the public key
     Keygen {
         /// New file for the secret key
         #[arg(long, value_name = "FILE")]
@@ -163,36 +163,36 @@
     },
     /// Sign a bundle and print the signature as OPERATOR=HEX
     Sign(SignArgs),
-    /// Submit a bundle; the answer comes after its commit
+    /// Submit a bundle and wait for its commit
     Submit(SubmitArgs),
     /// Print a committed bundle
     Show(ShowArgs),
     /// List the last committed bundles, newest first
     History(HistoryArgs),
-    /// Submit an earlier bundle's content again, as a new version
+    /// Submit the content of an earlier bundle as a new version
     Rollback(RollbackArgs),
 }
 
-/// With which secret key to sign, and as whom.
+/// Operator and secret key that sign a bundle.
 #[derive(Debug, Args)]
 pub(crate) struct SignerArgs {
     /// Operator who signs
     #[arg(long)]
     pub(crate) operator: OperatorName,
-    /// File that holds the operator's secret key
+    /// File that contains the operator's secret key
     #[arg(long, value_name = "FILE")]
     pub(crate) secret_file: PathBuf,
 }
 
 #[derive(Debug, Args)]
 pub(crate) struct SignArgs {
-    /// The bundle's file
+    /// Bundle file
     pub(crate) file: PathBuf,
     #[command(flatten)]
     pub(crate) signer: SignerArgs,
 }
 
-/// A signature as written on the command line.
+/// A signature as given on the command line.
 #[derive(Debug, Clone)]
 pub(crate) struct NamedSignature {
     pub(crate) operator: OperatorName,
@@ -211,9 +211,9 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct SubmitArgs {
-    /// The bundle's file
+    /// Bundle file
     pub(crate) file: PathBuf,
-    /// Signature of an operator; may be given several times
+    /// Signature of an operator; may be repeated
     #[arg(long = "signature", value_name = "OPERATOR=HEX")]
     pub(crate) signatures: Vec<NamedSignature>,
     #[command(flatten)]
@@ -234,7 +234,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct HistoryArgs {
-    /// Bundles listed at most
+    /// Maximum number of listed bundles
     #[arg(long, default_value_t = 20)]
     pub(crate) limit: u32,
     #[command(flatten)]
@@ -246,13 +246,13 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct RollbackArgs {
-    /// Version whose content is to be in force again
+    /// Version whose content is submitted again
     #[arg(long, value_name = "VERSION")]
     pub(crate) to: u64,
-    /// Operator who signs, where signatures are required
+    /// Operator who signs, if signatures are required
     #[arg(long, requires = "secret_file")]
     pub(crate) operator: Option<OperatorName>,
-    /// File that holds the operator's secret key
+    /// File that contains the operator's secret key
     #[arg(long, value_name = "FILE", requires = "operator")]
     pub(crate) secret_file: Option<PathBuf>,
     #[command(flatten)]
@@ -281,10 +281,10 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct SessionsListArgs {
-    /// Only sessions of this engine
+    /// List only sessions of this engine
     #[arg(long)]
     pub(crate) owner: Option<String>,
-    /// Sessions listed at most
+    /// Maximum number of listed sessions
     #[arg(long, default_value_t = 100)]
     pub(crate) limit: usize,
     #[command(flatten)]
@@ -296,9 +296,9 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct SessionsShowArgs {
-    /// Its program
+    /// Program id
     pub(crate) program: String,
-    /// Its name in the program
+    /// Session id within the program
     pub(crate) session: String,
     #[command(flatten)]
     pub(crate) node: NodeArgs,
@@ -306,13 +306,13 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum ClusterCommand {
-    /// Retire a store: its replicas move to others, then it may be switched off
+    /// Retire a store: its replicas move to other stores, and it can then be shut down
     Retire(RetireArgs),
 }
 
 #[derive(Debug, Args)]
 pub(crate) struct RetireArgs {
-    /// The store's node id, as `hooklug status` shows it
+    /// Node id of the store, as shown by `hooklug status`
     pub(crate) store: u64,
     #[command(flatten)]
     pub(crate) node: NodeArgs,
--- a/crates/hooklug/src/command/bundle.rs
+++ b/crates/hooklug/src/command/bundle.rs
@@ -1,4 +1,4 @@
-//! `hooklug bundle ...`.
+//! Implementation of `hooklug bundle ...`.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,7 +10,7 @@
 use hooklug_types::{BundleVersion, OperatorName};
 
 use super::{print, print_json};
-use crate::Outcome;
+use crate::CommandOutcome;
 use crate::cli::{HistoryArgs, OutputFormat, RollbackArgs, ShowArgs, SignArgs, SubmitArgs};
 use crate::operator_client::OperatorClient;
 use crate::table::Table;
@@ -19,50 +19,50 @@
     std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))
 }
 
-fn read(file: &Path) -> anyhow::Result<Bundle> {
+fn read_bundle(file: &Path) -> anyhow::Result<Bundle> {
     let text = read_text(file)?;
     hooklug_bundle::parse(&text, TextFormat::guess(&text))
-        .map_err(|fault| anyhow!("{}: {fault}", file.display()))
+        .map_err(|error| anyhow!("{}: {error}", file.display()))
 }
 
-pub(crate) fn validate(file: &Path) -> anyhow::Result<Outcome> {
+pub(crate) fn validate(file: &Path) -> anyhow::Result<CommandOutcome> {
     let text = read_text(file)?;
     let bundle = match hooklug_bundle::parse(&text, TextFormat::guess(&text)) {
         Ok(bundle) => bundle,
-        Err(fault) => {
-            eprintln!("{fault}");
-            return Ok(Outcome::Faults);
+        Err(error) => {
+            eprintln!("{error}");
+            return Ok(CommandOutcome::Invalid);
         }
     };
-    let Err(faults) = hooklug_bundle::validate(&bundle) else {
+    let Err(errors) = hooklug_bundle::validate(&bundle) else {
         println!("bundle {} is valid, digest {}", bundle.version, hooklug_bundle::digest(&bundle));
-        return Ok(Outcome::Done);
+        return Ok(CommandOutcome::Done);
     };
-    for fault in &faults {
-        eprintln!("{fault}");
+    for error in &errors {
+        eprintln!("{error}");
     }
-    eprintln!("{} faults", faults.len());
-    Ok(Outcome::Faults)
+    eprintln!("{} errors", errors.len());
+    Ok(CommandOutcome::Invalid)
 }
 
-pub(crate) fn diff(before: &Path, after: &Path) -> anyhow::Result<Outcome> {
-    for change in hooklug_bundle::diff(&read(before)?, &read(after)?) {
+pub(crate) fn diff(before: &Path, after: &Path) -> anyhow::Result<CommandOutcome> {
+    for change in hooklug_bundle::diff(&read_bundle(before)?, &read_bundle(after)?) {
         println!("{change}");
     }
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-pub(crate) fn keygen(out: &Path) -> anyhow::Result<Outcome> {
+pub(crate) fn keygen(out: &Path) -> anyhow::Result<CommandOutcome> {
     let keys = hooklug_bundle::generate_key_pair();
     let mut file =
         new_private_file(out).with_context(|| format!("cannot create {}", out.display()))?;
     writeln!(file, "{}", keys.secret)?;
     file.sync_all()?;
     println!("{}", keys.public);
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-/// A new file that only its owner reads.
+/// Creates a new file that only its owner can read and write.
 fn new_private_file(path: &Path) -> std::io::Result<std::fs::File> {
     use std::os::unix::fs::OpenOptionsExt;
     std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path)
@@ -74,55 +74,55 @@
     Ok(hooklug_bundle::sign(&hooklug_bundle::digest(bundle), &secret)?)
 }
 
-pub(crate) fn sign(args: &SignArgs) -> anyhow::Result<Outcome> {
-    let signature = sign_with(&read(&args.file)?, &args.signer.secret_file)?;
+pub(crate) fn sign(args: &SignArgs) -> anyhow::Result<CommandOutcome> {
+    let signature = sign_with(&read_bundle(&args.file)?, &args.signer.secret_file)?;
     println!("{}={signature}", args.signer.operator);
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-pub(crate) async fn submit(args: &SubmitArgs) -> anyhow::Result<Outcome> {
-    let bundle = read(&args.file)?;
+pub(crate) async fn submit(args: &SubmitArgs) -> anyhow::Result<CommandOutcome> {
+    let bundle = read_bundle(&args.file)?;
     let signatures =
         args.signatures.iter().map(|s| (s.operator.clone(), s.signature.clone())).collect();
-    send(&OperatorClient::new(&args.node)?, bundle, signatures, args.output).await
+    submit_signed(&OperatorClient::new(&args.node)?, bundle, signatures, args.output).await
 }
 
-async fn send(
+async fn submit_signed(
     client: &OperatorClient,
     bundle: Bundle,
     signatures: BTreeMap<OperatorName, String>,
     output: OutputFormat,
-) -> anyhow::Result<Outcome> {
+) -> anyhow::Result<CommandOutcome> {
     let submission = Submission { bundle, signatures };
     let answer: SubmitAnswer = client.post("/admin/v1/bundles", &submission).await?;
     match output {
         OutputFormat::Json => print_json(&answer)?,
         OutputFormat::Table => println!(
-            "bundle {} committed, digest {}; in force at {} of {} live nodes",
+            "bundle {} committed, digest {}; installed on {} of {} live nodes",
             answer.bundle.version, answer.bundle.digest, answer.installed_nodes, answer.live_nodes
         ),
     }
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-pub(crate) async fn show(args: &ShowArgs) -> anyhow::Result<Outcome> {
+pub(crate) async fn show(args: &ShowArgs) -> anyhow::Result<CommandOutcome> {
     let client = OperatorClient::new(&args.node)?;
     let content: BundleContent = client.get(&format!("/admin/v1/bundles/{}", args.version)).await?;
     print_json(&content.bundle)?;
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-pub(crate) async fn history(args: &HistoryArgs) -> anyhow::Result<Outcome> {
+pub(crate) async fn history(args: &HistoryArgs) -> anyhow::Result<CommandOutcome> {
     let client = OperatorClient::new(&args.node)?;
     let path = format!("/admin/v1/bundles?limit={}", args.limit);
     let records: Vec<BundleAnswer> = client.get(&path).await?;
     if args.output == OutputFormat::Json {
         print_json(&records)?;
-        return Ok(Outcome::Done);
+        return Ok(CommandOutcome::Done);
     }
-    let mut table = Table::new(&["version", "base", "committed (ms)", "made by", "digest"]);
+    let mut table = Table::new(&["version", "base", "committed (ms)", "created by", "digest"]);
     for record in records {
-        let made_by = match &record.rollback {
+        let created_by = match &record.rollback {
             Some(harm) => format!("system: {} {} {}", harm.service, harm.version, harm.reason),
             None => {
                 let names: Vec<&str> = record.signed_by.iter().map(OperatorName::as_str).collect();
@@ -133,15 +133,15 @@
             record.version.to_string(),
             record.base.to_string(),
             record.committed_ms.to_string(),
-            made_by,
+            created_by,
             record.digest.chars().take(16).collect(),
         ]);
     }
     print(&table.render("bundles"))?;
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-pub(crate) async fn rollback(args: &RollbackArgs) -> anyhow::Result<Outcome> {
+pub(crate) async fn rollback(args: &RollbackArgs) -> anyhow::Result<CommandOutcome> {
     let client = OperatorClient::new(&args.node)?;
     let earlier: BundleContent = client.get(&format!("/admin/v1/bundles/{}", args.to)).await?;
     let newest: BundleContent = client.get("/admin/v1/bundles/current").await?;
@@ -151,5 +151,5 @@
     if let (Some(operator), Some(secret_file)) = (&args.operator, &args.secret_file) {
         signatures.insert(operator.clone(), sign_with(&bundle, secret_file)?);
     }
-    send(&client, bundle, signatures, args.output).await
+    submit_signed(&client, bundle, signatures, args.output).await
 }
--- a/crates/hooklug/src/command/check.rs
+++ b/crates/hooklug/src/command/check.rs
@@ -1,25 +1,25 @@
-//! `hooklug check`: every fault of the settings at once.
+//! Implementation of `hooklug check`, which prints all errors in the settings.
 
-use hooklug_settings::{Overrides, SettingFault, Settings};
+use hooklug_settings::{Overrides, SettingError, Settings};
 use hooklug_types::NodeRole;
 
-use crate::Outcome;
+use crate::CommandOutcome;
 use crate::cli::{CheckArgs, SettingsArgs};
 
-pub(crate) fn run(args: &CheckArgs) -> Outcome {
+pub(crate) fn run(args: &CheckArgs) -> CommandOutcome {
     match load(&args.settings, args.role.into()) {
         Ok(_) => {
             println!("settings are valid for a {}", NodeRole::from(args.role));
-            Outcome::Done
+            CommandOutcome::Done
         }
-        Err(faults) => {
-            print_faults(&faults);
-            Outcome::Faults
+        Err(errors) => {
+            print_errors(&errors);
+            CommandOutcome::Invalid
         }
     }
 }
 
-pub(crate) fn load(args: &SettingsArgs, role: NodeRole) -> Result<Settings, Vec<SettingFault>> {
+pub(crate) fn load(args: &SettingsArgs, role: NodeRole) -> Result<Settings, Vec<SettingError>> {
     let overrides = Overrides {
         rpc: args.rpc,
         http: args.http,
@@ -31,9 +31,9 @@
     Settings::load(args.settings.as_deref(), std::env::vars(), &overrides, role)
 }
 
-pub(crate) fn print_faults(faults: &[SettingFault]) {
-    for fault in faults {
-        eprintln!("{fault}");
+pub(crate) fn print_errors(errors: &[SettingError]) {
+    for error in errors {
+        eprintln!("{error}");
     }
-    eprintln!("{} faults", faults.len());
+    eprintln!("{} errors", errors.len());
 }
--- a/crates/hooklug/src/command/mod.rs
+++ b/crates/hooklug/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! One module a command.
+//! Implementation of the commands, one module per command.
 
 pub(crate) mod bundle;
 pub(crate) mod check;
@@ -10,7 +10,7 @@
 
 use serde::Serialize;
 
-/// Prints text on standard output. A reader that has gone away is no fault.
+/// Prints text to standard output. A closed pipe is not an error.
 pub(crate) fn print(text: &str) -> anyhow::Result<()> {
     match std::io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(error.into()),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Prints an answer as JSON.
+/// Prints a value as JSON.
 pub(crate) fn print_json<T: Serialize>(value: &T) -> anyhow::Result<()> {
     print(&format!("{}\n", serde_json::to_string_pretty(value)?))
 }
--- a/crates/hooklug/src/command/status.rs
+++ b/crates/hooklug/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `hooklug status`: the whole cluster on one page.
+//! Implementation of `hooklug status`, which shows the state of the cluster.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use serde::Serialize;
 
 use super::{print, print_json};
-use crate::Outcome;
+use crate::CommandOutcome;
 use crate::cli::{OutputFormat, StatusArgs};
 use crate::operator_client::OperatorClient;
 use crate::table::{Table, or_dash};
 
-/// All that `hooklug status` shows.
+/// Data shown by `hooklug status`; the JSON output is this struct.
 #[derive(Debug, Serialize)]
 struct Status {
     view: ViewAnswer,
@@ -30,16 +30,16 @@
     slots: Vec<SlotUseAnswer>,
 }
 
-pub(crate) async fn run(args: &StatusArgs) -> anyhow::Result<Outcome> {
-    let status = gather(&OperatorClient::new(&args.node)?).await?;
+pub(crate) async fn run(args: &StatusArgs) -> anyhow::Result<CommandOutcome> {
+    let status = fetch_status(&OperatorClient::new(&args.node)?).await?;
     match args.output {
         OutputFormat::Json => print_json(&status)?,
         OutputFormat::Table => print(&render(&status))?,
     }
-    Ok(Outcome::Done)
+    Ok(CommandOutcome::Done)
 }
 
-async fn gather(client: &OperatorClient) -> anyhow::Result<Status> {
+async fn fetch_status(client: &OperatorClient) -> anyhow::Result<Status> {
     let sessions: SessionsAnswer = client.get("/admin/v1/sessions?limit=0").await?;
     Ok(Status {
         view: client.get("/admin/v1/view").await?,
@@ -56,8 +56,8 @@
 
 fn render(status: &Status) -> String {
     let view = &status.view;
-    let head = format!(
-        "cluster {:016x}, view {}.{}, bundle {} in force here (newest heard of: {})\n\n",
+    let summary = format!(
+        "cluster {:016x}, view {}.{}, bundle {} installed on this node (newest known: {})\n\n",
         view.cluster,
         revision_epoch(view.revision),
         revision_count(view.revision),
@@ -65,12 +65,12 @@
         view.newest_bundle
     );
     [
-        head,
+        summary,
         members(&status.members),
         engines(&status.engines),
         shards(&status.shards),
         versions(&status.rollouts),
-        figures(&status.rollouts),
+        statistics(&status.rollouts),
         rollbacks(&status.rollouts),
         sessions(status),
         windows(&status.windows),
@@ -83,7 +83,7 @@
     let mut table = Table::new(&["node", "role", "zone", "rpc", "http", "health", "bundle", ""]);
     for member in members {
         let note = match (member.core_leader, member.store) {
-            (true, _) => "leads the cores".to_owned(),
+            (true, _) => "core leader".to_owned(),
             (false, Some(state)) => format!("{state:?}").to_lowercase(),
             (false, None) => String::new(),
         };
@@ -131,7 +131,7 @@
             .replicas
             .iter()
             .map(|r| {
-                let lag = r.lag.map_or_else(|| "no answer".to_owned(), |lag| lag.to_string());
+                let lag = r.lag.map_or_else(|| "no response".to_owned(), |lag| lag.to_string());
                 format!("{}: {}, {lag}", r.store, r.member)
             })
             .collect();
@@ -146,7 +146,7 @@
 }
 
 fn versions(rollouts: &RolloutsAnswer) -> String {
-    let mut table = Table::new(&["service", "newest", "before", "rolled back"]);
+    let mut table = Table::new(&["service", "newest", "previous", "rolled back"]);
     for service in &rollouts.services {
         let rolled_back: Vec<&str> =
             service.rolled_back.iter().map(ServiceVersion::as_str).collect();
@@ -160,20 +160,20 @@
     table.render("versions")
 }
 
-fn figures(rollouts: &RolloutsAnswer) -> String {
-    let header = ["service", "version", "route", "ended well", "failed", "p95 (ms)"];
+fn statistics(rollouts: &RolloutsAnswer) -> String {
+    let header = ["service", "version", "route", "succeeded", "failed", "p95 (ms)"];
     let mut table = Table::new(&header);
-    for figure in &rollouts.figures {
+    for version in &rollouts.figures {
         table.row(vec![
-            figure.service.to_string(),
-            figure.version.to_string(),
-            figure.route.to_string(),
-            figure.successes.to_string(),
-            figure.failures.to_string(),
-            or_dash(figure.p95_ms),
+            version.service.to_string(),
+            version.version.to_string(),
+            version.route.to_string(),
+            version.successes.to_string(),
+            version.failures.to_string(),
+            or_dash(version.p95_ms),
         ]);
     }
-    table.render("figures of the last minute")
+    table.render("statistics of the last minute")
 }
 
 fn rollbacks(rollouts: &RolloutsAnswer) -> String {
@@ -187,7 +187,7 @@
             rollback.harm.reason.clone(),
         ]);
     }
-    table.render("roll-backs by the system")
+    table.render("automatic rollbacks")
 }
 
 fn sessions(status: &Status) -> String {
@@ -197,7 +197,7 @@
     }
     let mut text = table.render("sessions by owner");
     if !status.unread_groups.is_empty() {
-        text.push_str(&format!("  not read: {}\n\n", status.unread_groups.join(", ")));
+        text.push_str(&format!("  groups not read: {}\n\n", status.unread_groups.join(", ")));
     }
     text
 }
@@ -219,17 +219,17 @@
     table.render("windows")
 }
 
-fn slots(uses: &[SlotUseAnswer]) -> String {
+fn slots(usages: &[SlotUseAnswer]) -> String {
     let header = ["service", "group", "engines", "reserved", "used", "borrowed"];
     let mut table = Table::new(&header);
-    for one in uses {
+    for usage in usages {
         table.row(vec![
-            one.service.to_string(),
-            or_dash(one.group.as_ref()),
-            one.engines.to_string(),
-            one.reserved.to_string(),
-            one.used.to_string(),
-            one.borrowed.to_string(),
+            usage.service.to_string(),
+            or_dash(usage.group.as_ref()),
+            usage.engines.to_string(),
+            usage.reserved.to_string(),
+            usage.used.to_string(),
+            usage.borrowed.to_string(),
         ]);
     }
     table.render("slots in use")
--- a/crates/hooklug/src/lib.rs
+++ b/crates/hooklug/src/lib.rs
@@ -1,7 +1,8 @@
-//! Runs one process of a cluster, whatever its role does.
+//! Runs one process of a cluster, in any role.
 //!
-//! The usual roles are in [`roles`]; a program that speaks another dialect to callers or back ends brings roles of
-//! its own and shares the rest: identity, listeners, the node agent, signals and the orderly end.
+//! The default roles are in [`roles`]. A program that uses another protocol towards callers or
+//! backends implements its own roles and shares the rest: identity, listeners, the node agent,
+//! signal handling and graceful shutdown.
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -11,4 +12,4 @@
 mod signals;
 
 pub use node::{BuildRole, run};
-pub use roles::{Ended, RoleProcess};
+pub use roles::{RoleExit, RoleProcess};
--- a/crates/hooklug/src/logging.rs
+++ b/crates/hooklug/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs of a process, for people or as JSON.
+//! Initialization of logging, as text or JSON.
 
 use std::io::IsTerminal;
 
@@ -6,11 +6,11 @@
 
 use crate::cli::LogFormat;
 
-/// Filter when `RUST_LOG` gives none.
+/// Filter if `RUST_LOG` is not set or invalid.
 const DEFAULT_FILTER: &str = "info";
 
-/// Starts writing logs to standard error.
-pub(crate) fn start(format: LogFormat) {
+/// Initializes logging to standard error.
+pub(crate) fn init(format: LogFormat) {
     let filter =
         EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let colours = std::io::stderr().is_terminal();
--- a/crates/hooklug/src/node.rs
+++ b/crates/hooklug/src/node.rs
@@ -1,4 +1,5 @@
-//! Runs one process: identity, listeners, the node agent and the role, until it is told to stop.
+//! Runs one process: identity, listeners, the node agent and the role, until the process is
+//! stopped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,19 +20,19 @@
 use tokio_util::task::TaskTracker;
 use tracing::{info, warn};
 
-use crate::roles::{Ended, RoleProcess};
+use crate::roles::{RoleExit, RoleProcess};
 use crate::signals;
 
-/// Most threads of a process (ours: machines are small and many).
-const MOST_THREADS: usize = 4;
+/// Maximum number of worker threads. Low, because a deployment has many small machines.
+const MAX_THREADS: usize = 4;
 
-/// Pause between upkeeps of the metrics (ours).
-const METRICS_PAUSE: Duration = Duration::from_secs(5);
+/// Interval of the metrics recorder's upkeep.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Longest time for the last connections to close once the role has ended (ours).
-const CLOSE_TIME: Duration = Duration::from_millis(500);
+/// Time for open connections to close once the role has exited.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Makes the process of a role; called anew for each run.
+/// Builds the process of a role; called once for each incarnation.
 pub trait BuildRole: Fn(NodeRole, &NodeContext) -> anyhow::Result<Box<dyn RoleProcess>> {}
 
 impl<F> BuildRole for F where F: Fn(NodeRole, &NodeContext) -> anyhow::Result<Box<dyn RoleProcess>> {}
@@ -39,23 +40,24 @@
 /// Runs a role until the process is stopped.
 ///
 /// # Errors
-/// When the process cannot start, or its role cannot go on.
+/// When the process cannot start, or its role fails.
 pub fn run(role: NodeRole, settings: Settings, build: impl BuildRole) -> anyhow::Result<()> {
     let runtime = runtime()?;
-    let ended = runtime.block_on(serve(role, Arc::new(settings), &build));
-    // Tasks that outlived the grace period end with the process.
+    let result = runtime.block_on(serve(role, Arc::new(settings), &build));
+    // Tasks that are still running after the grace period end with the process.
     runtime.shutdown_background();
-    ended
+    result
 }
 
-/// One thread where there is one processor: tasks then never wait for another thread to be woken.
+/// Builds the async runtime. With a single processor it is single-threaded, so that tasks never
+/// wait for another thread to wake up.
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
-    let threads = std::thread::available_parallelism().map_or(MOST_THREADS, std::num::NonZero::get);
+    let threads = std::thread::available_parallelism().map_or(MAX_THREADS, std::num::NonZero::get);
     if threads == 1 {
         return tokio::runtime::Builder::new_current_thread().enable_all().build();
     }
     tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(threads.min(MOST_THREADS))
+        .worker_threads(threads.min(MAX_THREADS))
         .enable_all()
         .build()
 }
@@ -66,37 +68,38 @@
     build: &impl BuildRole,
 ) -> anyhow::Result<()> {
     let stop = signals::listen()?;
-    let metrics = hooklug_admin::install_metrics().context("metrics cannot be gathered")?;
-    tokio::spawn(keep_up(metrics.clone()));
+    let metrics =
+        hooklug_admin::install_metrics().context("cannot install the metrics recorder")?;
+    tokio::spawn(run_metrics_upkeep(metrics.clone()));
     loop {
-        let run = Run { role, settings: settings.clone(), stop: stop.child_token() };
+        let run = NodeRun { role, settings: settings.clone(), stop: stop.child_token() };
         match run.execute(metrics.clone(), build).await? {
-            Ended::Stopped => return Ok(()),
-            Ended::Anew => info!("starting anew as another run"),
+            RoleExit::Stopped => return Ok(()),
+            RoleExit::Restart => info!(%role, "restarting with a new incarnation"),
         }
     }
 }
 
-async fn keep_up(metrics: PrometheusHandle) {
+async fn run_metrics_upkeep(metrics: PrometheusHandle) {
     loop {
-        tokio::time::sleep(METRICS_PAUSE).await;
+        tokio::time::sleep(METRICS_UPKEEP_INTERVAL).await;
         metrics.run_upkeep();
     }
 }
 
-/// One run of the node, with an incarnation of its own.
-struct Run {
+/// One run of the node, with its own incarnation.
+struct NodeRun {
     role: NodeRole,
     settings: Arc<Settings>,
     stop: CancellationToken,
 }
 
-impl Run {
+impl NodeRun {
     async fn execute(
         self,
         metrics: PrometheusHandle,
         build: &impl BuildRole,
-    ) -> anyhow::Result<Ended> {
+    ) -> anyhow::Result<RoleExit> {
         let rpc = bind("rpc", self.settings.rpc).await?;
         let http = bind("http", self.settings.http).await?;
         let identity = self.identity()?;
@@ -124,12 +127,12 @@
         let admin =
             AdminContext { context: context.clone(), role: self.role, metrics: Some(metrics) };
         let router = agent.rpc_router().merge(process.rpc_router());
-        let pages = process.http_router().merge(hooklug_admin::router(admin));
-        let servers = Servers::start(rpc, http, identity, router, pages, agent);
+        let http_router = process.http_router().merge(hooklug_admin::router(admin));
+        let servers = Servers::start(rpc, http, identity, router, http_router, agent);
         self.log_start(&context.identity);
-        let ended = self.run_role(process, &context).await;
+        let exit = self.run_role(process, &context).await;
         servers.close().await;
-        ended
+        exit
     }
 
     fn identity(&self) -> anyhow::Result<LocalIdentity> {
@@ -162,37 +165,41 @@
         );
     }
 
-    /// Runs the role to its end; once the process is told to stop, for the grace period at most.
+    /// Runs the role until it exits. Once the process is asked to stop, the role has the grace
+    /// period to finish.
     async fn run_role(
         &self,
         process: Box<dyn RoleProcess>,
         context: &NodeContext,
-    ) -> anyhow::Result<Ended> {
+    ) -> anyhow::Result<RoleExit> {
         let running = process.run(self.stop.clone());
         tokio::pin!(running);
         tokio::select! {
             biased;
             () = self.stop.cancelled() => {}
-            ended = &mut running => return ended,
+            exit = &mut running => return exit,
         }
         context.node.readiness.unready("process", "stopping");
         info!("stopping");
-        let grace = Duration::from_millis(self.settings.grace_ms).saturating_sub(CLOSE_TIME);
+        let grace = Duration::from_millis(self.settings.grace_ms).saturating_sub(CLOSE_TIMEOUT);
         match tokio::time::timeout(grace, running).await {
-            Ok(ended) => ended.map(|_| Ended::Stopped),
+            Ok(exit) => exit.map(|_| RoleExit::Stopped),
             Err(_) => {
-                warn!("the grace period is over");
-                Ok(Ended::Stopped)
+                warn!(role = %self.role, "role did not finish within the grace period; exiting");
+                Ok(RoleExit::Stopped)
             }
         }
     }
 }
 
-async fn bind(what: &str, address: SocketAddr) -> anyhow::Result<TcpListener> {
-    RpcServer::bind(address).await.with_context(|| format!("cannot listen on {address} ({what})"))
+async fn bind(setting: &str, address: SocketAddr) -> anyhow::Result<TcpListener> {
+    RpcServer::bind(address)
+        .await
+        .with_context(|| format!("cannot listen on {address} (setting {setting})"))
 }
 
-/// The listeners and the node agent; they outlive the role, so that it can finish.
+/// The RPC and HTTP servers and the node agent. They keep running until the role has exited, so
+/// that it can finish its work.
 struct Servers {
     halt: CancellationToken,
     tasks: TaskTracker,
@@ -204,7 +211,7 @@
         http: TcpListener,
         identity: LocalIdentity,
         router: Router,
-        pages: axum::Router,
+        http_router: axum::Router,
         agent: NodeAgent,
     ) -> Self {
         let halt = CancellationToken::new();
@@ -212,25 +219,26 @@
         tasks.spawn(RpcServer::new(rpc, identity, router).run(halt.clone()));
         tasks.spawn(agent.run(halt.clone()));
         let http = http.tap_io(|stream| {
-            // Without it small events of a stream would wait for each other.
+            // Without TCP_NODELAY, small events of a stream would be delayed and sent together.
             if let Err(error) = stream.set_nodelay(true) {
-                warn!(%error, "cannot send at once on a connection");
+                warn!(%error, "cannot set TCP_NODELAY on an HTTP connection");
             }
         });
-        let pages = pages.into_make_service_with_connect_info::<SocketAddr>();
+        let service = http_router.into_make_service_with_connect_info::<SocketAddr>();
         let halted = halt.clone().cancelled_owned();
         tasks.spawn(async move {
-            if let Err(error) = axum::serve(http, pages).with_graceful_shutdown(halted).await {
-                warn!(%error, "the HTTP server has ended");
+            if let Err(error) = axum::serve(http, service).with_graceful_shutdown(halted).await {
+                warn!(%error, "the HTTP server failed");
             }
         });
         Self { halt, tasks }
     }
 
-    /// Ends all; what does not end soon is left to the end of the process.
+    /// Stops all servers and waits up to [`CLOSE_TIMEOUT`]; what is still running then ends with
+    /// the process.
     async fn close(self) {
         self.halt.cancel();
         self.tasks.close();
-        let _ = tokio::time::timeout(CLOSE_TIME, self.tasks.wait()).await;
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.tasks.wait()).await;
     }
 }
--- a/crates/hooklug/src/operator_client.rs
+++ b/crates/hooklug/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! Asks nodes over the operators' API.
+//! Client of the operators' API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 
 use crate::cli::NodeArgs;
 
-/// Asks one of several nodes.
+/// Sends requests to the operators' API of one of several nodes.
 pub(crate) struct OperatorClient {
     nodes: Vec<SocketAddr>,
     key: Option<String>,
     timeout: Duration,
 }
 
-/// An answer of a node.
-pub(crate) struct Answer {
+/// An HTTP response of a node.
+pub(crate) struct NodeResponse {
     status: StatusCode,
     body: Bytes,
 }
@@ -39,7 +39,7 @@
     }
 
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> anyhow::Result<T> {
-        self.ask(Method::GET, path, Bytes::new()).await?.decode()
+        self.request_any(Method::GET, path, Bytes::new()).await?.decode()
     }
 
     pub(crate) async fn post<B: Serialize, T: DeserializeOwned>(
@@ -48,39 +48,46 @@
         body: &B,
     ) -> anyhow::Result<T> {
         let body = serde_json::to_vec(body)?;
-        self.ask(Method::POST, path, body.into()).await?.decode()
+        self.request_any(Method::POST, path, body.into()).await?.decode()
     }
 
-    /// A request without a body whose answer's body does not matter.
+    /// Sends a POST request without a body; the body of the response is ignored.
     pub(crate) async fn post_empty(&self, path: &str) -> anyhow::Result<()> {
-        self.ask(Method::POST, path, Bytes::new()).await?.check()
+        self.request_any(Method::POST, path, Bytes::new()).await?.check()
     }
 
-    /// Asks the nodes in turn until one answers other than "try again". All requests of operators may be
-    /// sent again: a bundle that was committed gets its first answer again.
-    async fn ask(&self, method: Method, path: &str, body: Bytes) -> anyhow::Result<Answer> {
-        let mut last = anyhow!("no node was given");
+    /// Sends a request to the nodes in turn until one responds with a status other than 503. All
+    /// requests of operators can be repeated; a resubmitted bundle gets its first response again.
+    async fn request_any(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> anyhow::Result<NodeResponse> {
+        let mut last_error = anyhow!("no node was given");
         for node in &self.nodes {
-            let asked = self.ask_one(*node, method.clone(), path, body.clone());
-            match tokio::time::timeout(self.timeout, asked).await {
-                Ok(Ok(answer)) if answer.status != StatusCode::SERVICE_UNAVAILABLE => {
-                    return Ok(answer);
+            let request = self.send_request(*node, method.clone(), path, body.clone());
+            match tokio::time::timeout(self.timeout, request).await {
+                Ok(Ok(response)) if response.status != StatusCode::SERVICE_UNAVAILABLE => {
+                    return Ok(response);
+                }
+                Ok(Ok(response)) => last_error = anyhow!("{node}: {}", response.format_problem()),
+                Ok(Err(error)) => last_error = error.context(format!("request to {node} failed")),
+                Err(_) => {
+                    last_error = anyhow!("{node}: no response within {} s", self.timeout.as_secs());
                 }
-                Ok(Ok(answer)) => last = anyhow!("{node}: {}", answer.problem()),
-                Ok(Err(error)) => last = error.context(format!("{node} did not answer")),
-                Err(_) => last = anyhow!("{node}: no answer within {} s", self.timeout.as_secs()),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn ask_one(
+    async fn send_request(
         &self,
         node: SocketAddr,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> anyhow::Result<Answer> {
+    ) -> anyhow::Result<NodeResponse> {
         let stream = TcpStream::connect(node).await?;
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -96,39 +103,40 @@
         let response = sender.send_request(request.body(Full::new(body))?).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        Ok(Answer { status, body })
+        Ok(NodeResponse { status, body })
     }
 }
 
-impl Answer {
+impl NodeResponse {
     fn check(&self) -> anyhow::Result<()> {
         if self.status.is_success() {
             return Ok(());
         }
-        bail!("{}", self.problem())
+        bail!("{}", self.format_problem())
     }
 
     fn decode<T: DeserializeOwned>(&self) -> anyhow::Result<T> {
         self.check()?;
-        serde_json::from_slice(&self.body).context("the answer does not decode")
+        serde_json::from_slice(&self.body).context("cannot decode the response")
     }
 
-    /// The problem in words: title, code, detail and every fault.
-    fn problem(&self) -> String {
+    /// Formats the problem document of an error response: title, code, detail and the list of
+    /// errors.
+    fn format_problem(&self) -> String {
         let Ok(problem) = serde_json::from_slice::<serde_json::Value>(&self.body) else {
             return format!("status {}", self.status.as_u16());
         };
         let text = |key: &str| problem.get(key).and_then(|v| v.as_str()).unwrap_or_default();
-        let mut words = format!("{} ({})", text("title"), text("code"));
+        let mut message = format!("{} ({})", text("title"), text("code"));
         for key in ["field", "detail"] {
             if !text(key).is_empty() {
-                words.push_str(&format!("\n  {key}: {}", text(key)));
+                message.push_str(&format!("\n  {key}: {}", text(key)));
             }
         }
-        for fault in problem.get("faults").and_then(|f| f.as_array()).into_iter().flatten() {
-            let part = |key: &str| fault.get(key).and_then(|v| v.as_str()).unwrap_or_default();
-            words.push_str(&format!("\n  {}: {}", part("path"), part("message")));
+        for error in problem.get("faults").and_then(|f| f.as_array()).into_iter().flatten() {
+            let part = |key: &str| error.get(key).and_then(|v| v.as_str()).unwrap_or_default();
+            message.push_str(&format!("\n  {}: {}", part("path"), part("message")));
         }
-        words
+        message
     }
 }
--- a/crates/hooklug/src/roles.rs
+++ b/crates/hooklug/src/roles.rs
@@ -1,4 +1,4 @@
-//! The roles of a process behind one interface.
+//! Common interface of the roles of a process, and its implementations.
 
 use async_trait::async_trait;
 use hooklug_control::{Core, NodeContext};
@@ -10,40 +10,43 @@
 use tokio_util::sync::CancellationToken;
 use tracing::warn;
 
-/// How a role ended.
+/// Reason why a role exited without an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// It was told to stop, or its work is over.
+pub enum RoleExit {
+    /// The role was asked to stop, or has finished its work.
     Stopped,
-    /// It can only go on as another run, with a new incarnation.
-    Anew,
+    /// The role has to be restarted with a new incarnation.
+    Restart,
 }
 
-/// What a process does.
+/// The role-specific part of a process.
 #[async_trait(?Send)]
 pub trait RoleProcess {
-    /// Answers to other processes.
+    /// RPC handlers of the role.
     fn rpc_router(&self) -> Router {
         Router::new()
     }
 
-    /// Answers to callers, beside those that every process gives.
+    /// HTTP routes of the role, in addition to those that every process serves.
     fn http_router(&self) -> axum::Router {
         axum::Router::new()
     }
 
-    /// Works until its work is over; once `stop` is cancelled it finishes and ends.
+    /// Runs the role until it has finished its work; once `stop` is cancelled it shuts down.
     ///
     /// # Errors
-    /// When the process cannot go on.
-    async fn run(self: Box<Self>, stop: CancellationToken) -> anyhow::Result<Ended>;
+    /// When the role fails.
+    async fn run(self: Box<Self>, stop: CancellationToken) -> anyhow::Result<RoleExit>;
 }
 
-/// The usual process of a role.
+/// Builds the default process of a role.
 ///
 /// # Errors
-/// When the settings do not fit the role, or its data folder cannot be used.
-pub fn usual(role: NodeRole, context: &NodeContext) -> anyhow::Result<Box<dyn RoleProcess>> {
+/// When the settings are invalid for the role, or its data folder cannot be used.
+pub fn build_default(
+    role: NodeRole,
+    context: &NodeContext,
+) -> anyhow::Result<Box<dyn RoleProcess>> {
     let context = context.clone();
     Ok(match role {
         NodeRole::Gateway => Box::new(Gateway::new(context)),
@@ -61,9 +64,9 @@
         Gateway::http_router(self)
     }
 
-    async fn run(self: Box<Self>, _stop: CancellationToken) -> anyhow::Result<Ended> {
+    async fn run(self: Box<Self>, _stop: CancellationToken) -> anyhow::Result<RoleExit> {
         Gateway::run(*self).await;
-        Ok(Ended::Stopped)
+        Ok(RoleExit::Stopped)
     }
 }
 
@@ -73,9 +76,9 @@
         Core::rpc_router(self)
     }
 
-    async fn run(self: Box<Self>, _stop: CancellationToken) -> anyhow::Result<Ended> {
+    async fn run(self: Box<Self>, _stop: CancellationToken) -> anyhow::Result<RoleExit> {
         Core::run(*self).await;
-        Ok(Ended::Stopped)
+        Ok(RoleExit::Stopped)
     }
 }
 
@@ -85,9 +88,9 @@
         Store::rpc_router(self)
     }
 
-    async fn run(self: Box<Self>, stop: CancellationToken) -> anyhow::Result<Ended> {
+    async fn run(self: Box<Self>, stop: CancellationToken) -> anyhow::Result<RoleExit> {
         Store::run(*self, stop).await?;
-        Ok(Ended::Stopped)
+        Ok(RoleExit::Stopped)
     }
 }
 
@@ -97,12 +100,12 @@
         Engine::rpc_router(self)
     }
 
-    async fn run(self: Box<Self>, _stop: CancellationToken) -> anyhow::Result<Ended> {
+    async fn run(self: Box<Self>, _stop: CancellationToken) -> anyhow::Result<RoleExit> {
         match Engine::run(*self).await {
-            Ok(()) => Ok(Ended::Stopped),
+            Ok(()) => Ok(RoleExit::Stopped),
             Err(error @ EngineError::LeaseExpired(_)) => {
-                warn!(%error, "the engine's sessions are not its own any more");
-                Ok(Ended::Anew)
+                warn!(%error, "the engine has lost the ownership of its sessions");
+                Ok(RoleExit::Restart)
             }
             Err(error) => Err(error.into()),
         }
--- a/crates/hooklug/src/table.rs
+++ b/crates/hooklug/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people: columns as wide as their longest cell.
+//! Formatting of text tables; each column is as wide as its longest cell.
 
 /// A table with a header.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
         self.rows.push(cells);
     }
 
-    /// The title and the table as text, or that there is nothing.
+    /// Formats the title and the table as text, or `(none)` if the table has no rows.
     pub(crate) fn render(&self, title: &str) -> String {
         if self.rows.len() == 1 {
             return format!("{title}\n  (none)\n\n");
@@ -36,7 +36,7 @@
     }
 }
 
-/// A value that may be missing.
+/// Formats an optional value; a missing one is shown as a dash.
 pub(crate) fn or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |v| v.to_string())
 }
--- a/crates/hooklug/tests/command_line.rs
+++ b/crates/hooklug/tests/command_line.rs
@@ -1,11 +1,11 @@
-//! The command line: exit codes, faults, keys and stopping.
+//! The command line: exit codes, errors, keys and graceful shutdown.
 
 mod common;
 
 use std::path::Path;
 use std::process::{Command, Output};
 
-use common::{Fleet, ask, eventually};
+use common::{Fleet, eventually, request};
 use http::{Method, StatusCode};
 use nix::sys::signal::Signal;
 
@@ -28,13 +28,13 @@
     std::fs::write(folder.path().join("s.toml"), settings).expect("written");
     let output = hooklug(&["check", "--settings", "s.toml", "--role", "store"], folder.path());
     assert_eq!(output.status.code(), Some(2));
-    let faults = text(&output.stderr);
-    for key in ["zone: ", "cluster_secret: ", "http: ", "data_folder: ", "4 faults"] {
-        assert!(faults.contains(key), "{key} is missing in:\n{faults}");
+    let errors = text(&output.stderr);
+    for key in ["zone: ", "cluster_secret: ", "http: ", "data_folder: ", "4 errors"] {
+        assert!(errors.contains(key), "{key} is missing in:\n{errors}");
     }
-    assert!(!faults.contains("short"), "a secret is shown:\n{faults}");
+    assert!(!errors.contains("short"), "a secret is shown:\n{errors}");
     let run = hooklug(&["core", "--settings", "s.toml"], folder.path());
-    assert_eq!(run.status.code(), Some(2), "a role does not start with faults");
+    assert_eq!(run.status.code(), Some(2), "a role does not start with invalid settings");
 }
 
 #[test]
@@ -55,12 +55,12 @@
     let folder = tempfile::tempdir().expect("a scratch folder");
     let path = folder.path();
     std::fs::write(path.join("b.json"), r#"{"version": 1, "base": 0}"#).expect("written");
-    let drawn = hooklug(&["bundle", "keygen", "--out", "anna.key"], path);
-    assert!(drawn.status.success(), "{}", text(&drawn.stderr));
+    let generated = hooklug(&["bundle", "keygen", "--out", "anna.key"], path);
+    assert!(generated.status.success(), "{}", text(&generated.stderr));
     let secret = std::fs::read_to_string(path.join("anna.key")).expect("written");
     let mode = std::fs::metadata(path.join("anna.key")).expect("there").permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
-    assert_ne!(text(&drawn.stdout), secret, "only the public key is printed");
+    assert_ne!(text(&generated.stdout), secret, "only the public key is printed");
     let again = hooklug(&["bundle", "keygen", "--out", "anna.key"], path);
     assert!(!again.status.success(), "a key is never overwritten");
     let sign = ["bundle", "sign", "b.json", "--operator", "anna", "--secret-file", "anna.key"];
@@ -71,7 +71,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_process_that_is_asked_to_stop_exits_with_zero() {
     let mut fleet = Fleet::started(65, 3, 1, 1);
-    let gateway = fleet.of("gateway")[0];
+    let gateway = fleet.with_role("gateway")[0];
     fleet.wait_for_members(gateway, 5).await;
     for process in &mut fleet.processes {
         process.signal(Signal::SIGTERM);
@@ -82,10 +82,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn status_shows_the_cluster_as_tables_and_as_json() {
     let fleet = Fleet::started(66, 3, 1, 1);
-    let gateway = fleet.of("gateway")[0];
+    let gateway = fleet.with_role("gateway")[0];
     fleet.wait_for_members(gateway, 5).await;
     eventually("ready stores", async || {
-        let ready = ask(fleet.http(0), Method::GET, "/readyz", "").await;
+        let ready = request(fleet.http(0), Method::GET, "/readyz", "").await;
         ready.is_some_and(|(status, _)| status == StatusCode::OK)
     })
     .await;
@@ -109,7 +109,7 @@
         "engines",
         "shards",
         "versions",
-        "figures of the last minute",
+        "statistics of the last minute",
         "sessions by owner",
         "windows",
         "slots in use",
--- a/crates/hooklug/tests/common/mod.rs
+++ b/crates/hooklug/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes of the `hooklug` binary on loopback.
+//! A fleet of `hooklug` processes on loopback addresses.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -16,13 +16,13 @@
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
-/// Longest wait for a condition; generous, since it bounds no promise.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+/// Timeout for a condition. Generous, because it does not test a guaranteed time.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The tenant that all requests name.
+/// Tenant of all requests.
 pub const TENANT: &str = "growers";
 
-/// One process and where it listens.
+/// One process and its addresses.
 pub struct Process {
     pub role: &'static str,
     pub rpc: SocketAddr,
@@ -57,7 +57,8 @@
         self.child.take().expect("it runs").wait().expect("it ends")
     }
 
-    /// Ends the process as a loss of power does, but for the disk's own cache.
+    /// Kills the process, as a power failure would, except that the operating system's writes
+    /// survive.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -72,17 +73,17 @@
     }
 }
 
-/// A fleet in a scratch folder.
+/// A fleet of processes with their files in a temporary folder.
 pub struct Fleet {
     folder: tempfile::TempDir,
     net: u8,
-    /// The platform's list of engines, as cores read it.
+    /// File of the platform's list of engines, which the cores read.
     pub platform_list: PathBuf,
     pub processes: Vec<Process>,
 }
 
 impl Fleet {
-    /// An empty fleet on addresses `127.net.*`.
+    /// Creates an empty fleet on addresses `127.net.*`.
     pub fn new(net: u8) -> Self {
         let folder = tempfile::tempdir().expect("a scratch folder");
         let platform_list = folder.path().join("engines.json");
@@ -90,7 +91,7 @@
         Self { folder, net, platform_list, processes: Vec::new() }
     }
 
-    /// Three stores, some cores and gateways, started.
+    /// Creates a fleet and starts the given numbers of stores, cores and gateways.
     pub fn started(net: u8, stores: usize, cores: usize, gateways: usize) -> Self {
         let mut fleet = Self::new(net);
         for (role, count) in [("store", stores), ("core", cores), ("gateway", gateways)] {
@@ -101,11 +102,11 @@
         fleet
     }
 
-    /// Adds and starts a process; its index.
+    /// Adds and starts a process and returns its index.
     pub fn add(&mut self, role: &'static str) -> usize {
         let index = self.processes.len();
         let ip = IpAddr::V4(Ipv4Addr::new(127, self.net, 0, 1 + u8::try_from(index).expect("few")));
-        let (rpc, http) = (free_place(ip), free_place(ip));
+        let (rpc, http) = (free_address(ip), free_address(ip));
         let seeds: Vec<String> =
             self.processes.iter().take(3).map(|p| format!("{:?}", p.rpc.to_string())).collect();
         let data = self.folder.path().join(format!("data{index}"));
@@ -126,7 +127,7 @@
         index
     }
 
-    pub fn of(&self, role: &str) -> Vec<usize> {
+    pub fn with_role(&self, role: &str) -> Vec<usize> {
         (0..self.processes.len()).filter(|i| self.processes[*i].role == role).collect()
     }
 
@@ -134,24 +135,25 @@
         self.processes[index].http
     }
 
-    /// Waits until a node answers that it sees so many members alive.
+    /// Waits until a node reports the given number of live members.
     pub async fn wait_for_members(&self, observer: usize, count: usize) {
         eventually("all members are seen", async || {
-            let answer = ask(self.http(observer), Method::GET, "/admin/v1/members", "").await;
-            let members = answer.map(|a| a.1).unwrap_or_default();
+            let response = request(self.http(observer), Method::GET, "/admin/v1/members", "").await;
+            let members = response.map(|a| a.1).unwrap_or_default();
             let alive = |m: &&Value| m["health"] == "Alive";
             members.as_array().is_some_and(|m| m.iter().filter(alive).count() == count)
         })
         .await;
     }
 
-    /// Submits a bundle at a node until it answers other than "try again".
+    /// Submits a bundle to a node, and again while the response is 503.
     pub async fn submit(&self, index: usize, bundle: &Value) -> (StatusCode, Value) {
         let body = json!({ "bundle": bundle }).to_string();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + CONDITION_TIMEOUT;
         loop {
-            let answer = ask(self.http(index), Method::POST, "/admin/v1/bundles", &body).await;
-            match answer {
+            let response =
+                request(self.http(index), Method::POST, "/admin/v1/bundles", &body).await;
+            match response {
                 Some((status, body)) if status != StatusCode::SERVICE_UNAVAILABLE => {
                     return (status, body);
                 }
@@ -161,26 +163,27 @@
         }
     }
 
-    /// The newest version that a quorum knows, as a node reads it.
+    /// Newest committed bundle version, read through a node.
     pub async fn current_version(&self, index: usize) -> Option<u64> {
-        let answer = ask(self.http(index), Method::GET, "/admin/v1/bundles/current", "").await;
-        answer.and_then(|(_, body)| body["record"]["version"].as_u64())
+        let response =
+            request(self.http(index), Method::GET, "/admin/v1/bundles/current", "").await;
+        response.and_then(|(_, body)| body["record"]["version"].as_u64())
     }
 
-    /// The version in force at a node.
+    /// Bundle version installed at a node.
     pub async fn installed_version(&self, index: usize) -> Option<u64> {
-        let answer = ask(self.http(index), Method::GET, "/admin/v1/view", "").await;
-        answer.and_then(|(_, body)| body["installed_bundle"].as_u64())
+        let response = request(self.http(index), Method::GET, "/admin/v1/view", "").await;
+        response.and_then(|(_, body)| body["installed_bundle"].as_u64())
     }
 }
 
-fn free_place(ip: IpAddr) -> SocketAddr {
+fn free_address(ip: IpAddr) -> SocketAddr {
     let listener = TcpListener::bind(SocketAddr::new(ip, 0)).expect("loopback");
     listener.local_addr().expect("bound")
 }
 
-/// One request; `None` when no whole answer came.
-pub async fn ask(
+/// Sends one request; `None` if no complete response arrived.
+pub async fn request(
     to: SocketAddr,
     method: Method,
     path: &str,
@@ -209,7 +212,7 @@
 
 /// Waits until a condition holds.
 pub async fn eventually(what: &str, condition: impl AsyncFn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + CONDITION_TIMEOUT;
     while !condition().await {
         assert!(Instant::now() < until, "never happened: {what}");
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/hooklug/tests/rollouts.rs
+++ b/crates/hooklug/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! A new version that does harm is taken out of force by the system, through real processes and traffic.
+//! Automatic rollback of a failing new version, with real processes and traffic.
 
 mod common;
 
@@ -11,12 +11,12 @@
 use axum::extract::State;
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
-use common::{Fleet, TENANT, ask, eventually};
+use common::{Fleet, TENANT, eventually, request};
 use http::{HeaderMap, Method, StatusCode};
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-/// An application engine of one version that counts what it ran and may be made to fail.
+/// A fake application engine that counts its calls and can be made to fail.
 struct Engine {
     name: String,
     version: &'static str,
@@ -79,14 +79,14 @@
     })
 }
 
-/// Calls a gateway again and again, until stopped.
+/// Sends calls to a gateway repeatedly until stopped.
 async fn keep_calling(gateway: SocketAddr, caller: usize, stop: CancellationToken) {
     let mut number = 0_u64;
     while !stop.is_cancelled() {
         number += 1;
         let path = format!("/v1/programs/p{caller}/calls/c{number}");
         let body = json!({"tool": "show_notice", "arguments": {}, "deadline_ms": 3000}).to_string();
-        let _ = ask(gateway, Method::PUT, &path, &body).await;
+        let _ = request(gateway, Method::PUT, &path, &body).await;
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -94,11 +94,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_version_that_begins_to_fail_is_rolled_back_and_gets_no_more_traffic() {
     let fleet = Fleet::started(67, 3, 1, 2);
-    let gateways = fleet.of("gateway");
-    let (old, old_place) = start_engine(1, "v1").await;
-    let (new, new_place) = start_engine(2, "v2").await;
-    let entry = |place: SocketAddr| json!({"address": place, "zone": "z1"});
-    let list = json!({"engines": [entry(old_place), entry(new_place)]}).to_string();
+    let gateways = fleet.with_role("gateway");
+    let (old, old_address) = start_engine(1, "v1").await;
+    let (new, new_address) = start_engine(2, "v2").await;
+    let entry = |address: SocketAddr| json!({"address": address, "zone": "z1"});
+    let list = json!({"engines": [entry(old_address), entry(new_address)]}).to_string();
     std::fs::write(&fleet.platform_list, list).expect("written");
     fleet.wait_for_members(gateways[0], 6).await;
     assert_eq!(fleet.submit(gateways[0], &release(1, &["v1"])).await.0, StatusCode::OK);
@@ -110,33 +110,38 @@
         let end = json!({"token_budget": 1, "end_time_ms": 4_000_000_000_000_u64}).to_string();
         eventually("a program is created", async || {
             let path = format!("/v1/programs/p{caller}");
-            let answer = ask(gateway, Method::PUT, &path, &end).await;
+            let answer = request(gateway, Method::PUT, &path, &end).await;
             answer.is_some_and(|(status, _)| status == StatusCode::OK)
         })
         .await;
         tokio::spawn(keep_calling(gateway, caller, stop.clone()));
     }
-    let ran = |engine: &Engine| engine.calls.load(Ordering::SeqCst);
-    eventually("both versions have traffic", async || ran(&old) > 200 && ran(&new) > 50).await;
-    assert_eq!(fleet.current_version(gateways[0]).await, Some(2), "no harm, no roll-back");
+    let calls_of = |engine: &Engine| engine.calls.load(Ordering::SeqCst);
+    eventually("both versions have traffic", async || calls_of(&old) > 200 && calls_of(&new) > 50)
+        .await;
+    assert_eq!(fleet.current_version(gateways[0]).await, Some(2), "no regression, no rollback");
 
     new.fails.store(true, Ordering::SeqCst);
     eventually("the system rolls the version back", async || {
         fleet.current_version(gateways[0]).await == Some(3)
     })
     .await;
-    let (_, body) = ask(fleet.http(gateways[0]), Method::GET, "/admin/v1/bundles/3", "")
+    let (_, body) = request(fleet.http(gateways[0]), Method::GET, "/admin/v1/bundles/3", "")
         .await
         .expect("an answer");
     let harm = &body["record"]["rollback"];
     assert_eq!((&harm["service"], &harm["version"]), (&json!("notices"), &json!("v2")), "{body}");
     assert!(harm["reason"].as_str().is_some_and(|r| !r.is_empty()), "{body}");
     for gateway in &gateways {
-        eventually("in force", async || fleet.installed_version(*gateway).await == Some(3)).await;
+        eventually("the rollback is installed", async || {
+            fleet.installed_version(*gateway).await == Some(3)
+        })
+        .await;
     }
-    // What was under way when the roll-back came into force may still arrive.
+    // Calls in flight when the rollback was installed may still arrive.
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let (settled_new, settled_old) = (ran(&new), ran(&old));
-    eventually("the old version carries on", async || ran(&old) > settled_old + 200).await;
-    assert_eq!(ran(&new), settled_new, "the harmful version gets no more traffic");
+    let (settled_new, settled_old) = (calls_of(&new), calls_of(&old));
+    eventually("the old version still gets traffic", async || calls_of(&old) > settled_old + 200)
+        .await;
+    assert_eq!(calls_of(&new), settled_new, "the rolled-back version gets no more traffic");
 }
--- a/crates/hooklug/tests/signals.rs
+++ b/crates/hooklug/tests/signals.rs
@@ -1,15 +1,15 @@
-//! Signals that must not end a process.
+//! Signals that must not terminate a process.
 
 mod common;
 
-use common::{Fleet, ask, eventually};
+use common::{Fleet, eventually, request};
 use http::Method;
 use nix::sys::signal::Signal;
 
-/// Waits until the process answers, whatever it says.
-async fn answers(fleet: &Fleet, index: usize) {
-    eventually("the process answers", async || {
-        ask(fleet.http(index), Method::GET, "/healthz", "").await.is_some()
+/// Waits until the process responds to a request, with any status.
+async fn wait_until_responsive(fleet: &Fleet, index: usize) {
+    eventually("the process responds", async || {
+        request(fleet.http(index), Method::GET, "/healthz", "").await.is_some()
     })
     .await;
 }
@@ -19,10 +19,10 @@
     let mut fleet = Fleet::new(91);
     for role in ["core", "gateway"] {
         let index = fleet.add(role);
-        answers(&fleet, index).await;
+        wait_until_responsive(&fleet, index).await;
         fleet.processes[index].signal(Signal::SIGHUP);
-        // Had it ended, the next signal would find nobody to obey it in order.
-        answers(&fleet, index).await;
+        // If the process had terminated, it would not respond, and could not shut down gracefully.
+        wait_until_responsive(&fleet, index).await;
         fleet.processes[index].signal(Signal::SIGTERM);
         assert!(fleet.processes[index].wait().success());
     }
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -196,9 +196,9 @@
 impl<T: DeserializeOwned> ItemStream<T> {
     /// Waits for the next item; `None` when the peer ended the stream.
     ///
-    /// # Errors
-    /// [`RpcError::ConnectionLost`] when the connection closed before the end of the stream, and
-    /// [`RpcError::SlowReader`] when the stream was closed because its items were not read fast enough.
+    /// # Errors [`RpcError::ConnectionLost`] when the connection closed before the end of the
+    /// stream, and [`RpcError::SlowReader`] when the stream was closed because its items were not
+    /// read fast enough.
     pub async fn next(&mut self) -> Result<Option<T>, RpcError> {
         match self.items.recv().await {
             Some(Ok(bytes)) => decode(&bytes).map(Some),
--- a/crates/rpc/src/deferred.rs
+++ b/crates/rpc/src/deferred.rs
@@ -11,7 +11,8 @@
 use crate::router::encode_reply;
 use crate::server::{ReplySender, reply_body};
 
-/// Sends the reply to one request. Dropping it without a reply reports a failed handler to the caller.
+/// Sends the reply to one request. Dropping it without a reply reports a failed handler to the
+/// caller.
 #[derive(Debug)]
 pub struct Replier<T> {
     raw: RawReplier,
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Error of a call or stream. Only [`RpcError::NotSent`] guarantees that the peer has not received it.
+/// Error of a call or stream. Only [`RpcError::NotSent`] guarantees that the peer has not received
+/// it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RpcError {
     /// No connection was available, so no part of the request was written.
@@ -20,7 +21,8 @@
     /// The reply could not be decoded.
     #[error("reply does not decode: {0}")]
     Decode(String),
-    /// Items arrived faster than they were read, so the stream was closed; the caller should resume it.
+    /// Items arrived faster than they were read, so the stream was closed; the caller should resume
+    /// it.
     #[error("stream was closed: its reader is too slow")]
     SlowReader,
 }
--- a/crates/rpc/src/faults.rs
+++ b/crates/rpc/src/faults.rs
@@ -1,7 +1,8 @@
-//! Injected link faults (cuts and delays) for failure tests. They can be set only with `--enable-faults`.
+//! Injected link faults (cuts and delays) for failure tests. They can be set only with
+//! `--enable-faults`.
 //!
-//! Faults act on the sending side. A cut link holds frames back until the cut is lifted, as TCP does
-//! on a network that drops packets. A one-way partition is a cut at one end only.
+//! Faults act on the sending side. A cut link holds frames back until the cut is lifted, as TCP
+//! does on a network that drops packets. A one-way partition is a cut at one end only.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/crates/rpc/src/handshake.rs
+++ b/crates/rpc/src/handshake.rs
@@ -1,7 +1,7 @@
 //! Handshake of a new connection: both ends prove that they hold the cluster secret.
 //!
-//! The server sends a challenge, and each side then sends a [`Hello`] with a keyed hash over the other
-//! side's nonce, its own nonce and its identity.
+//! The server sends a challenge, and each side then sends a [`Hello`] with a keyed hash over the
+//! other side's nonce, its own nonce and its identity.
 
 use std::io;
 use std::net::IpAddr;
--- a/crates/rpc/src/identity.rs
+++ b/crates/rpc/src/identity.rs
@@ -11,8 +11,8 @@
 use crate::incarnations::NewestIncarnations;
 use crate::{LinkFaults, Traffic};
 
-/// Bundle versions known to this process: installed, known to be committed, and newest advertised by
-/// any peer.
+/// Bundle versions known to this process: installed, known to be committed, and newest advertised
+/// by any peer.
 #[derive(Debug)]
 pub struct BundleVersions {
     installed: AtomicU64,
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,9 +1,10 @@
-//! RPC between hooklug processes: typed calls and streams over one multiplexed TCP connection per peer.
+//! RPC between hooklug processes: typed calls and streams over one multiplexed TCP connection per
+//! peer.
 //!
-//! A frame is a four-byte length and a postcard body. Each connection starts with a handshake in which
-//! both ends prove that they hold the cluster secret. Each server frame carries the sender's bundle
-//! version, so new bundle versions spread with ordinary traffic. Tests can cut or delay links (see
-//! [`LinkFaults`]).
+//! A frame is a four-byte length and a postcard body. Each connection starts with a handshake in
+//! which both ends prove that they hold the cluster secret. Each server frame carries the sender's
+//! bundle version, so new bundle versions spread with ordinary traffic. Tests can cut or delay
+//! links (see [`LinkFaults`]).
 
 #![deny(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/rpc/src/router.rs
+++ b/crates/rpc/src/router.rs
@@ -99,7 +99,8 @@
         self
     }
 
-    /// Adds a handler that runs in the connection's read loop, in order of arrival. It must not block.
+    /// Adds a handler that runs in the connection's read loop, in order of arrival. It must not
+    /// block.
     #[must_use]
     pub fn route_inline<R, F>(mut self, handler: F) -> Self
     where
@@ -114,8 +115,8 @@
         self
     }
 
-    /// Adds a handler that runs in the connection's read loop and replies later, from any thread. It
-    /// must not block, and it is not notified when the caller cancels.
+    /// Adds a handler that runs in the connection's read loop and replies later, from any thread.
+    /// It must not block, and it is not notified when the caller cancels.
     #[must_use]
     pub fn route_deferred<R, F>(mut self, handler: F) -> Self
     where
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -23,7 +23,8 @@
 /// Time allowed for the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time without a frame from the client after which a connection is closed; clients ping each second.
+/// Time without a frame from the client after which a connection is closed; clients ping each
+/// second.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Items of one stream that may wait for the connection's write queue.
@@ -46,7 +47,8 @@
         TcpListener::bind(address).await
     }
 
-    /// Creates a server on a listener; connections are accepted only once [`RpcServer::run`] is called.
+    /// Creates a server on a listener; connections are accepted only once [`RpcServer::run`] is
+    /// called.
     #[must_use]
     pub fn new(listener: TcpListener, identity: LocalIdentity, router: Router) -> Self {
         Self { listener, identity, router: Arc::new(router) }
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Sends a fault for a handler that panicked. Cancelled handlers are not in `running` any more and
-    /// need no reply.
+    /// Sends a fault for a handler that panicked. Cancelled handlers are not in `running` any more
+    /// and need no reply.
     async fn report_panic(&mut self, error: &JoinError) {
         let found = self.running.iter().find(|(_, task)| task.id() == error.id());
         let Some(id) = found.map(|(id, _)| *id) else { return };
--- a/crates/rpc/src/traffic.rs
+++ b/crates/rpc/src/traffic.rs
@@ -2,7 +2,8 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters of the frames and bytes of all RPC connections of a process, without TCP and IP headers.
+/// Counters of the frames and bytes of all RPC connections of a process, without TCP and IP
+/// headers.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent_bytes: AtomicU64,
--- a/crates/rpc/src/writer.rs
+++ b/crates/rpc/src/writer.rs
@@ -12,8 +12,8 @@
 /// Capacity of a connection's write queue, in frames.
 pub(crate) const WRITE_QUEUE_FRAMES: usize = 4096;
 
-/// Size of a connection's read and write buffers, in bytes. Small, because a process has connections
-/// to many others and most are idle; larger frames bypass the buffer.
+/// Size of a connection's read and write buffers, in bytes. Small, because a process has
+/// connections to many others and most are idle; larger frames bypass the buffer.
 pub(crate) const BUFFER_BYTES: usize = 8 << 10;
 
 /// An encoded frame and the time at which it was queued.
@@ -29,8 +29,8 @@
     }
 }
 
-/// Writes frames until the queue closes or the connection fails. Flushes whenever the queue is empty,
-/// so that a single frame is sent at once and a burst of frames shares one system call.
+/// Writes frames until the queue closes or the connection fails. Flushes whenever the queue is
+/// empty, so that a single frame is sent at once and a burst of frames shares one system call.
 pub(crate) async fn write_frames<W: AsyncWrite + Unpin>(
     half: W,
     mut queue: mpsc::Receiver<QueuedFrame>,
--- a/crates/rpc/tests/transport.rs
+++ b/crates/rpc/tests/transport.rs
@@ -1,4 +1,5 @@
-//! RPC between a client and a server over real sockets: replies, streams, the handshake and link faults.
+//! RPC between a client and a server over real sockets: replies, streams, the handshake and link
+//! faults.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -267,7 +268,8 @@
     let client = RpcClient::new(identity(2, "a shared secret"));
     client.call(to, &Echo("x".into()), soon()).await.expect("a reply");
     server.stop.cancel();
-    // Calls on the closing connection may fail otherwise; once it is closed, no new one can be opened.
+    // Calls on the closing connection may fail otherwise; once it is closed, no new one can be
+    // opened.
     loop {
         match client.call(to, &Echo("x".into()), soon()).await {
             Err(error) if error.is_not_sent() => break,
@@ -279,8 +281,8 @@
 /// Frames that a server sends in a handshake: its challenge and its hello.
 const OPENING_FRAMES: u64 = 2;
 
-/// Guards against calls that fail for seconds after a machine lost power and restarted: its previous
-/// incarnation cannot close the connection, which looks open until the idle timeout.
+/// Guards against calls that fail for seconds after a machine lost power and restarted: its
+/// previous incarnation cannot close the connection, which looks open until the idle timeout.
 #[tokio::test]
 async fn a_connection_is_opened_anew_once_a_newer_run_has_shown_itself_at_the_address() {
     let server = start("a shared secret").await;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,25 +1,25 @@
-//! What is wrong with a setting.
+//! Error type for invalid or missing settings.
 
 use std::fmt;
 
-/// One fault of the settings: its key, what was found there and what is allowed.
+/// An invalid or missing setting: its key, the value found and the values allowed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct SettingFault {
-    /// Key, dotted as in the file.
+pub struct SettingError {
+    /// Dotted key, as in the settings file.
     pub key: String,
-    /// The value found; a secret's is never shown.
+    /// The value found, formatted; a secret is replaced by its length.
     pub found: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
-    /// Where the value came from; empty for a missing one.
+    /// Source of the value (file, variables or flags); empty for a missing one.
     pub origin: String,
 }
 
-impl fmt::Display for SettingFault {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: found {}, allowed is {}", self.key, self.found, self.allowed)?;
         if self.origin.is_empty() { Ok(()) } else { write!(f, " (from {})", self.origin) }
     }
 }
 
-impl std::error::Error for SettingFault {}
+impl std::error::Error for SettingError {}
