--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads the settings from their sources and checks them as a whole.
+//! Loads the settings from their sources and validates them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 use hooklug_types::{NodeRole, ZoneName};
 use serde::Serialize;
 
-use crate::check::{fits, integer, show};
+use crate::check::{format_value, integer, is_valid};
 use crate::schema::{SETTINGS, Setting, setting};
-use crate::{SettingFault, Settings};
+use crate::{SettingError, Settings};
 
-/// Prefix of variables; `__` separates a section from its key.
+/// Prefix of environment variables; `__` separates a section from its key.
 pub const VARIABLE_PREFIX: &str = "HOOKLUG_";
 
-/// Settings given as flags; they win over variables and file.
+/// Settings given as command-line flags; they take precedence over variables and the file.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Overrides {
     /// `rpc`.
@@ -40,7 +40,7 @@
     pub enable_faults: Option<bool>,
 }
 
-/// Variables of the environment, as a source of settings.
+/// Environment variables as a source of settings.
 struct Variables(Vec<(String, String)>);
 
 impl Provider for Variables {
@@ -49,19 +49,19 @@
     }
 
     fn data(&self) -> Result<Map<Profile, Dict>, figment::Error> {
-        let mut whole = Dict::new();
+        let mut settings = Dict::new();
         for (name, text) in &self.0 {
             let Some(key) = name.strip_prefix(VARIABLE_PREFIX) else { continue };
             let key = key.to_ascii_lowercase().replace("__", ".");
-            // Texts that are no other value are taken as they are.
+            // A text that is not another kind of value parses as a string.
             let Ok(value) = text.parse::<Value>();
-            insert(&mut whole, &key, value);
+            insert(&mut settings, &key, value);
         }
-        Ok(Profile::Default.collect(whole))
+        Ok(Profile::Default.collect(settings))
     }
 }
 
-/// Puts a value under a dotted key.
+/// Inserts a value under a dotted key.
 fn insert(table: &mut Dict, key: &str, value: Value) {
     let Some((section, rest)) = key.split_once('.') else {
         table.insert(key.to_owned(), value);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Flags, as a source of settings.
+/// Command-line flags as a source of settings.
 struct Flags<'a>(&'a Overrides);
 
 impl Provider for Flags<'_> {
@@ -87,20 +87,21 @@
 }
 
 impl Settings {
-    /// Reads a file, then `HOOKLUG_*` variables, then flags, in rising precedence, and checks all for a role.
+    /// Loads the file, the `HOOKLUG_*` variables and the flags, in rising precedence, and validates
+    /// the result for a role.
     ///
     /// # Errors
-    /// Every fault at once.
+    /// All invalid and missing settings at once.
     pub fn load(
         file: Option<&Path>,
         environment: impl IntoIterator<Item = (String, String)>,
         overrides: &Overrides,
         role: NodeRole,
-    ) -> Result<Self, Vec<SettingFault>> {
+    ) -> Result<Self, Vec<SettingError>> {
         let mut figment = Figment::new();
         if let Some(path) = file {
             if !path.is_file() {
-                return Err(vec![no_file(path)]);
+                return Err(vec![missing_file(path)]);
             }
             figment = figment.merge(Toml::file_exact(path));
         }
@@ -110,44 +111,44 @@
     }
 }
 
-fn no_file(path: &Path) -> SettingFault {
-    SettingFault {
+fn missing_file(path: &Path) -> SettingError {
+    SettingError {
         key: "--settings".to_owned(),
         found: path.display().to_string(),
-        allowed: "a file that can be read".to_owned(),
+        allowed: "a readable file".to_owned(),
         origin: String::new(),
     }
 }
 
-fn read(figment: &Figment, role: NodeRole) -> Result<Settings, Vec<SettingFault>> {
-    let whole: Dict = figment.extract().map_err(|e| unreadable(&e))?;
-    let found = flatten(&whole);
-    let mut faults = Vec::new();
+fn read(figment: &Figment, role: NodeRole) -> Result<Settings, Vec<SettingError>> {
+    let settings: Dict = figment.extract().map_err(|e| extraction_errors(&e))?;
+    let found = flatten(&settings);
+    let mut errors = Vec::new();
     for (key, value) in &found {
-        check_value(figment, key, value, &mut faults);
+        check_value(figment, key, value, &mut errors);
     }
-    check_missing(&whole, &found, role, &mut faults);
-    check_together(&found, &mut faults);
-    if !faults.is_empty() {
-        return Err(faults);
+    check_missing(&settings, &found, role, &mut errors);
+    check_combinations(&found, &mut errors);
+    if !errors.is_empty() {
+        return Err(errors);
     }
-    figment.extract().map_err(|e| unreadable(&e))
+    figment.extract().map_err(|e| extraction_errors(&e))
 }
 
-fn unreadable(error: &figment::Error) -> Vec<SettingFault> {
-    let faults = error.clone().into_iter().map(|e| SettingFault {
-        key: if e.path.is_empty() { "(whole)".to_owned() } else { e.path.join(".") },
+fn extraction_errors(error: &figment::Error) -> Vec<SettingError> {
+    let errors = error.clone().into_iter().map(|e| SettingError {
+        key: if e.path.is_empty() { "(file)".to_owned() } else { e.path.join(".") },
         found: e.kind.to_string().trim_end().to_owned(),
         allowed: "TOML as in docs/OPERATIONS.md".to_owned(),
         origin: e.metadata.as_ref().map(origin).unwrap_or_default(),
     });
-    faults.collect()
+    errors.collect()
 }
 
-/// Values by dotted key; tables that are settings themselves stay whole.
-fn flatten(whole: &Dict) -> BTreeMap<String, Value> {
+/// Maps dotted keys to values. A table that is itself the value of a setting is not flattened.
+fn flatten(settings: &Dict) -> BTreeMap<String, Value> {
     let mut found = BTreeMap::new();
-    for (key, value) in whole {
+    for (key, value) in settings {
         match value {
             Value::Dict(_, section) if setting(key).is_none() => {
                 let inner = section.iter().map(|(k, v)| (format!("{key}.{k}"), v.clone()));
@@ -166,23 +167,23 @@
     }
 }
 
-fn check_value(figment: &Figment, key: &str, value: &Value, faults: &mut Vec<SettingFault>) {
+fn check_value(figment: &Figment, key: &str, value: &Value, errors: &mut Vec<SettingError>) {
     let known = setting(key);
     let allowed = match known {
-        Some(known) if fits(&known.kind, value) => return,
+        Some(known) if is_valid(&known.kind, value) => return,
         Some(known) => known.kind.allowed(),
-        None => format!("no setting of this name; known are {}", neighbours(key)),
+        None => format!("no setting of this name; known are {}", related_keys(key)),
     };
     let origin = figment.find_metadata(key).map(origin).unwrap_or_default();
-    let found = show(known.map(|k| &k.kind), value);
-    faults.push(SettingFault { key: key.to_owned(), found, allowed, origin });
+    let found = format_value(known.map(|k| &k.kind), value);
+    errors.push(SettingError { key: key.to_owned(), found, allowed, origin });
 }
 
-/// Known keys beside an unknown one, in the same section where there is such a section.
-fn neighbours(key: &str) -> String {
+/// Lists the known keys in the section of an unknown key, or all keys if there is no such section.
+fn related_keys(key: &str) -> String {
     let section = key.split_once('.').map(|(section, _)| section);
-    let beside = |s: &&Setting| s.key.split_once('.').map(|(section, _)| section) == section;
-    let mut keys: Vec<&str> = SETTINGS.iter().filter(beside).map(|s| s.key).collect();
+    let same_section = |s: &&Setting| s.key.split_once('.').map(|(section, _)| section) == section;
+    let mut keys: Vec<&str> = SETTINGS.iter().filter(same_section).map(|s| s.key).collect();
     if keys.is_empty() {
         keys = SETTINGS.iter().map(|s| s.key).collect();
     }
@@ -190,19 +191,19 @@
 }
 
 fn check_missing(
-    whole: &Dict,
+    settings: &Dict,
     found: &BTreeMap<String, Value>,
     role: NodeRole,
-    faults: &mut Vec<SettingFault>,
+    errors: &mut Vec<SettingError>,
 ) {
-    let engine = role == NodeRole::Engine || whole.contains_key("engine");
-    let needed = |s: &&Setting| match s.key {
+    let has_engine = role == NodeRole::Engine || settings.contains_key("engine");
+    let is_required = |s: &&Setting| match s.key {
         "data_folder" => role == NodeRole::Store,
-        key if key.starts_with("engine.") => s.required && engine,
+        key if key.starts_with("engine.") => s.required && has_engine,
         _ => s.required,
     };
-    for missing in SETTINGS.iter().filter(needed).filter(|s| !found.contains_key(s.key)) {
-        faults.push(SettingFault {
+    for missing in SETTINGS.iter().filter(is_required).filter(|s| !found.contains_key(s.key)) {
+        errors.push(SettingError {
             key: missing.key.to_owned(),
             found: "nothing".to_owned(),
             allowed: format!("{} (required for role {role})", missing.kind.allowed()),
@@ -211,25 +212,25 @@
     }
 }
 
-fn check_together(found: &BTreeMap<String, Value>, faults: &mut Vec<SettingFault>) {
+fn check_combinations(found: &BTreeMap<String, Value>, errors: &mut Vec<SettingError>) {
     let text = |key: &str| found.get(key).and_then(|v| v.as_str());
     if let (Some(rpc), Some(http)) = (text("rpc"), text("http"))
         && rpc == http
     {
-        faults.push(SettingFault {
+        errors.push(SettingError {
             key: "http".to_owned(),
             found: format!("{http:?}"),
-            allowed: "an address other than rpc's".to_owned(),
+            allowed: "an address that differs from rpc".to_owned(),
             origin: String::new(),
         });
     }
     let keys = found.get("operators.keys").and_then(Value::as_dict).map_or(0, Dict::len);
     let required = found.get("operators.required_signatures").and_then(integer);
     if let Some(required) = required.filter(|r| usize::try_from(*r).is_ok_and(|r| r > keys)) {
-        faults.push(SettingFault {
+        errors.push(SettingError {
             key: "operators.required_signatures".to_owned(),
             found: required.to_string(),
-            allowed: format!("at most the number of operators.keys, {keys}"),
+            allowed: format!("at most the number of keys in operators.keys, {keys}"),
             origin: String::new(),
         });
     }
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The settings as typed values. Each field's doc names its unit, default and origin.
+//! Typed settings. The doc comment of each field gives its unit and default.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,7 +8,7 @@
 use hooklug_types::{EngineId, OperatorName, RegionName, ServiceName, ServiceVersion, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// A text that never shows in logs or debug output.
+/// A secret text that is never printed in logs or debug output.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
@@ -20,7 +20,7 @@
         Self(text.into())
     }
 
-    /// The secret itself; handle with care.
+    /// Returns the secret; it must not be logged or shown.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.0
@@ -37,39 +37,39 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Address for other processes, `ip:port`. No default.
+    /// Address for RPC from other processes, `ip:port`. No default.
     pub rpc: SocketAddr,
-    /// Address for HTTP: callers (gateway), operators, readiness, metrics. No default.
+    /// Address for HTTP: callers (gateway), operators, readiness and metrics. No default.
     pub http: SocketAddr,
-    /// Zone that this machine is in. No default.
+    /// Zone of this machine. No default.
     pub zone: ZoneName,
-    /// Region of the zone (default `local`; ours).
+    /// Region of the zone (default `local`).
     #[serde(default = "default_region")]
     pub region: RegionName,
-    /// Up to three rpc addresses of other processes (brief).
+    /// RPC addresses of other processes of the cluster (requirement: up to three).
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Folder for all files of this process; required for stores.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// Secret that all processes of the cluster share; at least 16 characters. No default.
+    /// Secret shared by all processes of the cluster; at least 16 characters. No default.
     pub cluster_secret: Secret,
-    /// Time the platform leaves between stop and kill, in milliseconds (default 10,000; ours).
+    /// Time that the platform leaves between stop and kill, in milliseconds (default 10,000).
     #[serde(default = "default_grace_ms")]
     pub grace_ms: u64,
-    /// Opens the switches of failure tests (default off).
+    /// Enables fault injection over HTTP, for failure tests (default false).
     #[serde(default)]
     pub enable_faults: bool,
-    /// For stores.
+    /// Settings of a store.
     #[serde(default)]
     pub store: StoreSettings,
-    /// For session-host engines; required there.
+    /// Settings of a session-host engine; required for that role.
     #[serde(default)]
     pub engine: Option<EngineSettings>,
-    /// For gateways.
+    /// Settings of a gateway.
     #[serde(default)]
     pub gateway: GatewaySettings,
-    /// For cores.
+    /// Settings of a core.
     #[serde(default)]
     pub core: CoreSettings,
     /// Operators and their keys.
@@ -81,25 +81,31 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreSettings {
-    /// Name that operators know the machine by (none: only its node id).
+    /// Name of the machine for operators (default none: only its node id).
     pub name: Option<String>,
-    /// Empty stores that must see each other before they form a cluster (default 3; ours).
+    /// Number of empty stores that must see each other before they form a cluster (default 3).
     pub expect_stores: u32,
-    /// Whether an empty store may form a cluster with others; if not, it only joins one (default true; ours).
+    /// Whether an empty store may form a cluster; otherwise it only joins one (default true).
     pub may_form: bool,
-    /// Voters of each group: 2f + 1 bear the loss of f stores at once (default 3; brief).
+    /// Number of voters per group; 2f + 1 voters tolerate the simultaneous loss of f stores
+    /// (requirement: 3, the default).
     pub voters: u32,
-    /// Raft tick, in milliseconds (default 50; ours).
+    /// Duration of a Raft tick, in milliseconds (default 50).
     pub tick_ms: u64,
-    /// Ticks without a leader before an election, drawn from one to two times this (default 10; ours).
+    /// Ticks without a leader before an election; the actual timeout is randomized between one and
+    /// two times this value (default 10).
     pub election_ticks: u32,
-    /// Commands of a group after which its log is compacted into a snapshot (default 20,000; ours).
+    /// Number of commands of a group after which its log is compacted into a snapshot (default
+    /// 20,000).
     pub snapshot_commands: u64,
-    /// Whether the process ends when its disk has failed, to be started again (default false: it stays and says so; ours).
+    /// Whether the process exits when its disk has failed, so that it is restarted (default false:
+    /// it keeps running and reports the failure).
     pub end_when_failed: bool,
-    /// Length of the log on the disk at which the groups that hold its oldest part are compacted, in MiB (default 256; ours).
+    /// Length of the log on disk, in MiB, at which the groups that hold its oldest part are
+    /// compacted (default 256).
     pub log_megabytes: u64,
-    /// How long finished turns, calls and forgotten programs are kept, in seconds (default 86,400; ours).
+    /// Retention of finished turns, finished calls and forgotten programs, in seconds (default
+    /// 86,400).
     pub keep_seconds: u64,
 }
 
@@ -124,21 +130,22 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Its name, as the platform lists it.
+    /// Engine id, as in the platform's list.
     pub id: EngineId,
-    /// Service that it serves.
+    /// Service that the engine belongs to.
     pub service: ServiceName,
-    /// Version that it runs.
+    /// Version of the service that the engine runs.
     pub version: ServiceVersion,
-    /// Address of its model server.
+    /// Address of the engine's model server.
     pub model_server: SocketAddr,
-    /// Turns that it runs at once (default 16; ours).
+    /// Number of turns that the engine runs concurrently (default 16).
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Longest drain before sessions move between turns, in milliseconds (default 900,000; ours).
+    /// Maximum duration of a drain, in milliseconds; sessions then move to another engine between
+    /// turns (default 900,000).
     #[serde(default = "default_drain_bound_ms")]
     pub drain_bound_ms: u64,
-    /// How long a session without clients is kept open, in milliseconds (default 600,000; ours).
+    /// Time for which a session without clients stays open, in milliseconds (default 600,000).
     #[serde(default = "default_unconnected_keep_ms")]
     pub unconnected_keep_ms: u64,
 }
@@ -147,22 +154,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewaySettings {
-    /// Longest request body, in bytes (default 1 MiB; ours).
+    /// Maximum size of a request body, in bytes (default 1 MiB).
     pub body_bytes: usize,
-    /// Share of live traffic that may be retried (default 0.2; ours).
+    /// Retry budget, as a share of live traffic (default 0.2).
     pub retry_share: f64,
-    /// `plain` is the baseline of the bench: round robin, no limits, blind retries (default `full`).
+    /// Routing mode; `plain` is the baseline of the benchmark (default `full`).
     pub mode: GatewayMode,
 }
 
-/// How a gateway routes.
+/// Routing mode of a gateway.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GatewayMode {
-    /// As designed.
+    /// Full routing: load balancing, limits and retry budgets.
     #[default]
     Full,
-    /// Round robin, no limits, blind retries of calls that may be repeated: a baseline for measurements.
+    /// Baseline for measurements: round robin, no limits, and unconditional retries of repeatable
+    /// calls.
     Plain,
 }
 
@@ -176,10 +184,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CoreSettings {
-    /// The platform's list of engines: `http://ip:port/path` or a file's path (none: no application engines).
+    /// Location of the platform's list of engines: `http://ip:port/path` or a file path (default
+    /// none: no application engines).
     pub platform_list: Option<String>,
-    /// Time without a ready engine of a service's newest version, while an older one has some, after which the
-    /// version is rolled back, in seconds (default 300; ours: a model server takes minutes to load).
+    /// Time in seconds after which a service's newest version is rolled back if it has no ready
+    /// engine while an older version has some (default 300; a model server takes minutes to load).
     pub version_ready_seconds: u64,
 }
 
@@ -193,11 +202,12 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Ed25519 public keys in hexadecimal, by operator.
+    /// Ed25519 public keys by operator, in hexadecimal.
     pub keys: BTreeMap<OperatorName, String>,
-    /// Signatures that a bundle needs (default 0; ours).
+    /// Number of signatures by different operators that a bundle needs (default 0).
     pub required_signatures: u32,
-    /// BLAKE3 digests of keys that open the operators' API, in hexadecimal; empty leaves it open on loopback only.
+    /// BLAKE3 digests of the keys of the operators' API, in hexadecimal; if empty, the API is open
+    /// on loopback addresses only.
     pub admin_key_digests: Vec<String>,
 }
 
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,77 +1,78 @@
-//! The table of settings: kind, unit, default and origin of each key. The loader checks against it,
-//! and the operations page is checked to name every key of it.
+//! Table of all settings: kind, unit, default and origin of each key. The loader validates against
+//! it, and a test checks that the operations page lists every row.
 
-/// What values a setting takes.
+/// Kind of a setting: the values that it accepts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Kind {
-    /// `ip:port` that other processes can reach.
+    /// An `ip:port` that other processes can reach.
     Address,
-    /// At most so many of them.
+    /// A list of different addresses, up to a maximum number.
     Addresses(usize),
     /// An identifier.
     Name,
-    /// A path of the file system.
+    /// A file system path.
     Path,
-    /// A text of at least so many characters, never shown.
+    /// A secret text with a minimum number of characters; never shown.
     Secret(usize),
-    /// A whole number in a range.
+    /// An integer between a minimum and a maximum.
     Integer(u64, u64),
-    /// A number in a range.
+    /// A number between a minimum and a maximum.
     Number(f64, f64),
     /// `true` or `false`.
-    Switch,
-    /// One of some words.
+    Boolean,
+    /// One of a fixed set of words.
     Choice(&'static [&'static str]),
-    /// The platform's list of engines: an `http://ip:port/path` or a file's path.
+    /// Location of the platform's list of engines: `http://ip:port/path` or a file path.
     Source,
-    /// BLAKE3 digests in hexadecimal.
+    /// A list of BLAKE3 digests in hexadecimal.
     Digests,
-    /// Public keys in hexadecimal by operator.
+    /// A table of public keys in hexadecimal, by operator.
     PublicKeys,
 }
 
-/// One setting.
+/// Description of one setting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// Key, dotted as in the file.
+    /// Dotted key, as in the settings file.
     pub key: &'static str,
-    /// What it takes.
+    /// Kind of value that the setting accepts.
     pub kind: Kind,
-    /// Unit, where there is one.
+    /// Unit of the value; empty if it has none.
     pub unit: &'static str,
-    /// Default as written in the file; `None` when there is none.
+    /// Default, as written in the settings file; `None` if there is none.
     pub default: Option<&'static str>,
-    /// Whether it must be given (with its section, for those inside `[engine]`).
+    /// Whether the setting is required (inside `[engine]`: if the section is present or required).
     pub required: bool,
-    /// Where the default comes from: `brief` or `ours`.
+    /// Origin of the default, as shown on the operations page: `brief` (the requirements) or `ours`
+    /// (this project).
     pub origin: &'static str,
-    /// What it is for.
-    pub meaning: &'static str,
+    /// Purpose of the setting, as shown on the operations page.
+    pub description: &'static str,
 }
 
-const fn required(key: &'static str, kind: Kind, meaning: &'static str) -> Setting {
-    Setting { key, kind, unit: "", default: None, required: true, origin: "brief", meaning }
+const fn required(key: &'static str, kind: Kind, description: &'static str) -> Setting {
+    Setting { key, kind, unit: "", default: None, required: true, origin: "brief", description }
 }
 
 const fn optional(
     key: &'static str,
     kind: Kind,
     (unit, default): (&'static str, Option<&'static str>),
-    meaning: &'static str,
+    description: &'static str,
 ) -> Setting {
-    Setting { key, kind, unit, default, required: false, origin: "ours", meaning }
+    Setting { key, kind, unit, default, required: false, origin: "ours", description }
 }
 
-/// Fewest characters of a cluster secret.
-pub const LEAST_SECRET_CHARACTERS: usize = 16;
+/// Minimum length of the cluster secret, in characters.
+pub const MIN_SECRET_CHARACTERS: usize = 16;
 
-/// Most seeds (brief: three seed addresses).
-pub const MOST_SEEDS: usize = 3;
+/// Maximum number of seeds (requirement: three seed addresses).
+pub const MAX_SEEDS: usize = 3;
 
-/// Longest time in milliseconds that any setting takes: a week.
+/// Maximum of all settings that are a time in milliseconds: one week.
 const WEEK_MS: u64 = 604_800_000;
 
-/// All settings, in the order of the file.
+/// All settings, in the order of the settings file.
 pub const SETTINGS: &[Setting] = &[
     required("rpc", Kind::Address, "address for other processes"),
     required("http", Kind::Address, "address for callers, operators, readiness and metrics"),
@@ -79,14 +80,14 @@
     optional("region", Kind::Name, ("", Some("\"local\"")), "region of the zone"),
     optional(
         "seeds",
-        Kind::Addresses(MOST_SEEDS),
+        Kind::Addresses(MAX_SEEDS),
         ("", Some("[]")),
         "rpc addresses of other processes, of any role",
     ),
     optional("data_folder", Kind::Path, ("", None), "folder for all files; required for stores"),
     required(
         "cluster_secret",
-        Kind::Secret(LEAST_SECRET_CHARACTERS),
+        Kind::Secret(MIN_SECRET_CHARACTERS),
         "secret that all processes of the cluster share",
     ),
     optional(
@@ -97,7 +98,7 @@
     ),
     optional(
         "enable_faults",
-        Kind::Switch,
+        Kind::Boolean,
         ("", Some("false")),
         "opens the switches of failure tests",
     ),
@@ -109,7 +110,7 @@
     ),
     optional(
         "store.may_form",
-        Kind::Switch,
+        Kind::Boolean,
         ("", Some("true")),
         "whether an empty store may form a cluster; if not, it only joins one",
     ),
@@ -135,7 +136,7 @@
     ),
     optional(
         "store.end_when_failed",
-        Kind::Switch,
+        Kind::Boolean,
         ("", Some("false")),
         "whether the process ends when its disk has failed, to be started again",
     ),
@@ -219,18 +220,18 @@
 ];
 
 impl Kind {
-    /// What is allowed, in words.
+    /// Describes the allowed values, for error messages and the operations page.
     #[must_use]
     pub fn allowed(&self) -> String {
         match self {
             Self::Address => "an ip:port that others can reach".to_owned(),
-            Self::Addresses(most) => format!("at most {most} different ip:port"),
+            Self::Addresses(max) => format!("at most {max} different ip:port"),
             Self::Name => "1 to 96 letters, digits, '.', '_', '-' or ':'".to_owned(),
             Self::Path => "a path".to_owned(),
-            Self::Secret(least) => format!("a text of at least {least} characters"),
-            Self::Integer(least, most) => format!("a whole number from {least} to {most}"),
-            Self::Number(least, most) => format!("a number from {least} to {most}"),
-            Self::Switch => "true or false".to_owned(),
+            Self::Secret(min) => format!("a text of at least {min} characters"),
+            Self::Integer(min, max) => format!("a whole number from {min} to {max}"),
+            Self::Number(min, max) => format!("a number from {min} to {max}"),
+            Self::Boolean => "true or false".to_owned(),
             Self::Choice(words) => format!("one of {}", words.join(", ")),
             Self::Source => "http://ip:port/path or a file's path".to_owned(),
             Self::Digests => "a list of 64 lower-case hexadecimal digits each".to_owned(),
@@ -241,7 +242,7 @@
     }
 }
 
-/// The setting of a key.
+/// Looks up the description of a setting by its key.
 #[must_use]
 pub fn setting(key: &str) -> Option<&'static Setting> {
     SETTINGS.iter().find(|s| s.key == key)
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -1,10 +1,10 @@
-//! Sources, precedence and faults of the settings.
+//! Loading of settings: sources, precedence and errors.
 
 use std::collections::BTreeMap;
 use std::io::Write;
 
 use hooklug_settings::schema::SETTINGS;
-use hooklug_settings::{Overrides, SettingFault, Settings};
+use hooklug_settings::{Overrides, SettingError, Settings};
 use hooklug_types::{NodeRole, ZoneName};
 
 const VALID: &str = r#"
@@ -22,7 +22,7 @@
 model_server = "127.0.0.1:9000"
 "#;
 
-type Loaded = Result<Settings, Vec<SettingFault>>;
+type Loaded = Result<Settings, Vec<SettingError>>;
 
 fn load(text: &str, environment: &[(&str, &str)], flags: &Overrides, role: NodeRole) -> Loaded {
     let mut file = tempfile::NamedTempFile::new().expect("a scratch file");
@@ -32,9 +32,9 @@
     Settings::load(Some(file.path()), environment, flags, role)
 }
 
-fn faults(text: &str, role: NodeRole) -> BTreeMap<String, SettingFault> {
-    let faults = load(text, &[], &Overrides::default(), role).expect_err("has faults");
-    faults.into_iter().map(|fault| (fault.key.clone(), fault)).collect()
+fn errors(text: &str, role: NodeRole) -> BTreeMap<String, SettingError> {
+    let errors = load(text, &[], &Overrides::default(), role).expect_err("has errors");
+    errors.into_iter().map(|error| (error.key.clone(), error)).collect()
 }
 
 #[test]
@@ -98,7 +98,7 @@
     assert!(settings.enable_faults);
 }
 
-/// A text of the valid file, what takes its place, and the key at fault.
+/// Text of the valid file, its replacement, and the key of the expected error.
 const ROWS: &[(&str, &str, &str)] = &[
     ("rpc = \"127.0.0.1:7000\"", "rpc = \"localhost:7000\"", "rpc"),
     ("rpc = \"127.0.0.1:7000\"", "rpc = \"127.0.0.1:0\"", "rpc"),
@@ -134,10 +134,10 @@
 fn each_fault_names_its_key_what_was_found_and_what_is_allowed() {
     for (from, to, key) in ROWS {
         assert!(VALID.contains(from), "the row changes nothing: {from}");
-        let found = faults(&VALID.replacen(from, to, 1), NodeRole::Store);
+        let found = errors(&VALID.replacen(from, to, 1), NodeRole::Store);
         assert_eq!(found.keys().collect::<Vec<_>>(), [key], "{from} -> {to}: {found:?}");
-        let fault = &found[*key];
-        assert!(!fault.found.is_empty() && !fault.allowed.is_empty(), "{fault}");
+        let error = &found[*key];
+        assert!(!error.found.is_empty() && !error.allowed.is_empty(), "{error}");
     }
 }
 
@@ -149,7 +149,7 @@
         ..Overrides::default()
     };
     let found =
-        load(text, &[("HOOKLUG_ZONE", "a b")], &flags, NodeRole::Engine).expect_err("faults");
+        load(text, &[("HOOKLUG_ZONE", "a b")], &flags, NodeRole::Engine).expect_err("errors");
     let mut keys: Vec<&str> = found.iter().map(|f| f.key.as_str()).collect();
     keys.sort_unstable();
     let expected = [
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_secret_is_never_shown() {
-    let found = faults(&VALID.replace("a secret of 16 or more", "hush"), NodeRole::Core);
+    let found = errors(&VALID.replace("a secret of 16 or more", "hush"), NodeRole::Core);
     assert_eq!(found["cluster_secret"].found, "a text of 4 characters");
     let settings = load(VALID, &[], &Overrides::default(), NodeRole::Core).expect("valid");
     assert!(!format!("{settings:?}").contains("a secret of 16"));
--- a/crates/settings/tests/page.rs
+++ b/crates/settings/tests/page.rs
@@ -1,4 +1,4 @@
-//! The operations page names every setting as the table has it.
+//! Checks that the operations page lists every setting as in the schema table.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
         setting.key,
         setting.kind.allowed(),
         setting.origin,
-        setting.meaning
+        setting.description
     )
 }
 
