--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -20,22 +20,22 @@
 /// Settings given as command-line flags; they take precedence over variables and the file.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Overrides {
-    /// `rpc`.
+    /// Value for the setting `rpc`, if given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rpc: Option<SocketAddr>,
-    /// `http`.
+    /// Value for the setting `http`, if given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub http: Option<SocketAddr>,
-    /// `zone`.
+    /// Value for the setting `zone`, if given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneName>,
-    /// `seeds`.
+    /// Value for the setting `seeds`, if given.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub seeds: Vec<SocketAddr>,
-    /// `data_folder`.
+    /// Value for the setting `data_folder`, if given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_folder: Option<PathBuf>,
-    /// `enable_faults`.
+    /// Value for the setting `enable_faults`, if given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub enable_faults: Option<bool>,
 }
