--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -17,7 +17,7 @@
 use hooklug_state::shard::{
     SessionRecord, ShardAnswer, ShardQuery, ShardRefusal, TurnRecord, TurnState,
 };
-use hooklug_types::{Digest, EventSeq, SessionPlace, TokenCount, TurnId};
+use hooklug_types::{Digest, EventSeq, SessionLocation, TokenCount, TurnId};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -83,21 +83,21 @@
 
 async fn find_mailbox(
     shared: &Arc<Shared>,
-    place: &SessionPlace,
+    location: &SessionLocation,
 ) -> Result<Mailbox, EngineRefusal> {
-    let (shared, place) = (shared.clone(), place.clone());
-    run_detached(async move { ownership::find_mailbox(&shared, &place).await }).await
+    let (shared, location) = (shared.clone(), location.clone());
+    run_detached(async move { ownership::find_mailbox(&shared, &location).await }).await
 }
 
 /// Sends a request to a session's loop and waits for the reply. If the loop ends first, looks the
 /// session up again, so that the refusal carries the shard's record.
 async fn request_reply(
     shared: &Arc<Shared>,
-    place: &SessionPlace,
+    location: &SessionLocation,
     message: impl Fn(hooklug_session::ReplyId) -> Message,
 ) -> Result<Result<Answer, SessionRefusal>, EngineRefusal> {
     for _ in 0..LOOP_ATTEMPTS {
-        let mailbox = find_mailbox(shared, place).await?;
+        let mailbox = find_mailbox(shared, location).await?;
         let reply = shared.new_reply();
         if let Some(answer) = mailbox.request(reply, message(reply)).await {
             return Ok(answer);
@@ -112,9 +112,9 @@
 ) -> Result<TurnRecord, EngineRefusal> {
     let turn = &request.turn;
     let message = |reply| Message::Abort { reply, turn: turn.clone() };
-    match request_reply(shared, &request.place, message).await? {
+    match request_reply(shared, &request.location, message).await? {
         Ok(Answer::Turn(record)) => Ok(record),
-        Err(SessionRefusal::UnknownTurn) => read_ended_turn(shared, &request.place, turn).await,
+        Err(SessionRefusal::UnknownTurn) => read_ended_turn(shared, &request.location, turn).await,
         Ok(_) => Err(EngineRefusal::StoreUnavailable),
         Err(refusal) => Err(to_refusal(refusal)),
     }
@@ -124,12 +124,12 @@
 /// exist.
 async fn read_ended_turn(
     shared: &Shared,
-    place: &SessionPlace,
+    location: &SessionLocation,
     turn: &TurnId,
 ) -> Result<TurnRecord, EngineRefusal> {
-    let query = ShardQuery::Turn { key: place.key.clone(), turn: turn.clone() };
+    let query = ShardQuery::Turn { key: location.key.clone(), turn: turn.clone() };
     let deadline = Instant::now() + STORE_TIMEOUT;
-    match shared.state.query_shard(group_of(&place.key), &query, deadline).await {
+    match shared.state.query_shard(group_of(&location.key), &query, deadline).await {
         Ok(ShardAnswer::Turn(Some(record))) if record.state != TurnState::Open => Ok(record),
         Ok(ShardAnswer::Turn(None)) => Err(EngineRefusal::Ledger(ShardRefusal::NoOpenTurn)),
         _ => Err(EngineRefusal::StoreUnavailable),
@@ -145,7 +145,7 @@
         call: request.call.clone(),
         result: request.result.clone(),
     };
-    match request_reply(shared, &request.place, message).await? {
+    match request_reply(shared, &request.location, message).await? {
         Ok(Answer::ToolResult(seq)) => Ok(seq),
         Ok(_) => Err(EngineRefusal::StoreUnavailable),
         Err(refusal) => Err(to_refusal(refusal)),
@@ -156,7 +156,7 @@
     shared: &Arc<Shared>,
     request: &CloseSession,
 ) -> Result<SessionRecord, EngineRefusal> {
-    match request_reply(shared, &request.place, |reply| Message::Close { reply }).await {
+    match request_reply(shared, &request.location, |reply| Message::Close { reply }).await {
         Ok(Ok(Answer::Closed(record))) => Ok(*record),
         Ok(Ok(_)) => Err(EngineRefusal::StoreUnavailable),
         Ok(Err(refusal)) => Err(to_refusal(refusal)),
@@ -181,11 +181,11 @@
 
 async fn connect(
     shared: &Arc<Shared>,
-    place: &SessionPlace,
+    location: &SessionLocation,
     message: impl Fn(ClientId) -> Message,
 ) -> Result<ConnectedClient, EngineRefusal> {
     for _ in 0..LOOP_ATTEMPTS {
-        let mailbox = find_mailbox(shared, place).await?;
+        let mailbox = find_mailbox(shared, location).await?;
         let client = shared.new_client();
         if let Some(items) = mailbox.connect(client, message(client)) {
             return Ok(ConnectedClient { mailbox, client, items });
@@ -195,11 +195,11 @@
 }
 
 async fn run_turn(shared: Arc<Shared>, request: RunTurn, sink: ItemSink<TurnItem>) {
-    let (place, last_seen) = (request.place.clone(), request.last_seen);
+    let (location, last_seen) = (request.location.clone(), request.last_seen);
     let turn = turn_request(request);
     let message = |client| Message::RunTurn { client, request: turn.clone(), last_seen };
     let refused = |refusal| TurnItem::Refused { refusal, load: shared.load() };
-    let mut connected = match connect(&shared, &place, message).await {
+    let mut connected = match connect(&shared, &location, message).await {
         Ok(connected) => connected,
         Err(refusal) => {
             // Sending fails only if the caller has disconnected.
@@ -249,7 +249,7 @@
 async fn join(shared: Arc<Shared>, request: Join, sink: ItemSink<JoinItem>) {
     let last_seen = request.last_seen;
     let message = |client| Message::Join { client, last_seen };
-    let mut connected = match connect(&shared, &request.place, message).await {
+    let mut connected = match connect(&shared, &request.location, message).await {
         Ok(connected) => connected,
         Err(refusal) => {
             // Sending fails only if the caller has disconnected.
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -10,7 +10,7 @@
     OpenSession as OpenCommand, SessionRecord, ShardCommand, ShardRefusal, ShardReply,
     TakeSession as TakeCommand,
 };
-use hooklug_types::{EngineIncarnation, SessionKey, SessionPlace, shard_of};
+use hooklug_types::{EngineIncarnation, SessionKey, SessionLocation, shard_of};
 use tokio::time::Instant;
 
 use crate::loader::{LoadError, group_of, load, read_record};
@@ -86,29 +86,29 @@
 /// [`EngineRefusal::NotOwner`] with the shard's record if this engine is not the owner.
 pub async fn find_mailbox(
     shared: &Arc<Shared>,
-    place: &SessionPlace,
+    location: &SessionLocation,
 ) -> Result<Mailbox, EngineRefusal> {
-    check_incarnation(shared, &place.owner)?;
+    check_incarnation(shared, &location.owner)?;
     if !shared.lease.is_held() {
         return Err(EngineRefusal::LeaseLost);
     }
-    if let Some(session) = shared.table.get(&place.key) {
-        if session.epoch >= place.epoch {
+    if let Some(session) = shared.table.get(&location.key) {
+        if session.epoch >= location.epoch {
             return Ok(session.mailbox);
         }
         // The gateway has seen a later epoch than this loop; the shard's record decides.
-        let record = record_of(shared, &place.key).await?;
+        let record = record_of(shared, &location.key).await?;
         session.mailbox.send(Message::OwnerChanged { record: Box::new(record.clone()) });
         if record.epoch != session.epoch {
             return Err(not_owner(record));
         }
         return Ok(session.mailbox);
     }
-    let _opening_lock = shared.table.lock_opening(&place.key).await;
-    if let Some(session) = shared.table.get(&place.key) {
+    let _opening_lock = shared.table.lock_opening(&location.key).await;
+    if let Some(session) = shared.table.get(&location.key) {
         return Ok(session.mailbox);
     }
-    let record = record_of(shared, &place.key).await?;
+    let record = record_of(shared, &location.key).await?;
     get_or_start_loop(shared, record).await
 }
 
--- a/crates/engine/tests/clients.rs
+++ b/crates/engine/tests/clients.rs
@@ -140,9 +140,9 @@
 async fn a_reader_that_does_not_read_resumes_where_it_was() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, EngineOptions::default()).await;
-    let place = world.session(&engine, "p1").await;
-    let mut slow = world.stream(&engine, &join(&place, Some(0))).await;
-    let mut request = run_turn(&place, "t1", None, &format!("say {LINES}"));
+    let location = world.session(&engine, "p1").await;
+    let mut slow = world.stream(&engine, &join(&location, Some(0))).await;
+    let mut request = run_turn(&location, "t1", None, &format!("say {LINES}"));
     request.max_tokens = TokenCount(LINES);
     let ran = world.run(&engine, &request).await;
     assert_eq!(ran.end(), Some(&EndReason::Finished));
@@ -153,7 +153,7 @@
         match next_join(&mut slow).await {
             Some(JoinItem::Event(event)) => seen.push(event),
             Some(other) => panic!("{other:?}"),
-            None => slow = world.stream(&engine, &join(&place, Some(seen.len() as u64))).await,
+            None => slow = world.stream(&engine, &join(&location, Some(seen.len() as u64))).await,
         }
     }
     assert_eq!(seen, ran.events);
--- a/crates/engine/tests/leaving.rs
+++ b/crates/engine/tests/leaving.rs
@@ -26,8 +26,8 @@
 async fn a_superseded_engine_keeps_its_sessions_and_exits_after_the_last() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
-    let place = world.session(&engine, "p1").await;
-    world.run(&engine, &run_turn(&place, "t1", None, "say 1")).await;
+    let location = world.session(&engine, "p1").await;
+    world.run(&engine, &run_turn(&location, "t1", None, "say 1")).await;
     engine.install(bundle(2, &SUPERSEDED));
     let mut report = engine.feeds.report.clone();
     let draining = report.wait_for(|r| r.engine.as_ref().is_some_and(|e| e.draining));
@@ -35,10 +35,10 @@
 
     let refused = world.open(&engine, key("p1", "s2")).await.unwrap_err();
     assert_eq!(refused, EngineRefusal::Draining);
-    let second_turn = world.run(&engine, &run_turn(&place, "t2", Some("t1"), "say 2")).await;
+    let second_turn = world.run(&engine, &run_turn(&location, "t2", Some("t1"), "say 2")).await;
     assert_eq!(second_turn.end(), Some(&EndReason::Finished));
     assert!(!engine.ended.is_finished());
-    world.close(&engine, &place).await.unwrap();
+    world.close(&engine, &location).await.unwrap();
     assert_ended(engine).await;
 }
 
@@ -67,7 +67,7 @@
 async fn a_superseded_engine_takes_sessions_again_after_a_roll_back() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
-    let place = world.session(&engine, "p1").await;
+    let location = world.session(&engine, "p1").await;
     engine.install(bundle(2, &SUPERSEDED));
     let refusing =
         async || world.open(&engine, key("p1", "s2")).await == Err(EngineRefusal::Draining);
@@ -77,7 +77,7 @@
         world.open(&engine, key("p1", "s2")).await.is_ok()
     })
     .await;
-    assert_eq!(world.record(&place.key).await.owner, Some(engine.engine.clone()));
+    assert_eq!(world.record(&location.key).await.owner, Some(engine.engine.clone()));
 }
 
 #[tokio::test]
@@ -105,7 +105,7 @@
 
     let record = world.record(&busy.key).await;
     let taken =
-        world.take(&old, &hooklug_types::SessionPlace { epoch: record.epoch, ..busy }).await;
+        world.take(&old, &hooklug_types::SessionLocation { epoch: record.epoch, ..busy }).await;
     let taken = taken.unwrap();
     let next = world.run(&old, &run_turn(&taken, "t2", Some("t1"), "say 1")).await;
     assert_eq!(next.end(), Some(&EndReason::Finished));
@@ -165,13 +165,13 @@
 async fn an_engine_without_its_model_server_is_unready_and_gives_idle_sessions_up() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
-    let place = world.session(&engine, "p1").await;
+    let location = world.session(&engine, "p1").await;
     model.set_ready(false);
     let unready = async || engine.node.readiness.reasons().contains_key("engine");
     eventually("unready", unready).await;
     let refused = world.open(&engine, key("p1", "s2")).await.unwrap_err();
     assert!(matches!(refused, EngineRefusal::NotReady { .. }), "{refused:?}");
-    eventually("session handed over", async || world.record(&place.key).await.owner.is_none())
+    eventually("session handed over", async || world.record(&location.key).await.owner.is_none())
         .await;
     model.set_ready(true);
     eventually("accepts sessions again", async || {
@@ -184,10 +184,10 @@
 async fn a_model_server_of_another_service_is_never_asked() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
-    let place = world.session(&engine, "p1").await;
+    let location = world.session(&engine, "p1").await;
     model.set_identity("service", "another".into());
     model.set_identity("incarnation", 8.into());
-    let ran = world.run(&engine, &run_turn(&place, "t1", None, "say 1")).await;
+    let ran = world.run(&engine, &run_turn(&location, "t1", None, "say 1")).await;
     assert!(matches!(ran.end(), Some(EndReason::Failed { .. })), "{ran:?}");
     assert!(model.requests().is_empty());
 }
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -42,8 +42,8 @@
     let (world, model) = (World::new(), ModelServer::start().await);
     let (first, second) =
         (world.engine(&model, named("e1")).await, world.engine(&model, named("e2")).await);
-    let place = world.session(&first, "p1").await;
-    let request = run_turn(&place, "t1", None, "gated 9");
+    let location = world.session(&first, "p1").await;
+    let request = run_turn(&location, "t1", None, "gated 9");
     let mut stream = world.stream(&first, &request).await;
     model.let_through("t1", 3);
     let seen = read_events(&mut stream, 4).await;
@@ -51,16 +51,16 @@
     first.kill();
     drop(stream);
 
-    let refused = world.take(&second, &place).await.unwrap_err();
+    let refused = world.take(&second, &location).await.unwrap_err();
     assert!(matches!(refused, EngineRefusal::NotOwner { .. }), "{refused:?}");
-    let taken = world.take_when_free(&second, &place).await;
+    let taken = world.take_when_free(&second, &location).await;
     println!("taken over {:?} after the kill", killed.elapsed());
-    assert_eq!(taken.epoch, place.epoch.next());
+    assert_eq!(taken.epoch, location.epoch.next());
     // A retry after a lost reply returns the same result.
-    assert_eq!(world.take(&second, &place).await.unwrap(), taken);
+    assert_eq!(world.take(&second, &location).await.unwrap(), taken);
 
     let mut resumed = request.clone();
-    resumed.place = taken.clone();
+    resumed.location = taken.clone();
     resumed.last_seen = seen[1].seq;
     let rest = world.run(&second, &resumed).await;
     assert!(rest.accepted);
@@ -73,10 +73,10 @@
 
     let next = world.run(&second, &run_turn(&taken, "t2", Some("t1"), "say 2")).await;
     assert_eq!(next.end(), Some(&EndReason::Finished));
-    let spent = tokens_of(&world.history(&place.key).await);
-    let program = ShardQuery::Program(place.key.program.clone());
+    let spent = tokens_of(&world.history(&location.key).await);
+    let program = ShardQuery::Program(location.key.program.clone());
     let answer =
-        world.state.query_shard(group(&place.key), &program, test_deadline()).await.unwrap();
+        world.state.query_shard(group(&location.key), &program, test_deadline()).await.unwrap();
     let ShardAnswer::Program(Some(program)) = answer else { panic!("{answer:?}") };
     assert_eq!((program.spent, program.reserved), (TokenCount(spent), TokenCount(0)));
 }
@@ -90,8 +90,8 @@
     let mut first = world.engine_with(&model, named("e1"), state, bundle).await;
     first.ready().await;
     let second = world.engine(&model, named("e2")).await;
-    let place = world.session(&first, "p1").await;
-    let request = run_turn(&place, "t1", None, "gated 50");
+    let location = world.session(&first, "p1").await;
+    let request = run_turn(&location, "t1", None, "gated 50");
     let mut stream = world.stream(&first, &request).await;
     model.let_through("t1", 3);
     let mut seen = read_events(&mut stream, 4).await;
@@ -99,7 +99,7 @@
     link.stall(true);
     // These lines are generated but not committed before the takeover.
     model.let_through("t1", 5);
-    let taken = world.take_when_free(&second, &place).await;
+    let taken = world.take_when_free(&second, &location).await;
     link.stall(false);
     let late = read_turn(&mut stream).await;
     assert_eq!(late.refusal, Some(EngineRefusal::LeaseLost));
@@ -108,12 +108,12 @@
     assert_eq!(ended, Err(EngineError::LeaseExpired(first.engine)));
 
     let mut resumed = request;
-    resumed.place = taken.clone();
+    resumed.location = taken.clone();
     let full = world.run(&second, &resumed).await;
     assert_eq!(full.events[..seen.len()], seen);
     assert_eq!(full.end(), Some(&EndReason::Interrupted));
     // The delayed commands had no effect.
-    assert_eq!(world.history(&place.key).await, full.events);
+    assert_eq!(world.history(&location.key).await, full.events);
     eventually("the model stopped", async || model.aborted() == ["t1"]).await;
 }
 
@@ -125,8 +125,8 @@
     let state: Arc<dyn StateAccess> = Arc::new(link.clone());
     let mut engine = world.engine_with(&model, named("e1"), state, bundle).await;
     engine.ready().await;
-    let place = world.session(&engine, "p1").await;
-    let mut stream = world.stream(&engine, &run_turn(&place, "t1", None, "gated 9")).await;
+    let location = world.session(&engine, "p1").await;
+    let mut stream = world.stream(&engine, &run_turn(&location, "t1", None, "gated 9")).await;
     model.let_through("t1", 3);
     let mut seen = read_events(&mut stream, 4).await;
 
@@ -146,25 +146,25 @@
     assert_eq!(rest.end(), Some(&EndReason::Finished));
     seen.extend(rest.events);
     assert_eq!(tokens_of(&seen), 9);
-    assert_eq!(world.history(&place.key).await, seen);
+    assert_eq!(world.history(&location.key).await, seen);
 }
 
 #[tokio::test]
 async fn lost_answers_neither_lose_nor_repeat_an_event() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1")).await;
-    let place = world.session(&engine, "p1").await;
+    let location = world.session(&engine, "p1").await;
     let mut after: Option<String> = None;
     for round in 0..5_u32 {
         let name = format!("t{round}");
-        world.state.lose_answers(group(&place.key), 2 * round);
-        let request = run_turn(&place, &name, after.as_deref(), "say 20");
+        world.state.lose_answers(group(&location.key), 2 * round);
+        let request = run_turn(&location, &name, after.as_deref(), "say 20");
         let ran = world.run(&engine, &request).await;
         assert_eq!(ran.end(), Some(&EndReason::Finished));
         assert_eq!(tokens_of(&ran.events), 20);
         after = Some(name);
     }
-    let history = world.history(&place.key).await;
+    let history = world.history(&location.key).await;
     let seqs: Vec<u64> = history.iter().map(|e| e.seq.0).collect();
     assert_eq!(seqs, (1..=5 * 22).collect::<Vec<u64>>());
 }
@@ -227,18 +227,18 @@
 async fn a_programs_end_and_a_turns_deadline_end_its_turn() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1")).await;
-    let place = world.session(&engine, "p1").await;
-    let mut hurried = run_turn(&place, "t1", None, "gated 5");
+    let location = world.session(&engine, "p1").await;
+    let mut hurried = run_turn(&location, "t1", None, "gated 5");
     hurried.deadline_ms = 200;
     let ran = world.run(&engine, &hurried).await;
     assert_eq!(ran.end(), Some(&EndReason::Failed { code: FailureCode::DeadlineExceeded }));
 
     let end = UnixMillis::now().plus(std::time::Duration::from_millis(400));
     world.put_program("p2", 1_000, end).await;
-    let place = world.open(&engine, key("p2", "s1")).await.unwrap();
-    let ran = world.run(&engine, &run_turn(&place, "t1", None, "gated 5")).await;
+    let location = world.open(&engine, key("p2", "s1")).await.unwrap();
+    let ran = world.run(&engine, &run_turn(&location, "t1", None, "gated 5")).await;
     assert_eq!(ran.end(), Some(&EndReason::Failed { code: FailureCode::ProgramEnded }));
-    let late = world.run(&engine, &run_turn(&place, "t2", Some("t1"), "say 1")).await;
+    let late = world.run(&engine, &run_turn(&location, "t2", Some("t1"), "say 1")).await;
     assert_eq!(late.refusal, Some(EngineRefusal::Ledger(ShardRefusal::ProgramEnded)));
     eventually("the model stopped", async || model.aborted().len() == 2).await;
 }
--- a/crates/engine/tests/support/streams.rs
+++ b/crates/engine/tests/support/streams.rs
@@ -3,21 +3,26 @@
 use hooklug_protocol::engine::{EngineRefusal, Join, JoinItem, RunTurn, TurnItem};
 use hooklug_rpc::ItemStream;
 use hooklug_state::shard::{Event, EventBody, SessionRecord};
-use hooklug_types::{EventSeq, SessionPlace, TenantId, TokenCount};
+use hooklug_types::{EventSeq, SessionLocation, TenantId, TokenCount};
 
 use super::{TEST_TIMEOUT, turn};
 
-pub fn place(record: &SessionRecord) -> SessionPlace {
-    SessionPlace {
+pub fn location(record: &SessionRecord) -> SessionLocation {
+    SessionLocation {
         key: record.key.clone(),
         owner: record.owner.clone().expect("an owner"),
         epoch: record.epoch,
     }
 }
 
-pub fn run_turn(place: &SessionPlace, name: &str, after: Option<&str>, input: &str) -> RunTurn {
+pub fn run_turn(
+    location: &SessionLocation,
+    name: &str,
+    after: Option<&str>,
+    input: &str,
+) -> RunTurn {
     RunTurn {
-        place: place.clone(),
+        location: location.clone(),
         turn: turn(name),
         after: after.map(turn),
         input: input.to_owned(),
@@ -94,6 +99,6 @@
     next.await.expect("an item in time").ok().flatten()
 }
 
-pub fn join(place: &SessionPlace, last_seen: Option<u64>) -> Join {
-    Join { place: place.clone(), last_seen: last_seen.map(EventSeq) }
+pub fn join(location: &SessionLocation, last_seen: Option<u64>) -> Join {
+    Join { location: location.clone(), last_seen: last_seen.map(EventSeq) }
 }
--- a/crates/engine/tests/support/world.rs
+++ b/crates/engine/tests/support/world.rs
@@ -17,7 +17,7 @@
 };
 use hooklug_store::{MemoryState, StateAccess};
 use hooklug_types::{
-    EventSeq, NodeRole, ProgramId, SessionKey, SessionPlace, TenantId, TokenCount, UnixMillis,
+    EventSeq, NodeRole, ProgramId, SessionKey, SessionLocation, TenantId, TokenCount, UnixMillis,
     shard_of,
 };
 use tokio_util::sync::CancellationToken;
@@ -25,8 +25,8 @@
 use super::model_server::ModelServer;
 use super::running::{identity, settings};
 use super::{
-    EngineOptions, RunningEngine, TEST_TIMEOUT, TurnOutcome, bundle, group, installed, key, place,
-    read_turn, service, test_deadline,
+    EngineOptions, RunningEngine, TEST_TIMEOUT, TurnOutcome, bundle, group, installed, key,
+    location, read_turn, service, test_deadline,
 };
 
 /// In-memory state and the RPC client of a gateway.
@@ -99,7 +99,7 @@
     }
 
     /// Creates a program with a large budget and a late end time, and opens a session of it.
-    pub async fn session(&self, engine: &RunningEngine, program: &str) -> SessionPlace {
+    pub async fn session(&self, engine: &RunningEngine, program: &str) -> SessionLocation {
         let end = UnixMillis::now().plus(Duration::from_secs(3_600));
         self.put_program(program, 1_000_000, end).await;
         self.open(engine, key(program, "s1")).await.unwrap()
@@ -109,39 +109,39 @@
         &self,
         engine: &RunningEngine,
         key: SessionKey,
-    ) -> Result<SessionPlace, EngineRefusal> {
+    ) -> Result<SessionLocation, EngineRefusal> {
         let request = OpenSession {
             key,
             engine: engine.engine.clone(),
             service: service(),
             prefix: Some("greenhouse-v3".parse().unwrap()),
         };
-        self.call(engine, &request).await.map(|record| place(&record))
+        self.call(engine, &request).await.map(|record| location(&record))
     }
 
     pub async fn take(
         &self,
         engine: &RunningEngine,
-        from: &SessionPlace,
-    ) -> Result<SessionPlace, EngineRefusal> {
+        from: &SessionLocation,
+    ) -> Result<SessionLocation, EngineRefusal> {
         let request = TakeSession {
             key: from.key.clone(),
             engine: engine.engine.clone(),
             expected_epoch: from.epoch,
         };
-        self.call(engine, &request).await.map(|record| place(&record))
+        self.call(engine, &request).await.map(|record| location(&record))
     }
 
     /// Takes a session over as soon as its previous owner's lease has expired.
     pub async fn take_when_free(
         &self,
         engine: &RunningEngine,
-        from: &SessionPlace,
-    ) -> SessionPlace {
+        from: &SessionLocation,
+    ) -> SessionLocation {
         let taking = async {
             loop {
                 match self.take(engine, from).await {
-                    Ok(place) => return place,
+                    Ok(location) => return location,
                     Err(EngineRefusal::NotOwner { .. }) => {
                         tokio::time::sleep(Duration::from_millis(50)).await;
                     }
@@ -171,10 +171,10 @@
     pub async fn close(
         &self,
         engine: &RunningEngine,
-        place: &SessionPlace,
+        location: &SessionLocation,
     ) -> Result<SessionRecord, EngineRefusal> {
         let deadline = UnixMillis::now().plus(TEST_TIMEOUT);
-        self.call(engine, &CloseSession { place: place.clone(), deadline }).await
+        self.call(engine, &CloseSession { location: location.clone(), deadline }).await
     }
 
     /// Runs a turn to the end of its stream.
--- a/crates/gateway/src/api/sessions.rs
+++ b/crates/gateway/src/api/sessions.rs
@@ -60,11 +60,11 @@
     let key = req.own_session().await?;
     let deadline = Shared::session_deadline();
     let closed = shared.owners.send(&key, deadline, |entry| {
-        let place = entry.place(&key);
+        let location = entry.location(&key);
         let shared = shared.clone();
         async move {
             let wall_deadline = UnixMillis::now().plus(deadline - Instant::now());
-            let message = CloseSession { place, deadline: wall_deadline };
+            let message = CloseSession { location, deadline: wall_deadline };
             shared.owners.engines.call(&entry.owner, &message, deadline).await
         }
     });
@@ -105,8 +105,11 @@
     let deadline = Shared::session_deadline();
     let result = result.to_string();
     let sent = shared.owners.send(&key, deadline, |entry| {
-        let message =
-            ToolResult { place: entry.place(&key), call: call.clone(), result: result.clone() };
+        let message = ToolResult {
+            location: entry.location(&key),
+            call: call.clone(),
+            result: result.clone(),
+        };
         let shared = shared.clone();
         async move { shared.owners.engines.call(&entry.owner, &message, deadline).await }
     });
--- a/crates/gateway/src/api/turns.rs
+++ b/crates/gateway/src/api/turns.rs
@@ -171,7 +171,7 @@
     }
     let deadline = Shared::session_deadline();
     let sent = shared.owners.send(&key, deadline, |entry| {
-        let message = AbortTurn { place: entry.place(&key), turn: turn.clone() };
+        let message = AbortTurn { location: entry.location(&key), turn: turn.clone() };
         let shared = shared.clone();
         async move { shared.owners.engines.call(&entry.owner, &message, deadline).await }
     });
--- a/crates/gateway/src/sessions/follower.rs
+++ b/crates/gateway/src/sessions/follower.rs
@@ -303,7 +303,8 @@
                 return Err(RecoveryError::Retryable(None));
             }
         };
-        let join = Join { place: entry.place(&self.key), last_seen: Some(self.cursor.last()) };
+        let join =
+            Join { location: entry.location(&self.key), last_seen: Some(self.cursor.last()) };
         match self.owners.engines.open(&entry.owner, &join, deadline).await {
             Ok(items) => Ok((entry, Feed::Session(items))),
             Err(error) => {
--- a/crates/gateway/src/sessions/owner_table.rs
+++ b/crates/gateway/src/sessions/owner_table.rs
@@ -5,7 +5,7 @@
 
 use hooklug_state::shard::SessionRecord;
 use hooklug_types::{
-    EngineIncarnation, ServiceName, ServiceVersion, SessionEpoch, SessionKey, SessionPlace,
+    EngineIncarnation, ServiceName, ServiceVersion, SessionEpoch, SessionKey, SessionLocation,
 };
 
 /// Capacity of the table.
@@ -41,8 +41,8 @@
 
     /// Returns the session, owner and epoch that messages to the owner carry.
     #[must_use]
-    pub fn place(&self, key: &SessionKey) -> SessionPlace {
-        SessionPlace { key: key.clone(), owner: self.owner.clone(), epoch: self.epoch }
+    pub fn location(&self, key: &SessionKey) -> SessionLocation {
+        SessionLocation { key: key.clone(), owner: self.owner.clone(), epoch: self.epoch }
     }
 }
 
--- a/crates/gateway/src/sessions/turns.rs
+++ b/crates/gateway/src/sessions/turns.rs
@@ -42,7 +42,7 @@
     fn to_message(&self, entry: &OwnerEntry, deadline: Instant) -> RunTurn {
         let left = deadline.saturating_duration_since(Instant::now());
         RunTurn {
-            place: entry.place(&self.key),
+            location: entry.location(&self.key),
             turn: self.turn.clone(),
             after: self.after.clone(),
             input: self.input.clone(),
@@ -118,7 +118,7 @@
         deadline: Instant,
     ) -> Result<(OwnerEntry, Vec<Event>, Feed), MessageError> {
         let sent = self.send(key, deadline, |entry| async move {
-            let message = Join { place: entry.place(key), last_seen: None };
+            let message = Join { location: entry.location(key), last_seen: None };
             let mut items = self.engines.open(&entry.owner, &message, deadline).await?;
             match first_item(&mut items, deadline).await? {
                 JoinItem::Sync { history, .. } => Ok((history, Feed::Session(items))),
--- a/crates/gateway/tests/support/fake_engine/mod.rs
+++ b/crates/gateway/tests/support/fake_engine/mod.rs
@@ -197,8 +197,8 @@
         if let Err(refusal) = self.receive("abort") {
             return self.reply(Err(refusal));
         }
-        let key = request.place.key;
-        let finish = self.finish(&key, request.place.epoch, &request.turn, EndReason::Aborted);
+        let key = request.location.key;
+        let finish = self.finish(&key, request.location.epoch, &request.turn, EndReason::Aborted);
         let done = finish.await;
         self.reply(done)
     }
@@ -207,7 +207,7 @@
         if let Err(refusal) = self.receive("tool_result") {
             return self.reply(Err(refusal));
         }
-        let key = request.place.key;
+        let key = request.location.key;
         let record = self.session(&key).await;
         let body = EventBody::ToolResult { call: request.call, result: request.result };
         let done = self.append(&record, record.open_turn.clone(), body).await;
@@ -218,8 +218,9 @@
         if let Err(refusal) = self.receive("close") {
             return self.reply(Err(refusal));
         }
-        let key = request.place.key;
-        let command = ShardCommand::CloseSession { key: key.clone(), epoch: request.place.epoch };
+        let key = request.location.key;
+        let command =
+            ShardCommand::CloseSession { key: key.clone(), epoch: request.location.epoch };
         let done = self.execute(&key.program, command).await;
         self.reply(done.map(session_of))
     }
--- a/crates/gateway/tests/support/fake_engine/records.rs
+++ b/crates/gateway/tests/support/fake_engine/records.rs
@@ -79,13 +79,13 @@
     }
 
     pub(super) async fn begin(&self, request: &RunTurn) -> Result<TurnRecord, EngineRefusal> {
-        let record = self.session(&request.place.key).await;
+        let record = self.session(&request.location.key).await;
         if record.owner.as_ref() != Some(&self.me) {
             return Err(EngineRefusal::NotOwner { record: Some(Box::new(record)) });
         }
         let content = format!("{} {}", request.input, request.max_tokens);
         let command = ShardCommand::BeginTurn(BeginTurn {
-            key: request.place.key.clone(),
+            key: request.location.key.clone(),
             epoch: record.epoch,
             turn: request.turn.clone(),
             after: request.after.clone(),
@@ -93,7 +93,7 @@
             input: request.input.clone(),
             max_tokens: request.max_tokens,
         });
-        match self.execute(&request.place.key.program, command).await? {
+        match self.execute(&request.location.key.program, command).await? {
             ShardReply::Turn(grant) => Ok(grant.existing.unwrap_or(TurnRecord {
                 turn: request.turn.clone(),
                 after: request.after.clone(),
--- a/crates/gateway/tests/support/fake_engine/turns.rs
+++ b/crates/gateway/tests/support/fake_engine/turns.rs
@@ -40,13 +40,13 @@
             let script = self.script.lock().expect("lock is poisoned");
             (script.hold_turns, script.fail_turns)
         };
-        let key = &request.place.key;
+        let key = &request.location.key;
         let count = if fail { 0 } else { request.max_tokens.0 };
-        for place in 0..count {
+        for index in 0..count {
             let Ok(permit) = self.tokens.acquire().await else { return };
             permit.forget();
             let record = self.session(key).await;
-            let text = format!("{} ", place + 1);
+            let text = format!("{} ", index + 1);
             let body = EventBody::Tokens { text, count: TokenCount(1) };
             if self.append(&record, Some(request.turn.clone()), body).await.is_err() {
                 return;
@@ -75,7 +75,7 @@
         let mut last = EventSeq(turn.started.0.saturating_sub(1)).max(request.last_seen);
         let mut sent = 0;
         loop {
-            for event in self.events(&request.place.key, last).await {
+            for event in self.events(&request.location.key, last).await {
                 last = event.seq;
                 if event.turn.as_ref() != Some(&request.turn) {
                     continue;
@@ -110,7 +110,7 @@
             let _ = sink.send(&JoinItem::Refused(refusal)).await;
             return;
         }
-        let key = request.place.key;
+        let key = request.location.key;
         let record = self.session(&key).await;
         if record.owner.as_ref() != Some(&self.me) {
             let refusal = EngineRefusal::NotOwner { record: Some(Box::new(record)) };
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -3,7 +3,7 @@
 use hooklug_state::shard::{Event, SessionRecord, ShardRefusal, TurnRecord};
 use hooklug_types::{
     EngineIncarnation, EngineLoad, EventSeq, PrefixId, ServiceName, SessionEpoch, SessionKey,
-    SessionPlace, TenantId, TokenCount, TurnId, UnixMillis, WindowGroup,
+    SessionLocation, TenantId, TokenCount, TurnId, UnixMillis, WindowGroup,
 };
 use serde::{Deserialize, Serialize};
 
@@ -106,7 +106,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTurn {
     /// Location of the session, as known to the gateway.
-    pub place: SessionPlace,
+    pub location: SessionLocation,
     /// The turn.
     pub turn: TurnId,
     /// The preceding turn.
@@ -158,7 +158,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Join {
     /// Location of the session, as known to the gateway.
-    pub place: SessionPlace,
+    pub location: SessionLocation,
     /// Sequence number of the last event that the client already has; `None` requests a full sync.
     pub last_seen: Option<EventSeq>,
 }
@@ -189,7 +189,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AbortTurn {
     /// Location of the session, as known to the gateway.
-    pub place: SessionPlace,
+    pub location: SessionLocation,
     /// The turn.
     pub turn: TurnId,
 }
@@ -203,7 +203,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToolResult {
     /// Location of the session, as known to the gateway.
-    pub place: SessionPlace,
+    pub location: SessionLocation,
     /// The call id, chosen by the program.
     pub call: String,
     /// The result, as JSON text.
@@ -219,7 +219,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseSession {
     /// Location of the session, as known to the gateway.
-    pub place: SessionPlace,
+    pub location: SessionLocation,
     /// Time at which the caller stops waiting.
     pub deadline: UnixMillis,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -24,5 +24,5 @@
 };
 pub use load::EngineLoad;
 pub use outcome::{CallOutcome, EndReason, FailureCode};
-pub use ownership::{EngineIncarnation, NodeRole, SessionKey, SessionPlace};
+pub use ownership::{EngineIncarnation, NodeRole, SessionKey, SessionLocation};
 pub use shard::{Digest, GroupId, META_GROUP, SHARD_COUNT, shard_of};
--- a/crates/types/src/ownership.rs
+++ b/crates/types/src/ownership.rs
@@ -63,7 +63,7 @@
 
 /// The owner and epoch of a session, as recorded in its shard.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct SessionPlace {
+pub struct SessionLocation {
     /// The session.
     pub key: SessionKey,
     /// The engine that owns the session.
