--- a/crates/control/src/core/rollouts.rs
+++ b/crates/control/src/core/rollouts.rs
@@ -109,8 +109,8 @@
     /// Returns the fraction of a rollout's time that has passed. The wall clock is read only when
     /// the rollout is first seen.
     fn elapsed_fraction(&mut self, record: &RolloutRecord, now: Instant) -> f64 {
-        let total = record.begun.until(record.due).max(Duration::from_millis(1));
-        let passed = || record.begun.until(UnixMillis::now()).min(total);
+        let total = record.started_at.until(record.due).max(Duration::from_millis(1));
+        let passed = || record.started_at.until(UnixMillis::now()).min(total);
         let (at, before) = *self.0.entry(record.number).or_insert_with(|| (now, passed()));
         (now.saturating_duration_since(at) + before).as_secs_f64() / total.as_secs_f64()
     }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -253,7 +253,7 @@
         let command = MetaCommand::SubmitBundle(SubmitBundle {
             version: bundle.version,
             base: bundle.base,
-            content: BundleContent::Whole(hooklug_bundle::canonical_bytes(bundle)),
+            content: BundleContent::Full(hooklug_bundle::canonical_bytes(bundle)),
             signed_by: Vec::new(),
         });
         self.state.execute_meta(&command, deadline()).await.expect("in memory")
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -15,7 +15,7 @@
         number: 1,
         target: ServiceVersion::new("v2").unwrap(),
         phase: RolloutPhase::Trial { share_permille: 0 },
-        begun: UnixMillis(0),
+        started_at: UnixMillis(0),
         due: UnixMillis(12_000),
     }
 }
--- a/crates/gateway/src/calls/repeat_history.rs
+++ b/crates/gateway/src/calls/repeat_history.rs
@@ -13,7 +13,7 @@
 
 use hooklug_bundle::{ROUTES_SECTION, Route, RouteMatch};
 use hooklug_control::InstalledBundle;
-use hooklug_state::meta::{BundleRecord, KEPT_VERSIONS, MetaAnswer, MetaQuery};
+use hooklug_state::meta::{BundleRecord, MetaAnswer, MetaQuery, RETAINED_VERSIONS};
 use hooklug_store::StateAccess;
 use hooklug_types::{BundleVersion, Digest, RouteName};
 use tokio::sync::watch;
@@ -172,7 +172,7 @@
     after: Option<BundleVersion>,
     newest: &BundleRecord,
 ) -> Result<Vec<BundleRecord>, HistoryError> {
-    let all = u32::try_from(KEPT_VERSIONS).unwrap_or(u32::MAX);
+    let all = u32::try_from(RETAINED_VERSIONS).unwrap_or(u32::MAX);
     let Some(after) = after else { return history(state, all).await };
     if newest.base <= after {
         return Ok(Vec::new());
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -130,7 +130,7 @@
         let command = MetaCommand::SubmitBundle(SubmitBundle {
             version: bundle.version,
             base: bundle.base,
-            content: BundleContent::Whole(hooklug_bundle::canonical_bytes(bundle)),
+            content: BundleContent::Full(hooklug_bundle::canonical_bytes(bundle)),
             signed_by: Vec::new(),
         });
         let reply = self.state.execute_meta(&command, test_deadline()).await;
--- a/crates/ingress/src/records.rs
+++ b/crates/ingress/src/records.rs
@@ -7,8 +7,8 @@
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use hooklug_state::shard::{
-    EndTurn, ShardAnswer, ShardCommand, ShardQuery, ShardRefusal, ShardReply, StartTurn,
-    StartedTurn,
+    EndChainedTurn, ShardAnswer, ShardCommand, ShardQuery, ShardRefusal, ShardReply,
+    StartChainedTurn, StartedChainedTurn,
 };
 use hooklug_store::{StateAccess, Unavailable};
 use hooklug_types::{
@@ -60,7 +60,7 @@
     /// The new input, on routes that retain turns.
     pub input: Option<Bytes>,
     /// Whether the shard must return the history because it is not cached.
-    pub wants_history: bool,
+    pub include_history: bool,
     /// The history, if it was read from another program's shard.
     pub imported: Option<Bytes>,
     /// Maximum duration of the turn.
@@ -97,8 +97,8 @@
         turn: &TurnRequest,
         start: TurnStart,
         deadline: Instant,
-    ) -> Result<StartedTurn, StartError> {
-        let command = ShardCommand::StartTurn(StartTurn {
+    ) -> Result<StartedChainedTurn, StartError> {
+        let command = ShardCommand::StartChainedTurn(StartChainedTurn {
             key: key_of(turn),
             turn: turn.turn.clone(),
             host: self.host,
@@ -106,14 +106,14 @@
             token_budget: turn.token_budget,
             max_tokens: turn.max_tokens,
             input: start.input,
-            wants_history: start.wants_history,
+            include_history: start.include_history,
             imported: start.imported,
             time_limit_ms: millis(start.time_limit),
             keep_ms: millis(start.keep + CLOCK_MARGIN),
         });
         let group = shard_of(turn.program.as_str());
         match self.state.execute_shard(group, &command, deadline).await? {
-            ShardReply::Started(started) => Ok(started),
+            ShardReply::ChainedTurnStarted(started) => Ok(started),
             ShardReply::Refused(ShardRefusal::BudgetSpent) => Err(StartError::BudgetSpent),
             ShardReply::Refused(ShardRefusal::BudgetReserved) => Err(StartError::BudgetReserved),
             ShardReply::Refused(ShardRefusal::UnknownTurn) => Err(StartError::UnknownTurn),
@@ -133,7 +133,7 @@
         output: Option<Bytes>,
         deadline: Instant,
     ) -> Result<(), EndError> {
-        let command = ShardCommand::EndTurn(EndTurn {
+        let command = ShardCommand::EndChainedTurn(EndChainedTurn {
             key: key_of(turn),
             turn: turn.turn.clone(),
             epoch,
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use hooklug_state::shard::StartedTurn;
+use hooklug_state::shard::StartedChainedTurn;
 use hooklug_types::{SessionEpoch, TokenCount};
 use http::StatusCode;
 use tokio::time::Instant;
@@ -119,7 +119,7 @@
         let cached = turn.after.as_ref().and_then(|after| self.histories.get(after));
         let start = TurnStart {
             input: keep.map(|_| request.body.clone()),
-            wants_history: turn.after.is_some() && cached.is_none(),
+            include_history: turn.after.is_some() && cached.is_none(),
             imported: None,
             time_limit: deadlines.left(Instant::now()),
             keep: keep.unwrap_or(LEDGER_RETENTION),
@@ -148,7 +148,7 @@
         start: TurnStart,
         cached: Option<Bytes>,
         deadline: Instant,
-    ) -> Result<(StartedTurn, Option<Bytes>), Refusal> {
+    ) -> Result<(StartedChainedTurn, Option<Bytes>), Refusal> {
         let Some(after) = &turn.after else { return Err(Refusal::UnknownTurn) };
         let found = match cached {
             Some(cached) => Some(cached),
@@ -158,7 +158,7 @@
         };
         let history = found.ok_or(Refusal::UnknownTurn)?;
         let imported = Some(history.clone());
-        let start = TurnStart { imported, wants_history: false, ..start };
+        let start = TurnStart { imported, include_history: false, ..start };
         let started = self.records.start(turn, start, deadline).await;
         Ok((started.map_err(|error| refusal(&error))?, Some(history)))
     }
--- a/crates/state/src/meta/archive.rs
+++ b/crates/state/src/meta/archive.rs
@@ -10,7 +10,7 @@
 use super::record::BundleRecord;
 
 /// Number of versions whose records are retained.
-pub const KEPT_VERSIONS: usize = 512;
+pub const RETAINED_VERSIONS: usize = 512;
 
 /// Maximum size in bytes of the retained content of older versions. The newest version is retained
 /// whatever its size.
@@ -26,7 +26,7 @@
     ref_count: u32,
 }
 
-/// Records of the last [`KEPT_VERSIONS`] bundles, and the full content of as many of them as fit
+/// Records of the last [`RETAINED_VERSIONS`] bundles, and the full content of as many of them as fit
 /// into [`RETAINED_CONTENT_BYTES`]. Of the older ones only the routes are retained, since it must
 /// remain known whether a tool was ever non-repeatable. Clones share records and sections.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
         }
         self.records.insert(record.version, record.into());
         while self.bytes > newest_bytes + RETAINED_CONTENT_BYTES && self.drop_oldest_content() {}
-        while self.records.len() > KEPT_VERSIONS {
+        while self.records.len() > RETAINED_VERSIONS {
             let Some((_, oldest)) = self.records.pop_first() else { break };
             self.bytes -= table_bytes(&oldest);
             oldest.sections.values().for_each(|digest| self.release_section(digest));
--- a/crates/state/src/meta/bundles.rs
+++ b/crates/state/src/meta/bundles.rs
@@ -38,7 +38,7 @@
             return Err(invalid_bundle("version: must be higher than the base".to_owned()));
         }
         let bundle = match &submit.content {
-            BundleContent::Whole(bytes) => decode_canonical(bytes)?,
+            BundleContent::Full(bytes) => decode_canonical(bytes)?,
             BundleContent::Changes { digest, sections } => {
                 let bundle = self.newest_with_changes(submit, sections)?;
                 if hooklug_bundle::digest(&bundle) != *digest {
--- a/crates/state/src/meta/command.rs
+++ b/crates/state/src/meta/command.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BundleContent {
     /// The complete bundle as canonical bytes, encoded by `hooklug_bundle`.
-    Whole(Vec<u8>),
+    Full(Vec<u8>),
     /// The sections that differ from the base version.
     Changes {
         /// Digest of the canonical bytes of the complete bundle.
@@ -48,7 +48,7 @@
     #[must_use]
     pub fn digest(&self) -> Digest {
         match self {
-            Self::Whole(bytes) => Digest::of(bytes),
+            Self::Full(bytes) => Digest::of(bytes),
             Self::Changes { digest, .. } => *digest,
         }
     }
@@ -62,7 +62,7 @@
         let held = held.filter(|record| record.version == bundle.base);
         let content = match held {
             Some(held) => changed_content(bundle, &held.sections),
-            None => BundleContent::Whole(hooklug_bundle::canonical_bytes(bundle)),
+            None => BundleContent::Full(hooklug_bundle::canonical_bytes(bundle)),
         };
         Self { version: bundle.version, base: bundle.base, content, signed_by }
     }
@@ -188,7 +188,7 @@
         /// The store.
         node: NodeId,
         /// Number of active stores that must remain.
-        least_left: u32,
+        min_remaining: u32,
     },
 }
 
--- a/crates/state/src/meta/machine.rs
+++ b/crates/state/src/meta/machine.rs
@@ -82,7 +82,9 @@
                 self.move_rollout(&service, number, phase)
             }
             MetaCommand::NameStore { node, name } => Ok(self.name_store(node, name)),
-            MetaCommand::RetireStore { node, least_left } => self.retire_store(node, least_left),
+            MetaCommand::RetireStore { node, min_remaining } => {
+                self.retire_store(node, min_remaining)
+            }
         }
     }
 
--- a/crates/state/src/meta/mod.rs
+++ b/crates/state/src/meta/mod.rs
@@ -12,7 +12,7 @@
 mod rollouts;
 mod stores;
 
-pub use archive::{KEPT_VERSIONS, RETAINED_CONTENT_BYTES};
+pub use archive::{RETAINED_CONTENT_BYTES, RETAINED_VERSIONS};
 pub use command::{
     BundleContent, MetaAnswer, MetaCommand, MetaQuery, MetaRefusal, MetaReply, SubmitBundle,
 };
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -45,7 +45,7 @@
     /// Current phase.
     pub phase: RolloutPhase,
     /// Start time, by the group's clock.
-    pub begun: UnixMillis,
+    pub started_at: UnixMillis,
     /// Time by which the rollout should be complete.
     pub due: UnixMillis,
 }
@@ -69,7 +69,7 @@
         let clock = self.state.clock;
         let meta = &mut self.state.meta;
         if let Some(existing) = meta.rollouts.get(&service) {
-            let recent = clock.0 < existing.begun.0.saturating_add(RESEND_WINDOW_MS);
+            let recent = clock.0 < existing.started_at.0.saturating_add(RESEND_WINDOW_MS);
             if existing.target == target && (recent || !existing.phase.is_final()) {
                 return Ok(MetaReply::Done);
             }
@@ -79,7 +79,7 @@
             number: meta.last_rollout,
             target,
             phase: RolloutPhase::Trial { share_permille: 0 },
-            begun: clock,
+            started_at: clock,
             due: clock.plus_millis(duration_ms),
         };
         meta.rollouts.insert(service, record);
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -29,7 +29,7 @@
     }
 
     /// Starts to retire a store. A repeated request changes nothing.
-    pub(super) fn retire_store(&mut self, node: NodeId, least_left: u32) -> CommandResult {
+    pub(super) fn retire_store(&mut self, node: NodeId, min_remaining: u32) -> CommandResult {
         let stores = &mut self.state.meta.stores;
         let left = stores.iter().filter(|s| s.state == StoreState::Active && s.node != node);
         let left = left.count();
@@ -37,7 +37,7 @@
         if store.state != StoreState::Active {
             return Ok(MetaReply::Done);
         }
-        if left < least_left as usize {
+        if left < min_remaining as usize {
             return Err(MetaRefusal::TooFewStores { left });
         }
         store.state = StoreState::Retiring;
--- a/crates/state/src/shard/chains.rs
+++ b/crates/state/src/shard/chains.rs
@@ -15,7 +15,9 @@
 use litemap::LiteMap;
 use serde::{Deserialize, Serialize};
 
-use super::command::{EndTurn, ShardRefusal, ShardReply, StartTurn, StartedTurn};
+use super::command::{
+    EndChainedTurn, ShardRefusal, ShardReply, StartChainedTurn, StartedChainedTurn,
+};
 use super::expiry::ExpiryItem;
 use super::machine::{CommandResult, ShardMachine};
 
@@ -131,7 +133,7 @@
     }
 
     /// Ends a turn. A repeated request changes nothing.
-    pub(super) fn end_turn(&mut self, end: EndTurn, now: UnixMillis) -> CommandResult {
+    pub(super) fn end_turn(&mut self, end: EndChainedTurn, now: UnixMillis) -> CommandResult {
         let program = self.programs.get_mut(&end.key.program).ok_or(ShardRefusal::NoProgram)?;
         let program = Arc::make_mut(program);
         let Some(open) = program.open.remove(&end.turn) else {
@@ -173,7 +175,7 @@
 impl ShardMachine {
     /// Starts a turn. A resend of the same turn returns the same epoch, unless a later turn has
     /// started.
-    pub(super) fn start_turn(&mut self, start: StartTurn) -> CommandResult {
+    pub(super) fn start_turn(&mut self, start: StartChainedTurn) -> CommandResult {
         let (now, floor) = (self.state.clock, self.state.epoch_floor);
         let key = start.key.program.clone();
         let chained = &mut self.state.chained;
@@ -191,7 +193,7 @@
             chained.programs.insert(key.clone(), new_program.into());
             self.schedule_expiry(expires_at, ExpiryItem::ChainedProgram(key));
         }
-        Ok(ShardReply::Started(started))
+        Ok(ShardReply::ChainedTurnStarted(started))
     }
 
     /// Deletes a program that has not been used since its expiry was scheduled, and reschedules the
@@ -215,10 +217,10 @@
 
 fn start_in_program(
     program: &mut ChainedProgram,
-    start: StartTurn,
+    start: StartChainedTurn,
     now: UnixMillis,
     floor: SessionEpoch,
-) -> Result<StartedTurn, ShardRefusal> {
+) -> Result<StartedChainedTurn, ShardRefusal> {
     if program.ended.contains_key(&start.turn) {
         return Err(ShardRefusal::TurnDiffers);
     }
@@ -227,7 +229,7 @@
         if !program.is_current(open) {
             return Err(ShardRefusal::Superseded);
         }
-        return Ok(StartedTurn { epoch, history: requested_history(program, &start)? });
+        return Ok(StartedChainedTurn { epoch, history: requested_history(program, &start)? });
     }
     if let (Some(after), Some(imported)) = (&start.after, &start.imported) {
         let import = || EndedTurn { after: None, text: Some(imported.clone()) };
@@ -250,17 +252,17 @@
         input: start.input,
     };
     program.open.insert(start.turn, open);
-    Ok(StartedTurn { epoch, history })
+    Ok(StartedChainedTurn { epoch, history })
 }
 
 /// Returns the history that a turn continues from, if its host requests it. The turn named by
 /// `after` must be retained in either case.
 fn requested_history(
     program: &ChainedProgram,
-    start: &StartTurn,
+    start: &StartChainedTurn,
 ) -> Result<Option<Bytes>, ShardRefusal> {
     let Some(after) = &start.after else { return Ok(None) };
-    if !start.wants_history {
+    if !start.include_history {
         return program.retained_text(after).map(|_| None).ok_or(ShardRefusal::UnknownTurn);
     }
     program.history(after).map(Some).ok_or(ShardRefusal::UnknownTurn)
--- a/crates/state/src/shard/command.rs
+++ b/crates/state/src/shard/command.rs
@@ -106,7 +106,7 @@
 /// requesting host becomes the session's owner and the budget is reserved, all in one command and
 /// therefore one disk sync.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StartTurn {
+pub struct StartChainedTurn {
     /// The session.
     pub key: SessionKey,
     /// The turn; each attempt of a caller has its own id.
@@ -122,7 +122,7 @@
     /// Input of the turn, on routes that retain turns.
     pub input: Option<Bytes>,
     /// Whether the reply should include the history up to `after`.
-    pub wants_history: bool,
+    pub include_history: bool,
     /// The history up to `after`, if another program retains that turn.
     pub imported: Option<Bytes>,
     /// Time limit of the turn, in milliseconds from the commit; the turn cannot be running after
@@ -132,9 +132,9 @@
     pub keep_ms: u64,
 }
 
-/// Ends a turn that was started with [`StartTurn`].
+/// Ends a turn that was started with [`StartChainedTurn`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndTurn {
+pub struct EndChainedTurn {
     /// The session.
     pub key: SessionKey,
     /// The turn.
@@ -238,16 +238,16 @@
     },
     /// Several commands in one log entry, each with its own reply.
     Batch(Vec<ShardCommand>),
-    /// Starts a turn of a chained session. Reply: `Started`.
-    StartTurn(StartTurn),
+    /// Starts a turn of a chained session. Reply: `ChainedTurnStarted`.
+    StartChainedTurn(StartChainedTurn),
     /// Ends a turn of a chained session and settles its reservation. Reply: `Done`.
-    EndTurn(EndTurn),
+    EndChainedTurn(EndChainedTurn),
 }
 
-/// Reply to [`StartTurn`]: the turn may run.
+/// Reply to [`StartChainedTurn`]: the turn may run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StartedTurn {
-    /// Epoch of the session; the turn's [`EndTurn`] must carry it.
+pub struct StartedChainedTurn {
+    /// Epoch of the session; the turn's [`EndChainedTurn`] must carry it.
     pub epoch: SessionEpoch,
     /// The history that the turn continues from, if requested.
     pub history: Option<Bytes>,
@@ -292,7 +292,7 @@
     /// The replies to the commands of a batch, in order.
     Batch(Vec<ShardReply>),
     /// The turn of a chained session may run.
-    Started(StartedTurn),
+    ChainedTurnStarted(StartedChainedTurn),
 }
 
 /// The reason why a shard command was refused.
--- a/crates/state/src/shard/machine.rs
+++ b/crates/state/src/shard/machine.rs
@@ -118,8 +118,8 @@
             ShardCommand::ExpireLease { holder, renewal } => self.expire_lease(holder, renewal),
             ShardCommand::AdvanceClock { now } => Ok(self.advance_clock(now)),
             ShardCommand::Batch(commands) => Ok(self.apply_command(ShardCommand::Batch(commands))),
-            ShardCommand::StartTurn(start) => self.start_turn(start),
-            ShardCommand::EndTurn(end) => self.state.chained.end_turn(end, self.state.clock),
+            ShardCommand::StartChainedTurn(start) => self.start_turn(start),
+            ShardCommand::EndChainedTurn(end) => self.state.chained.end_turn(end, self.state.clock),
         }
     }
 
--- a/crates/state/src/shard/mod.rs
+++ b/crates/state/src/shard/mod.rs
@@ -15,8 +15,8 @@
 mod turns;
 
 pub use command::{
-    BeginCall, BeginTurn, EndTurn, FinishTurn, OpenSession, PutProgram, ShardCommand, ShardRefusal,
-    ShardReply, StartTurn, StartedTurn, TakeSession, TurnGrant,
+    BeginCall, BeginTurn, EndChainedTurn, FinishTurn, OpenSession, PutProgram, ShardCommand,
+    ShardRefusal, ShardReply, StartChainedTurn, StartedChainedTurn, TakeSession, TurnGrant,
 };
 pub use event::{Event, EventBody};
 pub use event_log::EventLog;
--- a/crates/state/tests/bundle_costs.rs
+++ b/crates/state/tests/bundle_costs.rs
@@ -77,7 +77,7 @@
     MetaCommand::SubmitBundle(SubmitBundle {
         version: bundle.version,
         base: bundle.base,
-        content: BundleContent::Whole(canonical_bytes(bundle)),
+        content: BundleContent::Full(canonical_bytes(bundle)),
         signed_by: Vec::new(),
     })
 }
@@ -159,7 +159,7 @@
     let mut meta = formed_cluster();
     let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let good = submission_on(&one_route_changed(2), &first);
-    let BundleContent::Changes { digest, sections } = good.content.clone() else { panic!("whole") };
+    let BundleContent::Changes { digest, sections } = good.content.clone() else { panic!("full") };
     let with = |digest, sections| {
         let content = BundleContent::Changes { digest, sections };
         MetaCommand::SubmitBundle(SubmitBundle { content, ..good.clone() })
--- a/crates/state/tests/meta.rs
+++ b/crates/state/tests/meta.rs
@@ -4,8 +4,8 @@
 
 use hooklug_bundle::{Bundle, Service, ServiceKind, Tenant, VersionEntry, VersionState};
 use hooklug_state::meta::{
-    BundleContent, BundleRecord, CoreLeader, GroupPlacement, HarmReport, KEPT_VERSIONS, MetaAnswer,
-    MetaCommand, MetaMachine, MetaQuery, MetaRefusal, MetaReply, MetaState, StoreRecord,
+    BundleContent, BundleRecord, CoreLeader, GroupPlacement, HarmReport, MetaAnswer, MetaCommand,
+    MetaMachine, MetaQuery, MetaRefusal, MetaReply, MetaState, RETAINED_VERSIONS, StoreRecord,
     StoreState, SubmitBundle,
 };
 use hooklug_state::{StateMachine, encode};
@@ -105,7 +105,7 @@
     MetaCommand::SubmitBundle(SubmitBundle {
         version: bundle.version,
         base: bundle.base,
-        content: BundleContent::Whole(serde_json::to_vec(bundle).unwrap()),
+        content: BundleContent::Full(serde_json::to_vec(bundle).unwrap()),
         signed_by: vec![],
     })
 }
@@ -252,7 +252,7 @@
         MetaCommand::SubmitBundle(SubmitBundle {
             version,
             base,
-            content: BundleContent::Whole(bytes),
+            content: BundleContent::Full(bytes),
             signed_by: vec![],
         })
     };
@@ -293,7 +293,7 @@
     let mut meta = with_leader();
     let surplus = 3;
     let tenants = |version: u64| (version % 40) as usize;
-    for version in 1..=(KEPT_VERSIONS as u64 + surplus) {
+    for version in 1..=(RETAINED_VERSIONS as u64 + surplus) {
         let added = meta.apply_command(submit(&bundle(version, version - 1, tenants(version))));
         assert!(matches!(added, MetaReply::Bundle(_)));
     }
@@ -303,7 +303,7 @@
     let kept = bundle(surplus + 1, surplus, tenants(surplus + 1));
     assert_eq!(bytes, serde_json::to_vec(&kept).unwrap());
     let MetaAnswer::History(records) = meta.answer(&MetaQuery::History(u32::MAX)) else { panic!() };
-    assert_eq!(records.len(), KEPT_VERSIONS);
+    assert_eq!(records.len(), RETAINED_VERSIONS);
 }
 
 #[test]
--- a/crates/state/tests/shard_chains.rs
+++ b/crates/state/tests/shard_chains.rs
@@ -7,8 +7,8 @@
 use common::{advance_clock, key, program, turn};
 use hooklug_state::StateMachine;
 use hooklug_state::shard::{
-    EndTurn, ShardAnswer, ShardCommand, ShardMachine, ShardQuery, ShardRefusal, ShardReply,
-    StartTurn, StartedTurn,
+    EndChainedTurn, ShardAnswer, ShardCommand, ShardMachine, ShardQuery, ShardRefusal, ShardReply,
+    StartChainedTurn, StartedChainedTurn,
 };
 use hooklug_types::{NodeId, SessionEpoch, TokenCount};
 use proptest::prelude::*;
@@ -16,8 +16,8 @@
 const TIME_LIMIT_MS: u64 = 5_000;
 const RETENTION_MS: u64 = 60_000;
 
-fn start(session: &str, name: &str) -> StartTurn {
-    StartTurn {
+fn start(session: &str, name: &str) -> StartChainedTurn {
+    StartChainedTurn {
         key: key(session),
         turn: turn(name),
         host: NodeId(1),
@@ -25,19 +25,19 @@
         token_budget: Some(TokenCount(100)),
         max_tokens: TokenCount(40),
         input: Some(Bytes::from(format!("[{name} asks]"))),
-        wants_history: true,
+        include_history: true,
         imported: None,
         time_limit_ms: TIME_LIMIT_MS,
         keep_ms: RETENTION_MS,
     }
 }
 
-fn after(session: &str, name: &str, earlier: &str) -> StartTurn {
-    StartTurn { after: Some(turn(earlier)), ..start(session, name) }
+fn after(session: &str, name: &str, earlier: &str) -> StartChainedTurn {
+    StartChainedTurn { after: Some(turn(earlier)), ..start(session, name) }
 }
 
-fn end(session: &str, name: &str, epoch: u64, tokens: u64) -> EndTurn {
-    EndTurn {
+fn end(session: &str, name: &str, epoch: u64, tokens: u64) -> EndChainedTurn {
+    EndChainedTurn {
         key: key(session),
         turn: turn(name),
         epoch: SessionEpoch(epoch),
@@ -50,9 +50,9 @@
     ShardMachine::new(common::RETENTION)
 }
 
-fn start_turn(shard: &mut ShardMachine, command: StartTurn) -> StartedTurn {
-    match shard.apply_command(ShardCommand::StartTurn(command)) {
-        ShardReply::Started(started) => started,
+fn start_turn(shard: &mut ShardMachine, command: StartChainedTurn) -> StartedChainedTurn {
+    match shard.apply_command(ShardCommand::StartChainedTurn(command)) {
+        ShardReply::ChainedTurnStarted(started) => started,
         other => panic!("not started: {other:?}"),
     }
 }
@@ -64,8 +64,8 @@
     }
 }
 
-fn end_turn(shard: &mut ShardMachine, command: EndTurn) {
-    assert_eq!(shard.apply_command(ShardCommand::EndTurn(command)), ShardReply::Done);
+fn end_turn(shard: &mut ShardMachine, command: EndChainedTurn) {
+    assert_eq!(shard.apply_command(ShardCommand::EndChainedTurn(command)), ShardReply::Done);
 }
 
 fn text(history: Option<Bytes>) -> String {
@@ -91,12 +91,12 @@
 #[test]
 fn a_turn_that_is_not_kept_cannot_be_gone_on_from() {
     let mut shard = machine();
-    let unknown = ShardCommand::StartTurn(after("s", "t2", "t1"));
+    let unknown = ShardCommand::StartChainedTurn(after("s", "t2", "t1"));
     assert_eq!(apply_refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
     let first = start_turn(&mut shard, start("s", "t1"));
     // The turn has not ended yet.
     assert_eq!(apply_refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
-    let cut = EndTurn { output: None, ..end("s", "t1", first.epoch.0, 10) };
+    let cut = EndChainedTurn { output: None, ..end("s", "t1", first.epoch.0, 10) };
     end_turn(&mut shard, cut);
     // The turn was interrupted, so its output is not retained.
     assert_eq!(apply_refused(&mut shard, unknown), ShardRefusal::UnknownTurn);
@@ -106,12 +106,12 @@
 fn a_later_turn_of_the_session_fences_the_earlier_one() {
     let mut shard = machine();
     let former = start_turn(&mut shard, start("s", "t1"));
-    let present = start_turn(&mut shard, StartTurn { host: NodeId(2), ..start("s", "t2") });
+    let present = start_turn(&mut shard, StartChainedTurn { host: NodeId(2), ..start("s", "t2") });
     assert!(present.epoch > former.epoch);
-    let late = ShardCommand::EndTurn(end("s", "t1", former.epoch.0, 10));
+    let late = ShardCommand::EndChainedTurn(end("s", "t1", former.epoch.0, 10));
     assert_eq!(apply_refused(&mut shard, late.clone()), ShardRefusal::Superseded);
     assert_eq!(apply_refused(&mut shard, late), ShardRefusal::Superseded, "resent");
-    let on = ShardCommand::StartTurn(after("s", "t3", "t1"));
+    let on = ShardCommand::StartChainedTurn(after("s", "t3", "t1"));
     assert_eq!(apply_refused(&mut shard, on), ShardRefusal::UnknownTurn);
     end_turn(&mut shard, end("s", "t2", present.epoch.0, 10));
 }
@@ -126,7 +126,7 @@
     end_turn(&mut shard, whole);
     // The tokens were charged once: 10 are left, and one more turn may start.
     start_turn(&mut shard, start("s", "t2"));
-    let again = ShardCommand::StartTurn(start("s", "t1"));
+    let again = ShardCommand::StartChainedTurn(start("s", "t1"));
     assert_eq!(
         apply_refused(&mut shard, again),
         ShardRefusal::TurnDiffers,
@@ -140,7 +140,7 @@
     for name in ["t1", "t2", "t3"] {
         start_turn(&mut shard, start(name, name));
     }
-    let fourth = ShardCommand::StartTurn(start("t4", "t4"));
+    let fourth = ShardCommand::StartChainedTurn(start("t4", "t4"));
     assert_eq!(apply_refused(&mut shard, fourth.clone()), ShardRefusal::BudgetReserved);
     // A turn that has reached its time limit without an end, as when its host failed, is charged
     // permanently with its maximum.
@@ -152,11 +152,11 @@
 fn what_a_cut_turn_gave_is_booked_and_the_rest_is_free_again() {
     let mut shard = machine();
     let first = start_turn(&mut shard, start("s", "t1"));
-    end_turn(&mut shard, EndTurn { output: None, ..end("s", "t1", first.epoch.0, 4) });
+    end_turn(&mut shard, EndChainedTurn { output: None, ..end("s", "t1", first.epoch.0, 4) });
     for name in ["t2", "t3", "t4"] {
         start_turn(&mut shard, start(name, name));
     }
-    let fifth = ShardCommand::StartTurn(start("t5", "t5"));
+    let fifth = ShardCommand::StartChainedTurn(start("t5", "t5"));
     assert_eq!(apply_refused(&mut shard, fifth), ShardRefusal::BudgetReserved);
 }
 
@@ -170,7 +170,7 @@
     };
     assert_eq!(text(history.clone()), "[t1 asks](t1 says)");
     let mut other = machine();
-    let imported = StartTurn { imported: history, ..after("z", "t2", "t1") };
+    let imported = StartChainedTurn { imported: history, ..after("z", "t2", "t1") };
     assert_eq!(text(start_turn(&mut other, imported).history), "[t1 asks](t1 says)");
 }
 
@@ -201,12 +201,12 @@
         3 => (session(), name(), earlier, 1_u64..60).prop_map(|(s, t, a, max)| {
             let max_tokens = TokenCount(max);
             let after = a.map(turn);
-            ShardCommand::StartTurn(StartTurn { max_tokens, after, ..start(s, t) })
+            ShardCommand::StartChainedTurn(StartChainedTurn { max_tokens, after, ..start(s, t) })
         }),
         3 => (session(), name(), 0_u64..8, any::<bool>()).prop_map(|(s, t, epoch, whole)| {
             let command = end(s, t, epoch, 0);
             let output = command.output.clone().filter(|_| whole);
-            ShardCommand::EndTurn(EndTurn { output, ..command })
+            ShardCommand::EndChainedTurn(EndChainedTurn { output, ..command })
         }),
         1 => (0_u64..3 * RETENTION_MS).prop_map(advance_clock),
     ]
@@ -222,19 +222,19 @@
         let (mut streamed, mut clock) = (0, 0);
         for command in commands {
             match command {
-                ShardCommand::StartTurn(start) => {
+                ShardCommand::StartChainedTurn(start) => {
                     let (name, max) = (start.turn.clone(), start.max_tokens.0);
-                    let reply = shard.apply_command(ShardCommand::StartTurn(start));
-                    if matches!(reply, ShardReply::Started(_)) {
+                    let reply = shard.apply_command(ShardCommand::StartChainedTurn(start));
+                    if matches!(reply, ShardReply::ChainedTurnStarted(_)) {
                         max_of.entry(name).or_insert((max, clock));
                     }
                 }
-                ShardCommand::EndTurn(end) => {
+                ShardCommand::EndChainedTurn(end) => {
                     // Each turn streams its maximum, once, within its time limit.
                     let (max, _) = max_of.remove(&end.turn).unwrap_or((0, 0));
                     streamed += max;
                     let tokens = TokenCount(max);
-                    shard.apply_command(ShardCommand::EndTurn(EndTurn { tokens, ..end }));
+                    shard.apply_command(ShardCommand::EndChainedTurn(EndChainedTurn { tokens, ..end }));
                 }
                 other => {
                     if let ShardCommand::AdvanceClock { now } = &other {
--- a/crates/store/tests/cluster.rs
+++ b/crates/store/tests/cluster.rs
@@ -77,7 +77,7 @@
     let submit = MetaCommand::SubmitBundle(SubmitBundle {
         version: bundle.version,
         base: bundle.base,
-        content: BundleContent::Whole(hooklug_bundle::canonical_bytes(&bundle)),
+        content: BundleContent::Full(hooklug_bundle::canonical_bytes(&bundle)),
         signed_by: Vec::new(),
     });
     let reply = cluster.client().execute_meta(&submit, soon()).await.expect("a reply");
