--- a/crates/admin/src/answers.rs
+++ b/crates/admin/src/answers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use hooklug_bundle::Bundle;
-use hooklug_protocol::control::{MemberHealth, ServiceSlotUse, VersionStatistics};
+use hooklug_protocol::control::{MemberHealth, ServiceSlotUsage, VersionStatistics};
 use hooklug_state::meta::{BundleOrigin, BundleRecord, GroupPlacement, HarmReport, StoreState};
 use hooklug_types::{
     BundleVersion, EngineId, Incarnation, NodeId, NodeRole, OperatorName, Revision, RouteName,
@@ -339,9 +339,9 @@
     pub borrowed: u32,
 }
 
-impl From<ServiceSlotUse> for SlotUseAnswer {
-    fn from(usage: ServiceSlotUse) -> Self {
-        let ServiceSlotUse { service, group, engines, reserved, used, borrowed } = usage;
+impl From<ServiceSlotUsage> for SlotUseAnswer {
+    fn from(usage: ServiceSlotUsage) -> Self {
+        let ServiceSlotUsage { service, group, engines, reserved, used, borrowed } = usage;
         Self { service, group, engines, reserved, used, borrowed }
     }
 }
--- a/crates/admin/src/cluster.rs
+++ b/crates/admin/src/cluster.rs
@@ -10,7 +10,7 @@
 use hooklug_bundle::{Service, VersionState};
 use hooklug_control::InstalledBundle;
 use hooklug_protocol::Request;
-use hooklug_protocol::control::{ClusterView, Member, SlotUseFigures, VersionFigures};
+use hooklug_protocol::control::{ClusterView, FetchSlotUsage, FetchVersionStatistics, Member};
 use hooklug_types::{BundleVersion, NodeRole, ServiceName, UnixMillis};
 use tokio::time::Instant;
 
@@ -120,12 +120,12 @@
 }
 
 pub(crate) async fn slots(State(admin): AdminState) -> Json<Vec<SlotUseAnswer>> {
-    let usage = query_core_leader(&admin, &SlotUseFigures).await;
+    let usage = query_core_leader(&admin, &FetchSlotUsage).await;
     Json(usage.into_iter().map(SlotUseAnswer::from).collect())
 }
 
 pub(crate) async fn rollouts(State(admin): AdminState) -> Json<RolloutsAnswer> {
-    let statistics = query_core_leader(&admin, &VersionFigures).await;
+    let statistics = query_core_leader(&admin, &FetchVersionStatistics).await;
     let view = current_view(&admin);
     let installed_bundle = installed_bundle(&admin);
     let services = installed_bundle.iter().flat_map(|i| i.bundle.services.iter());
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -5,7 +5,7 @@
 
 use hooklug_control::{NodeAgent, NodeHandle};
 use hooklug_engine::lease::LeaseKeeper;
-use hooklug_protocol::control::{HostedEngine, NodeAddress};
+use hooklug_protocol::control::{NodeAddress, SessionHostInfo};
 use hooklug_rpc::{LocalIdentity, RpcClient, RpcServer, TrafficCounts};
 use hooklug_store::StoreClient;
 use hooklug_types::{
@@ -57,11 +57,11 @@
         Ok(EngineId::new(format!("hollow-{}", self.index))?)
     }
 
-    fn hosted_engine(self) -> anyhow::Result<Option<HostedEngine>> {
+    fn hosted_engine(self) -> anyhow::Result<Option<SessionHostInfo>> {
         if self.role != NodeRole::Engine {
             return Ok(None);
         }
-        Ok(Some(HostedEngine {
+        Ok(Some(SessionHostInfo {
             engine: self.engine()?,
             service: ServiceName::new(format!("model-{}", self.index % SERVICES))?,
             version: ServiceVersion::new("v1")?,
@@ -117,7 +117,7 @@
     }
 
     /// Reports an engine and renews its lease, as a real engine does.
-    fn report_engine(&self, hosted: HostedEngine, state: Arc<StoreClient>) {
+    fn report_engine(&self, hosted: SessionHostInfo, state: Arc<StoreClient>) {
         let incarnation = self.identity.address.incarnation;
         let holder = EngineIncarnation { engine: hosted.engine.clone(), incarnation };
         let shutdown = self.shutdown.clone();
--- a/crates/control/src/agent/heartbeat.rs
+++ b/crates/control/src/agent/heartbeat.rs
@@ -38,7 +38,7 @@
         engine: report.engine,
         load: report.load,
         statistics: shared.statistics.take(),
-        slot_uses: report.slot_uses,
+        slot_usage: report.slot_usage,
     };
     for core in cores_in_order(shared) {
         match shared.client.call(core, &heartbeat, shared.deadline()).await {
--- a/crates/control/src/agent/watch.rs
+++ b/crates/control/src/agent/watch.rs
@@ -97,7 +97,7 @@
         _ => None,
     };
     match item {
-        ViewItem::Whole(view) => view.members.iter().map(|(_, member)| member.clone()).collect(),
+        ViewItem::Full(view) => view.members.iter().map(|(_, member)| member.clone()).collect(),
         ViewItem::Changes { changes, .. } => changes.iter().filter_map(changed_member).collect(),
     }
 }
--- a/crates/control/src/backends/list.rs
+++ b/crates/control/src/backends/list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use hooklug_protocol::backends::{BackendsItem, ListedBackend};
+use hooklug_protocol::backends::{BackendListItem, ListedBackend};
 use hooklug_types::EngineId;
 
 /// Backends by id. Cheap to clone.
@@ -45,32 +45,32 @@
 
     /// Returns a stream item with the full list.
     #[must_use]
-    pub fn full(&self) -> BackendsItem {
-        BackendsItem::Whole(self.iter().map(|backend| ListedBackend::clone(backend)).collect())
+    pub fn full(&self) -> BackendListItem {
+        BackendListItem::Full(self.iter().map(|backend| ListedBackend::clone(backend)).collect())
     }
 
     /// Returns a stream item with the changes that turn `earlier` into this list.
     #[must_use]
-    pub fn changes_since(&self, earlier: &Self) -> BackendsItem {
+    pub fn changes_since(&self, earlier: &Self) -> BackendListItem {
         let differs = |b: &&Arc<ListedBackend>| earlier.entries.get(&b.id) != Some(*b);
         let changed = self.iter().filter(differs).map(|b| ListedBackend::clone(b)).collect();
         let is_removed = |id: &&EngineId| !self.entries.contains_key(*id);
-        let gone = earlier.entries.keys().filter(is_removed).cloned().collect();
-        BackendsItem::Changes { changed, gone }
+        let removed = earlier.entries.keys().filter(is_removed).cloned().collect();
+        BackendListItem::Changes { changed, removed }
     }
 
     /// Applies a stream item and returns whether the list changed.
-    pub fn apply(&mut self, item: BackendsItem) -> bool {
+    pub fn apply(&mut self, item: BackendListItem) -> bool {
         match item {
-            BackendsItem::Whole(backends) => {
+            BackendListItem::Full(backends) => {
                 let next = Self::new(backends);
                 let differs = *self != next;
                 *self = next;
                 differs
             }
-            BackendsItem::Changes { changed, gone } => {
-                let differs = !changed.is_empty() || !gone.is_empty();
-                for id in &gone {
+            BackendListItem::Changes { changed, removed } => {
+                let differs = !changed.is_empty() || !removed.is_empty();
+                for id in &removed {
                     self.entries.remove(id);
                 }
                 self.entries.extend(changed.into_iter().map(|b| (b.id.clone(), Arc::new(b))));
--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use hooklug_protocol::backends::{BackendsItem, ListedBackend, WatchBackends};
+use hooklug_protocol::backends::{BackendListItem, ListedBackend, WatchBackends};
 use hooklug_protocol::control::{Member, MemberHealth};
 use hooklug_rpc::{ItemSink, Router};
 use hooklug_types::NodeRole;
@@ -134,7 +134,7 @@
 async fn serve(
     mut readings: watch::Receiver<Reading>,
     mut bundle: BundleWatch,
-    sink: ItemSink<BackendsItem>,
+    sink: ItemSink<BackendListItem>,
 ) {
     let mut sent: Option<BackendList> = None;
     loop {
--- a/crates/control/src/core/engines.rs
+++ b/crates/control/src/core/engines.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use hooklug_protocol::control::{ApplicationEngine, ProbeFinding, ProbeOutcome, ProbedEngine};
+use hooklug_protocol::control::{ApplicationEngine, ProbeOutcome, ProbeResult, ProbedEngine};
 use hooklug_types::{EngineId, ZoneName};
 
 use super::platform::ListedEngine;
@@ -73,11 +73,11 @@
     pub fn record_probe(&mut self, outcome: &ProbeOutcome, now: Instant) {
         let address = outcome.address;
         self.last_probed.insert(address, now);
-        match &outcome.finding {
-            ProbeFinding::Engine(engine) => self.record_response(address, engine, now),
-            ProbeFinding::Other => self.entries.retain(|_, e| e.engine.address != address),
-            ProbeFinding::Refused => self.record_failure(address, true),
-            ProbeFinding::NoAnswer => self.record_failure(address, false),
+        match &outcome.result {
+            ProbeResult::Engine(engine) => self.record_response(address, engine, now),
+            ProbeResult::Other => self.entries.retain(|_, e| e.engine.address != address),
+            ProbeResult::Refused => self.record_failure(address, true),
+            ProbeResult::NoAnswer => self.record_failure(address, false),
         }
     }
 
--- a/crates/control/src/core/inbox/tests.rs
+++ b/crates/control/src/core/inbox/tests.rs
@@ -36,7 +36,7 @@
         engine: None,
         load: None,
         statistics,
-        slot_uses: Vec::new(),
+        slot_usage: Vec::new(),
     }
 }
 
--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::meta::{CoreLeader, MetaAnswer, MetaCommand, MetaQuery, MetaRefusal, MetaReply};
 use hooklug_types::{FencingEpoch, META_GROUP};
 use tokio::sync::watch;
@@ -170,8 +170,8 @@
     };
     let deadline = Instant::now() + CALL_TIMEOUT;
     match ctx.state.expire_lease(META_GROUP, subject, deadline).await {
-        Ok(LeaseVerdict::Expired | LeaseVerdict::Unknown) => Ok(()),
-        Ok(LeaseVerdict::Held { left_ms }) => {
+        Ok(LeaseStatus::Expired | LeaseStatus::Unknown) => Ok(()),
+        Ok(LeaseStatus::Held { left_ms }) => {
             Err(Duration::from_millis(left_ms).min(CHECK_INTERVAL))
         }
         Err(_) => Err(CHECK_INTERVAL),
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -25,8 +25,8 @@
 
 use hooklug_protocol::Request;
 use hooklug_protocol::control::{
-    Heartbeat, HeartbeatReply, ReportHarm, ReportProbes, ServiceSlotUse, SlotUseFigures,
-    VersionFigures, VersionStatistics, WatchView,
+    FetchSlotUsage, FetchVersionStatistics, Heartbeat, HeartbeatReply, ReportHarm, ReportProbes,
+    ServiceSlotUsage, VersionStatistics, WatchView,
 };
 use hooklug_rpc::Router;
 use hooklug_state::meta::BundleRecord;
@@ -133,11 +133,11 @@
                 let mut engines = probe_shared.engines();
                 report.outcomes.iter().for_each(|outcome| engines.record_probe(outcome, now));
             })
-            .route(move |peer, request: VersionFigures| {
+            .route(move |peer, request: FetchVersionStatistics| {
                 let shared = statistics_shared.clone();
                 async move { version_statistics(&shared, request, peer.role).await }
             })
-            .route(move |peer, request: SlotUseFigures| {
+            .route(move |peer, request: FetchSlotUsage| {
                 let shared = usage_shared.clone();
                 async move { slot_usage(&shared, request, peer.role).await }
             })
@@ -198,7 +198,7 @@
 
 async fn version_statistics(
     shared: &Shared,
-    request: VersionFigures,
+    request: FetchVersionStatistics,
     from: NodeRole,
 ) -> Vec<VersionStatistics> {
     match forward_to_leader(shared, &request, from).await {
@@ -212,9 +212,9 @@
 
 async fn slot_usage(
     shared: &Shared,
-    request: SlotUseFigures,
+    request: FetchSlotUsage,
     from: NodeRole,
-) -> Vec<ServiceSlotUse> {
+) -> Vec<ServiceSlotUsage> {
     match forward_to_leader(shared, &request, from).await {
         ForwardResult::Reply(uses) => uses,
         ForwardResult::NoReply => Vec::new(),
--- a/crates/control/src/core/probe.rs
+++ b/crates/control/src/core/probe.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hooklug_protocol::control::{ProbeFinding, ProbeOutcome, ProbedEngine};
+use hooklug_protocol::control::{ProbeOutcome, ProbeResult, ProbedEngine};
 use hooklug_types::{EngineId, Incarnation, ServiceName, ServiceVersion};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -76,27 +76,27 @@
 /// Queries identity and status over one connection, so that both describe the same process.
 pub async fn probe(address: SocketAddr) -> ProbeOutcome {
     let request = tokio::time::timeout(EXCHANGE_TIMEOUT, query(address)).await;
-    let finding = match request.unwrap_or(Err(HttpError::Timeout)) {
-        Ok(finding) => finding,
-        Err(HttpError::Refused) => ProbeFinding::Refused,
+    let result = match request.unwrap_or(Err(HttpError::Timeout)) {
+        Ok(result) => result,
+        Err(HttpError::Refused) => ProbeResult::Refused,
         Err(error) => {
             debug!(%address, %error, "probe failed");
-            ProbeFinding::NoAnswer
+            ProbeResult::NoAnswer
         }
     };
-    ProbeOutcome { address, finding }
+    ProbeOutcome { address, result }
 }
 
-async fn query(address: SocketAddr) -> Result<ProbeFinding, HttpError> {
+async fn query(address: SocketAddr) -> Result<ProbeResult, HttpError> {
     let mut sender = connect(address).await?;
     let identity: BackendIdentity =
         serde_json::from_slice(&fetch(&mut sender, address, "/identity").await?)?;
     if identity.kind != BackendKind::Application {
-        return Ok(ProbeFinding::Other);
+        return Ok(ProbeResult::Other);
     }
     let status: BackendStatus =
         serde_json::from_slice(&fetch(&mut sender, address, "/status").await?)?;
-    Ok(ProbeFinding::Engine(ProbedEngine {
+    Ok(ProbeResult::Engine(ProbedEngine {
         engine: identity.engine,
         incarnation: identity.incarnation,
         service: identity.service,
--- a/crates/control/src/core/published.rs
+++ b/crates/control/src/core/published.rs
@@ -95,7 +95,7 @@
 
 /// Returns the item that updates a follower from the view last sent to the current one.
 fn next_item(sent: Option<&ClusterView>, step: &Step) -> ViewItem {
-    let Some(sent) = sent else { return ViewItem::Whole(Box::new(ClusterView::clone(&step.view))) };
+    let Some(sent) = sent else { return ViewItem::Full(Box::new(ClusterView::clone(&step.view))) };
     let to = step.view.revision;
     let changes = if sent.revision == to {
         Vec::new()
--- a/crates/control/src/core/slot_usage.rs
+++ b/crates/control/src/core/slot_usage.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use hooklug_protocol::control::{Heartbeat, ServiceSlotUse, SlotUse};
+use hooklug_protocol::control::{Heartbeat, ServiceSlotUsage, SlotUsage};
 use hooklug_types::{NodeId, ServiceName, WindowGroup};
 
 use super::members::DEAD_AFTER;
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 struct EngineReport {
     service: ServiceName,
-    uses: Vec<SlotUse>,
+    uses: Vec<SlotUsage>,
     at: Instant,
 }
 
@@ -26,7 +26,7 @@
     /// Records the report in a heartbeat; a heartbeat of a node without an engine is ignored.
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let Some(engine) = &heartbeat.engine else { return };
-        let (service, uses) = (engine.service.clone(), heartbeat.slot_uses.clone());
+        let (service, uses) = (engine.service.clone(), heartbeat.slot_usage.clone());
         self.reports.insert(heartbeat.from.node, EngineReport { service, uses, at: now });
     }
 
@@ -37,12 +37,12 @@
 
     /// Returns the sums over all engines, by service and group; turns without a group come first.
     #[must_use]
-    pub fn sums(&self) -> Vec<ServiceSlotUse> {
-        let mut sums: BTreeMap<(&ServiceName, &Option<WindowGroup>), ServiceSlotUse> =
+    pub fn sums(&self) -> Vec<ServiceSlotUsage> {
+        let mut sums: BTreeMap<(&ServiceName, &Option<WindowGroup>), ServiceSlotUsage> =
             BTreeMap::new();
         for EngineReport { service, uses, .. } in self.reports.values() {
             for usage in uses {
-                let zero = || ServiceSlotUse {
+                let zero = || ServiceSlotUsage {
                     service: service.clone(),
                     group: usage.group.clone(),
                     engines: 0,
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hooklug_bundle::Bundle;
-use hooklug_protocol::control::{ClusterView, HostedEngine, SlotUse, VersionStatistics};
+use hooklug_protocol::control::{ClusterView, SessionHostInfo, SlotUsage, VersionStatistics};
 use hooklug_rpc::{LocalIdentity, RpcClient};
 use hooklug_settings::Settings;
 use hooklug_state::meta::{BundleRecord, HarmReport, SubmitBundle};
@@ -42,11 +42,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NodeReport {
     /// The engine that this node hosts, for session-host engines.
-    pub engine: Option<HostedEngine>,
+    pub engine: Option<SessionHostInfo>,
     /// Current load, for session-host engines.
     pub load: Option<EngineLoad>,
     /// Slot usage by window group, for session-host engines.
-    pub slot_uses: Vec<SlotUse>,
+    pub slot_usage: Vec<SlotUsage>,
 }
 
 /// Reasons why a node is not ready, by component; the node is ready when there are none.
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -41,9 +41,9 @@
             _ => changes.push(ViewChange::Member(member.clone())),
         }
     }
-    let group = |(bundle, nodes)| ViewChange::Installed { bundle, nodes };
+    let group = |(bundle, nodes)| ViewChange::BundleInstalled { bundle, nodes };
     changes.extend(installed.into_iter().map(group));
-    changes.extend(after.members.gone_since(&before.members).map(ViewChange::MemberGone));
+    changes.extend(after.members.removed_since(&before.members).map(ViewChange::MemberRemoved));
     changes.extend(engine_changes(before, after));
     if before.meta != after.meta {
         changes.push(ViewChange::Meta(after.meta.clone()));
@@ -61,7 +61,7 @@
     let removed = before.engines.keys().filter(|id| !after.engines.contains_key(*id));
     changed
         .map(|(_, engine)| ViewChange::Engine(engine.clone()))
-        .chain(removed.map(|id| ViewChange::EngineGone(id.clone())))
+        .chain(removed.map(|id| ViewChange::EngineRemoved(id.clone())))
         .collect()
 }
 
@@ -77,20 +77,20 @@
         ViewChange::Member(member) => {
             view.members.insert(member.address.node, member);
         }
-        ViewChange::Installed { bundle, nodes } => {
+        ViewChange::BundleInstalled { bundle, nodes } => {
             for node in nodes {
                 if let Some(member) = view.members.get_mut(&node) {
                     member.bundle = bundle;
                 }
             }
         }
-        ViewChange::MemberGone(id) => {
+        ViewChange::MemberRemoved(id) => {
             view.members.remove(&id);
         }
         ViewChange::Engine(engine) => {
             view.engines.insert(engine.engine.clone(), engine);
         }
-        ViewChange::EngineGone(id) => {
+        ViewChange::EngineRemoved(id) => {
             view.engines.remove(&id);
         }
         ViewChange::Meta(meta) => view.meta = meta,
@@ -111,11 +111,11 @@
 /// Applies an item of the view stream. The revision never decreases.
 pub fn apply_item(view: &mut ClusterView, item: ViewItem) -> ApplyResult {
     match item {
-        ViewItem::Whole(full) if full.revision > view.revision => {
+        ViewItem::Full(full) if full.revision > view.revision => {
             *view = *full;
             ApplyResult::Changed
         }
-        ViewItem::Whole(_) => ApplyResult::Stale,
+        ViewItem::Full(_) => ApplyResult::Stale,
         ViewItem::Changes { to, .. } if to <= view.revision => ApplyResult::Stale,
         ViewItem::Changes { from, .. } if from != view.revision => ApplyResult::Gap,
         ViewItem::Changes { to, changes, .. } => {
--- a/crates/control/tests/backends.rs
+++ b/crates/control/tests/backends.rs
@@ -8,7 +8,7 @@
 use async_trait::async_trait;
 use common::{Cluster, SECRET, WAIT_LIMIT, deadline};
 use hooklug_control::backends::{BackendReader, BackendSource, SourceError};
-use hooklug_protocol::backends::{BackendsItem, ListedBackend, WatchBackends};
+use hooklug_protocol::backends::{BackendListItem, ListedBackend, WatchBackends};
 use hooklug_rpc::{LocalIdentity, RpcServer};
 use hooklug_types::{BundleVersion, NodeId, NodeRole};
 use tokio::sync::watch;
@@ -47,10 +47,10 @@
     let request = WatchBackends { from: context.identity.address.clone() };
     let mut items = context.client.open(rpc, &request, deadline()).await.expect("it opens");
     let first = timeout(WAIT_LIMIT, items.next()).await.expect("in time").expect("an item");
-    assert_eq!(first, Some(BackendsItem::Whole(Vec::new())));
+    assert_eq!(first, Some(BackendListItem::Full(Vec::new())));
     identity.bundles.set_installed(BundleVersion(7));
     bundle.send_replace(None);
     let next = timeout(WAIT_LIMIT, items.next()).await.expect("in time").expect("an item");
-    assert_eq!(next, Some(BackendsItem::Changes { changed: Vec::new(), gone: Vec::new() }));
+    assert_eq!(next, Some(BackendListItem::Changes { changed: Vec::new(), removed: Vec::new() }));
     assert_eq!(*context.identity.bundles.watch_newest().borrow(), BundleVersion(7));
 }
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -182,7 +182,7 @@
         engine: None,
         load: None,
         statistics: Vec::new(),
-        slot_uses: Vec::new(),
+        slot_usage: Vec::new(),
     };
     let sender = cluster.start(NodeRole::Core, &[address]).await;
     let client = &sender.context.client;
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use hooklug_bundle::Bundle;
 use hooklug_control::{Core, NodeAgent, NodeContext, NodeHandle};
 use hooklug_protocol::control::{ClusterView, NodeAddress};
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_rpc::{LocalIdentity, RpcClient, RpcServer};
 use hooklug_settings::{
     CoreSettings, GatewaySettings, OperatorSettings, Secret, Settings, StoreSettings,
@@ -109,7 +109,7 @@
         group: GroupId,
         subject: LeaseSubject,
         deadline: Instant,
-    ) -> Result<LeaseVerdict, Unavailable> {
+    ) -> Result<LeaseStatus, Unavailable> {
         self.wait_reachable(group, deadline).await?;
         self.inner.expire_lease(group, subject, deadline).await
     }
--- a/crates/control/tests/engines.rs
+++ b/crates/control/tests/engines.rs
@@ -10,7 +10,7 @@
 use common::{Cluster, Node, eventually};
 use hooklug_control::core::engines::EngineTable;
 use hooklug_control::core::platform::{ListSource, ListedEngine};
-use hooklug_protocol::control::{ApplicationEngine, ProbeFinding, ProbeOutcome, ProbedEngine};
+use hooklug_protocol::control::{ApplicationEngine, ProbeOutcome, ProbeResult, ProbedEngine};
 use hooklug_rpc::RpcServer;
 use hooklug_types::{EngineId, Incarnation, NodeRole, ZoneName};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -36,12 +36,12 @@
     }
 }
 
-fn engine_found(engine_id: &str, incarnation: u64) -> ProbeFinding {
-    ProbeFinding::Engine(engine(engine_id, incarnation))
+fn engine_found(engine_id: &str, incarnation: u64) -> ProbeResult {
+    ProbeResult::Engine(engine(engine_id, incarnation))
 }
 
-fn record_probe(table: &mut EngineTable, port: u16, finding: ProbeFinding, now: Instant) {
-    table.record_probe(&ProbeOutcome { address: address(port), finding }, now);
+fn record_probe(table: &mut EngineTable, port: u16, result: ProbeResult, now: Instant) {
+    table.record_probe(&ProbeOutcome { address: address(port), result }, now);
 }
 
 fn find(table: &EngineTable, engine: &str) -> Option<ApplicationEngine> {
@@ -52,7 +52,7 @@
 fn an_address_that_never_answers_is_no_engine() {
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
-    record_probe(&mut table, 1, ProbeFinding::NoAnswer, Instant::now());
+    record_probe(&mut table, 1, ProbeResult::NoAnswer, Instant::now());
     assert!(table.engines().is_empty());
     assert!(table.addresses().contains(&address(1)), "it is probed again");
 }
@@ -64,11 +64,11 @@
     table.set_list(listed(&[1, 2]));
     record_probe(&mut table, 1, engine_found("a", 1), now);
     record_probe(&mut table, 2, engine_found("b", 1), now);
-    record_probe(&mut table, 1, ProbeFinding::Refused, now);
-    record_probe(&mut table, 2, ProbeFinding::NoAnswer, now);
+    record_probe(&mut table, 1, ProbeResult::Refused, now);
+    record_probe(&mut table, 2, ProbeResult::NoAnswer, now);
     assert_eq!(find(&table, "a").map(|e| e.healthy), Some(false));
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(true));
-    record_probe(&mut table, 2, ProbeFinding::NoAnswer, now);
+    record_probe(&mut table, 2, ProbeResult::NoAnswer, now);
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(false));
     record_probe(&mut table, 2, engine_found("b", 1), now);
     assert_eq!(find(&table, "b").map(|e| e.healthy), Some(true));
@@ -127,9 +127,9 @@
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
     let draining = ProbedEngine { draining: true, ..engine("a", 1) };
-    record_probe(&mut table, 1, ProbeFinding::Engine(draining), now);
+    record_probe(&mut table, 1, ProbeResult::Engine(draining), now);
     record_probe(&mut table, 2, engine_found("m", 1), now);
-    record_probe(&mut table, 2, ProbeFinding::Other, now);
+    record_probe(&mut table, 2, ProbeResult::Other, now);
     assert_eq!(find(&table, "a").map(|e| e.draining), Some(true));
     assert_eq!(find(&table, "m"), None, "a model server is reached through its session host");
 }
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -21,7 +21,7 @@
         engine: None,
         load: None,
         statistics: Vec::new(),
-        slot_uses: Vec::new(),
+        slot_usage: Vec::new(),
     }
 }
 
--- a/crates/control/tests/slot_uses.rs
+++ b/crates/control/tests/slot_uses.rs
@@ -4,10 +4,12 @@
 
 use hooklug_control::core::members::DEAD_AFTER;
 use hooklug_control::core::slot_usage::SlotUsageTable;
-use hooklug_protocol::control::{Heartbeat, HostedEngine, NodeAddress, ServiceSlotUse, SlotUse};
+use hooklug_protocol::control::{
+    Heartbeat, NodeAddress, ServiceSlotUsage, SessionHostInfo, SlotUsage,
+};
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole};
 
-fn heartbeat(node: u64, service: &str, slot_uses: Vec<SlotUse>) -> Heartbeat {
+fn heartbeat(node: u64, service: &str, slot_usage: Vec<SlotUsage>) -> Heartbeat {
     Heartbeat {
         from: NodeAddress {
             node: NodeId(node),
@@ -18,7 +20,7 @@
             zone: "z1".parse().expect("valid"),
         },
         bundle: BundleVersion(1),
-        engine: Some(HostedEngine {
+        engine: Some(SessionHostInfo {
             engine: format!("engine-{node}").parse().expect("valid"),
             service: service.parse().expect("valid"),
             version: "v1".parse().expect("valid"),
@@ -28,17 +30,17 @@
         }),
         load: None,
         statistics: Vec::new(),
-        slot_uses,
+        slot_usage,
     }
 }
 
-fn slot_use(group: Option<&str>, reserved: u32, running: u32) -> SlotUse {
-    SlotUse { group: group.map(|g| g.parse().expect("valid")), reserved, running }
+fn slot_use(group: Option<&str>, reserved: u32, running: u32) -> SlotUsage {
+    SlotUsage { group: group.map(|g| g.parse().expect("valid")), reserved, running }
 }
 
-fn sum(service: &str, group: Option<&str>, counts: [u32; 4]) -> ServiceSlotUse {
+fn sum(service: &str, group: Option<&str>, counts: [u32; 4]) -> ServiceSlotUsage {
     let [engines, reserved, used, borrowed] = counts;
-    ServiceSlotUse {
+    ServiceSlotUsage {
         service: service.parse().expect("valid"),
         group: group.map(|g| g.parse().expect("valid")),
         engines,
--- a/crates/control/tests/views.rs
+++ b/crates/control/tests/views.rs
@@ -5,7 +5,7 @@
 use hooklug_control::agent::Peers;
 use hooklug_control::view::{apply_change, changes};
 use hooklug_protocol::control::{
-    ClusterView, HostedEngine, Member, MemberHealth, NodeAddress, ViewChange,
+    ClusterView, Member, MemberHealth, NodeAddress, SessionHostInfo, ViewChange,
 };
 use hooklug_types::{BundleVersion, Incarnation, NodeId, NodeRole, ZoneName};
 use proptest::prelude::*;
@@ -24,8 +24,8 @@
     }
 }
 
-fn engine(draining: bool) -> HostedEngine {
-    HostedEngine {
+fn engine(draining: bool) -> SessionHostInfo {
+    SessionHostInfo {
         engine: "engine-1".parse().expect("valid"),
         service: "advisor".parse().expect("valid"),
         version: "v1".parse().expect("valid"),
@@ -81,7 +81,7 @@
     after.members.values_mut().for_each(|member| member.bundle = BundleVersion(2));
     let changes = changes(&before, &after);
     let nodes = before.members.keys().copied().collect();
-    assert_eq!(changes, [ViewChange::Installed { bundle: BundleVersion(2), nodes }]);
+    assert_eq!(changes, [ViewChange::BundleInstalled { bundle: BundleVersion(2), nodes }]);
 }
 
 #[test]
--- a/crates/engine/src/admission/policy.rs
+++ b/crates/engine/src/admission/policy.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hooklug_protocol::control::SlotUse;
+use hooklug_protocol::control::SlotUsage;
 use hooklug_types::{TenantId, UnixMillis, WindowGroup};
 
 use super::Ticket;
@@ -122,7 +122,7 @@
 
     /// Reserved and running slots by group. Groups with neither are omitted.
     #[must_use]
-    pub fn uses(&self, now: UnixMillis) -> Vec<SlotUse> {
+    pub fn uses(&self, now: UnixMillis) -> Vec<SlotUsage> {
         let mut uses: BTreeMap<Option<WindowGroup>, (u32, u32)> = BTreeMap::new();
         for (group, reserved) in self.reservations.reserved_slots_at(now) {
             uses.entry(Some(group.clone())).or_default().0 = reserved;
@@ -130,7 +130,7 @@
         for running in self.running.values() {
             uses.entry(running.occupant.group.clone()).or_default().1 += 1;
         }
-        let to_slot_use = |(group, (reserved, running))| SlotUse { group, reserved, running };
+        let to_slot_use = |(group, (reserved, running))| SlotUsage { group, reserved, running };
         uses.into_iter().map(to_slot_use).collect()
     }
 
--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -131,7 +131,7 @@
     let deadline = Instant::now() + STORE_TIMEOUT;
     match shared.state.query_shard(group_of(&location.key), &query, deadline).await {
         Ok(ShardAnswer::Turn(Some(record))) if record.state != TurnState::Open => Ok(record),
-        Ok(ShardAnswer::Turn(None)) => Err(EngineRefusal::Ledger(ShardRefusal::NoOpenTurn)),
+        Ok(ShardAnswer::Turn(None)) => Err(EngineRefusal::Shard(ShardRefusal::NoOpenTurn)),
         _ => Err(EngineRefusal::StoreUnavailable),
     }
 }
@@ -280,7 +280,7 @@
 
 fn to_refusal(refusal: SessionRefusal) -> EngineRefusal {
     match refusal {
-        SessionRefusal::Ledger(refusal) => EngineRefusal::Ledger(refusal),
+        SessionRefusal::Ledger(refusal) => EngineRefusal::Shard(refusal),
         SessionRefusal::NotOwner { record } => EngineRefusal::NotOwner { record },
         SessionRefusal::LeaseLost => EngineRefusal::LeaseLost,
         SessionRefusal::HandedOver => EngineRefusal::HandedOver,
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use hooklug_protocol::engine::{EngineRefusal, OpenSession, TakeSession};
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_session::{Message, Session};
 use hooklug_state::shard::{
     OpenSession as OpenCommand, SessionRecord, ShardCommand, ShardRefusal, ShardReply,
@@ -118,7 +118,7 @@
 /// When the session does not exist, or the shard did not reply.
 pub async fn record_of(shared: &Shared, key: &SessionKey) -> Result<SessionRecord, EngineRefusal> {
     let record = read_record(shared.state.as_ref(), key, store_deadline()).await;
-    record.map_err(load_refusal)?.ok_or(EngineRefusal::Ledger(ShardRefusal::NoSession))
+    record.map_err(load_refusal)?.ok_or(EngineRefusal::Shard(ShardRefusal::NoSession))
 }
 
 /// A refusal that carries the record with the current owner.
@@ -168,7 +168,7 @@
         Ok(ShardReply::Refused(ShardRefusal::StaleEpoch { record })) => {
             Err(EngineRefusal::NotOwner { record: Some(record) })
         }
-        Ok(ShardReply::Refused(refusal)) => Err(EngineRefusal::Ledger(refusal)),
+        Ok(ShardReply::Refused(refusal)) => Err(EngineRefusal::Shard(refusal)),
         Ok(_) | Err(_) => Err(EngineRefusal::StoreUnavailable),
     }
 }
@@ -177,8 +177,8 @@
     let group = shard_of(owner.engine.as_str());
     let subject = LeaseSubject::Engine(owner.clone());
     match shared.state.expire_lease(group, subject, store_deadline()).await {
-        Ok(LeaseVerdict::Expired | LeaseVerdict::Unknown) => Ok(true),
-        Ok(LeaseVerdict::Held { .. }) => Ok(false),
+        Ok(LeaseStatus::Expired | LeaseStatus::Unknown) => Ok(true),
+        Ok(LeaseStatus::Held { .. }) => Ok(false),
         Err(_) => Err(EngineRefusal::StoreUnavailable),
     }
 }
--- a/crates/engine/src/reporter.rs
+++ b/crates/engine/src/reporter.rs
@@ -27,7 +27,7 @@
         let report = NodeReport {
             engine: Some(shared.hosted_engine()),
             load: Some(shared.load()),
-            slot_uses: shared.slots.uses(),
+            slot_usage: shared.slots.uses(),
         };
         let load_is_due = load_reported.elapsed() >= LOAD_INTERVAL;
         let reported = shared.node.report.send_if_modified(|known| {
--- a/crates/engine/src/shared.rs
+++ b/crates/engine/src/shared.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hooklug_control::{InstalledBundle, NodeHandle};
-use hooklug_protocol::control::HostedEngine;
+use hooklug_protocol::control::SessionHostInfo;
 use hooklug_session::{ClientId, ReplyId, SessionConfig};
 use hooklug_settings::EngineSettings;
 use hooklug_store::StateAccess;
@@ -158,8 +158,8 @@
 
     /// The engine's entry in the node report.
     #[must_use]
-    pub fn hosted_engine(&self) -> HostedEngine {
-        HostedEngine {
+    pub fn hosted_engine(&self) -> SessionHostInfo {
+        SessionHostInfo {
             engine: self.settings.id.clone(),
             service: self.settings.service.clone(),
             version: self.settings.version.clone(),
--- a/crates/engine/src/slots.rs
+++ b/crates/engine/src/slots.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use hooklug_protocol::control::SlotUse;
+use hooklug_protocol::control::SlotUsage;
 use hooklug_session::{Message, SlotRefusal, SlotRequest, SlotTicket};
 use hooklug_types::UnixMillis;
 use tokio::sync::Notify;
@@ -93,7 +93,7 @@
 
     /// Reserved and running slots by group.
     #[must_use]
-    pub fn uses(&self) -> Vec<SlotUse> {
+    pub fn uses(&self) -> Vec<SlotUsage> {
         self.lock().admission.uses(UnixMillis::now())
     }
 
--- a/crates/engine/tests/lease.rs
+++ b/crates/engine/tests/lease.rs
@@ -9,7 +9,7 @@
 use hooklug_engine::lease::{
     LATE_RENEWAL_TIME, LEASE_TIME, LeaseKeeper, LeaseState, LeaseView, RENEW_INTERVAL,
 };
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_store::{MemoryState, StateAccess};
 use hooklug_types::{EngineIncarnation, Incarnation, shard_of};
 use support::stalled::StalledState;
@@ -50,7 +50,7 @@
         self.lost.load(Ordering::SeqCst)
     }
 
-    async fn expire(&self) -> LeaseVerdict {
+    async fn expire(&self) -> LeaseStatus {
         let subject = LeaseSubject::Engine(holder());
         let deadline = Instant::now() + Duration::from_secs(1);
         self.state.expire_lease(shard_of("e1"), subject, deadline).await.unwrap()
@@ -63,7 +63,7 @@
     for _ in 0..20 {
         sleep(RENEW_INTERVAL).await;
         assert!(keeper.view.is_held());
-        assert!(matches!(keeper.expire().await, LeaseVerdict::Held { .. }));
+        assert!(matches!(keeper.expire().await, LeaseStatus::Held { .. }));
     }
     assert_eq!(keeper.lost(), 0);
 }
@@ -75,7 +75,7 @@
     let LeaseState::HeldUntil(until) = keeper.view.state() else { panic!("not held") };
     keeper.link.stall(true);
     while keeper.view.is_held() {
-        assert!(matches!(keeper.expire().await, LeaseVerdict::Held { .. }));
+        assert!(matches!(keeper.expire().await, LeaseStatus::Held { .. }));
         sleep(Duration::from_millis(1)).await;
     }
     assert!(Instant::now() >= until);
@@ -106,7 +106,7 @@
     let (now, lease_until) = keeper.view.wait_until_decided().await;
     assert!(now >= until + LATE_RENEWAL_TIME / 2 && now < lease_until, "{now:?} {lease_until:?}");
     assert_eq!(keeper.lost(), 0);
-    assert!(matches!(keeper.expire().await, LeaseVerdict::Held { .. }));
+    assert!(matches!(keeper.expire().await, LeaseStatus::Held { .. }));
 }
 
 #[tokio::test(start_paused = true)]
@@ -152,7 +152,7 @@
     sleep(RENEW_INTERVAL).await;
     keeper.link.stall(true);
     sleep(LEASE_TIME * 2).await;
-    assert_eq!(keeper.expire().await, LeaseVerdict::Expired);
+    assert_eq!(keeper.expire().await, LeaseStatus::Expired);
     keeper.link.stall(false);
     keeper.ended.await.unwrap();
     assert_eq!(keeper.view.state(), LeaseState::Expired);
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -69,7 +69,7 @@
     let mut other = resumed.clone();
     other.max_tokens = TokenCount(7);
     let refused = world.run(&second, &other).await.refusal;
-    assert_eq!(refused, Some(EngineRefusal::Ledger(ShardRefusal::TurnDiffers)));
+    assert_eq!(refused, Some(EngineRefusal::Shard(ShardRefusal::TurnDiffers)));
 
     let next = world.run(&second, &run_turn(&taken, "t2", Some("t1"), "say 2")).await;
     assert_eq!(next.end(), Some(&EndReason::Finished));
@@ -211,12 +211,12 @@
     let ran = world.run(&second, &run_turn(&two, "t2", Some("t1"), "say 4")).await;
     assert_eq!(tokens_of(&ran.events), 4);
     let held = world.run(&second, &run_turn(&two, "t3", Some("t2"), "say 1")).await.refusal;
-    assert_eq!(held, Some(EngineRefusal::Ledger(ShardRefusal::BudgetReserved)));
+    assert_eq!(held, Some(EngineRefusal::Shard(ShardRefusal::BudgetReserved)));
 
     model.let_through("t1", 100);
     assert_eq!(read_turn(&mut stream).await.end(), Some(&EndReason::Finished));
     let spent = world.run(&second, &run_turn(&two, "t3", Some("t2"), "say 1")).await.refusal;
-    assert_eq!(spent, Some(EngineRefusal::Ledger(ShardRefusal::BudgetSpent)));
+    assert_eq!(spent, Some(EngineRefusal::Shard(ShardRefusal::BudgetSpent)));
     let program = ShardQuery::Program(ProgramId::new("p1").unwrap());
     let answer = world.state.query_shard(shard_of("p1"), &program, test_deadline()).await.unwrap();
     let ShardAnswer::Program(Some(program)) = answer else { panic!("{answer:?}") };
@@ -239,6 +239,6 @@
     let ran = world.run(&engine, &run_turn(&location, "t1", None, "gated 5")).await;
     assert_eq!(ran.end(), Some(&EndReason::Failed { code: FailureCode::ProgramEnded }));
     let late = world.run(&engine, &run_turn(&location, "t2", Some("t1"), "say 1")).await;
-    assert_eq!(late.refusal, Some(EngineRefusal::Ledger(ShardRefusal::ProgramEnded)));
+    assert_eq!(late.refusal, Some(EngineRefusal::Shard(ShardRefusal::ProgramEnded)));
     eventually("the model stopped", async || model.aborted().len() == 2).await;
 }
--- a/crates/engine/tests/support/stalled.rs
+++ b/crates/engine/tests/support/stalled.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::meta::{MetaAnswer, MetaCommand, MetaQuery, MetaReply};
 use hooklug_state::shard::{ShardAnswer, ShardCommand, ShardQuery, ShardReply};
 use hooklug_store::{MemoryState, StateAccess, Unavailable};
@@ -113,7 +113,7 @@
         group: GroupId,
         subject: LeaseSubject,
         deadline: Instant,
-    ) -> Result<LeaseVerdict, Unavailable> {
+    ) -> Result<LeaseStatus, Unavailable> {
         self.wait_for_link(group, deadline).await?;
         self.inner.expire_lease(group, subject, deadline).await
     }
--- a/crates/engine/tests/turns.rs
+++ b/crates/engine/tests/turns.rs
@@ -80,10 +80,10 @@
     let location = world.session(&engine, "p1").await;
     world.run(&engine, &run_turn(&location, "t1", None, "say 1")).await;
     let other = world.run(&engine, &run_turn(&location, "t1", None, "say 2")).await;
-    assert_eq!(other.refusal, Some(EngineRefusal::Ledger(ShardRefusal::TurnDiffers)));
+    assert_eq!(other.refusal, Some(EngineRefusal::Shard(ShardRefusal::TurnDiffers)));
     let unrelated = world.run(&engine, &run_turn(&location, "t3", Some("t2"), "say 2")).await;
     let refusal = ShardRefusal::NotHead { head: Some(turn("t1")), after_known: false };
-    assert_eq!(unrelated.refusal, Some(EngineRefusal::Ledger(refusal)));
+    assert_eq!(unrelated.refusal, Some(EngineRefusal::Shard(refusal)));
 }
 
 #[tokio::test]
@@ -138,7 +138,7 @@
     assert_eq!(world.call(&engine, &abort).await.unwrap(), record);
     let unknown = AbortTurn { location: location.clone(), turn: turn("t9") };
     let refusal = world.call(&engine, &unknown).await.unwrap_err();
-    assert_eq!(refusal, EngineRefusal::Ledger(ShardRefusal::NoOpenTurn));
+    assert_eq!(refusal, EngineRefusal::Shard(ShardRefusal::NoOpenTurn));
 }
 
 #[tokio::test]
--- a/crates/gateway/src/api/refusals.rs
+++ b/crates/gateway/src/api/refusals.rs
@@ -61,7 +61,7 @@
 pub fn from_engine(refusal: &EngineRefusal) -> Problem {
     let detail = refusal.to_string();
     match refusal {
-        EngineRefusal::Ledger(refusal) => from_shard(refusal),
+        EngineRefusal::Shard(refusal) => from_shard(refusal),
         EngineRefusal::Overloaded { retry_after_ms } => {
             let after = Duration::from_millis(*retry_after_ms);
             Problem::retryable(Code::Overloaded, detail, after)
--- a/crates/gateway/src/sessions/opening.rs
+++ b/crates/gateway/src/sessions/opening.rs
@@ -83,7 +83,7 @@
                 self.learn(&record);
                 Ok(Some(record))
             }
-            Err(EngineError::Refused(EngineRefusal::Ledger(ShardRefusal::StaleEpoch {
+            Err(EngineError::Refused(EngineRefusal::Shard(ShardRefusal::StaleEpoch {
                 record,
             }))) => {
                 self.learn(&record);
@@ -93,7 +93,7 @@
                 self.learn(&record);
                 Ok(Some(*record))
             }
-            Err(EngineError::Refused(EngineRefusal::Ledger(refusal))) => {
+            Err(EngineError::Refused(EngineRefusal::Shard(refusal))) => {
                 Err(refusals::from_shard(&refusal))
             }
             // The engine may have recorded its ownership: read the record.
--- a/crates/gateway/src/sessions/takeover.rs
+++ b/crates/gateway/src/sessions/takeover.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hooklug_protocol::engine::{EngineRefusal, TakeSession};
-use hooklug_protocol::store::LeaseVerdict;
+use hooklug_protocol::store::LeaseStatus;
 use hooklug_state::shard::{SessionRecord, ShardRefusal};
 use hooklug_types::{EngineIncarnation, SessionKey};
 use tokio::time::{Instant, sleep};
@@ -57,8 +57,8 @@
         let mut owner_may_be_alive = lease_wait == LeaseWait::Never;
         loop {
             let left = match self.shards.expire_lease(&entry.owner, deadline).await? {
-                LeaseVerdict::Expired | LeaseVerdict::Unknown => break,
-                LeaseVerdict::Held { left_ms } => Duration::from_millis(left_ms) + LEASE_MARGIN,
+                LeaseStatus::Expired | LeaseStatus::Unknown => break,
+                LeaseStatus::Held { left_ms } => Duration::from_millis(left_ms) + LEASE_MARGIN,
             };
             if owner_may_be_alive && self.is_listed(&entry.owner) {
                 self.learn(record);
@@ -144,14 +144,14 @@
         deadline: Instant,
     ) -> Result<TakeResult, OwnerError> {
         match refusal {
-            EngineRefusal::Ledger(ShardRefusal::SessionClosed) => {
+            EngineRefusal::Shard(ShardRefusal::SessionClosed) => {
                 self.forget(&record.key);
                 Ok(TakeResult::Failed(OwnerError::Closed(Box::new(record.clone()))))
             }
-            EngineRefusal::Ledger(ShardRefusal::NoSession) => {
+            EngineRefusal::Shard(ShardRefusal::NoSession) => {
                 Ok(TakeResult::Failed(OwnerError::NoSession))
             }
-            EngineRefusal::Ledger(ShardRefusal::StaleEpoch { .. })
+            EngineRefusal::Shard(ShardRefusal::StaleEpoch { .. })
             | EngineRefusal::NotOwner { .. } => self.reread(&record.key, record, deadline).await,
             _ => Ok(TakeResult::Refused),
         }
--- a/crates/gateway/src/shards.rs
+++ b/crates/gateway/src/shards.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::shard::{
     CallRecord, Event, ProgramRecord, SessionRecord, ShardAnswer, ShardCommand, ShardQuery,
     ShardReply, TurnRecord,
@@ -166,7 +166,7 @@
         &self,
         engine: &EngineIncarnation,
         deadline: Instant,
-    ) -> Result<LeaseVerdict, ShardError> {
+    ) -> Result<LeaseStatus, ShardError> {
         let group = shard_of(engine.engine.as_str());
         let subject = LeaseSubject::Engine(engine.clone());
         Ok(self.state.expire_lease(group, subject, deadline).await?)
--- a/crates/gateway/tests/support/fake_engine/records.rs
+++ b/crates/gateway/tests/support/fake_engine/records.rs
@@ -19,7 +19,7 @@
     ) -> Result<ShardReply, EngineRefusal> {
         let group = shard_of(program.as_str());
         match self.state.execute_shard(group, &command, test_deadline()).await {
-            Ok(ShardReply::Refused(refusal)) => Err(EngineRefusal::Ledger(refusal)),
+            Ok(ShardReply::Refused(refusal)) => Err(EngineRefusal::Shard(refusal)),
             Ok(reply) => Ok(reply),
             Err(_) => Err(EngineRefusal::StoreUnavailable),
         }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use hooklug_control::{NodeContext, NodeFeeds, NodeHandle, Reach};
 use hooklug_gateway::Gateway;
 use hooklug_protocol::control::{
-    ApplicationEngine, ClusterView, HostedEngine, Member, MemberHealth, NodeAddress,
+    ApplicationEngine, ClusterView, Member, MemberHealth, NodeAddress, SessionHostInfo,
 };
 use hooklug_rpc::{LocalIdentity, RpcClient};
 use hooklug_settings::GatewayMode;
@@ -186,7 +186,7 @@
             incarnation: engine.me.incarnation,
             ..address(NodeRole::Engine, 0, engine.rpc, zone)
         };
-        let hosted = HostedEngine {
+        let hosted = SessionHostInfo {
             engine: engine.me.engine.clone(),
             service: id("advisor"),
             version: engine.version.clone(),
--- a/crates/ingress/tests/records.rs
+++ b/crates/ingress/tests/records.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use hooklug_ingress::records::TurnRecords;
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::meta::{MetaAnswer, MetaCommand, MetaQuery, MetaReply};
 use hooklug_state::shard::{ShardAnswer, ShardCommand, ShardQuery, ShardReply};
 use hooklug_store::{StateAccess, Unavailable};
@@ -73,7 +73,7 @@
         group: GroupId,
         _subject: LeaseSubject,
         _deadline: Instant,
-    ) -> Result<LeaseVerdict, Unavailable> {
+    ) -> Result<LeaseStatus, Unavailable> {
         unavailable(group)
     }
 }
--- a/crates/protocol/src/backends.rs
+++ b/crates/protocol/src/backends.rs
@@ -38,19 +38,19 @@
 /// An item of the backend list stream: first the full list, then changes. One item is sent each
 /// time the list is read, so that a subscriber knows how fresh its copy is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BackendsItem {
+pub enum BackendListItem {
     /// The full list.
-    Whole(Vec<ListedBackend>),
+    Full(Vec<ListedBackend>),
     /// Differences from the previous item.
     Changes {
         /// Backends that were added or changed.
         changed: Vec<ListedBackend>,
         /// Backends that were removed.
-        gone: Vec<EngineId>,
+        removed: Vec<EngineId>,
     },
 }
 
 impl StreamRequest for WatchBackends {
-    type Item = BackendsItem;
+    type Item = BackendListItem;
     const METHOD: Method = Method::WatchBackends;
 }
--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/control.rs
@@ -54,7 +54,7 @@
     /// Bundle version installed at the node.
     pub bundle: BundleVersion,
     /// Engine details; set for session-host engines.
-    pub engine: Option<HostedEngine>,
+    pub engine: Option<SessionHostInfo>,
 }
 
 /// Health of a node, as judged by the core leader.
@@ -70,7 +70,7 @@
 
 /// Details that a session-host engine reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostedEngine {
+pub struct SessionHostInfo {
     /// Engine id (one per process).
     pub engine: EngineId,
     /// Service that the engine serves.
@@ -128,18 +128,18 @@
     Member(SharedMember),
     /// Only the installed bundle of these nodes changed; one such item replaces a `Member` item per
     /// node.
-    Installed {
+    BundleInstalled {
         /// The bundle version that is now installed.
         bundle: BundleVersion,
         /// The nodes that installed it.
         nodes: Vec<NodeId>,
     },
     /// A node was removed.
-    MemberGone(NodeId),
+    MemberRemoved(NodeId),
     /// An application engine was added or changed.
     Engine(ApplicationEngine),
     /// An application engine was removed.
-    EngineGone(EngineId),
+    EngineRemoved(EngineId),
     /// The meta state changed.
     Meta(CopyOnWrite<MetaState>),
 }
@@ -155,7 +155,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ViewItem {
     /// The full view.
-    Whole(Box<ClusterView>),
+    Full(Box<ClusterView>),
     /// Changes from one revision to a later one.
     Changes {
         /// The revision before the changes.
@@ -180,20 +180,20 @@
     /// Bundle version installed at the node.
     pub bundle: BundleVersion,
     /// Engine details; set for session-host engines.
-    pub engine: Option<HostedEngine>,
+    pub engine: Option<SessionHostInfo>,
     /// Load of the engine; set for session-host engines.
     pub load: Option<EngineLoad>,
     /// Statistics of the versions under observation since the last acknowledged heartbeat; sent by
     /// gateways.
     pub statistics: Vec<VersionStatistics>,
     /// Slot usage by window group; sent by session-host engines.
-    pub slot_uses: Vec<SlotUse>,
+    pub slot_usage: Vec<SlotUsage>,
 }
 
 /// Slot usage of one window group at one engine. Omitted for groups that have neither reserved
 /// slots nor turns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotUse {
+pub struct SlotUsage {
     /// The window group; `None` for turns without a group.
     pub group: Option<WindowGroup>,
     /// Slots that open windows reserve for the group at this engine.
@@ -204,7 +204,7 @@
 
 /// Slot usage of one window group of a service, summed over all engines; shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceSlotUse {
+pub struct ServiceSlotUsage {
     /// The service.
     pub service: ServiceName,
     /// The window group; `None` for turns without a group.
@@ -222,11 +222,11 @@
 
 /// Asks the core leader for the slot usage of all services, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotUseFigures;
+pub struct FetchSlotUsage;
 
-impl Request for SlotUseFigures {
-    type Reply = Vec<ServiceSlotUse>;
-    const METHOD: Method = Method::SlotUseFigures;
+impl Request for FetchSlotUsage {
+    type Reply = Vec<ServiceSlotUsage>;
+    const METHOD: Method = Method::FetchSlotUsage;
 }
 
 /// Reply to a heartbeat.
@@ -294,16 +294,16 @@
 
 /// Asks the core leader for the statistics of each version over the last minute, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionFigures;
+pub struct FetchVersionStatistics;
 
-impl Request for VersionFigures {
+impl Request for FetchVersionStatistics {
     type Reply = Vec<VersionStatistics>;
-    const METHOD: Method = Method::VersionFigures;
+    const METHOD: Method = Method::FetchVersionStatistics;
 }
 
 /// The result of probing an engine's address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ProbeFinding {
+pub enum ProbeResult {
     /// An application engine responded.
     Engine(ProbedEngine),
     /// Some other server responded, such as a model server.
@@ -337,7 +337,7 @@
     /// The probed address.
     pub address: SocketAddr,
     /// The result of the probe.
-    pub finding: ProbeFinding,
+    pub result: ProbeResult,
 }
 
 /// Reports the results of a core's share of the probes to the core leader.
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -19,7 +19,7 @@
     pub result: Result<T, EngineRefusal>,
 }
 
-/// The reason why an engine refused a request. Only `Ledger` carries a committed refusal; the
+/// The reason why an engine refused a request. Only `Shard` carries a committed refusal; the
 /// others do not say whether anything has run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum EngineRefusal {
@@ -52,7 +52,7 @@
     },
     /// The shard refused the command.
     #[error("{0}")]
-    Ledger(ShardRefusal),
+    Shard(ShardRefusal),
     /// The shard could not be reached in time; the command may or may not have been applied.
     #[error("the session's shard is unreachable")]
     StoreUnavailable,
--- a/crates/protocol/src/member_map.rs
+++ b/crates/protocol/src/member_map.rs
@@ -93,7 +93,7 @@
     }
 
     /// Iterates over the nodes of an earlier map that are not in this one.
-    pub fn gone_since<'a>(&'a self, earlier: &'a Self) -> impl Iterator<Item = NodeId> + 'a {
+    pub fn removed_since<'a>(&'a self, earlier: &'a Self) -> impl Iterator<Item = NodeId> + 'a {
         let all = (!self.0.ptr_eq(&earlier.0)).then_some(&earlier.0);
         let ids = all.into_iter().flat_map(|all| all.keys());
         ids.filter(|node| !self.0.contains_key(node)).copied()
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -47,12 +47,12 @@
     ChangeReplicas,
     /// Used by tests of the transport only.
     Echo,
-    /// `control::VersionFigures`.
-    VersionFigures,
+    /// `control::FetchVersionStatistics`.
+    FetchVersionStatistics,
     /// `control::ReportProbes`.
     ReportProbes,
-    /// `control::SlotUseFigures`.
-    SlotUseFigures,
+    /// `control::FetchSlotUsage`.
+    FetchSlotUsage,
     /// `backends::WatchBackends`.
     WatchBackends,
 }
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -13,7 +13,7 @@
 /// The reason why a store did not execute a request. None of these says whether a command was or
 /// will be applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreRequestError {
     /// This replica is not the leader of the group.
     #[error("this replica is not the leader of the group")]
     NotLeader {
@@ -61,7 +61,7 @@
 }
 
 impl Request for Execute {
-    type Reply = Result<Bytes, StoreFault>;
+    type Reply = Result<Bytes, StoreRequestError>;
     const METHOD: Method = Method::Execute;
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Request for Query {
-    type Reply = Result<Vec<u8>, StoreFault>;
+    type Reply = Result<Vec<u8>, StoreRequestError>;
     const METHOD: Method = Method::Query;
 }
 
@@ -107,7 +107,7 @@
 
 /// The outcome of [`ExpireLease`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LeaseVerdict {
+pub enum LeaseStatus {
     /// The lease is expired permanently; the expiry is committed.
     Expired,
     /// The lease is still held; the request can be repeated after `left_ms`.
@@ -120,7 +120,7 @@
 }
 
 impl Request for ExpireLease {
-    type Reply = Result<LeaseVerdict, StoreFault>;
+    type Reply = Result<LeaseStatus, StoreRequestError>;
     const METHOD: Method = Method::ExpireLease;
 }
 
@@ -156,7 +156,7 @@
     /// Bytes of the chunk.
     pub data: Vec<u8>,
     /// Digest of the complete snapshot; set on the last chunk.
-    pub whole: Option<Digest>,
+    pub digest: Option<Digest>,
 }
 
 /// Reply to a snapshot chunk: the progress of the receiver.
@@ -167,7 +167,7 @@
 }
 
 impl Request for SnapshotChunk {
-    type Reply = Result<SnapshotProgress, StoreFault>;
+    type Reply = Result<SnapshotProgress, StoreRequestError>;
     const METHOD: Method = Method::SnapshotChunk;
 }
 
@@ -197,7 +197,7 @@
     pub zone: ZoneName,
     /// Cluster id that the sender has promised to another coordinator; asks whether that plan is
     /// still valid.
-    pub propose: Option<u64>,
+    pub promised_cluster: Option<u64>,
     /// Proposed plan; set by the store with the lowest node id once `expect_stores` stores see each
     /// other.
     pub plan: Option<FormationPlan>,
@@ -218,7 +218,7 @@
     /// that plan is still valid.
     pub accepted: bool,
     /// Addresses of other empty stores that the store knows.
-    pub heard: Vec<SocketAddr>,
+    pub known_stores: Vec<SocketAddr>,
 }
 
 impl Request for FormationOffer {
@@ -289,6 +289,6 @@
 }
 
 impl Request for ChangeReplicas {
-    type Reply = Result<(), StoreFault>;
+    type Reply = Result<(), StoreRequestError>;
     const METHOD: Method = Method::ChangeReplicas;
 }
--- a/crates/replication/src/snapshot_inbox.rs
+++ b/crates/replication/src/snapshot_inbox.rs
@@ -57,7 +57,7 @@
             return ChunkOutcome::ExpectOffset(partial.data.len() as u64);
         }
         partial.data.extend_from_slice(&chunk.data);
-        match chunk.whole {
+        match chunk.digest {
             None => ChunkOutcome::ExpectOffset(partial.data.len() as u64),
             Some(digest) => self.finish(group, digest),
         }
--- a/crates/replication/src/snapshot_inbox/tests.rs
+++ b/crates/replication/src/snapshot_inbox/tests.rs
@@ -18,7 +18,7 @@
         meta,
         offset: offset as u64,
         data: DATA[offset..end].to_vec(),
-        whole: (end == DATA.len()).then(|| Digest::of(DATA)),
+        digest: (end == DATA.len()).then(|| Digest::of(DATA)),
     }
 }
 
--- a/crates/replication/src/snapshot_sender.rs
+++ b/crates/replication/src/snapshot_sender.rs
@@ -59,7 +59,7 @@
         while retries <= MAX_CHUNK_RETRIES {
             let Some(address) = addresses.get(self.to) else { return false };
             let chunk = self.chunk(data, offset, digest);
-            let (end, is_last) = (offset + chunk.data.len(), chunk.whole.is_some());
+            let (end, is_last) = (offset + chunk.data.len(), chunk.digest.is_some());
             let answer = client.call(address, &chunk, Instant::now() + CHUNK_TIMEOUT).await;
             let next = match answer {
                 Ok(Ok(progress)) => usize::try_from(progress.next_offset).unwrap_or(0),
@@ -94,7 +94,7 @@
             meta: self.meta.clone(),
             offset: offset as u64,
             data: data[offset..end].to_vec(),
-            whole: (end == data.len()).then_some(digest),
+            digest: (end == data.len()).then_some(digest),
         }
     }
 }
--- a/crates/store/src/access.rs
+++ b/crates/store/src/access.rs
@@ -1,7 +1,7 @@
 //! Interface through which the other parts of hooklug access the replicated state.
 
 use async_trait::async_trait;
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::meta::{MetaAnswer, MetaCommand, MetaQuery, MetaReply};
 use hooklug_state::shard::{ShardAnswer, ShardCommand, ShardQuery, ShardReply};
 use hooklug_types::GroupId;
@@ -76,5 +76,5 @@
         group: GroupId,
         subject: LeaseSubject,
         deadline: Instant,
-    ) -> Result<LeaseVerdict, Unavailable>;
+    ) -> Result<LeaseStatus, Unavailable>;
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -8,7 +8,7 @@
 use async_trait::async_trait;
 use hooklug_protocol::Request;
 use hooklug_protocol::store::{
-    Execute, ExpireLease, LeaseSubject, LeaseVerdict, Query, StoreFault,
+    Execute, ExpireLease, LeaseStatus, LeaseSubject, Query, StoreRequestError,
 };
 use hooklug_rpc::{RpcClient, RpcError};
 use hooklug_state::meta::{MetaAnswer, MetaCommand, MetaQuery, MetaReply};
@@ -97,7 +97,7 @@
         deadline: Instant,
     ) -> Result<T, Unavailable>
     where
-        R: Request<Reply = Result<T, StoreFault>>,
+        R: Request<Reply = Result<T, StoreRequestError>>,
         T: Send,
     {
         let mut attempts = Attempts::new(group);
@@ -113,7 +113,7 @@
                     self.routing().leaders.insert(group, store);
                     return Ok(value);
                 }
-                Ok(Err(fault)) => self.action_after_fault(group, store, fault),
+                Ok(Err(error)) => self.action_after_request_error(group, store, error),
                 Err(error) => self.action_after_error(store, &error),
             };
             match action {
@@ -150,36 +150,36 @@
         healthy.or_else(|| candidates.next())
     }
 
-    fn action_after_fault(
+    fn action_after_request_error(
         &self,
         group: GroupId,
         store: SocketAddr,
-        fault: StoreFault,
+        error: StoreRequestError,
     ) -> RetryAction {
-        let reason = format!("{store}: {fault}");
+        let reason = format!("{store}: {error}");
         let mut routing = self.routing();
         routing.leaders.remove(&group);
-        match fault {
-            StoreFault::NotLeader { leader: Some(leader) } if leader != store => {
+        match error {
+            StoreRequestError::NotLeader { leader: Some(leader) } if leader != store => {
                 if routing.is_suspect(leader, Instant::now()) {
                     return RetryAction::OtherStore(reason);
                 }
                 routing.leaders.insert(group, leader);
                 RetryAction::Redirect(leader)
             }
-            StoreFault::NoReplica { replicas } => {
+            StoreRequestError::NoReplica { replicas } => {
                 let others: Vec<_> = replicas.into_iter().filter(|r| *r != store).collect();
                 if others.is_empty() {
                     return RetryAction::OtherStore(reason);
                 }
                 RetryAction::Redirect(others[rand::rng().random_range(0..others.len())])
             }
-            StoreFault::Busy => RetryAction::SameStore(reason),
-            StoreFault::Refused { .. } => RetryAction::GiveUp(reason),
-            StoreFault::NotLeader { .. }
-            | StoreFault::Uncertain
-            | StoreFault::DiskFailed { .. }
-            | StoreFault::NotFormed => RetryAction::OtherStore(reason),
+            StoreRequestError::Busy => RetryAction::SameStore(reason),
+            StoreRequestError::Refused { .. } => RetryAction::GiveUp(reason),
+            StoreRequestError::NotLeader { .. }
+            | StoreRequestError::Uncertain
+            | StoreRequestError::DiskFailed { .. }
+            | StoreRequestError::NotFormed => RetryAction::OtherStore(reason),
         }
     }
 
@@ -300,7 +300,7 @@
         group: GroupId,
         subject: LeaseSubject,
         deadline: Instant,
-    ) -> Result<LeaseVerdict, Unavailable> {
+    ) -> Result<LeaseStatus, Unavailable> {
         self.call(group, &ExpireLease { group, subject }, deadline).await
     }
 }
--- a/crates/store/src/formation.rs
+++ b/crates/store/src/formation.rs
@@ -144,7 +144,7 @@
     membership: &Membership,
     view: &FormationView,
 ) -> OfferDecision {
-    let offered_cluster = offer.plan.as_ref().map(|plan| plan.cluster).or(offer.propose);
+    let offered_cluster = offer.plan.as_ref().map(|plan| plan.cluster).or(offer.promised_cluster);
     match (membership, &offer.plan) {
         (Membership::Empty, Some(plan)) if view.may_promise(plan) => {
             OfferDecision::Promise(plan.clone())
--- a/crates/store/src/gossip.rs
+++ b/crates/store/src/gossip.rs
@@ -40,7 +40,7 @@
         // Must precede `advance_membership`, since a store sends requests to the other stores as
         // soon as it has joined a cluster.
         shared.publish_stores();
-        let outcome = advance_membership(&shared, offer.propose, &replies).await;
+        let outcome = advance_membership(&shared, offer.promised_cluster, &replies).await;
         if let Err(error) = outcome {
             error!(%error, "failed to write the cluster membership; cluster formation is stalled");
         }
@@ -62,7 +62,7 @@
     for PeerReply { reply, incarnation } in &replies {
         shared.addresses.note(reply.node, *incarnation, reply.address);
         shared.add_candidate(reply.address);
-        reply.heard.iter().for_each(|address| shared.add_candidate(*address));
+        reply.known_stores.iter().for_each(|address| shared.add_candidate(*address));
     }
     replies
 }
@@ -234,6 +234,6 @@
         zone: address.zone.clone(),
         cluster: formation.membership.cluster(),
         accepted,
-        heard: formation.candidates.clone(),
+        known_stores: formation.candidates.clone(),
     }
 }
--- a/crates/store/src/lease_expiry.rs
+++ b/crates/store/src/lease_expiry.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use hooklug_protocol::store::{ExpireLease, LeaseSubject, LeaseVerdict, StoreFault};
+use hooklug_protocol::store::{ExpireLease, LeaseStatus, LeaseSubject, StoreRequestError};
 use hooklug_rpc::Peer;
 use hooklug_state::meta::{CoreLeader, MetaAnswer, MetaCommand, MetaQuery, MetaReply};
 use hooklug_state::shard::{ShardAnswer, ShardCommand, ShardQuery, ShardRefusal, ShardReply};
@@ -20,7 +20,7 @@
         &self,
         peer: &Peer,
         request: ExpireLease,
-    ) -> Result<LeaseVerdict, StoreFault> {
+    ) -> Result<LeaseStatus, StoreRequestError> {
         match request.subject {
             LeaseSubject::Engine(holder) => self.expire_engine(request.group, holder).await,
             LeaseSubject::CoreLeader(epoch) => self.expire_core_leader(epoch, None).await,
@@ -34,17 +34,17 @@
         &self,
         group: GroupId,
         holder: EngineIncarnation,
-    ) -> Result<LeaseVerdict, StoreFault> {
+    ) -> Result<LeaseStatus, StoreRequestError> {
         if group != hooklug_types::shard_of(holder.engine.as_str()) {
             let reason = format!("{group} does not hold the lease of {}", holder.engine);
-            return Err(StoreFault::Refused { reason });
+            return Err(StoreRequestError::Refused { reason });
         }
         let query = ShardQuery::Lease(holder.clone());
         let (answer, leading_since) = self.linearizable_read(group, &query).await?;
         let ShardAnswer::Lease(Some(lease)) = answer else {
             let expire = ShardCommand::ExpireLease { holder, renewal: Renewal::default() };
             return match self.propose(group, &expire).await? {
-                ShardReply::Lease(lease) if lease.expired => Ok(LeaseVerdict::Unknown),
+                ShardReply::Lease(lease) if lease.expired => Ok(LeaseStatus::Unknown),
                 _ => Ok(held_for_full_lease()),
             };
         };
@@ -57,14 +57,14 @@
             // The lease was never granted, and an earlier request has expired it. A retry, as after
             // a lost reply, gets the same result.
             LeaseDecision::Expired if renewal == Renewal::default() => {
-                return Ok(LeaseVerdict::Unknown);
+                return Ok(LeaseStatus::Unknown);
             }
-            LeaseDecision::Expired => return Ok(LeaseVerdict::Expired),
+            LeaseDecision::Expired => return Ok(LeaseStatus::Expired),
             LeaseDecision::Held(left) => return Ok(held_for(left)),
             LeaseDecision::ProposeExpiry(renewal) => renewal,
         };
         match self.propose(group, &ShardCommand::ExpireLease { holder, renewal }).await? {
-            ShardReply::Lease(lease) if lease.expired => Ok(LeaseVerdict::Expired),
+            ShardReply::Lease(lease) if lease.expired => Ok(LeaseStatus::Expired),
             ShardReply::Refused(ShardRefusal::LeaseRenewed) => Ok(held_for_full_lease()),
             other => Err(unexpected_reply(&other)),
         }
@@ -74,14 +74,14 @@
         &self,
         epoch: FencingEpoch,
         restarted_core: Option<RestartedCore<'_>>,
-    ) -> Result<LeaseVerdict, StoreFault> {
+    ) -> Result<LeaseStatus, StoreRequestError> {
         let (answer, leading_since) = self.linearizable_read(META_GROUP, &MetaQuery::State).await?;
         let MetaAnswer::State(state) = answer else { return Err(unexpected_reply(&answer)) };
         let Some(leader) = state.leader.filter(|leader| leader.epoch >= epoch) else {
-            return Ok(LeaseVerdict::Unknown);
+            return Ok(LeaseStatus::Unknown);
         };
         if leader.epoch > epoch {
-            return Ok(LeaseVerdict::Expired);
+            return Ok(LeaseStatus::Expired);
         }
         let observations = self.observations.group(META_GROUP);
         let renewed_at = observations
@@ -89,7 +89,7 @@
         let (renewal, expired) = (leader.renewal, leader.expired);
         let view = LeaseView { renewal, expired, renewed_at, leading_since };
         let renewal = match decide(view, Instant::now()) {
-            LeaseDecision::Expired => return Ok(LeaseVerdict::Expired),
+            LeaseDecision::Expired => return Ok(LeaseStatus::Expired),
             LeaseDecision::Held(_) if restarted_core.is_some_and(|core| core.replaces(&leader)) => {
                 renewal
             }
@@ -98,7 +98,7 @@
         };
         let expire = MetaCommand::ExpireLeadership { epoch, renewal };
         match self.propose(META_GROUP, &expire).await? {
-            MetaReply::Leader(leader) if leader.expired => Ok(LeaseVerdict::Expired),
+            MetaReply::Leader(leader) if leader.expired => Ok(LeaseStatus::Expired),
             MetaReply::Refused(_) => Ok(held_for_full_lease()),
             other => Err(unexpected_reply(&other)),
         }
@@ -111,9 +111,9 @@
         &self,
         group: GroupId,
         query: &Q,
-    ) -> Result<(A, Instant), StoreFault> {
+    ) -> Result<(A, Instant), StoreRequestError> {
         let read = self.replicator.read(group, encode(query)).await;
-        let read = read.map_err(|error| self.fault(group, error))?;
+        let read = read.map_err(|error| self.request_error(group, error))?;
         Ok((decode_reply(&read.answer)?, read.leading_since))
     }
 
@@ -121,9 +121,9 @@
         &self,
         group: GroupId,
         command: &C,
-    ) -> Result<R, StoreFault> {
+    ) -> Result<R, StoreRequestError> {
         let reply = self.replicator.execute(group, encode(command)).await;
-        decode_reply(&reply.map_err(|error| self.fault(group, error))?)
+        decode_reply(&reply.map_err(|error| self.request_error(group, error))?)
     }
 }
 
@@ -145,19 +145,19 @@
     }
 }
 
-fn decode_reply<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreFault> {
-    decode("reply", bytes).map_err(|e| StoreFault::Refused { reason: e.to_string() })
+fn decode_reply<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, StoreRequestError> {
+    decode("reply", bytes).map_err(|e| StoreRequestError::Refused { reason: e.to_string() })
 }
 
-fn unexpected_reply(reply: &impl std::fmt::Debug) -> StoreFault {
-    StoreFault::Refused { reason: format!("unexpected reply {reply:?}") }
+fn unexpected_reply(reply: &impl std::fmt::Debug) -> StoreRequestError {
+    StoreRequestError::Refused { reason: format!("unexpected reply {reply:?}") }
 }
 
-fn held_for(left: std::time::Duration) -> LeaseVerdict {
+fn held_for(left: std::time::Duration) -> LeaseStatus {
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    LeaseVerdict::Held { left_ms: left_ms.max(1) }
+    LeaseStatus::Held { left_ms: left_ms.max(1) }
 }
 
-fn held_for_full_lease() -> LeaseVerdict {
+fn held_for_full_lease() -> LeaseStatus {
     held_for(LEASE_TIME + LEASE_MARGIN)
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::meta::{MetaAnswer, MetaCommand, MetaMachine, MetaQuery, MetaReply};
 use hooklug_state::shard::{ShardAnswer, ShardCommand, ShardMachine, ShardQuery, ShardReply};
 use hooklug_types::{EngineIncarnation, FencingEpoch, GroupId, META_GROUP, Renewal, UnixMillis};
@@ -169,14 +169,14 @@
         group: GroupId,
         holder: EngineIncarnation,
         inner: &Inner,
-    ) -> LeaseVerdict {
+    ) -> LeaseStatus {
         let renewed_at = self.engine_renewals.get(&holder).copied();
         let shard = self.shard(group, inner.retention_time);
         let answer = shard.answer(&ShardQuery::Lease(holder.clone()));
         let ShardAnswer::Lease(Some(lease)) = answer else {
             let renewal = Renewal::default();
             shard.apply_command(ShardCommand::ExpireLease { holder, renewal });
-            return LeaseVerdict::Unknown;
+            return LeaseStatus::Unknown;
         };
         let left = time_left(renewed_at, inner.lease_time);
         if !lease.expired && !left.is_zero() {
@@ -184,18 +184,18 @@
         }
         let renewal = lease.renewal;
         shard.apply_command(ShardCommand::ExpireLease { holder, renewal });
-        LeaseVerdict::Expired
+        LeaseStatus::Expired
     }
 
-    fn expire_leader(&mut self, epoch: FencingEpoch, lease_time: Duration) -> LeaseVerdict {
+    fn expire_leader(&mut self, epoch: FencingEpoch, lease_time: Duration) -> LeaseStatus {
         let MetaAnswer::State(state) = self.meta.answer(&MetaQuery::State) else {
-            return LeaseVerdict::Unknown;
+            return LeaseStatus::Unknown;
         };
         let Some(leader) = state.leader.filter(|l| l.epoch >= epoch) else {
-            return LeaseVerdict::Unknown;
+            return LeaseStatus::Unknown;
         };
         if leader.epoch > epoch || leader.expired {
-            return LeaseVerdict::Expired;
+            return LeaseStatus::Expired;
         }
         let left = time_left(self.leader_renewal, lease_time);
         if !left.is_zero() {
@@ -203,7 +203,7 @@
         }
         let renewal = leader.renewal;
         self.meta.apply_command(MetaCommand::ExpireLeadership { epoch, renewal });
-        LeaseVerdict::Expired
+        LeaseStatus::Expired
     }
 }
 
@@ -211,9 +211,9 @@
     renewed_at.map_or(Duration::ZERO, |at| lease_time.saturating_sub(at.elapsed()))
 }
 
-fn held_for(left: Duration) -> LeaseVerdict {
+fn held_for(left: Duration) -> LeaseStatus {
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    LeaseVerdict::Held { left_ms: left_ms.max(1) }
+    LeaseStatus::Held { left_ms: left_ms.max(1) }
 }
 
 #[async_trait]
@@ -268,10 +268,10 @@
         group: GroupId,
         subject: LeaseSubject,
         deadline: Instant,
-    ) -> Result<LeaseVerdict, Unavailable> {
+    ) -> Result<LeaseStatus, Unavailable> {
         self.wait_until_available(group, deadline).await?;
         let mut groups = self.groups();
-        let verdict = match subject {
+        let status = match subject {
             LeaseSubject::Engine(holder) => groups.expire_engine(group, holder, &self.inner),
             // The requesting process is unknown here, so the lease must run out in both cases.
             LeaseSubject::CoreLeader(epoch) | LeaseSubject::FormerRun { epoch, .. } => {
@@ -279,6 +279,6 @@
             }
         };
         groups.drop_reply_if_requested(group)?;
-        Ok(verdict)
+        Ok(status)
     }
 }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -5,7 +5,7 @@
 use hooklug_protocol::Request;
 use hooklug_protocol::store::{
     ChangeReplicas, Execute, ExpireLease, FormationOffer, GroupStatus, Query, RaftBatch,
-    SnapshotChunk, StoreFault,
+    SnapshotChunk, StoreRequestError,
 };
 use hooklug_replication::Reply;
 use hooklug_rpc::{Peer, Replier, Router};
@@ -63,17 +63,17 @@
 
 /// Runs a request to completion even if the caller abandons it.
 async fn run_to_completion<T: Send + 'static>(
-    work: impl Future<Output = Result<T, StoreFault>> + Send + 'static,
-) -> Result<T, StoreFault> {
-    tokio::spawn(work).await.unwrap_or(Err(StoreFault::Uncertain))
+    work: impl Future<Output = Result<T, StoreRequestError>> + Send + 'static,
+) -> Result<T, StoreRequestError> {
+    tokio::spawn(work).await.unwrap_or(Err(StoreRequestError::Uncertain))
 }
 
 /// Proposes a command to its group and replies with the result. A command that was proposed is
 /// applied even if the caller abandons the request.
 fn execute(shared: &Arc<Shared>, request: Execute, replier: Replier<<Execute as Request>::Reply>) {
     let Execute { group, command } = request;
-    if let Err(fault) = validate_command(group, &command) {
-        return replier.send(&Err(fault));
+    if let Err(error) = validate_command(group, &command) {
+        return replier.send(&Err(error));
     }
     let (shared_for_error, runtime) = (shared.clone(), Handle::current());
     let reply = Reply::new(move |outcome| match outcome {
@@ -81,16 +81,16 @@
         // Building the error may wait for a lock that is held during a disk sync; the threads of
         // the groups must not wait for it.
         Err(error) => drop(runtime.spawn(async move {
-            replier.send(&Err(shared_for_error.fault(group, error)));
+            replier.send(&Err(shared_for_error.request_error(group, error)));
         })),
     });
     shared.replicator.propose(group, command, reply);
 }
 
 impl Shared {
-    async fn query(&self, request: Query) -> Result<Vec<u8>, StoreFault> {
+    async fn query(&self, request: Query) -> Result<Vec<u8>, StoreRequestError> {
         let read = self.replicator.read(request.group, request.query).await;
-        read.map(|read| read.answer).map_err(|error| self.fault(request.group, error))
+        read.map(|read| read.answer).map_err(|error| self.request_error(request.group, error))
     }
 
     /// Delivers raft messages to the replicas. Drops messages for another node id, messages that do
@@ -105,36 +105,36 @@
         &self,
         peer: &Peer,
         chunk: SnapshotChunk,
-    ) -> Result<hooklug_protocol::store::SnapshotProgress, StoreFault> {
+    ) -> Result<hooklug_protocol::store::SnapshotProgress, StoreRequestError> {
         if chunk.to != self.node() || chunk.from != peer.node || !self.is_member() {
             let reason =
                 "the snapshot chunk names another node, or this store is not a cluster member"
                     .to_owned();
-            return Err(StoreFault::Refused { reason });
+            return Err(StoreRequestError::Refused { reason });
         }
         let group = chunk.group;
         let progress = self.replicator.receive_chunk(chunk).await;
-        progress.map_err(|error| self.fault(group, error))
+        progress.map_err(|error| self.request_error(group, error))
     }
 
-    async fn change_replicas(&self, request: ChangeReplicas) -> Result<(), StoreFault> {
+    async fn change_replicas(&self, request: ChangeReplicas) -> Result<(), StoreRequestError> {
         if let Some(leader) = &self.meta.borrow().leader {
             let is_stale = request.epoch < leader.epoch;
             if is_stale || (request.epoch == leader.epoch && leader.expired) {
                 let reason = format!("fencing epoch {} is stale", request.epoch);
-                return Err(StoreFault::Refused { reason });
+                return Err(StoreRequestError::Refused { reason });
             }
         }
         let changed = self.replicator.change_members(request.group, request.change).await;
-        changed.map_err(|error| self.fault(request.group, error))
+        changed.map_err(|error| self.request_error(request.group, error))
     }
 }
 
 /// Checks that a command decodes and that clients may propose it. The log must never contain a
 /// command that no replica can apply, and commands that depend on the leader's clock are reserved
 /// to the leader.
-fn validate_command(group: GroupId, command: &[u8]) -> Result<(), StoreFault> {
-    let refused = |reason: String| StoreFault::Refused { reason };
+fn validate_command(group: GroupId, command: &[u8]) -> Result<(), StoreRequestError> {
+    let refused = |reason: String| StoreRequestError::Refused { reason };
     let is_leader_only = if group == META_GROUP {
         let command = decode("meta command", command).map_err(|e| refused(e.to_string()))?;
         matches!(command, MetaCommand::ExpireLeadership { .. } | MetaCommand::AdvanceClock { .. })
--- a/crates/store/src/shared.rs
+++ b/crates/store/src/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use hooklug_protocol::store::{FormationOffer, StoreFault};
+use hooklug_protocol::store::{FormationOffer, StoreRequestError};
 use hooklug_replication::{AddressBook, ReplicationError, Replicator};
 use hooklug_rpc::{LocalIdentity, RpcClient};
 use hooklug_settings::Settings;
@@ -128,7 +128,7 @@
 
     /// Returns the formation offer that this store sends to others, without a plan.
     pub(crate) fn offer(&self) -> FormationOffer {
-        let propose = match &self.formation().membership {
+        let promised_cluster = match &self.formation().membership {
             Membership::Promised(plan) => Some(plan.cluster),
             Membership::Empty | Membership::Member { .. } => None,
         };
@@ -137,35 +137,39 @@
             node: address.node,
             address: address.rpc,
             zone: address.zone.clone(),
-            propose,
+            promised_cluster,
             plan: None,
         }
     }
 
     /// Converts a replication error to the error that is returned to the caller.
-    pub(crate) fn fault(&self, group: GroupId, error: ReplicationError) -> StoreFault {
+    pub(crate) fn request_error(
+        &self,
+        group: GroupId,
+        error: ReplicationError,
+    ) -> StoreRequestError {
         match error {
             ReplicationError::NotLeader { leader } => {
                 let leader = leader.and_then(|node| self.addresses.get(node));
-                StoreFault::NotLeader { leader }
+                StoreRequestError::NotLeader { leader }
             }
             ReplicationError::NoReplica(_) => self.no_replica(group),
-            ReplicationError::Uncertain => StoreFault::Uncertain,
-            ReplicationError::Busy(_) => StoreFault::Busy,
-            ReplicationError::Refused(reason) => StoreFault::Refused { reason },
-            ReplicationError::Failed(reason) => StoreFault::DiskFailed { reason },
+            ReplicationError::Uncertain => StoreRequestError::Uncertain,
+            ReplicationError::Busy(_) => StoreRequestError::Busy,
+            ReplicationError::Refused(reason) => StoreRequestError::Refused { reason },
+            ReplicationError::Failed(reason) => StoreRequestError::DiskFailed { reason },
         }
     }
 
-    fn no_replica(&self, group: GroupId) -> StoreFault {
+    fn no_replica(&self, group: GroupId) -> StoreRequestError {
         if !self.is_member() {
-            return StoreFault::NotFormed;
+            return StoreRequestError::NotFormed;
         }
         let meta = self.meta.borrow().clone();
         let placement = meta.placements.get(&group);
         let voters = placement.into_iter().flat_map(|p| &p.voters);
         let replicas = voters.filter_map(|node| self.addresses.get(*node)).collect();
-        StoreFault::NoReplica { replicas }
+        StoreRequestError::NoReplica { replicas }
     }
 }
 
--- a/crates/store/tests/decisions.rs
+++ b/crates/store/tests/decisions.rs
@@ -34,12 +34,12 @@
 
 fn reply(node: u64, cluster: u64, accepted: bool) -> FormationReply {
     let StoreRecord { node, address, zone, .. } = record(node);
-    FormationReply { node, address, zone, cluster, accepted, heard: Vec::new() }
+    FormationReply { node, address, zone, cluster, accepted, known_stores: Vec::new() }
 }
 
-fn offer(plan: Option<FormationPlan>, propose: Option<u64>) -> FormationOffer {
+fn offer(plan: Option<FormationPlan>, promised_cluster: Option<u64>) -> FormationOffer {
     let StoreRecord { node, address, zone, .. } = record(1);
-    FormationOffer { node, address, zone, propose, plan }
+    FormationOffer { node, address, zone, promised_cluster, plan }
 }
 
 /// Returns the view of a store that has received replies of other stores at `now`.
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 
 use disk::TestDisk;
-use hooklug_protocol::store::{Execute, StoreFault};
+use hooklug_protocol::store::{Execute, StoreRequestError};
 use hooklug_rpc::{LocalIdentity, RpcClient};
 use hooklug_settings::StoreSettings;
 use hooklug_state::encode;
@@ -83,7 +83,7 @@
     let request = Execute { group, command: encode(&put("other")).into() };
     let address = cluster.stores[failing].address;
     let answer = support::rpc_client().call(address, &request, soon()).await.unwrap();
-    assert!(matches!(answer, Err(StoreFault::DiskFailed { .. })), "{answer:?}");
+    assert!(matches!(answer, Err(StoreRequestError::DiskFailed { .. })), "{answer:?}");
     for number in 0..20 {
         assert!(has_program(&client, &format!("program-{number}")).await);
     }
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hooklug_protocol::control::NodeAddress;
-use hooklug_protocol::store::{Execute, LeaseSubject, LeaseVerdict, StoreFault};
+use hooklug_protocol::store::{Execute, LeaseStatus, LeaseSubject, StoreRequestError};
 use hooklug_rpc::{LocalIdentity, RpcClient};
 use hooklug_state::encode;
 use hooklug_state::meta::{MetaCommand, MetaReply};
@@ -109,16 +109,16 @@
     let subject = LeaseSubject::Engine(holder.clone());
     let renew = ShardCommand::RenewLease { holder: holder.clone() };
     client.execute_shard(group, &renew, soon()).await.unwrap();
-    let verdict = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
-    assert!(matches!(verdict, LeaseVerdict::Held { .. }), "{verdict:?}");
+    let status = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
+    assert!(matches!(status, LeaseStatus::Held { .. }), "{status:?}");
     let leader = cluster.until_leader(group).await;
     cluster.kill(leader).await;
     // The new leader counts the full lease time from the start of its leadership.
-    let verdict = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
-    assert!(matches!(verdict, LeaseVerdict::Held { .. }), "{verdict:?}");
+    let status = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
+    assert!(matches!(status, LeaseStatus::Held { .. }), "{status:?}");
     until("the lease expires", async || {
-        let verdict = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
-        verdict == LeaseVerdict::Expired
+        let status = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
+        status == LeaseStatus::Expired
     })
     .await;
     let reply = client.execute_shard(group, &renew, soon()).await.unwrap();
@@ -134,8 +134,8 @@
     let subject = LeaseSubject::Engine(holder.clone());
     // A retry, as after a lost reply, gets the same result.
     for _ in 0..2 {
-        let verdict = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
-        assert_eq!(verdict, LeaseVerdict::Unknown);
+        let status = client.expire_lease(group, subject.clone(), soon()).await.unwrap();
+        assert_eq!(status, LeaseStatus::Unknown);
     }
     let renew = ShardCommand::RenewLease { holder };
     let reply = client.execute_shard(group, &renew, soon()).await.unwrap();
@@ -153,7 +153,7 @@
     for command in [vec![0xff; 9], encode(&clock), encode(&nested)] {
         let answer =
             rpc.call(leader, &Execute { group, command: command.into() }, soon()).await.unwrap();
-        assert!(matches!(answer, Err(StoreFault::Refused { .. })), "{answer:?}");
+        assert!(matches!(answer, Err(StoreRequestError::Refused { .. })), "{answer:?}");
     }
     put_program(&cluster.client(), "program").await;
 }
@@ -263,9 +263,9 @@
         (client_at(&cluster, rpc, 6, NodeRole::Store), rpc),
     ];
     for (other, address) in others {
-        let verdict = expire(&other, address).await;
-        assert!(matches!(verdict, LeaseVerdict::Held { .. }), "{verdict:?}");
+        let status = expire(&other, address).await;
+        assert!(matches!(status, LeaseStatus::Held { .. }), "{status:?}");
     }
     let next = client_at(&cluster, rpc, 6, NodeRole::Core);
-    assert_eq!(expire(&next, rpc).await, LeaseVerdict::Expired);
+    assert_eq!(expire(&next, rpc).await, LeaseStatus::Expired);
 }
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hooklug_protocol::store::{LeaseSubject, LeaseVerdict};
+use hooklug_protocol::store::{LeaseStatus, LeaseSubject};
 use hooklug_state::meta::{MetaCommand, MetaRefusal, MetaReply};
 use hooklug_state::shard::{ShardAnswer, ShardCommand, ShardQuery, ShardRefusal, ShardReply};
 use hooklug_store::{MemoryState, StateAccess};
@@ -35,7 +35,7 @@
     state.execute_shard(SHARD, &command, soon()).await.unwrap()
 }
 
-async fn expire(state: &MemoryState, incarnation: u64) -> LeaseVerdict {
+async fn expire(state: &MemoryState, incarnation: u64) -> LeaseStatus {
     let subject = LeaseSubject::Engine(holder(incarnation));
     state.expire_lease(SHARD, subject, soon()).await.unwrap()
 }
@@ -47,12 +47,12 @@
     advance(Duration::from_secs(2)).await;
     renew(&state).await;
     advance(Duration::from_secs(2)).await;
-    assert_eq!(expire(&state, 1).await, LeaseVerdict::Held { left_ms: 1_000 });
+    assert_eq!(expire(&state, 1).await, LeaseStatus::Held { left_ms: 1_000 });
     advance(Duration::from_secs(1)).await;
-    assert_eq!(expire(&state, 1).await, LeaseVerdict::Expired);
+    assert_eq!(expire(&state, 1).await, LeaseStatus::Expired);
     assert_eq!(renew(&state).await, ShardReply::Refused(ShardRefusal::LeaseExpired));
-    assert_eq!(expire(&state, 9).await, LeaseVerdict::Unknown);
-    assert_eq!(expire(&state, 9).await, LeaseVerdict::Expired);
+    assert_eq!(expire(&state, 9).await, LeaseStatus::Unknown);
+    assert_eq!(expire(&state, 9).await, LeaseStatus::Expired);
 }
 
 #[tokio::test(start_paused = true)]
@@ -71,11 +71,11 @@
         let subject = LeaseSubject::CoreLeader(FencingEpoch(1));
         state.expire_lease(META_GROUP, subject, soon())
     };
-    assert_eq!(expire().await.unwrap(), LeaseVerdict::Held { left_ms: 3_000 });
+    assert_eq!(expire().await.unwrap(), LeaseStatus::Held { left_ms: 3_000 });
     let second = state.execute_meta(&acquire(2, 1), soon()).await.unwrap();
     assert!(matches!(second, MetaReply::Refused(MetaRefusal::LeaderAlive { .. })));
     advance(LEASE).await;
-    assert_eq!(expire().await.unwrap(), LeaseVerdict::Expired);
+    assert_eq!(expire().await.unwrap(), LeaseStatus::Expired);
     let second = state.execute_meta(&acquire(2, 1), soon()).await.unwrap();
     assert!(matches!(second, MetaReply::Leader(leader) if leader.epoch == FencingEpoch(2)));
 }
--- a/crates/store/tests/repair.rs
+++ b/crates/store/tests/repair.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hooklug_protocol::control::{Discover, NodeAddress};
-use hooklug_protocol::store::{ChangeReplicas, ReplicaStatus, StoreFault};
+use hooklug_protocol::store::{ChangeReplicas, ReplicaStatus, StoreRequestError};
 use hooklug_raft::{ConfChange, Role};
 use hooklug_rpc::{LocalIdentity, Router, RpcServer};
 use hooklug_state::meta::StoreState;
@@ -123,7 +123,7 @@
     let request = ChangeReplicas { group, change, epoch: FencingEpoch(0) };
     let address = cluster.stores[leader].address;
     let answer = rpc_client().call(address, &request, soon()).await.unwrap();
-    assert!(matches!(answer, Err(StoreFault::Refused { .. })), "{answer:?}");
+    assert!(matches!(answer, Err(StoreRequestError::Refused { .. })), "{answer:?}");
     let replicas = cluster.handle(leader).replicas().await;
     let conf = &replicas.iter().find(|r| r.group == group).unwrap().conf;
     assert_eq!(conf.voters.len(), 3);
