--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -280,7 +280,7 @@
 
 fn to_refusal(refusal: SessionRefusal) -> EngineRefusal {
     match refusal {
-        SessionRefusal::Ledger(refusal) => EngineRefusal::Shard(refusal),
+        SessionRefusal::Shard(refusal) => EngineRefusal::Shard(refusal),
         SessionRefusal::NotOwner { record } => EngineRefusal::NotOwner { record },
         SessionRefusal::LeaseLost => EngineRefusal::LeaseLost,
         SessionRefusal::HandedOver => EngineRefusal::HandedOver,
--- a/crates/engine/src/model/generate.rs
+++ b/crates/engine/src/model/generate.rs
@@ -151,7 +151,8 @@
     ) -> Result<Response<Incoming>, ModelEvent> {
         let left = request.deadline.saturating_duration_since(std::time::Instant::now());
         let expected = connection.identity().to_string();
-        let body = serde_json::to_vec(&GenerateBody::new(request)).map_err(|_| ModelEvent::Cut)?;
+        let body =
+            serde_json::to_vec(&GenerateBody::new(request)).map_err(|_| ModelEvent::Truncated)?;
         let http_request = Request::post("/generate")
             .header(http::header::HOST, self.address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
@@ -159,10 +160,10 @@
             .header(EXPECT_HEADER, &expected)
             .header(DEADLINE_HEADER, millis(left))
             .body(Full::new(Bytes::from(body)))
-            .map_err(|_| ModelEvent::Cut)?;
+            .map_err(|_| ModelEvent::Truncated)?;
         let response = connection.send(http_request).await.map_err(|error| {
             debug!(%error, "request to the model server failed");
-            ModelEvent::Cut
+            ModelEvent::Truncated
         })?;
         check_head(&response, id, &expected).map(|()| response)
     }
@@ -173,7 +174,7 @@
 fn check_head<B>(response: &Response<B>, id: &str, expected: &str) -> Result<(), ModelEvent> {
     let headers = response.headers();
     if header(headers, REQUEST_HEADER) != Some(id) {
-        return Err(ModelEvent::Cut);
+        return Err(ModelEvent::Truncated);
     }
     let refuses =
         matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::CONFLICT);
@@ -181,13 +182,13 @@
         return Err(ModelEvent::Failed(FailureCode::Refused));
     }
     if header(headers, ENGINE_HEADER) != Some(expected) {
-        return Err(ModelEvent::Cut);
+        return Err(ModelEvent::Truncated);
     }
     if response.status() != StatusCode::OK {
         return Err(ModelEvent::Failed(FailureCode::BackendError));
     }
     if header(headers, http::header::CONTENT_TYPE.as_str()) != Some(RESPONSE_CONTENT_TYPE) {
-        return Err(ModelEvent::Cut);
+        return Err(ModelEvent::Truncated);
     }
     Ok(())
 }
@@ -207,20 +208,20 @@
     let mut validator = ResponseValidator::new(id);
     let mut events = Vec::new();
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return (ModelEvent::Cut, false) };
+        let Ok(frame) = frame else { return (ModelEvent::Truncated, false) };
         let Ok(bytes) = frame.into_data() else { continue };
         let pushed = validator.push(&bytes, &mut events);
         events.drain(..).for_each(on_event);
         if let Err(error) = pushed {
             warn!(%error, "invalid response from the model server");
-            return (ModelEvent::Cut, false);
+            return (ModelEvent::Truncated, false);
         }
     }
     match validator.finish() {
         Ok(end) => (ModelEvent::End(end), true),
         Err(error) => {
             warn!(%error, "incomplete response from the model server");
-            (ModelEvent::Cut, false)
+            (ModelEvent::Truncated, false)
         }
     }
 }
--- a/crates/engine/src/session_task.rs
+++ b/crates/engine/src/session_task.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use hooklug_session::{
-    Answer, ClientId, ClientItem, Effect, GenerationId, GenerationRequest, LookUpId, Message,
-    ModelEvent, Moment, ReplyId, Session, SessionRefusal, SlotTicket,
+    Answer, ClientId, ClientItem, Effect, GenerationId, GenerationRequest, LookupId, LoopTime,
+    Message, ModelEvent, ReplyId, Session, SessionRefusal, SlotRequestId,
 };
 use hooklug_state::shard::{ShardAnswer, ShardQuery};
 use hooklug_types::{GroupId, SessionEpoch, SessionKey, TurnId};
@@ -111,13 +111,13 @@
     clients: HashMap<ClientId, mpsc::Sender<ClientItem>>,
     waiting: HashMap<ReplyId, oneshot::Sender<Result<Answer, SessionRefusal>>>,
     generations: HashMap<GenerationId, AbortHandle>,
-    tickets: HashMap<SlotTicket, Ticket>,
+    tickets: HashMap<SlotRequestId, Ticket>,
 }
 
 impl SessionTask {
     async fn run(mut self, mut envelopes: mpsc::UnboundedReceiver<Envelope>) {
-        while self.session.ending().is_none() {
-            let wake = self.session.next_wake().map(tokio::time::Instant::from_std);
+        while self.session.exit_reason().is_none() {
+            let wake = self.session.next_deadline().map(tokio::time::Instant::from_std);
             let envelope = tokio::select! {
                 envelope = envelopes.recv() => envelope,
                 () = sleep_until_option(wake) => Some(Envelope::Message(Message::Tick)),
@@ -126,21 +126,21 @@
             // While the lease has run out but may still be renewed, no message is handled and so no
             // event is sent to a client.
             let (now, lease_until) = self.shared.lease.wait_until_decided().await;
-            self.handle(envelope, moment(now, lease_until));
+            self.handle(envelope, loop_time(now, lease_until));
         }
         self.shared.table.remove(&self.key, &self.mailbox);
         // Refuses the messages that are still queued; the closed channel accepts no more.
         envelopes.close();
         while let Some(envelope) = envelopes.recv().await {
             let now = tokio::time::Instant::now();
-            self.handle(envelope, moment(now, now));
+            self.handle(envelope, loop_time(now, now));
         }
         for (_, ticket) in self.tickets.drain() {
             self.shared.slots.release(ticket);
         }
     }
 
-    fn handle(&mut self, envelope: Envelope, moment: Moment) {
+    fn handle(&mut self, envelope: Envelope, time: LoopTime) {
         let message = match envelope {
             Envelope::Message(message) => message,
             Envelope::Client { client, sink, message } => {
@@ -160,7 +160,7 @@
         {
             self.generations.remove(generation);
         }
-        let effects = self.session.handle(message, moment);
+        let effects = self.session.handle(message, time);
         for effect in effects {
             self.apply(effect);
         }
@@ -187,7 +187,7 @@
                     running.abort();
                 }
             }
-            Effect::LookUpTurn { look_up, turn } => self.look_up(look_up, turn),
+            Effect::LookUpTurn { lookup, turn } => self.look_up(lookup, turn),
             Effect::Send { client, item } => self.send(client, item),
             Effect::EndClient { client } => {
                 self.clients.remove(&client);
@@ -224,15 +224,15 @@
         self.generations.insert(generation, running.abort_handle());
     }
 
-    fn look_up(&self, look_up: LookUpId, turn: TurnId) {
+    fn look_up(&self, lookup: LookupId, turn: TurnId) {
         let (shared, mailbox) = (self.shared.clone(), self.mailbox.clone());
         let (group, key) = (self.group, self.key.clone());
         tokio::spawn(async move {
             let query = ShardQuery::Turn { key, turn };
             let deadline = tokio::time::Instant::now() + STORE_TIMEOUT;
             let message = match shared.state.query_shard(group, &query, deadline).await {
-                Ok(ShardAnswer::Turn(record)) => Message::TurnLookedUp { look_up, record },
-                _ => Message::LookUpFailed { look_up },
+                Ok(ShardAnswer::Turn(record)) => Message::LookupFinished { lookup, record },
+                _ => Message::LookupFailed { lookup },
             };
             mailbox.send(message);
         });
@@ -247,12 +247,12 @@
     }
 }
 
-fn moment(now: tokio::time::Instant, lease_until: tokio::time::Instant) -> Moment {
-    Moment { now: now.into_std(), lease_until: lease_until.into_std() }
+fn loop_time(now: tokio::time::Instant, lease_until: tokio::time::Instant) -> LoopTime {
+    LoopTime { now: now.into_std(), lease_until: lease_until.into_std() }
 }
 
 fn is_last(event: &ModelEvent) -> bool {
-    matches!(event, ModelEvent::End(_) | ModelEvent::Failed(_) | ModelEvent::Cut)
+    matches!(event, ModelEvent::End(_) | ModelEvent::Failed(_) | ModelEvent::Truncated)
 }
 
 async fn sleep_until_option(instant: Option<tokio::time::Instant>) {
--- a/crates/engine/src/shared.rs
+++ b/crates/engine/src/shared.rs
@@ -117,7 +117,7 @@
     /// Configuration of session loops.
     #[must_use]
     pub fn session_config(&self) -> SessionConfig {
-        SessionConfig { unconnected_keep: Duration::from_millis(self.settings.unconnected_keep_ms) }
+        SessionConfig { idle_timeout: Duration::from_millis(self.settings.unconnected_keep_ms) }
     }
 
     /// Whether the engine accepts no new sessions.
--- a/crates/engine/src/slots.rs
+++ b/crates/engine/src/slots.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hooklug_protocol::control::SlotUsage;
-use hooklug_session::{Message, SlotRefusal, SlotRequest, SlotTicket};
+use hooklug_session::{Message, SlotRefusal, SlotRequest, SlotRequestId};
 use hooklug_types::UnixMillis;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct SlotState {
     admission: Admission,
-    waiting: BTreeMap<Ticket, (Mailbox, SlotTicket)>,
+    waiting: BTreeMap<Ticket, (Mailbox, SlotRequestId)>,
 }
 
 impl Slots {
@@ -57,7 +57,7 @@
     pub fn request(
         &self,
         mailbox: Mailbox,
-        session_ticket: SlotTicket,
+        session_ticket: SlotRequestId,
         request: SlotRequest,
     ) -> Ticket {
         let ticket = Ticket(self.last_ticket.fetch_add(1, Ordering::Relaxed));
--- a/crates/session/src/attach.rs
+++ b/crates/session/src/attach.rs
@@ -5,7 +5,7 @@
 
 use crate::clients::refuse;
 use crate::effect::{ClientItem, Effect, SessionRefusal};
-use crate::message::{ClientId, LookUpId, TurnRequest};
+use crate::message::{ClientId, LookupId, TurnRequest};
 use crate::phase::Phase;
 use crate::session::Session;
 
@@ -27,7 +27,7 @@
         last_seen: EventSeq,
     ) {
         if known.digest != request.digest || known.after != request.after {
-            let refusal = SessionRefusal::Ledger(ShardRefusal::TurnDiffers);
+            let refusal = SessionRefusal::Shard(ShardRefusal::TurnDiffers);
             refuse(client, refusal, &mut self.effects);
             return;
         }
@@ -51,14 +51,14 @@
     }
 
     pub(crate) fn look_up(&mut self, client: ClientId, request: TurnRequest, last_seen: EventSeq) {
-        let look_up = LookUpId(self.new_id());
+        let lookup = LookupId(self.new_id());
         let turn = request.turn.clone();
-        self.lookups.insert(look_up, PendingLookup { client, request, last_seen });
-        self.effects.push(Effect::LookUpTurn { look_up, turn });
+        self.lookups.insert(lookup, PendingLookup { client, request, last_seen });
+        self.effects.push(Effect::LookUpTurn { lookup, turn });
     }
 
-    pub(crate) fn lookup_finished(&mut self, look_up: LookUpId, record: Option<TurnRecord>) {
-        let Some(waiting) = self.lookups.remove(&look_up) else { return };
+    pub(crate) fn lookup_finished(&mut self, lookup: LookupId, record: Option<TurnRecord>) {
+        let Some(waiting) = self.lookups.remove(&lookup) else { return };
         let turn = waiting.request.turn.clone();
         // After the retention time the shard has deleted the record, while this loop still has the
         // events.
@@ -78,8 +78,8 @@
         self.attach(waiting.client, &record, &waiting.request, waiting.last_seen);
     }
 
-    pub(crate) fn lookup_failed(&mut self, look_up: LookUpId) {
-        if let Some(waiting) = self.lookups.remove(&look_up) {
+    pub(crate) fn lookup_failed(&mut self, lookup: LookupId) {
+        if let Some(waiting) = self.lookups.remove(&lookup) {
             refuse(waiting.client, SessionRefusal::TryAgain, &mut self.effects);
         }
     }
--- a/crates/session/src/commit.rs
+++ b/crates/session/src/commit.rs
@@ -144,7 +144,7 @@
         match refusal {
             ShardRefusal::StaleEpoch { .. } if handed_over => self.end(ExitReason::HandedOver),
             ShardRefusal::StaleEpoch { record } => self.end(ExitReason::NotOwner(Some(record))),
-            refusal if is_expected => self.refuse_starting_turn(&SessionRefusal::Ledger(refusal)),
+            refusal if is_expected => self.refuse_starting_turn(&SessionRefusal::Shard(refusal)),
             ShardRefusal::SessionClosed => self.end(ExitReason::Closed),
             _ => self.end(ExitReason::OutOfSync),
         }
--- a/crates/session/src/effect.rs
+++ b/crates/session/src/effect.rs
@@ -5,7 +5,7 @@
 use hooklug_state::shard::{Event, SessionRecord, ShardCommand, ShardRefusal, TurnRecord};
 use hooklug_types::{EventSeq, PrefixId, SessionKey, TenantId, TokenCount, TurnId, WindowGroup};
 
-use crate::message::{ClientId, CommitId, GenerationId, LookUpId, ReplyId, SlotTicket};
+use crate::message::{ClientId, CommitId, GenerationId, LookupId, ReplyId, SlotRequestId};
 
 /// An action for the driver of the loop.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,14 +21,14 @@
     /// Request a slot from admission; the driver replies with `SlotGranted` or `SlotRefused`.
     RequestSlot {
         /// The slot request.
-        ticket: SlotTicket,
+        ticket: SlotRequestId,
         /// Admission parameters of the turn.
         request: SlotRequest,
     },
     /// Release a slot, or cancel a pending slot request.
     ReleaseSlot {
         /// The slot request.
-        ticket: SlotTicket,
+        ticket: SlotRequestId,
     },
     /// Start a generation; the driver delivers its output in `Model` messages.
     StartGeneration {
@@ -42,11 +42,11 @@
         /// Id of the generation.
         generation: GenerationId,
     },
-    /// Read a turn's record from the shard; the driver replies with `TurnLookedUp` or
-    /// `LookUpFailed`.
+    /// Read a turn's record from the shard; the driver replies with `LookupFinished` or
+    /// `LookupFailed`.
     LookUpTurn {
         /// Id of the lookup.
-        look_up: LookUpId,
+        lookup: LookupId,
         /// The turn.
         turn: TurnId,
     },
@@ -140,7 +140,7 @@
 pub enum SessionRefusal {
     /// The shard refused the command.
     #[error("{0}")]
-    Ledger(ShardRefusal),
+    Shard(ShardRefusal),
     /// Another engine owns the session.
     #[error("this engine does not own the session")]
     NotOwner {
@@ -191,7 +191,7 @@
     #[must_use]
     pub fn refusal(&self) -> SessionRefusal {
         match self {
-            Self::Closed => SessionRefusal::Ledger(ShardRefusal::SessionClosed),
+            Self::Closed => SessionRefusal::Shard(ShardRefusal::SessionClosed),
             Self::HandedOver => SessionRefusal::HandedOver,
             Self::NotOwner(record) => SessionRefusal::NotOwner { record: record.clone() },
             Self::LeaseLost => SessionRefusal::LeaseLost,
--- a/crates/session/src/generation.rs
+++ b/crates/session/src/generation.rs
@@ -58,7 +58,7 @@
                 self.end_turn(EndReason::Failed { code });
                 return;
             }
-            ModelEvent::Cut => {
+            ModelEvent::Truncated => {
                 open.generation = None;
                 self.end_turn(EndReason::Interrupted);
                 return;
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -26,7 +26,7 @@
     Answer, ClientItem, Effect, ExitReason, GenerationRequest, SessionRefusal, SlotRequest,
 };
 pub use message::{
-    ClientId, CommitId, GenerationId, LookUpId, Message, ModelEnd, ModelEvent, ReplyId,
-    SlotRefusal, SlotTicket, TurnRequest,
+    ClientId, CommitId, GenerationId, LookupId, Message, ModelEnd, ModelEvent, ReplyId,
+    SlotRefusal, SlotRequestId, TurnRequest,
 };
-pub use session::{LoadedSession, Moment, Session, SessionConfig};
+pub use session::{LoadedSession, LoopTime, Session, SessionConfig};
--- a/crates/session/src/message.rs
+++ b/crates/session/src/message.rs
@@ -23,9 +23,9 @@
     /// Id of a generation, that is, one run of the model; chosen by the loop.
     GenerationId,
     /// Id of a slot request; chosen by the loop.
-    SlotTicket,
+    SlotRequestId,
     /// Id of a lookup of a turn's record; chosen by the loop.
-    LookUpId,
+    LookupId,
 }
 
 /// A request to run a turn.
@@ -74,7 +74,7 @@
     Failed(FailureCode),
     /// The response was truncated, corrupted, or continued with data of another request; earlier
     /// output is valid.
-    Cut,
+    Truncated,
 }
 
 /// The reason why the model server ended a complete response.
@@ -125,26 +125,26 @@
         last_seen: EventSeq,
     },
     /// Result of `LookUpTurn`: the turn's record, from a linearizable read.
-    TurnLookedUp {
+    LookupFinished {
         /// Id of the lookup.
-        look_up: LookUpId,
+        lookup: LookupId,
         /// The record; `None` if the shard has none, or no longer has one.
         record: Option<TurnRecord>,
     },
     /// Result of `LookUpTurn`: the record could not be read.
-    LookUpFailed {
+    LookupFailed {
         /// Id of the lookup.
-        look_up: LookUpId,
+        lookup: LookupId,
     },
     /// Admission granted a slot to the waiting turn.
     SlotGranted {
         /// The slot request.
-        ticket: SlotTicket,
+        ticket: SlotRequestId,
     },
     /// Admission refused a slot to the waiting turn.
     SlotRefused {
         /// The slot request.
-        ticket: SlotTicket,
+        ticket: SlotRequestId,
         /// The reason.
         refusal: SlotRefusal,
     },
@@ -199,6 +199,6 @@
     },
     /// The engine's lease has expired.
     LeaseLost,
-    /// Checks deadlines; due at [`Session::next_wake`](crate::Session::next_wake).
+    /// Checks deadlines; due at [`Session::next_deadline`](crate::Session::next_deadline).
     Tick,
 }
--- a/crates/session/src/phase.rs
+++ b/crates/session/src/phase.rs
@@ -7,7 +7,7 @@
 use hooklug_types::{Digest, EndReason, EventSeq, FailureCode, TokenCount, TurnId};
 
 use crate::history::History;
-use crate::message::{ClientId, GenerationId, ReplyId, SlotTicket, TurnRequest};
+use crate::message::{ClientId, GenerationId, ReplyId, SlotRequestId, TurnRequest};
 
 /// The phase of a session.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
     pub(crate) request: TurnRequest,
     pub(crate) clients: Vec<(ClientId, EventSeq)>,
     /// The turn's slot, or its pending slot request.
-    pub(crate) ticket: Option<SlotTicket>,
+    pub(crate) ticket: Option<SlotRequestId>,
     /// Whether the turn may be committed.
     pub(crate) ready: bool,
     /// Abort requests that arrived before the turn was committed.
@@ -41,7 +41,7 @@
     /// limited the reservation.
     max_tokens: TokenCount,
     pub(crate) deadline: Instant,
-    pub(crate) ticket: Option<SlotTicket>,
+    pub(crate) ticket: Option<SlotRequestId>,
     pub(crate) generation: Option<GenerationId>,
     /// Number of generated tokens, committed or not.
     pub(crate) generated: TokenCount,
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -11,7 +11,7 @@
 use crate::commit::InFlight;
 use crate::effect::{Answer, ClientItem, Effect, ExitReason, SessionRefusal};
 use crate::history::History;
-use crate::message::{ClientId, LookUpId, Message, ReplyId};
+use crate::message::{ClientId, LookupId, Message, ReplyId};
 use crate::phase::Phase;
 
 /// A session as read from its shard after this engine's ownership was committed.
@@ -29,12 +29,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionConfig {
     /// Time after which a session without clients is closed.
-    pub unconnected_keep: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// The current time and the validity of the engine's lease, at which a message is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moment {
+pub struct LoopTime {
     /// The current time.
     pub now: Instant,
     /// Time until which the engine certainly holds its lease; after it, the loop releases no
@@ -61,7 +61,7 @@
     pub(crate) phase: Phase,
     pub(crate) pending: VecDeque<PendingEvent>,
     pub(crate) in_flight: Option<InFlight>,
-    pub(crate) lookups: BTreeMap<LookUpId, PendingLookup>,
+    pub(crate) lookups: BTreeMap<LookupId, PendingLookup>,
     pub(crate) closing: Option<Vec<ReplyId>>,
     pub(crate) handing_over: bool,
     pub(crate) unconnected_since: Option<Instant>,
@@ -97,13 +97,13 @@
     }
 
     /// Handles one message without blocking, and returns the resulting effects.
-    pub fn handle(&mut self, message: Message, moment: Moment) -> Vec<Effect> {
-        if self.exit_reason.is_none() && moment.now >= moment.lease_until {
+    pub fn handle(&mut self, message: Message, time: LoopTime) -> Vec<Effect> {
+        if self.exit_reason.is_none() && time.now >= time.lease_until {
             self.end(ExitReason::LeaseLost);
         }
         match self.exit_reason.clone() {
             Some(ending) => self.refuse_after_end(&message, &ending),
-            None => self.dispatch(message, moment.now),
+            None => self.dispatch(message, time.now),
         }
         if self.exit_reason.is_none() {
             self.send_next_commit();
@@ -113,11 +113,11 @@
 
     /// Returns the time at which the next `Tick` is due, if no other message arrives first.
     #[must_use]
-    pub fn next_wake(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         if self.exit_reason.is_some() {
             return None;
         }
-        let idle_end = self.unconnected_since.map(|since| since + self.config.unconnected_keep);
+        let idle_end = self.unconnected_since.map(|since| since + self.config.idle_timeout);
         let idle_end = idle_end.filter(|_| self.can_close_unconnected());
         [self.turn_deadline(), idle_end].into_iter().flatten().min()
     }
@@ -142,7 +142,7 @@
 
     /// Returns the reason why the loop ended, once it has.
     #[must_use]
-    pub fn ending(&self) -> Option<&ExitReason> {
+    pub fn exit_reason(&self) -> Option<&ExitReason> {
         self.exit_reason.as_ref()
     }
 
@@ -153,8 +153,8 @@
             Message::RunTurn { client, request, last_seen } => {
                 self.run_turn(client, request, last_seen, now);
             }
-            Message::TurnLookedUp { look_up, record } => self.lookup_finished(look_up, record),
-            Message::LookUpFailed { look_up } => self.lookup_failed(look_up),
+            Message::LookupFinished { lookup, record } => self.lookup_finished(lookup, record),
+            Message::LookupFailed { lookup } => self.lookup_failed(lookup),
             Message::SlotGranted { ticket } => self.slot_granted(ticket),
             Message::SlotRefused { ticket, refusal } => self.slot_refused(ticket, refusal),
             Message::ToolResult { reply, call, result } => self.tool_result(reply, call, result),
@@ -254,7 +254,7 @@
     fn tick(&mut self, now: Instant) {
         self.end_overdue_turn(now);
         let overdue =
-            self.unconnected_since.is_some_and(|since| now >= since + self.config.unconnected_keep);
+            self.unconnected_since.is_some_and(|since| now >= since + self.config.idle_timeout);
         if overdue && self.can_close_unconnected() {
             self.close(None);
         }
@@ -270,8 +270,8 @@
         let refusal = ending.refusal();
         self.end_current_turn(&refusal);
         self.clients.refuse_all(&refusal, &mut self.effects);
-        for (_, look_up) in std::mem::take(&mut self.lookups) {
-            crate::clients::refuse(look_up.client, refusal.clone(), &mut self.effects);
+        for (_, lookup) in std::mem::take(&mut self.lookups) {
+            crate::clients::refuse(lookup.client, refusal.clone(), &mut self.effects);
         }
         let waiting = std::mem::take(&mut self.pending).into_iter().flat_map(|p| p.replies);
         let waiting = waiting.chain(self.in_flight.take().into_iter().flat_map(InFlight::replies));
--- a/crates/session/src/turn.rs
+++ b/crates/session/src/turn.rs
@@ -7,7 +7,7 @@
 
 use crate::clients::refuse;
 use crate::effect::{Answer, Effect, SessionRefusal, SlotRequest};
-use crate::message::{ClientId, ReplyId, SlotRefusal, SlotTicket, TurnRequest};
+use crate::message::{ClientId, ReplyId, SlotRefusal, SlotRequestId, TurnRequest};
 use crate::phase::{OpenTurn, Phase, StartingTurn};
 use crate::session::Session;
 
@@ -62,7 +62,7 @@
             Some(SessionRefusal::DeadlineExceeded)
         } else {
             let open = self.phase.turn().cloned();
-            open.map(|turn| SessionRefusal::Ledger(ShardRefusal::TurnOpen { turn }))
+            open.map(|turn| SessionRefusal::Shard(ShardRefusal::TurnOpen { turn }))
         };
         if let Some(refusal) = refusal {
             refuse(client, refusal, &mut self.effects);
@@ -70,7 +70,7 @@
         }
         // A turn that does not follow the head needs no slot, because the shard will refuse it.
         let needs_slot = request.after == self.record.head;
-        let ticket = needs_slot.then(|| SlotTicket(self.new_id()));
+        let ticket = needs_slot.then(|| SlotRequestId(self.new_id()));
         if let Some(ticket) = ticket {
             let request = SlotRequest {
                 tenant: request.tenant.clone(),
@@ -89,7 +89,7 @@
         }));
     }
 
-    pub(crate) fn slot_granted(&mut self, ticket: SlotTicket) {
+    pub(crate) fn slot_granted(&mut self, ticket: SlotRequestId) {
         match &mut self.phase {
             Phase::Starting(starting) if starting.ticket == Some(ticket) => starting.ready = true,
             Phase::Open(open) if open.ticket == Some(ticket) => {}
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(crate) fn slot_refused(&mut self, ticket: SlotTicket, refusal: SlotRefusal) {
+    pub(crate) fn slot_refused(&mut self, ticket: SlotRequestId, refusal: SlotRefusal) {
         let is_waiting = matches!(&self.phase,
             Phase::Starting(s) if s.ticket == Some(ticket) && !s.ready);
         if !is_waiting {
--- a/crates/session/tests/model_check/effects.rs
+++ b/crates/session/tests/model_check/effects.rs
@@ -50,10 +50,10 @@
                 }
                 Ok(())
             }
-            Effect::LookUpTurn { look_up, turn } => {
+            Effect::LookUpTurn { lookup, turn } => {
                 let query = ShardQuery::Turn { key: key(session), turn };
                 let ShardAnswer::Turn(record) = self.shard.answer(&query) else { return Ok(()) };
-                self.send(engine, session, Message::TurnLookedUp { look_up, record })
+                self.send(engine, session, Message::LookupFinished { lookup, record })
             }
             Effect::Send { client, item } => self.receive(session, client, item),
             Effect::Reply { reply, answer } => self.handle_reply(reply, answer),
@@ -130,15 +130,15 @@
         let Some(number) = self.caller_of(client.0) else { return Ok(()) };
         let (spent, reserved) = self.ledger();
         match refusal {
-            SessionRefusal::Ledger(ShardRefusal::BudgetSpent) if spent == self.budget => {
+            SessionRefusal::Shard(ShardRefusal::BudgetSpent) if spent == self.budget => {
                 self.callers[number].next_step();
                 Ok(())
             }
-            SessionRefusal::Ledger(ShardRefusal::BudgetReserved) => {
+            SessionRefusal::Shard(ShardRefusal::BudgetReserved) => {
                 self.callers[number].refused_at = Some((spent, reserved));
                 Ok(())
             }
-            SessionRefusal::Ledger(other) => Err(format!("wrongly refused: {other:?}")),
+            SessionRefusal::Shard(other) => Err(format!("wrongly refused: {other:?}")),
             _ => Ok(()),
         }
     }
@@ -173,7 +173,7 @@
             // The turn may not have been requested yet, which only the shard knows; the caller
             // gives up.
             (Some(Step::Abort(_)), Err(SessionRefusal::UnknownTurn)) => caller.next_step(),
-            (_, Err(SessionRefusal::Ledger(refusal))) => {
+            (_, Err(SessionRefusal::Shard(refusal))) => {
                 return Err(format!("wrongly refused: {refusal:?}"));
             }
             _ => {}
--- a/crates/session/tests/model_check/engines.rs
+++ b/crates/session/tests/model_check/engines.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hooklug_session::{
-    GenerationId, LoadedSession, Message, ModelEnd, ModelEvent, Moment, Session, SessionConfig,
+    GenerationId, LoadedSession, LoopTime, Message, ModelEnd, ModelEvent, Session, SessionConfig,
 };
 use hooklug_state::shard::{SessionRecord, ShardAnswer, ShardCommand, ShardMachine, ShardQuery};
 use hooklug_types::{
@@ -68,7 +68,7 @@
             history: events,
             program_end: *NOW + Duration::from_secs(1_000),
         };
-        let config = SessionConfig { unconnected_keep: Duration::from_secs(500) };
+        let config = SessionConfig { idle_timeout: Duration::from_secs(500) };
         model.last_instance += 1;
         let running = Session::new(loaded, config, *NOW);
         model.loops.insert(session.clone(), (model.last_instance, running));
@@ -102,9 +102,9 @@
         let Some((instance, running)) = model.loops.get_mut(session) else { return Ok(()) };
         let instance = *instance;
         let (epoch, before) = (running.epoch(), running.record().next_seq);
-        let effects = running.handle(message, Moment { now: *NOW, lease_until });
+        let effects = running.handle(message, LoopTime { now: *NOW, lease_until });
         let released_more = running.record().next_seq > before;
-        if running.ending().is_some() {
+        if running.exit_reason().is_some() {
             model.loops.remove(session);
         }
         if released_more {
--- a/crates/session/tests/model_check/world.rs
+++ b/crates/session/tests/model_check/world.rs
@@ -155,7 +155,7 @@
             Action::Generate(engine, id) | Action::GenerateLate(engine, id) => {
                 self.generate(engine, id)?;
             }
-            Action::Cut(engine, id) => self.model_event(engine, id, ModelEvent::Cut)?,
+            Action::Cut(engine, id) => self.model_event(engine, id, ModelEvent::Truncated)?,
             Action::LeaseTimeout(engine) => {
                 self.engines[engine].lease_expired = true;
                 self.lease_expiries -= 1;
--- a/crates/session/tests/session_loop.rs
+++ b/crates/session/tests/session_loop.rs
@@ -4,8 +4,8 @@
 
 use hooklug_session::{
     Answer, ClientId, ClientItem, CommitId, Effect, ExitReason, GenerationId, LoadedSession,
-    Message, ModelEnd, ModelEvent, Moment, ReplyId, Session, SessionConfig, SessionRefusal,
-    SlotRefusal, SlotTicket, TurnRequest,
+    LoopTime, Message, ModelEnd, ModelEvent, ReplyId, Session, SessionConfig, SessionRefusal,
+    SlotRefusal, SlotRequestId, TurnRequest,
 };
 use hooklug_state::shard::{
     Event, EventBody, OpenSession, PutProgram, SessionRecord, ShardCommand, ShardMachine,
@@ -70,12 +70,12 @@
         let start = Instant::now();
         let program_end = start + Duration::from_secs(1_000);
         let loaded = LoadedSession { record, history: Vec::new(), program_end };
-        let session = Session::new(loaded, SessionConfig { unconnected_keep: IDLE_TIMEOUT }, start);
+        let session = Session::new(loaded, SessionConfig { idle_timeout: IDLE_TIMEOUT }, start);
         Self { shard, session, start, now: start, lease_until: start + LEASE * 1_000 }
     }
 
     fn send(&mut self, message: Message) -> Vec<Effect> {
-        self.session.handle(message, Moment { now: self.now, lease_until: self.lease_until })
+        self.session.handle(message, LoopTime { now: self.now, lease_until: self.lease_until })
     }
 
     fn run(&mut self, client: u64, name: &str, max_tokens: u64) -> Vec<Effect> {
@@ -116,7 +116,7 @@
     })
 }
 
-fn ticket_in(effects: &[Effect]) -> SlotTicket {
+fn ticket_in(effects: &[Effect]) -> SlotRequestId {
     let ticket = effects.iter().find_map(|e| match e {
         Effect::RequestSlot { ticket, .. } => Some(*ticket),
         _ => None,
@@ -217,7 +217,7 @@
     assert_eq!(events_in(&ended), []);
     assert_eq!(refusals_in(&ended), [SessionRefusal::LeaseLost]);
     assert!(ended.contains(&Effect::StopGeneration { generation }));
-    assert_eq!(harness.session.ending(), Some(&ExitReason::LeaseLost));
+    assert_eq!(harness.session.exit_reason(), Some(&ExitReason::LeaseLost));
 }
 
 #[test]
@@ -308,7 +308,7 @@
 #[test]
 fn a_session_without_clients_closes_itself() {
     let mut harness = Harness::new(100);
-    let due = harness.session.next_wake().expect("a time");
+    let due = harness.session.next_deadline().expect("a time");
     assert_eq!(due, harness.start + IDLE_TIMEOUT);
     harness.now = due - Duration::from_millis(1);
     assert_eq!(harness.send(Message::Tick), []);
