--- a/crates/replication/src/addresses.rs
+++ b/crates/replication/src/addresses.rs
@@ -15,7 +15,7 @@
 
 impl AddressBook {
     /// Records the address of a store. An address of an older incarnation is ignored.
-    pub fn note(&self, node: NodeId, incarnation: Incarnation, address: SocketAddr) {
+    pub fn record(&self, node: NodeId, incarnation: Incarnation, address: SocketAddr) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         let known = entries.entry(node).or_insert((incarnation, address));
         if incarnation >= known.0 {
--- a/crates/replication/src/driver.rs
+++ b/crates/replication/src/driver.rs
@@ -133,7 +133,11 @@
                 Err(error) => drop(read.reply.send(Err(error))),
             },
             Input::Transfer { group, to, reply } => {
-                drop(reply.send(self.replica(group).and_then(|replica| replica.transfer(to))));
+                drop(
+                    reply.send(
+                        self.replica(group).and_then(|replica| replica.transfer_leadership(to)),
+                    ),
+                );
             }
             Input::Campaign { group } => {
                 if let Ok(replica) = self.replica(group) {
--- a/crates/replication/src/handle.rs
+++ b/crates/replication/src/handle.rs
@@ -127,7 +127,11 @@
     ///
     /// # Errors
     /// If this replica is not the leader or the target is not another voter.
-    pub async fn transfer(&self, group: GroupId, to: NodeId) -> Result<(), ReplicationError> {
+    pub async fn transfer_leadership(
+        &self,
+        group: GroupId,
+        to: NodeId,
+    ) -> Result<(), ReplicationError> {
         let (reply, result) = oneshot::channel();
         self.send_input(Input::Transfer { group, to, reply });
         result.await.map_err(reply_dropped)?
@@ -236,11 +240,11 @@
     /// Stops all replicas and waits until the log is closed.
     pub async fn stop(&self) {
         self.send_input(Input::Stop);
-        self.ended().await;
+        self.wait_stopped().await;
     }
 
     /// Waits until the driver has stopped or panicked. No request is served after that.
-    pub async fn ended(&self) {
+    pub async fn wait_stopped(&self) {
         let mut ended = self.ended.clone();
         while ended.changed().await.is_ok() {}
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// If this replica is not the leader or the target is not another voter.
-    pub fn transfer(&mut self, to: NodeId) -> Result<(), ReplicationError> {
+    pub fn transfer_leadership(&mut self, to: NodeId) -> Result<(), ReplicationError> {
         self.node.transfer_leadership(to).map_err(ReplicationError::from)
     }
 
--- a/crates/store/src/balance.rs
+++ b/crates/store/src/balance.rs
@@ -58,7 +58,7 @@
         let replicas = shared.replicator.status().await;
         if let Some(LeaderTransfer { group, to }) = choose_transfer(shared.node(), &replicas) {
             debug!(%group, %to, "transferring the leadership of a group to balance the load");
-            let _ = shared.replicator.transfer(group, to).await;
+            let _ = shared.replicator.transfer_leadership(group, to).await;
         }
     }
 }
@@ -77,7 +77,7 @@
             return;
         }
         for LeaderTransfer { group, to } in transfers {
-            let _ = shared.replicator.transfer(group, to).await;
+            let _ = shared.replicator.transfer_leadership(group, to).await;
         }
         tokio::time::sleep(HAND_OVER_POLL_INTERVAL).await;
     }
--- a/crates/store/src/begin.rs
+++ b/crates/store/src/begin.rs
@@ -37,7 +37,7 @@
 /// from the stored membership.
 async fn carry_out_plan(shared: &Shared, plan: &FormationPlan) {
     for store in &plan.stores {
-        shared.addresses.note(store.node, store.incarnation, store.address);
+        shared.addresses.record(store.node, store.incarnation, store.address);
     }
     for (group, placement) in &plan.placements {
         if !placement.voters.contains(&shared.node()) {
--- a/crates/store/src/gossip.rs
+++ b/crates/store/src/gossip.rs
@@ -60,7 +60,7 @@
     let requests = candidates.into_iter().map(|address| query_peer(shared, address, offer));
     let replies: Vec<PeerReply> = join_all(requests).await.into_iter().flatten().collect();
     for PeerReply { reply, incarnation } in &replies {
-        shared.addresses.note(reply.node, *incarnation, reply.address);
+        shared.addresses.record(reply.node, *incarnation, reply.address);
         shared.add_candidate(reply.address);
         reply.known_stores.iter().for_each(|address| shared.add_candidate(*address));
     }
@@ -213,7 +213,7 @@
 /// Handles a formation offer of another store. Blocks on a disk sync if it promises.
 pub(crate) fn handle_offer(shared: &Shared, peer: &Peer, offer: &FormationOffer) -> FormationReply {
     if peer.node == offer.node && peer.role == NodeRole::Store {
-        shared.addresses.note(offer.node, peer.incarnation, offer.address);
+        shared.addresses.record(offer.node, peer.incarnation, offer.address);
         shared.add_candidate(offer.address);
     }
     let mut formation = shared.formation();
--- a/crates/store/src/meta_watch.rs
+++ b/crates/store/src/meta_watch.rs
@@ -62,7 +62,7 @@
 
 async fn publish(shared: &Arc<Shared>, meta: MetaState) {
     for store in &meta.stores {
-        shared.addresses.note(store.node, store.incarnation, store.address);
+        shared.addresses.record(store.node, store.incarnation, store.address);
     }
     if let Some(bundle) = &meta.bundle {
         shared.identity.bundles.note_committed(bundle.version);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -79,9 +79,9 @@
             identity.set_cluster(membership.cluster());
         }
         let (addresses, observations) = (AddressBook::default(), Observations::new());
-        addresses.note(node, identity.address.incarnation, identity.address.rpc);
+        addresses.record(node, identity.address.incarnation, identity.address.rpc);
         for store in folder.known_stores() {
-            addresses.note(store.node, store.incarnation, store.address);
+            addresses.record(store.node, store.incarnation, store.address);
         }
         let replicator =
             start_groups(&settings, &folder, &client, &addresses, &observations, node)?;
@@ -139,7 +139,7 @@
         tasks.spawn(cleanup::run(shared.clone()));
         let outcome = tokio::select! {
             () = stop.cancelled() => Ok(()),
-            () = shared.replicator.ended() => Err(StoreError::DriverExited),
+            () = shared.replicator.wait_stopped() => Err(StoreError::DriverExited),
             reason = wait_for_failure(&shared) => Err(StoreError::DiskFailed(reason)),
         };
         tasks.shutdown().await;
--- a/crates/store/tests/support/disk.rs
+++ b/crates/store/tests/support/disk.rs
@@ -96,8 +96,8 @@
         Ok(self.open(OsFiles.create(path)?, path, 0))
     }
 
-    fn open_cut(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>> {
-        Ok(self.open(OsFiles.open_cut(path, length)?, path, length))
+    fn open_truncated(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>> {
+        Ok(self.open(OsFiles.open_truncated(path, length)?, path, length))
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
--- a/crates/wal/src/files.rs
+++ b/crates/wal/src/files.rs
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// The operating system's error.
-    fn open_cut(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>>;
+    fn open_truncated(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>>;
 
     /// Renames a file, replacing an existing one.
     ///
@@ -104,7 +104,7 @@
         Ok(Box::new(File::create(path)?))
     }
 
-    fn open_cut(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>> {
+    fn open_truncated(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>> {
         let file = OpenOptions::new().append(true).open(path)?;
         file.set_len(length)?;
         Ok(Box::new(file))
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -148,8 +148,11 @@
     ) -> Result<Writer, WalError> {
         let (number, length, span) = active.unwrap_or((1, 0, SegmentSpan::new()));
         let path = segment::path(&self.folder, number);
-        let opened =
-            if length == 0 { self.files.create(&path) } else { self.files.open_cut(&path, length) };
+        let opened = if length == 0 {
+            self.files.create(&path)
+        } else {
+            self.files.open_truncated(&path, length)
+        };
         let mut file = opened.map_err(|e| WalError::io("open", &path, &e))?;
         // The recovered records are relied on from now on, so they must be durable.
         file.sync().map_err(|e| WalError::io("sync", &path, &e))?;
--- a/crates/wal/tests/failures.rs
+++ b/crates/wal/tests/failures.rs
@@ -61,8 +61,8 @@
         let inner = OsFiles.create(path)?;
         Ok(Box::new(FailingFile { inner, faults: self.faults.clone() }))
     }
-    fn open_cut(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>> {
-        let inner = OsFiles.open_cut(path, length)?;
+    fn open_truncated(&self, path: &Path, length: u64) -> io::Result<Box<dyn LogFile>> {
+        let inner = OsFiles.open_truncated(path, length)?;
         Ok(Box::new(FailingFile { inner, faults: self.faults.clone() }))
     }
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
