--- a/crates/bundle/src/http_sections.rs
+++ b/crates/bundle/src/http_sections.rs
@@ -43,7 +43,7 @@
 
 /// Whether a section belongs to the operators' text, which is needed only to read the bundle back.
 #[must_use]
-pub fn is_operators_text(name: &str) -> bool {
+pub fn is_document_section(name: &str) -> bool {
     name == TEXT_SECTION || name.starts_with(PIECE_PREFIX)
 }
 
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -21,7 +21,7 @@
     BundleHeader, DecodeError, ROUTES_SECTION, canonical_bytes, decode, digest, from_sections,
     section_digests, sections, tenant_section, with_sections,
 };
-pub use http_sections::is_operators_text;
+pub use http_sections::is_document_section;
 
 pub use diff::{BundleChange, diff};
 
--- a/crates/control/src/agent/installer.rs
+++ b/crates/control/src/agent/installer.rs
@@ -165,7 +165,7 @@
     };
     // The operators' source text is read back from the stores; nodes don't need it.
     let differs = |(name, digest): &(&String, &Digest)| {
-        !hooklug_bundle::is_operators_text(name) && current_sections.get(*name) != Some(*digest)
+        !hooklug_bundle::is_document_section(name) && current_sections.get(*name) != Some(*digest)
     };
     let fetched = fetch_all(shared, record.sections.iter().filter(differs)).await?;
     let removed = current_sections.keys().filter(|name| !record.sections.contains_key(*name));
--- a/crates/control/src/backends/reader.rs
+++ b/crates/control/src/backends/reader.rs
@@ -72,7 +72,7 @@
     #[must_use]
     pub fn rpc_router(&self, bundle: BundleWatch) -> Router {
         let readings = self.reading.clone();
-        Router::new().stream(move |_peer, _request: WatchBackends, sink| {
+        Router::new().route_stream(move |_peer, _request: WatchBackends, sink| {
             let readings = readings.subscribe();
             serve(readings, bundle.clone(), sink)
         })
--- a/crates/control/src/core/leader.rs
+++ b/crates/control/src/core/leader.rs
@@ -151,7 +151,7 @@
 /// is not.
 async fn wait_for_own_bundle(shared: &Shared, state: Option<&MetaState>) {
     let Some(version) = state.and_then(|s| s.bundle.as_ref()).map(|b| b.version) else { return };
-    shared.ctx.identity.bundles.saw(version);
+    shared.ctx.identity.bundles.observe(version);
     let mut bundle = shared.ctx.node.bundle.clone();
     let installed = bundle.wait_for(|b| b.as_ref().is_some_and(|b| b.record.version >= version));
     let _ = tokio::time::timeout(OWN_BUNDLE_TIMEOUT, installed).await;
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -120,7 +120,7 @@
                 let shared = heartbeat_shared.clone();
                 async move { handle_heartbeat(&shared, heartbeat, peer.role).await }
             })
-            .stream(move |_peer, _request: WatchView, sink| {
+            .route_stream(move |_peer, _request: WatchView, sink| {
                 let shared = view_shared.clone();
                 async move { shared.published.serve(sink).await }
             })
@@ -162,7 +162,7 @@
 }
 
 async fn handle_heartbeat(shared: &Shared, heartbeat: Heartbeat, from: NodeRole) -> HeartbeatReply {
-    shared.ctx.identity.bundles.saw(heartbeat.bundle);
+    shared.ctx.identity.bundles.observe(heartbeat.bundle);
     let leads = shared.leadership.epoch().is_some();
     // A heartbeat forwarded by a core is not forwarded again, so that cores that disagree about the
     // leader do not send it in circles.
--- a/crates/control/src/core/rollback.rs
+++ b/crates/control/src/core/rollback.rs
@@ -52,7 +52,7 @@
         Ok(MetaReply::Bundle(record)) => {
             metrics::count_rollback();
             info!(%service, %version, bundle = %record.version, "version rolled back");
-            shared.ctx.identity.bundles.saw(record.version);
+            shared.ctx.identity.bundles.observe(record.version);
         }
         Ok(MetaReply::Refused(MetaRefusal::NothingToRollBack { reason })) => {
             info!(%service, %version, %reason, "nothing to roll back");
--- a/crates/control/tests/bundles.rs
+++ b/crates/control/tests/bundles.rs
@@ -87,7 +87,7 @@
         node.context.client.call(node.rpc(), &discover, deadline()).await.expect("a reply");
     }
     cluster.submit_accepted(&bundle).await;
-    node.context.identity.bundles.saw(BundleVersion(1));
+    node.context.identity.bundles.observe(BundleVersion(1));
     eventually("installed", || node.installed() == BundleVersion(1)).await;
     assert!(
         counter.overlapped.load(Ordering::SeqCst),
@@ -131,11 +131,11 @@
     let received = || node.context.identity.traffic.counts().received_bytes;
     let full_size = hooklug_bundle::canonical_bytes(&large_bundle(1)).len() as u64;
     cluster.submit_accepted(&large_bundle(1)).await;
-    core.context.identity.bundles.saw(BundleVersion(1));
+    core.context.identity.bundles.observe(BundleVersion(1));
     eventually("the first is installed", || node.installed() == BundleVersion(1)).await;
     let before = received();
     cluster.submit_accepted(&large_bundle(2)).await;
-    core.context.identity.bundles.saw(BundleVersion(2));
+    core.context.identity.bundles.observe(BundleVersion(2));
     eventually("the second is installed", || node.installed() == BundleVersion(2)).await;
     let bytes = received() - before;
     assert!(bytes < full_size / 4, "{bytes} bytes for a change in {full_size}");
@@ -151,7 +151,7 @@
     let cluster = Cluster::new(43).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     cluster.submit_accepted(&bundle(1, "old")).await;
-    core.context.identity.bundles.saw(BundleVersion(1));
+    core.context.identity.bundles.observe(BundleVersion(1));
     eventually("the core has it", || core.installed() == BundleVersion(1)).await;
     let node = cluster.start_without_stores(NodeRole::Gateway, &[core.rpc()]).await;
     let reported = |version| {
@@ -161,7 +161,7 @@
     eventually("the core reports the first", || reported(1)).await;
     let mut installed = node.context.node.bundle.clone();
     cluster.submit_accepted(&bundle(2, "new")).await;
-    core.context.identity.bundles.saw(BundleVersion(2));
+    core.context.identity.bundles.observe(BundleVersion(2));
     eventually("the core reports the second", || reported(2)).await;
     assert_eq!(node.installed(), BundleVersion(0), "no quorum has confirmed that it is the newest");
     node.state.set_unreachable(false);
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -218,7 +218,7 @@
     let installed: Vec<_> = nodes.iter().map(watch_installed).collect();
     for version in 1..=5 {
         let record = cluster.submit_accepted(&bundle(version, "growers")).await;
-        nodes[7].context.identity.bundles.saw(record.version);
+        nodes[7].context.identity.bundles.observe(record.version);
     }
     for node in &nodes {
         eventually("all install the newest", || node.installed() == BundleVersion(5)).await;
--- a/crates/engine/src/handlers.rs
+++ b/crates/engine/src/handlers.rs
@@ -58,8 +58,8 @@
         .route(move |_, request| abort(request))
         .route(move |_, request| tool(request))
         .route(move |_, request| close(request))
-        .stream(move |_, request, sink| run_turn(turns.clone(), request, sink))
-        .stream(move |_, request, sink| join(joins.clone(), request, sink))
+        .route_stream(move |_, request, sink| run_turn(turns.clone(), request, sink))
+        .route_stream(move |_, request, sink| join(joins.clone(), request, sink))
 }
 
 fn with_shared<R, F, Fut>(shared: &Arc<Shared>, handler: F) -> impl Fn(R) -> Fut + use<R, F, Fut>
--- a/crates/engine/src/session_task.rs
+++ b/crates/engine/src/session_task.rs
@@ -117,10 +117,10 @@
 impl SessionTask {
     async fn run(mut self, mut envelopes: mpsc::UnboundedReceiver<Envelope>) {
         while self.session.exit_reason().is_none() {
-            let wake = self.session.next_deadline().map(tokio::time::Instant::from_std);
+            let deadline = self.session.next_deadline().map(tokio::time::Instant::from_std);
             let envelope = tokio::select! {
                 envelope = envelopes.recv() => envelope,
-                () = sleep_until_option(wake) => Some(Envelope::Message(Message::Tick)),
+                () = sleep_until_option(deadline) => Some(Envelope::Message(Message::Tick)),
             };
             let Some(envelope) = envelope else { break };
             // While the lease has run out but may still be renewed, no message is handled and so no
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -68,7 +68,7 @@
     /// Waits while an injected fault blocks the link to an address, as a network that drops packets
     /// would.
     pub async fn wait_for_link(&self, ip: IpAddr) {
-        self.faults.passable(ip).await;
+        self.faults.wait_until_restored(ip).await;
         let delay = self.faults.delay_to(ip);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
--- a/crates/gateway/tests/support/fake_engine/mod.rs
+++ b/crates/gateway/tests/support/fake_engine/mod.rs
@@ -139,11 +139,11 @@
                 let host = e.clone();
                 async move { host.close(request).await }
             })
-            .stream::<RunTurn, _, _>(move |_, request, sink| {
+            .route_stream::<RunTurn, _, _>(move |_, request, sink| {
                 let host = f.clone();
                 async move { host.run_turn(request, sink).await }
             })
-            .stream::<Join, _, _>(move |_, request, sink| {
+            .route_stream::<Join, _, _>(move |_, request, sink| {
                 let host = g.clone();
                 async move { host.join(request, sink).await }
             })
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -67,7 +67,7 @@
         to: SocketAddr,
         identity: &LocalIdentity,
     ) -> Result<Arc<Self>, OpenError> {
-        identity.faults.passable(to.ip()).await;
+        identity.faults.wait_until_restored(to.ip()).await;
         let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         let own = identity.address.rpc.ip();
         if own.is_ipv4() == to.is_ipv4() && !own.is_unspecified() {
@@ -177,7 +177,7 @@
     loop {
         let reading = read(&mut reader, &identity.traffic);
         let frame: ServerFrame = tokio::time::timeout(SERVER_IDLE_TIMEOUT, reading).await??;
-        identity.bundles.saw(frame.bundle);
+        identity.bundles.observe(frame.bundle);
         deliver(&waiters, frame.body);
     }
 }
--- a/crates/rpc/src/faults.rs
+++ b/crates/rpc/src/faults.rs
@@ -59,7 +59,7 @@
     }
 
     /// Waits until the link to an address is not cut.
-    pub async fn passable(&self, ip: IpAddr) {
+    pub async fn wait_until_restored(&self, ip: IpAddr) {
         let mut links = self.links.subscribe();
         // The sender lives as long as `self`, so the wait cannot fail.
         let _ = links.wait_for(|l| !l.get(&ip).is_some_and(|f| f.cut)).await;
--- a/crates/rpc/src/handshake.rs
+++ b/crates/rpc/src/handshake.rs
@@ -89,7 +89,7 @@
     if own != 0 && other != 0 && own != other {
         return Err(refusal("peer belongs to another cluster"));
     }
-    identity.bundles.saw(hello.bundle);
+    identity.bundles.observe(hello.bundle);
     identity.newest_incarnations.record(ip, hello.incarnation);
     Ok(Peer { node: hello.node, incarnation: hello.incarnation, role: hello.role, ip })
 }
--- a/crates/rpc/src/identity.rs
+++ b/crates/rpc/src/identity.rs
@@ -47,17 +47,17 @@
     /// clients, so its spread does not depend on the one process that acknowledged the bundle.
     pub fn note_committed(&self, version: BundleVersion) {
         self.committed.fetch_max(version.0, Ordering::AcqRel);
-        self.saw(version);
+        self.observe(version);
     }
 
     /// Records that a version has been installed. An older version has no effect.
     pub fn set_installed(&self, version: BundleVersion) {
         self.installed.fetch_max(version.0, Ordering::AcqRel);
-        self.saw(version);
+        self.observe(version);
     }
 
     /// Records a version that a peer advertised.
-    pub fn saw(&self, version: BundleVersion) {
+    pub fn observe(&self, version: BundleVersion) {
         self.newest_seen.send_if_modified(|newest| {
             let newer = version > *newest;
             if newer {
--- a/crates/rpc/src/router.rs
+++ b/crates/rpc/src/router.rs
@@ -134,7 +134,7 @@
 
     /// Adds a handler whose response is a stream; the stream ends when the handler returns.
     #[must_use]
-    pub fn stream<R, F, Fut>(mut self, handler: F) -> Self
+    pub fn route_stream<R, F, Fut>(mut self, handler: F) -> Self
     where
         R: StreamRequest,
         F: Fn(Peer, R, ItemSink<R::Item>) -> Fut + Send + Sync + 'static,
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -162,7 +162,7 @@
     async fn handle_frame(&mut self, frame: ClientFrame) {
         match frame {
             ClientFrame::Ping { bundle } => {
-                self.identity.bundles.saw(bundle);
+                self.identity.bundles.observe(bundle);
                 self.replies.send(ServerBody::Pong).await;
             }
             ClientFrame::Cancel { id } => {
--- a/crates/rpc/src/writer.rs
+++ b/crates/rpc/src/writer.rs
@@ -66,6 +66,6 @@
     }
     writer.flush().await?;
     tokio::time::sleep_until(due).await;
-    faults.passable(peer).await;
+    faults.wait_until_restored(peer).await;
     Ok(())
 }
--- a/crates/rpc/tests/transport.rs
+++ b/crates/rpc/tests/transport.rs
@@ -96,7 +96,7 @@
             Deferred::Reply(number) => drop(std::thread::spawn(move || replier.send(&number))),
             Deferred::DropReplier => drop(replier),
         })
-        .stream(|_, Count(to), sink| async move {
+        .route_stream(|_, Count(to), sink| async move {
             for i in 1..=to {
                 if sink.send(&i).await.is_err() {
                     return;
