--- a/crates/control/src/core/repair/mod.rs
+++ b/crates/control/src/core/repair/mod.rs
@@ -15,7 +15,7 @@
 
 use hooklug_protocol::copy_on_write::CopyOnWrite;
 use hooklug_state::meta::{MetaState, StoreRecord};
-use hooklug_store::placement::wanted::is_superseded;
+use hooklug_store::placement::desired::is_superseded;
 use hooklug_store::placement::{plan, plan_repairs};
 use hooklug_types::NodeId;
 use tokio::time::Instant;
--- a/crates/control/src/core/repair/monitor.rs
+++ b/crates/control/src/core/repair/monitor.rs
@@ -7,7 +7,7 @@
 use hooklug_protocol::store::{MemberProgress, ReplicaStatus};
 use hooklug_raft::ConfState;
 use hooklug_state::meta::{GroupPlacement, MetaState};
-use hooklug_store::placement::follow::is_up_to_date;
+use hooklug_store::placement::reconcile::is_up_to_date;
 use hooklug_store::placement::{LeaderView, StoreReport, leader_of};
 use hooklug_types::{GroupId, NodeId};
 use tokio::time::Instant;
--- a/crates/store/src/balance.rs
+++ b/crates/store/src/balance.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use tracing::debug;
 
-use crate::placement::follow::is_up_to_date;
+use crate::placement::reconcile::is_up_to_date;
 use crate::shared::Shared;
 
 /// Mean interval between balancing rounds. It varies randomly by up to half, so that stores do not
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod access;
 pub mod balance;
-mod begin;
+mod bootstrap;
 pub mod cleanup;
 mod client;
 pub mod clock;
--- a/crates/store/src/placement/wanted.rs
+++ b/crates/store/src/placement/desired.rs
@@ -7,7 +7,7 @@
 use hooklug_types::{GroupId, NodeId};
 
 use super::choice::{Loads, best_store, zone_of};
-use super::follow::{is_up_to_date, next_change};
+use super::reconcile::{is_up_to_date, next_change};
 use super::{StoreReport, VOTERS, leader_of, learners};
 
 /// A change of one group's desired placement.
--- a/crates/store/src/placement/mod.rs
+++ b/crates/store/src/placement/mod.rs
@@ -3,13 +3,13 @@
 //!
 //! Planning has two steps, so that no state is kept between calls. The desired placement of each
 //! group is stored in the meta state and changes when a store is lost, retires or is added
-//! ([`wanted`]). The members of each group are then brought in line with it, one membership change
-//! at a time ([`follow`]).
+//! ([`desired`]). The members of each group are then brought in line with it, one membership change
+//! at a time ([`reconcile`]).
 
 mod choice;
-pub mod follow;
+pub mod desired;
 pub mod initial;
-pub mod wanted;
+pub mod reconcile;
 
 use std::collections::BTreeSet;
 
@@ -81,7 +81,7 @@
     reports: &[StoreReport],
     alive: &BTreeSet<NodeId>,
 ) -> Vec<PlannedChange> {
-    plan_with(wanted::changes(meta, reports, alive), meta, reports, alive)
+    plan_with(desired::changes(meta, reports, alive), meta, reports, alive)
 }
 
 /// Like [`plan`], but without changes that only rebalance the load of the stores.
@@ -91,35 +91,34 @@
     reports: &[StoreReport],
     alive: &BTreeSet<NodeId>,
 ) -> Vec<PlannedChange> {
-    plan_with(wanted::repairs(meta, reports, alive), meta, reports, alive)
+    plan_with(desired::repairs(meta, reports, alive), meta, reports, alive)
 }
 
 fn plan_with(
-    updates: Vec<wanted::PlacementUpdate>,
+    updates: Vec<desired::PlacementUpdate>,
     meta: &MetaState,
     reports: &[StoreReport],
     alive: &BTreeSet<NodeId>,
 ) -> Vec<PlannedChange> {
     let updated_groups: BTreeSet<GroupId> = updates.iter().map(|change| change.group).collect();
-    let mut changes: Vec<PlannedChange> =
-        updates
-            .into_iter()
-            .map(|wanted::PlacementUpdate { group, expected, placement }| {
-                PlannedChange::SetPlacement { group, expected, placement }
-            })
-            .collect();
+    let mut changes: Vec<PlannedChange> = updates
+        .into_iter()
+        .map(|desired::PlacementUpdate { group, expected, placement }| {
+            PlannedChange::SetPlacement { group, expected, placement }
+        })
+        .collect();
     for (group, placement) in &meta.placements {
         let Some(leader) = leader_of(*group, reports) else { continue };
         if updated_groups.contains(group) {
             continue;
         }
-        if let Some(change) = follow::next_change(placement, leader.replica, alive) {
+        if let Some(change) = reconcile::next_change(placement, leader.replica, alive) {
             let (group, leader) = (*group, leader.node);
             changes.push(PlannedChange::ChangeReplicas { group, leader, change });
         }
     }
     changes.extend(
-        wanted::removable_stores(meta, reports, alive)
+        desired::removable_stores(meta, reports, alive)
             .map(|node| PlannedChange::RemoveStore { node }),
     );
     changes
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -21,7 +21,7 @@
 use crate::observations::Observations;
 use crate::shared::{Formation, Shared, initial_view};
 use crate::{
-    StoreClient, StoreError, balance, begin, cleanup, clock_task, gossip, meta_watch, service,
+    StoreClient, StoreError, balance, bootstrap, cleanup, clock_task, gossip, meta_watch, service,
 };
 
 /// Interval between checks whether the disk has failed.
@@ -132,7 +132,7 @@
         let shared = self.shared;
         let mut tasks = JoinSet::new();
         tasks.spawn(gossip::run(shared.clone()));
-        tasks.spawn(begin::run(shared.clone()));
+        tasks.spawn(bootstrap::run(shared.clone()));
         tasks.spawn(meta_watch::run(shared.clone()));
         tasks.spawn(clock_task::run(shared.clone()));
         tasks.spawn(balance::run(shared.clone()));
