--- a/crates/admin/tests/access.rs
+++ b/crates/admin/tests/access.rs
@@ -39,7 +39,7 @@
 async fn readiness_names_the_reasons() {
     let api = Api::start(settings()).await;
     assert_eq!(api.get("/readyz").await.status, StatusCode::OK);
-    api.context.node.readiness.unready("reach", "no one answers");
+    api.context.node.readiness.set_not_ready("reach", "no one answers");
     let answer = api.get("/readyz").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.body, json!({"ready": false, "reasons": {"reach": "no one answers"}}));
--- a/crates/admin/tests/bundles.rs
+++ b/crates/admin/tests/bundles.rs
@@ -71,7 +71,7 @@
 async fn a_lost_answer_claims_nothing_and_the_resend_is_accepted() {
     let api = Api::start(settings()).await;
     api.publish_member(9);
-    api.state.lose_answers(META_GROUP, 1);
+    api.state.drop_replies(META_GROUP, 1);
     let lost = api.submit(&bundle(1, 10)).await;
     assert_eq!((lost.status, lost.code()), (StatusCode::SERVICE_UNAVAILABLE, "try_again"));
     assert_eq!(lost.body["outcome"], "try_again");
--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 use hooklug_admin::AdminContext;
 use hooklug_bundle::{Bundle, TextFormat, parse};
-use hooklug_control::{NodeContext, NodeFeeds, NodeHandle};
+use hooklug_control::{NodeContext, NodeHandle, NodeHandleChannels};
 use hooklug_protocol::control::{ClusterView, Member, MemberHealth, NodeAddress};
 use hooklug_rpc::{LocalIdentity, RpcClient};
 use hooklug_settings::{
@@ -31,7 +31,7 @@
     pub address: SocketAddr,
     pub state: MemoryState,
     pub context: NodeContext,
-    pub feeds: NodeFeeds,
+    pub channels: NodeHandleChannels,
 }
 
 /// A response of the API.
@@ -89,7 +89,7 @@
             zone: settings.zone.clone(),
         };
         let identity = LocalIdentity::new(address, settings.cluster_secret.reveal());
-        let (node, feeds) = NodeHandle::new();
+        let (node, channels) = NodeHandle::new();
         let context = NodeContext {
             settings: Arc::new(settings),
             client: RpcClient::new(identity.clone()),
@@ -104,7 +104,7 @@
         let address = listener.local_addr().expect("bound");
         let router = hooklug_admin::router(admin);
         tokio::spawn(async move { axum::serve(listener, router).await });
-        Self { address, state, context, feeds }
+        Self { address, state, context, channels }
     }
 
     /// Publishes a view with one live node that has installed a bundle version.
@@ -117,7 +117,7 @@
         };
         let mut view = ClusterView::default();
         view.members.insert(member.address.node, member);
-        self.feeds.view.send_replace(Arc::new(view));
+        self.channels.view.send_replace(Arc::new(view));
     }
 
     pub async fn get(&self, path: &str) -> Answer {
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -95,14 +95,14 @@
         };
         let identity = LocalIdentity::new(address, settings.cluster_secret.reveal());
         let client = RpcClient::new(identity.clone());
-        let (handle, feeds) = NodeHandle::new();
+        let (handle, channels) = NodeHandle::new();
         let state = Arc::new(StoreClient::new(client.clone(), handle.stores.clone()));
         let agent = NodeAgent::new(
             &settings,
             identity.clone(),
             client,
             state.clone(),
-            feeds,
+            channels,
             handle.statistics.clone(),
             handle.readiness.clone(),
         );
--- a/crates/control/src/agent/installer.rs
+++ b/crates/control/src/agent/installer.rs
@@ -77,14 +77,14 @@
     };
     if let Some(record) = newest {
         let reason = format!("bundle {} is not installed yet", record.version);
-        shared.readiness.unready(COMPONENT, reason);
+        shared.readiness.set_not_ready(COMPONENT, reason);
         let mut installed = shared.bundle.subscribe();
         let target = record.version;
         // `shared` holds the sender, so the wait ends only when the condition is met.
         let _ =
             installed.wait_for(|b| b.as_ref().is_some_and(|b| b.record.version >= target)).await;
     }
-    shared.readiness.ready(COMPONENT);
+    shared.readiness.set_ready(COMPONENT);
     shared.newest_bundle.send_replace(true);
 }
 
--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -26,7 +26,9 @@
 use tokio_util::sync::CancellationToken;
 use tracing::info;
 
-use crate::handle::{InstalledBundle, NodeFeeds, NodeReport, Reach, Readiness, Statistics};
+use crate::handle::{
+    InstalledBundle, NodeHandleChannels, NodeReport, Reachability, Readiness, StatisticsRecorder,
+};
 pub use peers::Peers;
 use reachability::ReachabilityTracker;
 use sections::SectionCache;
@@ -52,7 +54,7 @@
     client: RpcClient,
     state: Arc<dyn StateAccess>,
     seeds: Vec<SocketAddr>,
-    statistics: Statistics,
+    statistics: StatisticsRecorder,
     readiness: Readiness,
     peers: Mutex<Peers>,
     sections: Mutex<SectionCache>,
@@ -70,7 +72,7 @@
     view: channel::Sender<Arc<ClusterView>>,
     bundle: channel::Sender<Option<Arc<InstalledBundle>>>,
     stores: channel::Sender<Vec<SocketAddr>>,
-    reach_sender: channel::Sender<Reach>,
+    reach_sender: channel::Sender<Reachability>,
 }
 
 impl Shared {
@@ -160,12 +162,12 @@
         identity: LocalIdentity,
         client: RpcClient,
         state: Arc<dyn StateAccess>,
-        feeds: NodeFeeds,
-        statistics: Statistics,
+        channels: NodeHandleChannels,
+        statistics: StatisticsRecorder,
         readiness: Readiness,
     ) -> Self {
-        readiness.unready(reachability::COMPONENT, "no core or store has replied yet");
-        readiness.unready(installer::COMPONENT, "the newest bundle is not known yet");
+        readiness.set_not_ready(reachability::COMPONENT, "no core or store has replied yet");
+        readiness.set_not_ready(installer::COMPONENT, "the newest bundle is not known yet");
         let shared = Shared {
             peers: Mutex::new(Peers::new(identity.address.clone())),
             identity,
@@ -181,12 +183,12 @@
             newest_bundle: channel::Sender::new(false),
             leader: channel::Sender::new(None),
             heartbeat_due: Notify::new(),
-            view: feeds.view,
-            bundle: feeds.bundle,
-            stores: feeds.stores,
-            reach_sender: feeds.reach,
+            view: channels.view,
+            bundle: channels.bundle,
+            stores: channels.stores,
+            reach_sender: channels.reach,
         };
-        Self { shared: Arc::new(shared), report: feeds.report, harm: feeds.harm }
+        Self { shared: Arc::new(shared), report: channels.report, harm: channels.harm }
     }
 
     /// Returns the handlers of peers' requests: discovery, and fetches of bundle sections that this
--- a/crates/control/src/agent/reachability.rs
+++ b/crates/control/src/agent/reachability.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::Shared;
-use crate::handle::Reach;
+use crate::handle::Reachability;
 use crate::metrics;
 
 /// Name of this component among the reasons for not being ready.
@@ -57,7 +57,7 @@
 
 pub(super) async fn run(shared: Arc<Shared>) {
     loop {
-        let reach = Reach {
+        let reach = Reachability {
             core: is_within(&shared.reachability.core, RECENT_TIME),
             store: is_within(&shared.reachability.store, RECENT_TIME),
             newest_bundle: *shared.newest_bundle.borrow(),
@@ -70,11 +70,11 @@
             changed
         });
         if shared.reachability.any_is_reachable() {
-            shared.readiness.ready(COMPONENT);
+            shared.readiness.set_ready(COMPONENT);
         } else {
             let reason =
                 format!("no core or store has replied for {} s", NOT_READY_AFTER.as_secs());
-            shared.readiness.unready(COMPONENT, reason);
+            shared.readiness.set_not_ready(COMPONENT, reason);
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
--- a/crates/control/src/backends/follower.rs
+++ b/crates/control/src/backends/follower.rs
@@ -41,7 +41,7 @@
     /// Creates a follower. The node is not ready until the first list arrives.
     #[must_use]
     pub fn new(context: NodeContext) -> Self {
-        context.node.readiness.unready(COMPONENT, "the list of backends is not known yet");
+        context.node.readiness.set_not_ready(COMPONENT, "the list of backends is not known yet");
         Self { context, list: watch::Sender::new(None) }
     }
 
@@ -93,7 +93,7 @@
             if list.apply(item) || is_first {
                 is_first = false;
                 self.list.send_replace(Some(Arc::new(list.clone())));
-                self.context.node.readiness.ready(COMPONENT);
+                self.context.node.readiness.set_ready(COMPONENT);
             }
         }
         info!(%core, "backend list stream ended; trying another core");
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -29,7 +29,7 @@
 
 /// Which parts of the cluster this node can reach.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// A core replied recently.
     pub core: bool,
     /// A store replied recently.
@@ -57,12 +57,12 @@
 
 impl Readiness {
     /// Marks a component as not ready.
-    pub fn unready(&self, component: &'static str, reason: impl Into<String>) {
+    pub fn set_not_ready(&self, component: &'static str, reason: impl Into<String>) {
         self.lock().insert(component, reason.into());
     }
 
     /// Marks a component as ready.
-    pub fn ready(&self, component: &'static str) {
+    pub fn set_ready(&self, component: &'static str) {
         self.lock().remove(component);
     }
 
@@ -79,11 +79,11 @@
 
 /// Request statistics by version and route, collected since the last heartbeat that was delivered.
 #[derive(Debug, Clone, Default)]
-pub struct Statistics {
+pub struct StatisticsRecorder {
     counts: Arc<Mutex<BTreeMap<VersionOnRoute, Counts>>>,
 }
 
-impl Statistics {
+impl StatisticsRecorder {
     /// Records one request. `latency` is the total time of a call, or the time to the first token
     /// of a turn.
     pub fn record(
@@ -98,7 +98,7 @@
         self.lock().entry(key).or_default().record(success, latency);
     }
 
-    /// Removes and returns all counts; return them with [`Statistics::restore`] if the heartbeat
+    /// Removes and returns all counts; return them with [`StatisticsRecorder::restore`] if the heartbeat
     /// fails.
     #[must_use]
     pub fn take(&self) -> Vec<VersionStatistics> {
@@ -129,11 +129,11 @@
     /// RPC addresses of the stores, for the store client.
     pub stores: watch::Receiver<Vec<SocketAddr>>,
     /// Which parts of the cluster are reachable.
-    pub reach: watch::Receiver<Reach>,
+    pub reach: watch::Receiver<Reachability>,
     /// The node's own report; a change triggers a heartbeat.
     pub report: watch::Sender<NodeReport>,
     /// Request statistics by version and route.
-    pub statistics: Statistics,
+    pub statistics: StatisticsRecorder,
     /// Harmful versions that this node detected itself; sent to the core leader.
     pub harm: tokio::sync::mpsc::Sender<HarmReport>,
     /// Readiness of this node, by component.
@@ -142,7 +142,7 @@
 
 /// The opposite ends of a [`NodeHandle`]'s channels, held by the node agent or by a test.
 #[derive(Debug)]
-pub struct NodeFeeds {
+pub struct NodeHandleChannels {
     /// Sets the cluster view.
     pub view: watch::Sender<Arc<ClusterView>>,
     /// Sets the installed bundle.
@@ -150,7 +150,7 @@
     /// Sets the addresses of the stores.
     pub stores: watch::Sender<Vec<SocketAddr>>,
     /// Sets which parts of the cluster are reachable.
-    pub reach: watch::Sender<Reach>,
+    pub reach: watch::Sender<Reachability>,
     /// Receives the node's own report.
     pub report: watch::Receiver<NodeReport>,
     /// Receives harmful versions that the node detected.
@@ -167,13 +167,13 @@
         SubmitBundle::new(bundle, held, signed_by)
     }
 
-    /// Creates a handle and its feeds.
+    /// Creates a handle and the opposite ends of its channels.
     #[must_use]
-    pub fn new() -> (Self, NodeFeeds) {
+    pub fn new() -> (Self, NodeHandleChannels) {
         let (view, view_rx) = watch::channel(Arc::new(ClusterView::default()));
         let (bundle, bundle_rx) = watch::channel(None);
         let (stores, stores_rx) = watch::channel(Vec::new());
-        let (reach, reach_rx) = watch::channel(Reach::default());
+        let (reach, reach_rx) = watch::channel(Reachability::default());
         let (report, report_rx) = watch::channel(NodeReport::default());
         let (harm, harm_rx) = tokio::sync::mpsc::channel(16);
         let handle = Self {
@@ -182,12 +182,13 @@
             stores: stores_rx,
             reach: reach_rx,
             report,
-            statistics: Statistics::default(),
+            statistics: StatisticsRecorder::default(),
             harm,
             readiness: Readiness::default(),
         };
-        let feeds = NodeFeeds { view, bundle, stores, reach, report: report_rx, harm: harm_rx };
-        (handle, feeds)
+        let channels =
+            NodeHandleChannels { view, bundle, stores, reach, report: report_rx, harm: harm_rx };
+        (handle, channels)
     }
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,6 +14,7 @@
 pub use self::core::Core;
 pub use agent::NodeAgent;
 pub use handle::{
-    InstalledBundle, NodeContext, NodeFeeds, NodeHandle, NodeReport, Reach, Readiness, Statistics,
+    InstalledBundle, NodeContext, NodeHandle, NodeHandleChannels, NodeReport, Reachability,
+    Readiness, StatisticsRecorder,
 };
 pub use judge::latency_bucket;
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -7,14 +7,14 @@
 
 use hooklug_rpc::TrafficCounts;
 
-use crate::handle::Reach;
+use crate::handle::Reachability;
 
 fn gauge_value(on: bool) -> f64 {
     if on { 1.0 } else { 0.0 }
 }
 
 /// Sets whether the node is ready and which parts of the cluster it reaches.
-pub(crate) fn set_node_state(ready: bool, reach: Reach) {
+pub(crate) fn set_node_state(ready: bool, reach: Reachability) {
     gauge!("hooklug_ready").set(gauge_value(ready));
     gauge!("hooklug_core_within_reach").set(gauge_value(reach.core));
     gauge!("hooklug_store_within_reach").set(gauge_value(reach.store));
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -219,7 +219,7 @@
         };
         let identity = LocalIdentity::new(address, SECRET);
         let client = RpcClient::new(identity.clone());
-        let (node, feeds) = NodeHandle::new();
+        let (node, channels) = NodeHandle::new();
         let context = NodeContext {
             settings: settings.clone(),
             identity: identity.clone(),
@@ -233,7 +233,7 @@
             identity.clone(),
             client,
             Arc::new(state.clone()),
-            feeds,
+            channels,
             node.statistics.clone(),
             node.readiness.clone(),
         );
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -118,7 +118,7 @@
         let shared = &self.shared;
         shared.stopping.store(true, Ordering::Release);
         shared.handing_over.store(true, Ordering::Release);
-        shared.node.readiness.unready("engine", "stopping");
+        shared.node.readiness.set_not_ready("engine", "stopping");
         info!(sessions = shared.table.len(), "stopping; handing sessions over");
         shared.table.broadcast(&Message::HandOver);
         let reserve = (grace / GRACE_RESERVE_DIVISOR).min(MAX_GRACE_RESERVE);
--- a/crates/engine/src/reporter.rs
+++ b/crates/engine/src/reporter.rs
@@ -52,7 +52,7 @@
     let stopping = shared.stopping.load(std::sync::atomic::Ordering::Acquire);
     let reason = if stopping { Some("stopping") } else { shared.unready_reason() };
     match reason {
-        Some(reason) => shared.node.readiness.unready(COMPONENT, reason),
-        None => shared.node.readiness.ready(COMPONENT),
+        Some(reason) => shared.node.readiness.set_not_ready(COMPONENT, reason),
+        None => shared.node.readiness.set_ready(COMPONENT),
     }
 }
--- a/crates/engine/tests/leaving.rs
+++ b/crates/engine/tests/leaving.rs
@@ -29,7 +29,7 @@
     let location = world.session(&engine, "p1").await;
     world.run(&engine, &run_turn(&location, "t1", None, "say 1")).await;
     engine.install(bundle(2, &SUPERSEDED));
-    let mut report = engine.feeds.report.clone();
+    let mut report = engine.channels.report.clone();
     let draining = report.wait_for(|r| r.engine.as_ref().is_some_and(|e| e.draining));
     tokio::time::timeout(TEST_TIMEOUT, draining).await.unwrap().unwrap();
 
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -157,7 +157,7 @@
     let mut after: Option<String> = None;
     for round in 0..5_u32 {
         let name = format!("t{round}");
-        world.state.lose_answers(group(&location.key), 2 * round);
+        world.state.drop_replies(group(&location.key), 2 * round);
         let request = run_turn(&location, &name, after.as_deref(), "say 20");
         let ran = world.run(&engine, &request).await;
         assert_eq!(ran.end(), Some(&EndReason::Finished));
--- a/crates/engine/tests/support/running.rs
+++ b/crates/engine/tests/support/running.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use hooklug_bundle::Bundle;
-use hooklug_control::{NodeFeeds, NodeHandle};
+use hooklug_control::{NodeHandle, NodeHandleChannels};
 use hooklug_engine::EngineError;
 use hooklug_protocol::control::NodeAddress;
 use hooklug_rpc::LocalIdentity;
@@ -47,7 +47,7 @@
 pub struct RunningEngine {
     pub engine: EngineIncarnation,
     pub address: SocketAddr,
-    pub feeds: NodeFeeds,
+    pub channels: NodeHandleChannels,
     pub node: NodeHandle,
     pub stop: CancellationToken,
     pub serving: CancellationToken,
@@ -62,13 +62,13 @@
     }
 
     pub fn install(&self, bundle: Bundle) {
-        self.feeds.bundle.send_replace(installed(bundle));
+        self.channels.bundle.send_replace(installed(bundle));
     }
 
     /// Waits until the engine reports that it is ready.
     pub async fn ready(&mut self) {
         let ready = self
-            .feeds
+            .channels
             .report
             .wait_for(|report| report.engine.as_ref().is_some_and(|engine| engine.ready));
         tokio::time::timeout(TEST_TIMEOUT, ready).await.expect("ready in time").unwrap();
--- a/crates/engine/tests/support/world.rs
+++ b/crates/engine/tests/support/world.rs
@@ -65,8 +65,8 @@
         let listener = RpcServer::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
         let address = listener.local_addr().unwrap();
         let identity = identity(address, rand::random::<u64>() >> 1, NodeRole::Engine);
-        let (node, feeds) = NodeHandle::new();
-        feeds.bundle.send_replace(installed(bundle));
+        let (node, channels) = NodeHandle::new();
+        channels.bundle.send_replace(installed(bundle));
         let stop = CancellationToken::new();
         let context = NodeContext {
             settings: Arc::new(settings(&options, address, model.address)),
@@ -82,7 +82,7 @@
         let server = RpcServer::new(listener, identity, engine.rpc_router());
         tokio::spawn(server.run(serving.clone()));
         let ended = tokio::spawn(engine.run());
-        RunningEngine { engine: incarnation, address, feeds, node, stop, serving, ended }
+        RunningEngine { engine: incarnation, address, channels, node, stop, serving, ended }
     }
 
     pub async fn put_program(&self, program: &str, budget: u64, end_time: UnixMillis) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -32,7 +32,7 @@
     /// Creates a gateway for a node; no task starts before [`Gateway::run`].
     #[must_use]
     pub fn new(ctx: NodeContext) -> Self {
-        ctx.node.readiness.unready(COMPONENT, "not started yet");
+        ctx.node.readiness.set_not_ready(COMPONENT, "not started yet");
         Self { shared: Arc::new(Shared::new(ctx)) }
     }
 
@@ -95,9 +95,9 @@
         match bundle {
             Some(bundle) => {
                 self.shared.backends.apply_bundle(&bundle);
-                readiness.ready(COMPONENT);
+                readiness.set_ready(COMPONENT);
             }
-            None => readiness.unready(COMPONENT, "no bundle is installed yet"),
+            None => readiness.set_not_ready(COMPONENT, "no bundle is installed yet"),
         }
     }
 
@@ -116,7 +116,7 @@
 
     async fn shut_down(&self) {
         let shared = &self.shared;
-        shared.ctx.node.readiness.unready(COMPONENT, "stopping");
+        shared.ctx.node.readiness.set_not_ready(COMPONENT, "stopping");
         shared.running.close();
         let grace = Duration::from_millis(shared.ctx.settings.grace_ms);
         if timeout(grace.saturating_sub(ABORT_TIME), shared.running.wait()).await.is_ok() {
--- a/crates/gateway/src/version_monitor.rs
+++ b/crates/gateway/src/version_monitor.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hooklug_bundle::Bundle;
-use hooklug_control::Statistics;
+use hooklug_control::StatisticsRecorder;
 use hooklug_control::judge::Judge;
 use hooklug_protocol::control::ClusterView;
 use hooklug_state::meta::HarmReport;
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone)]
 pub struct VersionMonitor {
     /// Statistics for the cluster; drained by heartbeats.
-    cluster_statistics: Statistics,
+    cluster_statistics: StatisticsRecorder,
     /// Statistics for the local judge; drained by each judgement.
-    local_statistics: Statistics,
+    local_statistics: StatisticsRecorder,
     judge: Arc<Mutex<JudgeState>>,
     stopped: StoppedVersions,
     harm: mpsc::Sender<HarmReport>,
@@ -39,13 +39,13 @@
     /// Creates a monitor that reports to a node's statistics and regression channel.
     #[must_use]
     pub fn new(
-        cluster_statistics: Statistics,
+        cluster_statistics: StatisticsRecorder,
         stopped: StoppedVersions,
         harm: mpsc::Sender<HarmReport>,
     ) -> Self {
         Self {
             cluster_statistics,
-            local_statistics: Statistics::default(),
+            local_statistics: StatisticsRecorder::default(),
             judge: Arc::default(),
             stopped,
             harm,
--- a/crates/gateway/tests/calls_overload.rs
+++ b/crates/gateway/tests/calls_overload.rs
@@ -259,7 +259,7 @@
     let harm = loop {
         call(&env, 0, &format!("c{number}"), &alarm()).await;
         number += 1;
-        if let Ok(harm) = env.gateways[0].feeds.harm.try_recv() {
+        if let Ok(harm) = env.gateways[0].channels.harm.try_recv() {
             break harm;
         }
         assert!(number < 100_000, "no regression was reported");
--- a/crates/gateway/tests/calls_record.rs
+++ b/crates/gateway/tests/calls_record.rs
@@ -16,7 +16,7 @@
     let (env, engines) = env_with(2, 1).await;
     for lost in 1..=3 {
         let name = format!("c{lost}");
-        env.state.lose_answers(shard_of("p1"), lost);
+        env.state.drop_replies(shard_of("p1"), lost);
         let answer = call(&env, 0, &name, &alarm()).await;
         assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
         assert_eq!(runs(&engines, &name), 1);
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn without_a_store_in_reach_only_repeatable_calls_are_made() {
     let (env, engines) = env_with(1, 1).await;
-    env.gateways[0].feeds.reach.send_replace(Default::default());
+    env.gateways[0].channels.reach.send_replace(Default::default());
     let answer = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((answer.status, answer.code()), (503, "try_again"));
     assert_eq!(runs(&engines, "c1"), 0);
@@ -90,7 +90,7 @@
 async fn an_engine_that_drains_while_the_claim_is_uncertain_gets_no_call() {
     let (mut env, engines) = env_with(1, 1).await;
     // The claim is retried without a reply while the call holds a slot at the first engine.
-    env.state.lose_answers(shard_of("p1"), u32::MAX);
+    env.state.drop_replies(shard_of("p1"), u32::MAX);
     let url = env.url(0);
     let calling =
         tokio::spawn(async move { http::put(url, "/v1/programs/p1/calls/c1", &alarm()).await });
@@ -98,7 +98,7 @@
     let other = AppEngine::start("a2", 2).await;
     env.view.engines.get_mut(&engines[0].engine).unwrap().draining = true;
     env.list_app(&other, "v1", "z1");
-    env.state.lose_answers(shard_of("p1"), 0);
+    env.state.drop_replies(shard_of("p1"), 0);
     let answer = calling.await.expect("task panicked");
     assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})), "{answer:?}");
     assert_eq!((engines[0].received(), other.runs("p1/c1")), (0, 1));
--- a/crates/gateway/tests/inputs.rs
+++ b/crates/gateway/tests/inputs.rs
@@ -322,7 +322,7 @@
 #[tokio::test]
 async fn without_a_bundle_nothing_is_decided() {
     let env = TestEnv::new().await;
-    env.gateways[0].feeds.bundle.send_replace(None);
+    env.gateways[0].channels.bundle.send_replace(None);
     let answer = support::http::get(env.url(0), "/v1/programs/p1").await;
     assert_eq!((answer.status, answer.code()), (503, "try_again"));
     env.gateways[0].wait_unready().await;
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -167,7 +167,7 @@
 #[tokio::test]
 async fn without_a_store_in_reach_no_turn_begins_and_nothing_is_claimed() {
     let (env, engine) = env_with_session().await;
-    env.gateways[0].feeds.reach.send_replace(Default::default());
+    env.gateways[0].channels.reach.send_replace(Default::default());
     let path = "/v1/programs/p1/sessions/s1/turns";
     let answer = http::post(env.url(0), path, &turn("t1", None, 1)).await;
     assert_eq!((answer.status, answer.code()), (503, "try_again"));
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use hooklug_bundle::Bundle;
-use hooklug_control::{NodeContext, NodeFeeds, NodeHandle, Reach};
+use hooklug_control::{NodeContext, NodeHandle, NodeHandleChannels, Reachability};
 use hooklug_gateway::Gateway;
 use hooklug_protocol::control::{
     ApplicationEngine, ClusterView, Member, MemberHealth, NodeAddress, SessionHostInfo,
@@ -59,7 +59,7 @@
 /// A gateway and its HTTP listener.
 pub struct TestGateway {
     pub http: SocketAddr,
-    pub feeds: NodeFeeds,
+    pub channels: NodeHandleChannels,
     pub node: NodeHandle,
     pub identity: LocalIdentity,
     pub stop: CancellationToken,
@@ -138,10 +138,10 @@
     }
 
     async fn start_gateway(&self, node: u64, mode: GatewayMode) -> TestGateway {
-        let (handle, feeds) = NodeHandle::new();
-        feeds.reach.send_replace(Reach { core: true, store: true, newest_bundle: true });
-        feeds.bundle.send_replace(Some(installed(self.bundle.clone())));
-        feeds.view.send_replace(Arc::new(self.view.clone()));
+        let (handle, channels) = NodeHandle::new();
+        channels.reach.send_replace(Reachability { core: true, store: true, newest_bundle: true });
+        channels.bundle.send_replace(Some(installed(self.bundle.clone())));
+        channels.view.send_replace(Arc::new(self.view.clone()));
         let identity =
             LocalIdentity::new(address(NodeRole::Gateway, node, loopback(), "z1"), SECRET);
         let stop = CancellationToken::new();
@@ -160,13 +160,13 @@
         let http = listener.local_addr().expect("no local address");
         tokio::spawn(async move { axum::serve(listener, router).await });
         let task = tokio::spawn(gateway.run());
-        TestGateway { http, feeds, node: handle, identity, stop, task }
+        TestGateway { http, channels, node: handle, identity, stop, task }
     }
 
     /// Sends the current view to all gateways.
     pub fn publish(&self) {
         for gateway in &self.gateways {
-            gateway.feeds.view.send_replace(Arc::new(self.view.clone()));
+            gateway.channels.view.send_replace(Arc::new(self.view.clone()));
         }
     }
 
@@ -175,7 +175,7 @@
         for gateway in &self.gateways {
             let mut bundle = (*installed(self.bundle.clone())).clone();
             bundle.record.committed = UnixMillis::now();
-            gateway.feeds.bundle.send_replace(Some(Arc::new(bundle)));
+            gateway.channels.bundle.send_replace(Some(Arc::new(bundle)));
         }
     }
 
--- a/crates/gateway/tests/whole_path.rs
+++ b/crates/gateway/tests/whole_path.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use hooklug_control::{NodeContext, NodeFeeds, NodeHandle, Reach};
+use hooklug_control::{NodeContext, NodeHandle, NodeHandleChannels, Reachability};
 use hooklug_emulator::model::{ModelOptions, ModelServer};
 use hooklug_emulator::{ApplicationEngine as App, ApplicationOptions, LedgerEntry, StandIn};
 use hooklug_engine::Engine;
@@ -21,7 +21,7 @@
 /// A session-host engine and its emulated model server.
 struct Host {
     model: StandIn,
-    feeds: NodeFeeds,
+    channels: NodeHandleChannels,
     serving: CancellationToken,
     running: tokio::task::JoinHandle<()>,
     member: Member,
@@ -49,9 +49,9 @@
         let rpc = listener.local_addr().expect("no local address");
         let identity =
             LocalIdentity::new(address(NodeRole::Engine, node, rpc, "z1"), support::SECRET);
-        let (handle, feeds) = NodeHandle::new();
-        feeds.reach.send_replace(Reach { core: true, store: true, newest_bundle: true });
-        feeds.bundle.send_replace(Some(installed(env.bundle.clone())));
+        let (handle, channels) = NodeHandle::new();
+        channels.reach.send_replace(Reachability { core: true, store: true, newest_bundle: true });
+        channels.bundle.send_replace(Some(installed(env.bundle.clone())));
         let mut own = settings(GatewayMode::Full);
         own.engine = Some(EngineSettings {
             id: id(name),
@@ -77,7 +77,7 @@
         let running = tokio::spawn(async move {
             let _ = engine.run().await;
         });
-        let mut report = feeds.report.clone();
+        let mut report = channels.report.clone();
         let is_ready = |r: &hooklug_control::NodeReport| r.engine.as_ref().is_some_and(|e| e.ready);
         let hosted = report.wait_for(is_ready).await.expect("no report").engine.clone();
         let member = Member {
@@ -86,7 +86,7 @@
             bundle: BundleVersion(3),
             engine: hosted,
         };
-        Self { model, feeds, serving, running, member }
+        Self { model, channels, serving, running, member }
     }
 
     /// Stops the engine abruptly, as a kill would.
@@ -100,7 +100,7 @@
 fn list(env: &mut TestEnv, host: &Host) {
     env.view.members.insert(host.member.address.node, host.member.clone());
     env.publish();
-    assert!(host.feeds.report.borrow().engine.is_some());
+    assert!(host.channels.report.borrow().engine.is_some());
 }
 
 fn turn(name: &str, after: Option<&str>) -> serde_json::Value {
--- a/crates/hooklug/src/node.rs
+++ b/crates/hooklug/src/node.rs
@@ -104,7 +104,7 @@
         let http = bind("http", self.settings.http).await?;
         let identity = self.identity()?;
         let client = RpcClient::new(identity.clone());
-        let (node, feeds) = NodeHandle::new();
+        let (node, channels) = NodeHandle::new();
         let state = Arc::new(StoreClient::new(client.clone(), node.stores.clone()));
         let context = NodeContext {
             settings: self.settings.clone(),
@@ -120,7 +120,7 @@
             identity.clone(),
             client,
             state,
-            feeds,
+            channels,
             node.statistics.clone(),
             node.readiness.clone(),
         );
@@ -179,7 +179,7 @@
             () = self.stop.cancelled() => {}
             exit = &mut running => return exit,
         }
-        context.node.readiness.unready("process", "stopping");
+        context.node.readiness.set_not_ready("process", "stopping");
         info!("stopping");
         let grace = Duration::from_millis(self.settings.grace_ms).saturating_sub(CLOSE_TIMEOUT);
         match tokio::time::timeout(grace, running).await {
--- a/crates/ingress/tests/support/mod.rs
+++ b/crates/ingress/tests/support/mod.rs
@@ -14,7 +14,7 @@
     HttpRoute, HttpRouting, HttpService, ModelPool, RepeatRule, WeightedService,
 };
 use hooklug_control::backends::BackendList;
-use hooklug_control::{InstalledBundle, NodeContext, NodeFeeds, NodeHandle};
+use hooklug_control::{InstalledBundle, NodeContext, NodeHandle, NodeHandleChannels};
 use hooklug_ingress::{
     AnswerBody, BackendDialect, BackendHead, Ingress, IngressAnswer, IngressContext,
     IngressRequest, LoadReport, Outgoing, Truncated, TurnRequest, Verdict,
@@ -85,7 +85,7 @@
     pub ingress: Arc<Ingress>,
     pub state: MemoryState,
     pub list: watch::Sender<Option<Arc<BackendList>>>,
-    pub feeds: NodeFeeds,
+    pub channels: NodeHandleChannels,
 }
 
 impl World {
@@ -111,13 +111,13 @@
     }
 
     pub fn without_bundle(state: MemoryState, backends: &[&FakeBackend]) -> Self {
-        let (handle, feeds) = NodeHandle::new();
+        let (handle, channels) = NodeHandle::new();
         let listed = backends.iter().map(|backend| listed(backend));
         let (list, watch_list) = watch::channel(Some(Arc::new(BackendList::new(listed))));
         let node = context(state.clone(), handle);
         let dialect = Arc::new(TestDialect);
         let ingress = Ingress::new(IngressContext { node, backends: watch_list, dialect });
-        Self { ingress: Arc::new(ingress), state, list, feeds }
+        Self { ingress: Arc::new(ingress), state, list, channels }
     }
 
     pub fn install_bundle(&self) {
@@ -130,7 +130,7 @@
             origin: BundleOrigin::Operators(Vec::new()),
             committed: UnixMillis(0),
         };
-        self.feeds.bundle.send_replace(Some(Arc::new(InstalledBundle { record, bundle })));
+        self.channels.bundle.send_replace(Some(Arc::new(InstalledBundle { record, bundle })));
     }
 }
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -86,7 +86,7 @@
 
     /// Drops the replies of the next `count` commands of a group: the commands are applied, but
     /// their callers immediately receive [`Unavailable`].
-    pub fn lose_answers(&self, group: GroupId, count: u32) {
+    pub fn drop_replies(&self, group: GroupId, count: u32) {
         self.groups().replies_to_drop.insert(group, count);
     }
 
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -83,7 +83,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_was_applied() {
     let state = state();
-    state.lose_answers(SHARD, 1);
+    state.drop_replies(SHARD, 1);
     let command = ShardCommand::RenewLease { holder: holder(1) };
     assert!(state.execute_shard(SHARD, &command, soon()).await.is_err());
     let query = ShardQuery::Lease(holder(1));
