--- a/crates/ingress/src/answer.rs
+++ b/crates/ingress/src/answer.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum IngressAnswer {
     /// The backend's response, head and body unchanged.
-    Passed(Parts, AnswerBody),
+    Forwarded(Parts, AnswerBody),
     /// The gateway refused or failed the request itself.
     Refused(Refusal),
 }
@@ -56,7 +56,7 @@
     UnknownTurn,
     /// The response was lost or belongs to another request; the request may have run.
     #[error("the backend's response was lost: {0}")]
-    AnswerLost(String),
+    ResponseLost(String),
     /// The deadline passed without a response; the request may have run.
     #[error("the backend did not respond before the deadline")]
     TimedOut,
--- a/crates/ingress/src/attempt.rs
+++ b/crates/ingress/src/attempt.rs
@@ -39,7 +39,7 @@
     body: Incoming,
     connection: Connection,
     idle_time: Option<Duration>,
-    closes: bool,
+    closes_connection: bool,
     /// The reservation of the request at the backend.
     pub reservation: Reservation,
     /// When the request was sent.
@@ -99,13 +99,13 @@
         body,
         connection,
         idle_time: info.idle_time,
-        closes: info.closes,
+        closes_connection: info.closes_connection,
         reservation,
         sent,
     };
     match info.verdict {
         Verdict::Answer => Attempt::Responded(Box::new(response)),
-        Verdict::NoRoom => {
+        Verdict::AtCapacity => {
             response.finish_refused(connections, end, Outcome::AtCapacity).await;
             Attempt::AtCapacity
         }
@@ -114,7 +114,7 @@
             response.finish_refused(connections, end, outcome).await;
             Attempt::NotExecuted
         }
-        Verdict::Foreign => {
+        Verdict::WrongRequest => {
             response.reservation.end(Outcome::NoResponse);
             Attempt::ResponseLost("the response belongs to another request".to_owned())
         }
@@ -168,7 +168,7 @@
     /// Returns the connection to the pool after the complete body was read, and ends the reservation
     /// with the outcome of the request.
     pub fn end(self, connections: &Connections, outcome: Outcome) {
-        if !self.closes {
+        if !self.closes_connection {
             connections.put_back(self.connection, self.idle_time);
         }
         self.reservation.end(outcome);
--- a/crates/ingress/src/calls.rs
+++ b/crates/ingress/src/calls.rs
@@ -40,7 +40,7 @@
         match self.last_failure {
             Some(answer) => answer,
             None if self.may_have_run > 0 => {
-                Refusal::AnswerLost("all attempts failed".to_owned()).into()
+                Refusal::ResponseLost("all attempts failed".to_owned()).into()
             }
             None => {
                 let reason = "no backend of the route has capacity";
@@ -71,7 +71,7 @@
                 Attempt::TimedOut => return Refusal::TimedOut.into(),
                 Attempt::ResponseLost(reason) => {
                     attempts.may_have_run += 1;
-                    attempts.last_failure = Some(Refusal::AnswerLost(reason).into());
+                    attempts.last_failure = Some(Refusal::ResponseLost(reason).into());
                 }
                 Attempt::Responded(response) => {
                     attempts.may_have_run += 1;
@@ -147,13 +147,13 @@
                 let head = response.head.clone();
                 let outcome = if is_failure { Outcome::Failed } else { Outcome::Succeeded(time) };
                 response.end(&self.connections, outcome);
-                let answer = IngressAnswer::Passed(head, AnswerBody::from(body));
+                let answer = IngressAnswer::Forwarded(head, AnswerBody::from(body));
                 if is_failure { Err(answer) } else { Ok(answer) }
             }
             Err(BodyError::TimedOut) => Ok(Refusal::TimedOut.into()),
             Err(error) => {
                 response.reservation.end(Outcome::NoResponse);
-                Err(Refusal::AnswerLost(error.to_string()).into())
+                Err(Refusal::ResponseLost(error.to_string()).into())
             }
         }
     }
--- a/crates/ingress/src/deadline.rs
+++ b/crates/ingress/src/deadline.rs
@@ -27,10 +27,11 @@
     #[must_use]
     pub fn for_request(request: &IngressRequest, route: &HttpRoute) -> Self {
         let route_timeout = Duration::from_millis(route.timeout_ms);
-        let patience =
-            request.patience.map_or(route_timeout, |patience| patience.min(route_timeout));
+        let caller_timeout = request
+            .caller_timeout
+            .map_or(route_timeout, |caller_timeout| caller_timeout.min(route_timeout));
         let target = Duration::from_millis(route.target_latency_ms);
-        let end = request.received + patience;
+        let end = request.received + caller_timeout;
         let hold_until = end.min(request.received + target.mul_f64(HOLD_SHARE));
         Self { received: request.received, end, hold_until }
     }
--- a/crates/ingress/src/dialect.rs
+++ b/crates/ingress/src/dialect.rs
@@ -31,14 +31,14 @@
     /// The backend's response to this request.
     Answer,
     /// The backend is at capacity: it did not run the request and will not.
-    NoRoom,
+    AtCapacity,
     /// The backend did not run the request and will not, for another reason.
     NotExecuted {
         /// Whether the responding backend is not the one that was addressed.
         stale: bool,
     },
     /// The response belongs to another request.
-    Foreign,
+    WrongRequest,
 }
 
 /// Information from the head of a backend's response.
@@ -51,7 +51,7 @@
     /// How long the backend keeps the connection open while idle.
     pub idle_time: Option<Duration>,
     /// Whether the backend closes the connection after this response.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// Translates requests for backends and interprets the heads of their responses. Implementations
--- a/crates/ingress/src/request.rs
+++ b/crates/ingress/src/request.rs
@@ -25,7 +25,7 @@
     /// When the last byte was read.
     pub received: Instant,
     /// How long the caller waits; `None` if it set no limit.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Parameters of the turn, if the request is a turn of an agent program.
     pub turn: Option<TurnRequest>,
     /// Parts of the prompt, shared ones first.
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -81,7 +81,7 @@
         };
         let recorder = self.recorder(route, &forwarder.response);
         self.background_tasks.spawn(async move { forwarder.run(recorder).await });
-        IngressAnswer::Passed(head, AnswerBody::Stream(body))
+        IngressAnswer::Forwarded(head, AnswerBody::Stream(body))
     }
 }
 
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -186,7 +186,7 @@
             match self.send(request, &body, route, reservation, &deadlines).await {
                 Attempt::AtCapacity | Attempt::NotExecuted | Attempt::NotSent => {}
                 Attempt::TimedOut => return Refusal::TimedOut.into(),
-                Attempt::ResponseLost(reason) => return Refusal::AnswerLost(reason).into(),
+                Attempt::ResponseLost(reason) => return Refusal::ResponseLost(reason).into(),
                 Attempt::Responded(response) if response.head.status == StatusCode::OK => {
                     return self.forward_stream(*response, route, routing, open, body, deadlines);
                 }
@@ -196,13 +196,13 @@
                     let head = response.head.clone();
                     let Ok(body) = body else {
                         response.reservation.end(Outcome::NoResponse);
-                        return Refusal::AnswerLost(
+                        return Refusal::ResponseLost(
                             "the engine's error response is incomplete".to_owned(),
                         )
                         .into();
                     };
                     response.end(&self.connections, Outcome::Failed);
-                    return IngressAnswer::Passed(head, AnswerBody::from(body));
+                    return IngressAnswer::Forwarded(head, AnswerBody::from(body));
                 }
             }
         }
@@ -229,7 +229,9 @@
         StartError::BudgetSpent => Refusal::BudgetSpent,
         StartError::BudgetReserved => not_run("other turns have reserved the budget", BUDGET_RETRY),
         StartError::UnknownTurn => Refusal::UnknownTurn,
-        StartError::DuplicateTurn => Refusal::AnswerLost("the turn id was already used".to_owned()),
+        StartError::DuplicateTurn => {
+            Refusal::ResponseLost("the turn id was already used".to_owned())
+        }
         StartError::Unavailable(_) => shard_unavailable(),
     }
 }
--- a/crates/ingress/tests/calls.rs
+++ b/crates/ingress/tests/calls.rs
@@ -19,7 +19,7 @@
 fn refusal(answer: IngressAnswer) -> Refusal {
     match answer {
         IngressAnswer::Refused(refusal) => refusal,
-        IngressAnswer::Passed(head, _) => panic!("unexpected response: {}", head.status),
+        IngressAnswer::Forwarded(head, _) => panic!("unexpected response: {}", head.status),
     }
 }
 
@@ -84,7 +84,7 @@
     for lost in [Behaviour::NoResponse, Behaviour::WrongRequest, Behaviour::Truncated] {
         let (answer, backend) = answer_of(std::slice::from_ref(&lost), "/once/x").await;
         let refused = refusal(answer);
-        assert!(matches!(refused, Refusal::AnswerLost(_)), "{lost:?}: {refused}");
+        assert!(matches!(refused, Refusal::ResponseLost(_)), "{lost:?}: {refused}");
         assert_eq!(backend.executed().len(), 1, "{lost:?}");
     }
 }
@@ -131,8 +131,8 @@
 async fn the_time_is_the_callers() {
     let backend = FakeBackend::start("e1", &[Behaviour::Unresponsive]).await;
     let world = World::new(&[&backend]).await;
-    let patience = Some(Duration::from_millis(300));
-    let request = IngressRequest { patience, ..call("/once/x", "r1") };
+    let caller_timeout = Some(Duration::from_millis(300));
+    let request = IngressRequest { caller_timeout, ..call("/once/x", "r1") };
     assert_eq!(refusal(world.ingress.serve(&request).await), Refusal::TimedOut);
     eventually("the backend's request is cancelled", || backend.disconnects() == 1).await;
 }
--- a/crates/ingress/tests/support/mod.rs
+++ b/crates/ingress/tests/support/mod.rs
@@ -71,13 +71,13 @@
     fn read_head(&self, head: &Parts, request_id: &str) -> BackendHead {
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let verdict = match (text(ID), text(NOT_RUN)) {
-            (id, _) if id != Some(request_id) => Verdict::Foreign,
-            (_, Some("full")) => Verdict::NoRoom,
+            (id, _) if id != Some(request_id) => Verdict::WrongRequest,
+            (_, Some("full")) => Verdict::AtCapacity,
             (_, Some(_)) => Verdict::NotExecuted { stale: true },
             _ => Verdict::Answer,
         };
         let load = Some(LoadReport { running: 0, waiting: 0, slots: 8 });
-        BackendHead { verdict, load, idle_time: None, closes: false }
+        BackendHead { verdict, load, idle_time: None, closes_connection: false }
     }
 }
 
@@ -232,7 +232,7 @@
         headers: HeaderMap::new(),
         body: Bytes::from(format!("[{id}]")),
         received: Instant::now(),
-        patience: Some(Duration::from_secs(10)),
+        caller_timeout: Some(Duration::from_secs(10)),
         turn: None,
         prompt: Vec::new(),
     }
@@ -254,7 +254,7 @@
 /// Status and body of a forwarded response; the body is `Err` if it was truncated.
 pub async fn forwarded(answer: IngressAnswer) -> (u16, Result<String, Truncated>) {
     match answer {
-        IngressAnswer::Passed(head, body) => (head.status.as_u16(), read_body(body).await),
+        IngressAnswer::Forwarded(head, body) => (head.status.as_u16(), read_body(body).await),
         IngressAnswer::Refused(refusal) => panic!("refused: {refusal}"),
     }
 }
--- a/crates/ingress/tests/turns.rs
+++ b/crates/ingress/tests/turns.rs
@@ -14,7 +14,7 @@
 fn refusal(answer: IngressAnswer) -> Refusal {
     match answer {
         IngressAnswer::Refused(refusal) => refusal,
-        IngressAnswer::Passed(head, _) => panic!("unexpected response: {}", head.status),
+        IngressAnswer::Forwarded(head, _) => panic!("unexpected response: {}", head.status),
     }
 }
 
@@ -58,7 +58,7 @@
     let another = GroupId::all().find(|group| group.0 != 0 && *group != shard()).unwrap();
     world.state.set_available(another, false);
     let request = IngressRequest {
-        patience: Some(Duration::from_millis(300)),
+        caller_timeout: Some(Duration::from_millis(300)),
         ..turn("/kept/x", "t2", Some("t1"))
     };
     let refused = refusal(world.ingress.serve(&request).await);
@@ -93,7 +93,7 @@
     let engine = FakeBackend::start("e1", &[Behaviour::EventsHeld(&["a", "b"])]).await;
     let world = World::new(&[&engine]).await;
     let request = IngressRequest {
-        patience: Some(Duration::from_millis(1_500)),
+        caller_timeout: Some(Duration::from_millis(1_500)),
         ..turn("/kept/x", "t1", None)
     };
     let answer = world.ingress.serve(&request).await;
@@ -108,7 +108,7 @@
     let world = World::new(&[&engine]).await;
     world.state.set_available(shard(), false);
     let request = IngressRequest {
-        patience: Some(Duration::from_millis(200)),
+        caller_timeout: Some(Duration::from_millis(200)),
         ..turn("/free/x", "t1", None)
     };
     let refused = refusal(world.ingress.serve(&request).await);
@@ -137,7 +137,7 @@
     let lost = FakeBackend::start("e2", &[Behaviour::NoResponse]).await;
     let world = World::new(&[&full, &lost]).await;
     let refused = refusal(world.ingress.serve(&turn("/free/x", "t1", None)).await);
-    assert!(matches!(refused, Refusal::AnswerLost(_)), "{refused}");
+    assert!(matches!(refused, Refusal::ResponseLost(_)), "{refused}");
     assert_eq!((full.executed().len(), lost.executed().len()), (0, 1));
 }
 
