--- a/crates/bench/src/faults/apply.rs
+++ b/crates/bench/src/faults/apply.rs
@@ -20,7 +20,7 @@
         Fault::Kill(names) => names.iter().try_for_each(|name| fleet.kill(*name)),
         Fault::KillSequentially(names) => kill_sequentially(fleet, names).await,
         Fault::Freeze(name) => fleet.freeze(*name),
-        Fault::Isolate(name) => fleet.cut_off(*name).await,
+        Fault::Isolate(name) => fleet.isolate(*name).await,
         Fault::DropOneWay(from, to) if from == to => Ok(()),
         Fault::DropOneWay(from, to) => fleet.cut(*from, *to, true).await,
         Fault::Replace(name) => fleet.replace(*name).await,
@@ -40,7 +40,7 @@
 pub(super) async fn end(fleet: &Fleet, fault: &Fault) -> Result<(), FleetError> {
     match fault {
         Fault::Kill(names) | Fault::KillSequentially(names) => restart_all(fleet, names).await,
-        Fault::Freeze(name) => fleet.wake(*name),
+        Fault::Freeze(name) => fleet.resume(*name),
         Fault::Drain(name) if name.kind == ProcessKind::App => {
             backends::clear_faults(fleet, *name).await
         }
--- a/crates/bench/src/faults/backends.rs
+++ b/crates/bench/src/faults/backends.rs
@@ -29,6 +29,6 @@
 
 pub(super) async fn restart(fleet: &Fleet, name: ProcessName) -> Result<(), FleetError> {
     fleet
-        .restart_stand_in(name, &Restart { down_ms: RESTART_DOWNTIME_MS, ..Restart::default() })
+        .restart_fake_backend(name, &Restart { down_ms: RESTART_DOWNTIME_MS, ..Restart::default() })
         .await
 }
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -120,7 +120,7 @@
             Self::Replace(name) => write!(f, "replace {name}"),
             Self::LoseDisk(name) => write!(f, "lose the disk of {name}"),
             Self::Drain(name) => write!(f, "drain {name}"),
-            Self::RollingRestart(kind) => write!(f, "rolling restart of {}s", kind.word()),
+            Self::RollingRestart(kind) => write!(f, "rolling restart of {}s", kind.as_str()),
             Self::Backend(name, fault) => {
                 write!(f, "{name}: {:?} {} %", fault.kind, fault.percent)
             }
--- a/crates/bench/src/faults/probe.rs
+++ b/crates/bench/src/faults/probe.rs
@@ -65,5 +65,5 @@
     if transcript.end() == "finished" {
         return Ok(());
     }
-    Err(CallerError::Broken(transcript.end().to_owned()))
+    Err(CallerError::ContractViolation(transcript.end().to_owned()))
 }
--- a/crates/bench/src/faults/replication.rs
+++ b/crates/bench/src/faults/replication.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Fleet, ProcessKind};
 use http::Method;
 use serde::Deserialize;
@@ -49,10 +49,10 @@
 }
 
 async fn are_fully_replicated(fleet: &Fleet, http: &HttpClient) -> bool {
-    let request = Ask::new(Method::GET, "/admin/v1/shards");
+    let request = HttpRequest::new(Method::GET, "/admin/v1/shards");
     for name in fleet.names(ProcessKind::Gateway) {
         let Ok(address) = fleet.http_address(name) else { continue };
-        let Ok(response) = http.ask(address, &request).await else { continue };
+        let Ok(response) = http.send(address, &request).await else { continue };
         let Ok(shards) = response.json::<Vec<Shard>>() else { continue };
         return !shards.is_empty() && shards.iter().all(Shard::is_fully_replicated);
     }
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -159,7 +159,7 @@
         if let Fault::Drain(name) = fault
             && matches!(name.kind, ProcessKind::Engine | ProcessKind::App)
         {
-            let drain = DrainRecord { engine: name.word(), started_at: now(), ended_at: None };
+            let drain = DrainRecord { engine: name.id(), started_at: now(), ended_at: None };
             evidence.drains.push(drain);
         }
     }
--- a/crates/bench/src/hollow/access.rs
+++ b/crates/bench/src/hollow/access.rs
@@ -21,7 +21,7 @@
     /// Reads the settings of a fleet's processes.
     pub(crate) fn of(fleet: &Fleet) -> anyhow::Result<Self> {
         let of_kind = |kind| -> anyhow::Result<Vec<Settings>> {
-            fleet.names(kind).into_iter().map(|name| read_settings(fleet, &name.word())).collect()
+            fleet.names(kind).into_iter().map(|name| read_settings(fleet, &name.id())).collect()
         };
         let cores = of_kind(ProcessKind::Core)?;
         let stores = of_kind(ProcessKind::Store)?;
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -217,10 +217,10 @@
             }
             progress.report_line(&format!("replacing {name}"));
             self.record_start(format!("replace {name}"), vec![name.to_string()]);
-            let drain = DrainRecord { engine: name.word(), started_at: now(), ended_at: None };
+            let drain = DrainRecord { engine: name.id(), started_at: now(), ended_at: None };
             self.client.recorder().lock().drains.push(drain);
             self.fleet.restart(name).await?;
-            self.record_end(&format!("replace {name}"), &name.word());
+            self.record_end(&format!("replace {name}"), &name.id());
         }
         Ok(())
     }
--- a/crates/bench/src/scenario/call_rate.rs
+++ b/crates/bench/src/scenario/call_rate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hooklug_fleet::caller::CallRequest;
-use hooklug_fleet::http::Ask;
+use hooklug_fleet::http::HttpRequest;
 use hooklug_fleet::{Caller, Fleet, FleetError, ProcessKind, Topology};
 use hooklug_types::UnixMillis;
 use http::Method;
@@ -48,8 +48,8 @@
             let program = (from + usize::try_from(number).unwrap_or(0)) % PROGRAMS;
             let path = format!("/v1/programs/p{program}/calls/{run}-{from}-{number}");
             let (request_to_send, caller) =
-                (Ask::json(Method::PUT, path, &request), caller.clone());
-            async move { caller.ask_once(from, &request_to_send).await.is_ok() }
+                (HttpRequest::json(Method::PUT, path, &request), caller.clone());
+            async move { caller.send_once(from, &request_to_send).await.is_ok() }
         })
     };
     measure_calls("warm", WARM_UP).await;
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hooklug_fleet::caller::{SessionRef, TurnRequest};
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Fleet, FleetError, ProcessKind, Topology};
 use http::Method;
 use http_body_util::BodyExt;
@@ -143,7 +143,7 @@
     for turn in 0..TURNS {
         let body = json!({"session": format!("direct-{number}/s"), "turn": format!("t{turn}"),
             "prefix": "p", "max_tokens": TURN_TOKENS, "context": context, "input": input});
-        let request = Ask::json(Method::POST, "/generate", &body)
+        let request = HttpRequest::json(Method::POST, "/generate", &body)
             .header("x-hooklug-request", format!("r-{number}-{turn}"));
         let mut single = StreamTimes::default();
         let text = generate(http, server, &request, &mut single).await;
@@ -162,7 +162,7 @@
 async fn generate(
     http: &HttpClient,
     server: SocketAddr,
-    request: &Ask,
+    request: &HttpRequest,
     times: &mut StreamTimes,
 ) -> Option<String> {
     let sent = Instant::now();
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use hooklug_fleet::caller::CallRequest;
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Caller, Fleet, FleetError, ProcessKind, Topology};
 use hooklug_types::UnixMillis;
 use http::{Method, Request, Response, StatusCode};
@@ -145,8 +145,9 @@
     measure(callers, time, move |from, number| {
         let request = CallRequest::new(&tool, json!({"of": from, "number": number}));
         let path = format!("/v1/programs/p/calls/{turn}-{from}-{number}");
-        let (request_to_send, caller) = (Ask::json(Method::PUT, path, &request), caller.clone());
-        async move { caller.ask_once(0, &request_to_send).await.is_ok() }
+        let (request_to_send, caller) =
+            (HttpRequest::json(Method::PUT, path, &request), caller.clone());
+        async move { caller.send_once(0, &request_to_send).await.is_ok() }
     })
     .await
 }
@@ -155,10 +156,10 @@
     let (http, path) = (HttpClient::default(), format!("/calls/{tool}"));
     measure(callers, time, move |from, number| {
         let body = json!({"of": from, "number": number});
-        let request = Ask::json(Method::POST, path.clone(), &body)
+        let request = HttpRequest::json(Method::POST, path.clone(), &body)
             .header("x-hooklug-request", format!("r-{from}-{number}"));
         let http = http.clone();
-        async move { http.ask(proxy, &request).await.is_ok_and(|r| r.status.is_success()) }
+        async move { http.send(proxy, &request).await.is_ok_and(|r| r.status.is_success()) }
     })
     .await
 }
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -167,7 +167,7 @@
             EngineFault::Freeze => {
                 self.fleet.freeze(engine)?;
                 sleep(DOWNTIME).await;
-                self.fleet.wake(engine)?;
+                self.fleet.resume(engine)?;
             }
             EngineFault::Drain => self.fleet.restart(engine).await?,
         }
@@ -182,7 +182,7 @@
     fn record_start(&self, fault: EngineFault, engine: ProcessName, description: &str) {
         let recorder = self.client.recorder();
         let mut evidence = recorder.lock();
-        let (description, targets) = (description.to_owned(), vec![engine.word()]);
+        let (description, targets) = (description.to_owned(), vec![engine.id()]);
         evidence.injected_faults.push(InjectedFault {
             description,
             targets,
@@ -190,7 +190,7 @@
             ended_at: None,
         });
         if fault == EngineFault::Drain {
-            let drain = DrainRecord { engine: engine.word(), started_at: now(), ended_at: None };
+            let drain = DrainRecord { engine: engine.id(), started_at: now(), ended_at: None };
             evidence.drains.push(drain);
         }
     }
--- a/crates/bench/src/slopes/fleet_usage.rs
+++ b/crates/bench/src/slopes/fleet_usage.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use futures::future::try_join_all;
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Fleet, ProcessStatus};
 use http::Method;
 use serde::Serialize;
@@ -83,7 +83,7 @@
         let nodes = fleet.status().into_iter().filter(|status| status.name.kind.is_node());
         let readings = nodes.filter(|status| status.pid.is_some()).map(|status| async move {
             let usage = read_process(http, &status).await?;
-            anyhow::Ok((status.name.kind.word(), usage))
+            anyhow::Ok((status.name.kind.as_str(), usage))
         });
         let mut roles: BTreeMap<&'static str, ResourceUsage> = BTreeMap::new();
         for (role, usage) in try_join_all(readings).await? {
@@ -109,7 +109,7 @@
 }
 
 async fn read_process(http: &HttpClient, status: &ProcessStatus) -> anyhow::Result<ResourceUsage> {
-    let metrics = http.ask(status.http, &Ask::new(Method::GET, "/metrics")).await?;
+    let metrics = http.send(status.http, &HttpRequest::new(Method::GET, "/metrics")).await?;
     let usage = Usage::of(status.pid.unwrap_or_default())?;
     let metrics = String::from_utf8_lossy(&metrics.body).into_owned();
     let sum = |name: &str| sum_series(&metrics, name);
--- a/crates/bench/src/workload/calls.rs
+++ b/crates/bench/src/workload/calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hooklug_fleet::caller::{CallRequest, CallerError};
-use hooklug_fleet::http::{Answer, Ask};
+use hooklug_fleet::http::{Answer, HttpRequest};
 use http::Method;
 use serde_json::{Value, json};
 
@@ -43,7 +43,7 @@
     /// Makes a call, records it and returns the application's response, if there is one.
     pub async fn run_call(&self, gateway: usize, plan: &CallPlan) -> Option<Value> {
         let sent_at = now();
-        let request = Ask::json(Method::PUT, plan.path(), &plan.request);
+        let request = HttpRequest::json(Method::PUT, plan.path(), &plan.request);
         let mut claims = vec![self.send_call(gateway, &request, plan.retry_time).await];
         let ended_at = now();
         if !plan.may_repeat {
@@ -72,7 +72,7 @@
         answer
     }
 
-    async fn send_call(&self, gateway: usize, request: &Ask, time: Duration) -> CallClaim {
+    async fn send_call(&self, gateway: usize, request: &HttpRequest, time: Duration) -> CallClaim {
         match self.send_with_retries(gateway, request, time).await {
             Ok(timed) => response_claim(&timed.response),
             Err(error) => error_claim(&error),
@@ -81,7 +81,7 @@
 
     /// Reads the recorded state of a call whose outcome is unknown.
     async fn read_state(&self, gateway: usize, plan: &CallPlan) -> CallClaim {
-        let request = Ask::new(Method::GET, plan.path());
+        let request = HttpRequest::new(Method::GET, plan.path());
         self.send_state_request(gateway, &request).await
     }
 
@@ -89,11 +89,11 @@
     async fn seal(&self, gateway: usize, plan: &CallPlan) -> CallClaim {
         let request = &plan.request;
         let body = json!({"tool": request.tool, "arguments": request.arguments});
-        let request = Ask::json(Method::POST, format!("{}/seal", plan.path()), &body);
+        let request = HttpRequest::json(Method::POST, format!("{}/seal", plan.path()), &body);
         self.send_state_request(gateway, &request).await
     }
 
-    async fn send_state_request(&self, gateway: usize, request: &Ask) -> CallClaim {
+    async fn send_state_request(&self, gateway: usize, request: &HttpRequest) -> CallClaim {
         match self.send_with_retries(gateway, request, STATE_RETRY_TIME).await {
             Ok(timed) => state_claim(&timed.response),
             Err(error) => error_claim(&error),
--- a/crates/bench/src/workload/client.rs
+++ b/crates/bench/src/workload/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hooklug_fleet::caller::CallerError;
-use hooklug_fleet::http::{Answer, Ask};
+use hooklug_fleet::http::{Answer, HttpRequest};
 use hooklug_fleet::{Caller, Fleet};
 use tokio::time::{Instant, sleep};
 
@@ -64,16 +64,16 @@
     pub(super) async fn send_with_retries(
         &self,
         mut gateway: usize,
-        request: &Ask,
+        request: &HttpRequest,
         time: Duration,
     ) -> Result<TimedResponse, CallerError> {
         let deadline = Instant::now() + time;
         let mut first_attempt = true;
         loop {
             let sent_at = super::now();
-            match self.caller().ask_once(gateway, request).await {
+            match self.caller().send_once(gateway, request).await {
                 Ok(response) => return Ok(TimedResponse { response, first_attempt, sent_at }),
-                Err(error) if error.is_passing() && Instant::now() < deadline => {
+                Err(error) if error.is_retryable() && Instant::now() < deadline => {
                     first_attempt = false;
                     gateway += 1;
                     sleep(retry_pause(&error)).await;
--- a/crates/bench/src/workload/operators.rs
+++ b/crates/bench/src/workload/operators.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hooklug_bundle::Bundle;
-use hooklug_fleet::http::{Ask, HttpClient, HttpError};
+use hooklug_fleet::http::{HttpClient, HttpError, HttpRequest};
 use hooklug_fleet::{Fleet, FleetError, ProcessName};
 use hooklug_types::BundleVersion;
 use http::Method;
@@ -129,9 +129,9 @@
     node: ProcessName,
 ) -> Option<Bundle> {
     let sent_at = now();
-    let request = Ask::new(Method::GET, "/admin/v1/bundles/current");
+    let request = HttpRequest::new(Method::GET, "/admin/v1/bundles/current");
     let address = fleet.http_address(node).ok()?;
-    let response = http.ask_within(address, &request, READ_TIMEOUT).await.ok()?;
+    let response = http.send_with_timeout(address, &request, READ_TIMEOUT).await.ok()?;
     let content: BundleResponse = response.json().ok()?;
     let version = content.bundle.version.0;
     recorder.lock().bundle_reads.push(BundleRead { sent_at, version });
--- a/crates/bench/src/workload/programs.rs
+++ b/crates/bench/src/workload/programs.rs
@@ -189,7 +189,7 @@
     async fn send_result(&mut self, call: &str, answer: &Value) {
         let gateway = self.random_gateway();
         // A lost result violates no promise; if it was accepted, its event appears in the history.
-        let _ = self.client.caller().tell_tool_result(gateway, &self.session, call, answer).await;
+        let _ = self.client.caller().send_tool_result(gateway, &self.session, call, answer).await;
     }
 
     fn plan_call(&mut self) -> Option<CallPlan> {
--- a/crates/bench/src/workload/sessions.rs
+++ b/crates/bench/src/workload/sessions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hooklug_fleet::caller::{CallerError, SessionRef, SessionView, StreamEvent};
-use hooklug_fleet::http::{Answer, Ask};
+use hooklug_fleet::http::{Answer, HttpRequest};
 use hooklug_types::UnixMillis;
 use http::Method;
 use serde_json::{Value, json};
@@ -26,7 +26,8 @@
 }
 
 fn decode(response: &Answer) -> Result<SessionView, CallerError> {
-    serde_json::from_slice(&response.body).map_err(|e| CallerError::Broken(e.to_string()))
+    serde_json::from_slice(&response.body)
+        .map_err(|e| CallerError::ContractViolation(e.to_string()))
 }
 
 impl Client {
@@ -43,7 +44,7 @@
     ) -> Result<(), CallerError> {
         let end = UnixMillis::now().plus(PROGRAM_LIFETIME).0;
         let body = json!({"token_budget": budget, "end_time_ms": end});
-        let request = Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body);
+        let request = HttpRequest::json(Method::PUT, format!("/v1/programs/{program}"), &body);
         self.send_with_retries(gateway, &request, OPEN_RETRY_TIME).await?;
         let record = ProgramRecord { budget, max_turn_tokens, booked: None };
         self.recorder.lock().programs.insert(program.to_owned(), record);
@@ -62,7 +63,7 @@
         prefix: &str,
     ) -> Result<(), CallerError> {
         let body = json!({"model": model, "prefix": prefix});
-        let request = Ask::json(Method::PUT, session_path(session), &body);
+        let request = HttpRequest::json(Method::PUT, session_path(session), &body);
         let timed = self.send_with_retries(gateway, &request, OPEN_RETRY_TIME).await?;
         // A retry may return a session that an attempt with a lost response had opened.
         let opened = timed.first_attempt;
@@ -78,7 +79,7 @@
         gateway: usize,
         session: &SessionRef,
     ) -> Result<(), CallerError> {
-        let request = Ask::new(Method::GET, session_path(session));
+        let request = HttpRequest::new(Method::GET, session_path(session));
         let timed = self.send_with_retries(gateway, &request, Duration::ZERO).await?;
         self.record_owner(session, &timed, false)
     }
@@ -133,7 +134,7 @@
         let mut stream = self.caller().join(gateway, session, None).await?;
         match stream.next().await? {
             Some(event) if event.event == "sync" => Ok(sync_events(&event)),
-            other => Err(CallerError::Broken(format!(
+            other => Err(CallerError::ContractViolation(format!(
                 "expected a sync event at the start of a joined stream, got {other:?}"
             ))),
         }
--- a/crates/bench/src/workload/turns.rs
+++ b/crates/bench/src/workload/turns.rs
@@ -127,7 +127,7 @@
         }
         let timed_out = self.sent_at.elapsed() >= TURN_TIMEOUT;
         match error {
-            Some(error) if !error.is_passing() => Some(match error.code() {
+            Some(error) if !error.is_retryable() => Some(match error.code() {
                 Some(code) => TurnClaim::Refused(code.to_owned()),
                 None => TurnClaim::Inconclusive(error.to_string()),
             }),
--- a/crates/bench/src/workload/version_observer.rs
+++ b/crates/bench/src/workload/version_observer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Fleet, ProcessName};
 use http::Method;
 use serde::Deserialize;
@@ -43,8 +43,8 @@
 ) -> Option<VersionObservation> {
     let address = fleet.http_address(name).ok()?;
     let sent_at = now();
-    let request = Ask::new(Method::GET, "/admin/v1/view");
-    let response = http.ask_within(address, &request, POLL_TIMEOUT).await.ok()?;
+    let request = HttpRequest::new(Method::GET, "/admin/v1/view");
+    let response = http.send_with_timeout(address, &request, POLL_TIMEOUT).await.ok()?;
     let view: View = response.json().ok()?;
     Some(VersionObservation { node: name.to_string(), sent_at, version: view.installed_bundle })
 }
--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -18,7 +18,7 @@
 use serde_json::Value;
 use tokio::sync::Semaphore;
 
-use crate::fake_backend::{Backend, StandIn};
+use crate::fake_backend::{Backend, FakeBackend};
 use crate::faults::RequestFaults;
 use crate::headers;
 use crate::http::{
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// When it can't listen or open the ledger file.
-    pub async fn start(options: ApplicationOptions) -> io::Result<StandIn> {
+    pub async fn start(options: ApplicationOptions) -> io::Result<FakeBackend> {
         let identity = Identity {
             service: options.service,
             engine: options.engine,
@@ -109,7 +109,7 @@
             slots: Semaphore::new(options.slots as usize),
             memory: Mutex::default(),
         });
-        StandIn::start(options.listen, state, engine).await
+        FakeBackend::start(options.listen, state, engine).await
     }
 
     async fn call(self: Arc<Self>, tool: String, request: Request<Incoming>) -> HandlerResult {
--- a/crates/emulator/src/fake_backend.rs
+++ b/crates/emulator/src/fake_backend.rs
@@ -37,7 +37,7 @@
 
 /// A running fake backend. Dropping it stops it.
 #[derive(Debug)]
-pub struct StandIn {
+pub struct FakeBackend {
     address: SocketAddr,
     state: Arc<BackendState>,
     restarts: watch::Sender<Restart>,
@@ -53,7 +53,7 @@
     running: u32,
 }
 
-impl StandIn {
+impl FakeBackend {
     pub(crate) async fn start(
         listen: SocketAddr,
         state: Arc<BackendState>,
@@ -119,7 +119,7 @@
     }
 }
 
-impl Drop for StandIn {
+impl Drop for FakeBackend {
     fn drop(&mut self) {
         self.stop.cancel();
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -20,7 +20,7 @@
 mod state;
 
 pub use application::{ApplicationEngine, ApplicationOptions};
-pub use fake_backend::StandIn;
+pub use fake_backend::FakeBackend;
 pub use faults::{FaultKind, FaultRule, Faults};
 pub use identity::{Identity, Restart};
 pub use ledger::{Ledger, LedgerEntry, LedgerLine};
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -10,8 +10,8 @@
 use anyhow::Context as _;
 use clap::{Args, Parser, Subcommand};
 use hooklug_emulator::{
-    ApplicationEngine, ApplicationOptions, EngineList, ListedEngine, ModelOptions, ModelServer,
-    PlatformList, PlatformOptions, StandIn,
+    ApplicationEngine, ApplicationOptions, EngineList, FakeBackend, ListedEngine, ModelOptions,
+    ModelServer, PlatformList, PlatformOptions,
 };
 use hooklug_types::{EngineId, ServiceName, ServiceVersion};
 use tokio::signal::unix::{SignalKind, signal};
@@ -131,7 +131,7 @@
     }
 }
 
-async fn run_backend(backend: StandIn) -> anyhow::Result<()> {
+async fn run_backend(backend: FakeBackend) -> anyhow::Result<()> {
     println!("{} at {}", backend.identity(), backend.address());
     wait_for_signal().await
 }
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -18,7 +18,7 @@
 use serde::Deserialize;
 use tokio::sync::{Semaphore, mpsc};
 
-use crate::fake_backend::{Backend, StandIn};
+use crate::fake_backend::{Backend, FakeBackend};
 use crate::faults::RequestFaults;
 use crate::http::{HandlerResult, NoResponse, read_json, stream_response, text_response};
 use crate::identity::{BackendKind, Identity};
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// When it can't listen or open the ledger file.
-    pub async fn start(options: ModelOptions) -> io::Result<StandIn> {
+    pub async fn start(options: ModelOptions) -> io::Result<FakeBackend> {
         let identity = Identity {
             service: options.service.clone(),
             engine: options.engine.clone(),
@@ -113,7 +113,7 @@
             last_response: Mutex::default(),
             options,
         });
-        StandIn::start(listen, state, server).await
+        FakeBackend::start(listen, state, server).await
     }
 
     async fn generate(self: Arc<Self>, request: Request<Incoming>) -> HandlerResult {
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/emulator/tests/common/mod.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use hooklug_emulator::{
-    ApplicationEngine, ApplicationOptions, FaultKind, FaultRule, Faults, LedgerEntry, ModelOptions,
-    ModelServer, StandIn,
+    ApplicationEngine, ApplicationOptions, FakeBackend, FaultKind, FaultRule, Faults, LedgerEntry,
+    ModelOptions, ModelServer,
 };
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -18,7 +18,7 @@
 
 pub const LISTEN: &str = "127.0.0.1:0";
 
-pub async fn application() -> StandIn {
+pub async fn application() -> FakeBackend {
     let options = ApplicationOptions {
         listen: LISTEN.parse().unwrap(),
         service: "alarms".parse().unwrap(),
@@ -49,7 +49,7 @@
     }
 }
 
-pub async fn model() -> StandIn {
+pub async fn model() -> FakeBackend {
     ModelServer::start(model_options()).await.unwrap()
 }
 
@@ -106,7 +106,7 @@
     serde_json::from_slice(&body).unwrap()
 }
 
-pub async fn call(to: &StandIn, request: &str, tool: &str, call: &str) -> ClientResponse {
+pub async fn call(to: &FakeBackend, request: &str, tool: &str, call: &str) -> ClientResponse {
     let identity = to.identity().to_string();
     let headers = [
         ("x-hooklug-request", request),
@@ -119,7 +119,7 @@
 }
 
 /// Number of runs of a call in the ledger.
-pub fn runs(backend: &StandIn, call: &str) -> usize {
+pub fn runs(backend: &FakeBackend, call: &str) -> usize {
     let is_run =
         |entry: &LedgerEntry| matches!(entry, LedgerEntry::CallRan { call: c, .. } if c == call);
     backend.ledger().iter().filter(|line| is_run(&line.entry)).count()
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -5,14 +5,14 @@
 use common::*;
 use hooklug_emulator::model::text::{ContextItem, plan_response};
 use hooklug_emulator::{
-    EngineList, FaultKind, LedgerEntry, ListedEngine, PlatformList, PlatformOptions, StandIn,
+    EngineList, FakeBackend, FaultKind, LedgerEntry, ListedEngine, PlatformList, PlatformOptions,
 };
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 
 const LAG: std::time::Duration = std::time::Duration::from_millis(50);
 
-async fn generate(to: &StandIn, request: &str, session: &str, input: &str) -> ClientResponse {
+async fn generate(to: &FakeBackend, request: &str, session: &str, input: &str) -> ClientResponse {
     let body = json!({
         "session": session, "turn": "t1", "prefix": "greenhouse", "max_tokens": 12,
         "context": [{"role": "user", "text": "hello there"}], "input": input,
--- a/crates/fleet/src/bundle_admin.rs
+++ b/crates/fleet/src/bundle_admin.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use tokio::time::{Instant, sleep};
 
-use crate::http::{Ask, HttpError};
+use crate::http::{HttpError, HttpRequest};
 use crate::readiness::Submitted;
 use crate::{Fleet, FleetError, ProcessName};
 
@@ -75,9 +75,9 @@
     /// # Errors
     /// When the node does not respond.
     pub async fn installed_bundle(&self, name: ProcessName) -> Result<BundleVersion, FleetError> {
-        let request = Ask::new(Method::GET, "/admin/v1/view");
+        let request = HttpRequest::new(Method::GET, "/admin/v1/view");
         let response =
-            self.http.ask_within(self.http_address(name)?, &request, READ_TIMEOUT).await?;
+            self.http.send_with_timeout(self.http_address(name)?, &request, READ_TIMEOUT).await?;
         Ok(response.json::<View>()?.installed_bundle)
     }
 
@@ -86,9 +86,9 @@
     /// # Errors
     /// When the node does not respond, or no quorum is reachable.
     pub async fn current_bundle(&self, name: ProcessName) -> Result<BundleWithRecord, FleetError> {
-        let request = Ask::new(Method::GET, "/admin/v1/bundles/current");
+        let request = HttpRequest::new(Method::GET, "/admin/v1/bundles/current");
         let response =
-            self.http.ask_within(self.http_address(name)?, &request, READ_TIMEOUT).await?;
+            self.http.send_with_timeout(self.http_address(name)?, &request, READ_TIMEOUT).await?;
         Ok(response.json()?)
     }
 
--- a/crates/fleet/src/caller/error.rs
+++ b/crates/fleet/src/caller/error.rs
@@ -36,7 +36,7 @@
     Http(#[from] HttpError),
     /// A response or stream violates the contract in `docs/API.md`.
     #[error("API contract violated: {0}")]
-    Broken(String),
+    ContractViolation(String),
 }
 
 impl CallerError {
@@ -45,17 +45,17 @@
     pub fn code(&self) -> Option<&str> {
         match self {
             Self::Problem(problem) => Some(&problem.code),
-            Self::Http(_) | Self::Broken(_) => None,
+            Self::Http(_) | Self::ContractViolation(_) => None,
         }
     }
 
     /// Whether the same request may be retried, at this or another gateway.
     #[must_use]
-    pub fn is_passing(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self {
             Self::Problem(problem) => matches!(problem.status, 429 | 503),
             Self::Http(HttpError::Connection { .. } | HttpError::TimedOut { .. }) => true,
-            Self::Http(_) | Self::Broken(_) => false,
+            Self::Http(_) | Self::ContractViolation(_) => false,
         }
     }
 }
@@ -75,7 +75,9 @@
         Err(error) => {
             let body = String::from_utf8_lossy(&response.body).into_owned();
             let status = response.status;
-            Err(CallerError::Broken(format!("{status} without a problem ({error}): {body}")))
+            Err(CallerError::ContractViolation(format!(
+                "{status} without a problem ({error}): {body}"
+            )))
         }
     }
 }
--- a/crates/fleet/src/caller/mod.rs
+++ b/crates/fleet/src/caller/mod.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::http::{Answer, Ask, HttpClient};
+use crate::http::{Answer, HttpClient, HttpRequest};
 use error::into_success;
 pub use error::{CallerError, Problem};
 pub use sse::{SseError, SseParser, StreamEvent};
@@ -91,7 +91,7 @@
         self.gateways[index % self.gateways.len()]
     }
 
-    fn with_tenant(&self, request: Ask) -> Ask {
+    fn with_tenant(&self, request: HttpRequest) -> HttpRequest {
         request.header("x-hooklug-tenant", self.tenant.clone())
     }
 
@@ -99,9 +99,13 @@
     ///
     /// # Errors
     /// When the response is a problem or does not arrive.
-    pub async fn ask_once(&self, gateway: usize, request: &Ask) -> Result<Answer, CallerError> {
+    pub async fn send_once(
+        &self,
+        gateway: usize,
+        request: &HttpRequest,
+    ) -> Result<Answer, CallerError> {
         let response =
-            self.http.ask(self.gateway(gateway), &self.with_tenant(request.clone())).await?;
+            self.http.send(self.gateway(gateway), &self.with_tenant(request.clone())).await?;
         into_success(response)
     }
 
@@ -109,11 +113,15 @@
     ///
     /// # Errors
     /// A permanent error, or the last error when the retry time is over.
-    pub async fn ask(&self, mut gateway: usize, request: &Ask) -> Result<Answer, CallerError> {
+    pub async fn send_with_retries(
+        &self,
+        mut gateway: usize,
+        request: &HttpRequest,
+    ) -> Result<Answer, CallerError> {
         let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
-            match self.ask_once(gateway, request).await {
-                Err(error) if error.is_passing() && Instant::now() < deadline => {
+            match self.send_once(gateway, request).await {
+                Err(error) if error.is_retryable() && Instant::now() < deadline => {
                     gateway += 1;
                     sleep(RETRY_DELAY).await;
                 }
@@ -125,10 +133,11 @@
     async fn request_json<T: DeserializeOwned>(
         &self,
         gateway: usize,
-        request: Ask,
+        request: HttpRequest,
     ) -> Result<T, CallerError> {
-        let response = self.ask(gateway, &request).await?;
-        serde_json::from_slice(&response.body).map_err(|e| CallerError::Broken(e.to_string()))
+        let response = self.send_with_retries(gateway, &request).await?;
+        serde_json::from_slice(&response.body)
+            .map_err(|e| CallerError::ContractViolation(e.to_string()))
     }
 
     /// Declares a program with its token budget and end time.
@@ -143,8 +152,11 @@
         end_time_ms: u64,
     ) -> Result<ProgramView, CallerError> {
         let body = json!({"token_budget": token_budget, "end_time_ms": end_time_ms});
-        self.request_json(gateway, Ask::json(Method::PUT, format!("/v1/programs/{program}"), &body))
-            .await
+        self.request_json(
+            gateway,
+            HttpRequest::json(Method::PUT, format!("/v1/programs/{program}"), &body),
+        )
+        .await
     }
 
     /// Reads a program.
@@ -152,7 +164,8 @@
     /// # Errors
     /// A permanent error, or the last error when the retry time is over.
     pub async fn program(&self, gateway: usize, program: &str) -> Result<ProgramView, CallerError> {
-        self.request_json(gateway, Ask::new(Method::GET, format!("/v1/programs/{program}"))).await
+        self.request_json(gateway, HttpRequest::new(Method::GET, format!("/v1/programs/{program}")))
+            .await
     }
 
     /// Opens a session.
@@ -170,7 +183,7 @@
         if let Some(prefix) = prefix {
             body["prefix"] = prefix.into();
         }
-        self.request_json(gateway, Ask::json(Method::PUT, session.path(), &body)).await
+        self.request_json(gateway, HttpRequest::json(Method::PUT, session.path(), &body)).await
     }
 
     /// Reads a session.
@@ -182,7 +195,7 @@
         gateway: usize,
         session: &SessionRef,
     ) -> Result<SessionView, CallerError> {
-        self.request_json(gateway, Ask::new(Method::GET, session.path())).await
+        self.request_json(gateway, HttpRequest::new(Method::GET, session.path())).await
     }
 
     /// Closes a session.
@@ -194,7 +207,7 @@
         gateway: usize,
         session: &SessionRef,
     ) -> Result<SessionView, CallerError> {
-        self.request_json(gateway, Ask::new(Method::DELETE, session.path())).await
+        self.request_json(gateway, HttpRequest::new(Method::DELETE, session.path())).await
     }
 
     /// Reads a turn.
@@ -208,7 +221,7 @@
         turn: &str,
     ) -> Result<TurnView, CallerError> {
         let path = format!("{}/turns/{turn}", session.path());
-        self.request_json(gateway, Ask::new(Method::GET, path)).await
+        self.request_json(gateway, HttpRequest::new(Method::GET, path)).await
     }
 
     /// Aborts a turn.
@@ -222,14 +235,14 @@
         turn: &str,
     ) -> Result<TurnView, CallerError> {
         let path = format!("{}/turns/{turn}/abort", session.path());
-        self.request_json(gateway, Ask::new(Method::POST, path)).await
+        self.request_json(gateway, HttpRequest::new(Method::POST, path)).await
     }
 
     /// Sends the result of a tool call to its session.
     ///
     /// # Errors
     /// A permanent error, or the last error when the retry time is over.
-    pub async fn tell_tool_result(
+    pub async fn send_tool_result(
         &self,
         gateway: usize,
         session: &SessionRef,
@@ -238,7 +251,7 @@
     ) -> Result<ToolResultPosition, CallerError> {
         let body = json!({"call": call, "result": result});
         let path = format!("{}/tool-results", session.path());
-        self.request_json(gateway, Ask::json(Method::POST, path, &body)).await
+        self.request_json(gateway, HttpRequest::json(Method::POST, path, &body)).await
     }
 
     /// Makes a call. A call that is sent again with the same id and content gets the same response.
@@ -254,10 +267,10 @@
         request: &CallRequest,
     ) -> Result<CallAnswer, CallerError> {
         let request =
-            Ask::json(Method::PUT, format!("/v1/programs/{program}/calls/{call}"), request);
-        let response = self.ask(gateway, &request).await?;
+            HttpRequest::json(Method::PUT, format!("/v1/programs/{program}/calls/{call}"), request);
+        let response = self.send_with_retries(gateway, &request).await?;
         let body = serde_json::from_slice(&response.body)
-            .map_err(|e| CallerError::Broken(e.to_string()))?;
+            .map_err(|e| CallerError::ContractViolation(e.to_string()))?;
         Ok(CallAnswer { status: response.status.as_u16(), body })
     }
 
@@ -272,7 +285,7 @@
         call: &str,
     ) -> Result<CallView, CallerError> {
         let path = format!("/v1/programs/{program}/calls/{call}");
-        self.request_json(gateway, Ask::new(Method::GET, path)).await
+        self.request_json(gateway, HttpRequest::new(Method::GET, path)).await
     }
 
     /// Seals a call, so that it never runs unless it has started already.
@@ -288,6 +301,6 @@
     ) -> Result<CallView, CallerError> {
         let body = json!({"tool": request.tool, "arguments": request.arguments});
         let path = format!("/v1/programs/{program}/calls/{call}/seal");
-        self.request_json(gateway, Ask::json(Method::POST, path, &body)).await
+        self.request_json(gateway, HttpRequest::json(Method::POST, path, &body)).await
     }
 }
--- a/crates/fleet/src/caller/stream.rs
+++ b/crates/fleet/src/caller/stream.rs
@@ -52,7 +52,8 @@
                 .map_err(|e| HttpError::Connection { to: self.from, reason: e.to_string() })?;
             if let Ok(bytes) = frame.into_data() {
                 let events = self.parser.push(&bytes);
-                self.pending.extend(events.map_err(|e| CallerError::Broken(e.to_string()))?);
+                self.pending
+                    .extend(events.map_err(|e| CallerError::ContractViolation(e.to_string()))?);
             }
         }
     }
@@ -106,7 +107,8 @@
     /// # Errors
     /// The first violation found.
     pub fn check(&self, turn: &str) -> Result<(), CallerError> {
-        let violation = |what: String| Err(CallerError::Broken(format!("turn {turn}: {what}")));
+        let violation =
+            |what: String| Err(CallerError::ContractViolation(format!("turn {turn}: {what}")));
         let Some(first) = self.events.first() else {
             return violation("no event arrived".to_owned());
         };
--- a/crates/fleet/src/caller/turns.rs
+++ b/crates/fleet/src/caller/turns.rs
@@ -9,7 +9,7 @@
 use super::error::into_success;
 use super::stream::{EventStream, Transcript};
 use super::{Caller, CallerError, SessionRef};
-use crate::http::{Answer, Ask};
+use crate::http::{Answer, HttpRequest};
 
 /// Time after which the stream of a turn is no longer resumed.
 const TURN_TIMEOUT: Duration = Duration::from_secs(90);
@@ -53,7 +53,7 @@
         session: &SessionRef,
         turn: &TurnRequest,
     ) -> Result<EventStream, CallerError> {
-        let request = Ask::json(Method::POST, format!("{}/turns", session.path()), turn);
+        let request = HttpRequest::json(Method::POST, format!("{}/turns", session.path()), turn);
         self.open_stream(gateway, request).await
     }
 
@@ -128,7 +128,7 @@
                 },
                 Err(error) => error,
             };
-            if !error.is_passing() || Instant::now() >= deadline {
+            if !error.is_retryable() || Instant::now() >= deadline {
                 return Err(error);
             }
             gateway += 1;
@@ -136,7 +136,11 @@
         }
     }
 
-    async fn open_stream(&self, gateway: usize, request: Ask) -> Result<EventStream, CallerError> {
+    async fn open_stream(
+        &self,
+        gateway: usize,
+        request: HttpRequest,
+    ) -> Result<EventStream, CallerError> {
         let to = self.gateway(gateway);
         let response = self.http.open(to, &self.with_tenant(request)).await?;
         if response.status().is_success() {
@@ -147,13 +151,15 @@
         let body = collected.map(http_body_util::Collected::to_bytes).unwrap_or_default();
         let response = Answer { from: to, status: parts.status, headers: parts.headers, body };
         Err(into_success(response).err().unwrap_or_else(|| {
-            CallerError::Broken("an unsuccessful response was treated as a success".to_owned())
+            CallerError::ContractViolation(
+                "an unsuccessful response was treated as a success".to_owned(),
+            )
         }))
     }
 }
 
-fn resume_request(path: String, after: Option<u64>) -> Ask {
-    let request = Ask::new(Method::GET, path);
+fn resume_request(path: String, after: Option<u64>) -> HttpRequest {
+    let request = HttpRequest::new(Method::GET, path);
     match after {
         Some(id) => request.header("last-event-id", id.to_string()),
         None => request,
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-use crate::http::{Ask, HttpClient};
+use crate::http::{HttpClient, HttpRequest};
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
 /// File in the data folder with the command address of the running fleet.
@@ -170,7 +170,7 @@
             FleetCommand::Kill(name) => self.kill(name)?,
             FleetCommand::KillCoreLeader => self.kill(self.core_leader().await?)?,
             FleetCommand::Freeze(name) => self.freeze(name)?,
-            FleetCommand::Wake(name) => self.wake(name)?,
+            FleetCommand::Wake(name) => self.resume(name)?,
             FleetCommand::Cut { a, b, one_way } => self.cut(a, b, one_way).await?,
             FleetCommand::Heal => self.heal().await?,
             FleetCommand::Replace(name) => self.replace(name).await?,
@@ -212,9 +212,9 @@
         .map_err(FleetError::io(format!("no fleet runs in {}", data.display())))?;
     let state: StateFile =
         serde_json::from_slice(&state).map_err(|e| FleetError::Unexpected(e.to_string()))?;
-    let request = Ask::json(Method::POST, COMMAND_PATH, command);
+    let request = HttpRequest::json(Method::POST, COMMAND_PATH, command);
     let response =
-        HttpClient::default().ask_within(state.commands, &request, COMMAND_TIMEOUT).await?;
+        HttpClient::default().send_with_timeout(state.commands, &request, COMMAND_TIMEOUT).await?;
     let text = String::from_utf8_lossy(&response.body).into_owned();
     if response.status.is_success() { Ok(text) } else { Err(FleetError::Unexpected(text)) }
 }
--- a/crates/fleet/src/demo/calls.rs
+++ b/crates/fleet/src/demo/calls.rs
@@ -40,7 +40,7 @@
         let response = self.caller.call(3, PROGRAM, "reading-2", &request).await;
         let response = response.map_err(during("calling the requested tool"))?;
         let send_result =
-            || self.caller.tell_tool_result(1, &self.session, "reading-2", &response.body);
+            || self.caller.send_tool_result(1, &self.session, "reading-2", &response.body);
         let position = send_result().await.map_err(during("sending a tool result"))?;
         send_result().await.map_err(during("sending the same tool result again"))?;
         let joined = self.caller.join(2, &self.session, Some(position.seq - 1)).await;
--- a/crates/fleet/src/demo/sessions.rs
+++ b/crates/fleet/src/demo/sessions.rs
@@ -117,7 +117,7 @@
         let owner =
             session.map_err(during("reading the owner of the session"))?.owner.unwrap_or_default();
         let engines = self.fleet.names(ProcessKind::Engine);
-        let engine = engines.into_iter().find(|name| name.word() == owner);
+        let engine = engines.into_iter().find(|name| name.id() == owner);
         Ok(engine
             .ok_or_else(|| FleetError::Unexpected(format!("the fleet has no engine {owner:?}")))?)
     }
@@ -146,7 +146,7 @@
     /// was killed.
     pub(super) async fn move_owner(&mut self) -> Result<String, DemoError> {
         let before = self.owner().await?;
-        let moved_by_kill = before.word() != self.first_owner;
+        let moved_by_kill = before.id() != self.first_owner;
         if !moved_by_kill {
             let clean = self.fleet.stop(before).await?;
             ensure(clean, || format!("{before} did not stop in its grace period"))?;
@@ -157,7 +157,7 @@
             format!("the turn at the new owner ended {}", transcript.end())
         })?;
         let now = self.owner().await?;
-        ensure(now.word() != self.first_owner, || {
+        ensure(now.id() != self.first_owner, || {
             format!("{now} still owns the session though its process has exited")
         })?;
         let reason = if moved_by_kill { "was killed" } else { "stopped within its grace period" };
--- a/crates/fleet/src/fakes.rs
+++ b/crates/fleet/src/fakes.rs
@@ -4,7 +4,7 @@
 use hooklug_emulator::{Faults, LedgerLine, Restart};
 use http::Method;
 
-use crate::http::Ask;
+use crate::http::HttpRequest;
 use crate::plan::{ProcessPlan, ProcessRole};
 use crate::topology::{ApplicationGroup, ModelGroup};
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
@@ -15,23 +15,23 @@
     /// # Errors
     /// When the backend does not respond or rejects the request.
     pub async fn set_faults(&self, name: ProcessName, faults: &Faults) -> Result<(), FleetError> {
-        self.put_control(name, Ask::json(Method::PUT, "/emulator/faults", faults)).await
+        self.put_control(name, HttpRequest::json(Method::PUT, "/emulator/faults", faults)).await
     }
 
     /// Restarts a fake backend in place, optionally as another service or version.
     ///
     /// # Errors
     /// When the backend does not respond or rejects the request.
-    pub async fn restart_stand_in(
+    pub async fn restart_fake_backend(
         &self,
         name: ProcessName,
         restart: &Restart,
     ) -> Result<(), FleetError> {
-        self.put_control(name, Ask::json(Method::PUT, "/emulator/restart", restart)).await
+        self.put_control(name, HttpRequest::json(Method::PUT, "/emulator/restart", restart)).await
     }
 
-    async fn put_control(&self, name: ProcessName, request: Ask) -> Result<(), FleetError> {
-        let response = self.http.ask(self.http_address(name)?, &request).await?;
+    async fn put_control(&self, name: ProcessName, request: HttpRequest) -> Result<(), FleetError> {
+        let response = self.http.send(self.http_address(name)?, &request).await?;
         if response.status.is_success() {
             return Ok(());
         }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// When the fleet has no process of that name, or the signal can't be sent.
-    pub fn wake(&self, name: ProcessName) -> Result<(), FleetError> {
+    pub fn resume(&self, name: ProcessName) -> Result<(), FleetError> {
         self.signal(name, Signal::SIGCONT, Some(false))
     }
 
--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -84,7 +84,7 @@
 
 /// An HTTP request, without the address of the server.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct HttpRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -95,7 +95,7 @@
     pub body: Bytes,
 }
 
-impl Ask {
+impl HttpRequest {
     /// Creates a request without a body.
     #[must_use]
     pub fn new(method: Method, path: impl Into<String>) -> Self {
@@ -137,18 +137,18 @@
     ///
     /// # Errors
     /// [`HttpError`] when no complete response arrives in time. Any status counts as a response.
-    pub async fn ask(&self, to: SocketAddr, request: &Ask) -> Result<Answer, HttpError> {
-        self.ask_within(to, request, DEFAULT_TIMEOUT).await
+    pub async fn send(&self, to: SocketAddr, request: &HttpRequest) -> Result<Answer, HttpError> {
+        self.send_with_timeout(to, request, DEFAULT_TIMEOUT).await
     }
 
     /// Sends a request and reads the complete response within a timeout.
     ///
     /// # Errors
     /// [`HttpError`] when no complete response arrives in time. Any status counts as a response.
-    pub async fn ask_within(
+    pub async fn send_with_timeout(
         &self,
         to: SocketAddr,
-        request: &Ask,
+        request: &HttpRequest,
         time: Duration,
     ) -> Result<Answer, HttpError> {
         let exchange = async {
@@ -167,7 +167,7 @@
     pub async fn open(
         &self,
         to: SocketAddr,
-        request: &Ask,
+        request: &HttpRequest,
     ) -> Result<Response<Incoming>, HttpError> {
         let sent = timeout(DEFAULT_TIMEOUT, self.send_request(to, request)).await;
         sent.map_err(|_| HttpError::TimedOut { to })?
@@ -176,7 +176,7 @@
     async fn send_request(
         &self,
         to: SocketAddr,
-        request: &Ask,
+        request: &HttpRequest,
     ) -> Result<Response<Incoming>, HttpError> {
         let mut builder = Request::builder()
             .method(request.method.clone())
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -7,7 +7,7 @@
 use hooklug_rpc::LinkFault;
 use serde::Serialize;
 
-use crate::http::{Ask, HttpClient, HttpError};
+use crate::http::{HttpClient, HttpError, HttpRequest};
 use crate::{Fleet, FleetError, ProcessName};
 
 /// Link faults of a fleet, by sender and receiver.
@@ -58,8 +58,8 @@
     node: SocketAddr,
     links: &BTreeMap<IpAddr, LinkFault>,
 ) -> Result<(), HttpError> {
-    let request = Ask::json(http::Method::PUT, "/faults", &LinkFaultsBody { links });
-    http.ask(node, &request).await?.json::<serde_json::Value>().map(drop)
+    let request = HttpRequest::json(http::Method::PUT, "/faults", &LinkFaultsBody { links });
+    http.send(node, &request).await?.json::<serde_json::Value>().map(drop)
 }
 
 impl Fleet {
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// When a node can't be reached.
-    pub async fn cut_off(&self, name: ProcessName) -> Result<(), FleetError> {
+    pub async fn isolate(&self, name: ProcessName) -> Result<(), FleetError> {
         let others = self.all_names().into_iter().filter(|other| other.kind.is_node());
         for other in others.filter(|other| *other != name) {
             if self.is_running(other)? {
--- a/crates/fleet/src/maintenance.rs
+++ b/crates/fleet/src/maintenance.rs
@@ -5,7 +5,7 @@
 use hooklug_emulator::{EngineList, ListedEngine};
 use http::Method;
 
-use crate::http::Ask;
+use crate::http::HttpRequest;
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
 /// Timeout until a restarted node is ready.
@@ -70,8 +70,8 @@
                 engines.push(ListedEngine { address: plan.http(), zone: plan.zone });
             }
         }
-        let request = Ask::json(Method::PUT, "/emulator/engines", &EngineList { engines });
-        let response = self.http.ask(self.config.platform, &request).await?;
+        let request = HttpRequest::json(Method::PUT, "/emulator/engines", &EngineList { engines });
+        let response = self.http.send(self.config.platform, &request).await?;
         if response.status.is_success() {
             return Ok(());
         }
--- a/crates/fleet/src/names.rs
+++ b/crates/fleet/src/names.rs
@@ -38,7 +38,7 @@
 
     /// The kind as it is written in process names.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         Self::ALL.iter().find(|(kind, _)| *kind == self).map_or("", |(_, word)| word)
     }
 
@@ -67,14 +67,14 @@
 
     /// The name with a hyphen, such as `store-1`, for files and engine ids.
     #[must_use]
-    pub fn word(self) -> String {
-        format!("{}-{}", self.kind.word(), self.index)
+    pub fn id(self) -> String {
+        format!("{}-{}", self.kind.as_str(), self.index)
     }
 }
 
 impl fmt::Display for ProcessName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}", self.kind.word(), self.index)
+        write!(f, "{}:{}", self.kind.as_str(), self.index)
     }
 }
 
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -51,7 +51,7 @@
 
     /// The engine id of a session-host engine or a fake backend.
     pub(crate) fn engine_id(&self) -> Result<EngineId, FleetError> {
-        EngineId::new(self.name.word()).map_err(|e| FleetError::Unexpected(e.to_string()))
+        EngineId::new(self.name.id()).map_err(|e| FleetError::Unexpected(e.to_string()))
     }
 }
 
@@ -104,7 +104,7 @@
 impl SharedConfig {
     /// The folder of a process, for its settings, log and data.
     pub(crate) fn folder(&self, name: ProcessName) -> PathBuf {
-        self.data.join(name.word())
+        self.data.join(name.id())
     }
 
     /// The data folder of a store.
@@ -222,7 +222,7 @@
 
 fn node_arguments(plan: &ProcessPlan, file: &Path) -> Vec<OsString> {
     let mut arguments = Arguments::default();
-    arguments.push(plan.name.kind.word());
+    arguments.push(plan.name.kind.as_str());
     arguments.push("--settings");
     arguments.0.push(file.into());
     arguments.push("--enable-faults");
--- a/crates/fleet/src/readiness.rs
+++ b/crates/fleet/src/readiness.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::http::{Answer, Ask, HttpError};
+use crate::http::{Answer, HttpError, HttpRequest};
 use crate::{Fleet, FleetError, ProcessKind, ProcessName};
 
 /// Interval between two checks of a condition.
@@ -167,14 +167,17 @@
         let missing = [ProcessKind::Engine, ProcessKind::App]
             .into_iter()
             .flat_map(|kind| self.names(kind))
-            .find(|name| !engines.iter().any(|e| e.ready && e.engine == name.word()));
+            .find(|name| !engines.iter().any(|e| e.ready && e.engine == name.id()));
         missing.map_or(Ok(()), |name| Err(format!("{name} is missing or not ready")))
     }
 
     async fn get(&self, name: ProcessName, path: &str) -> Result<Answer, String> {
         let address = self.http_address(name).map_err(|e| e.to_string())?;
-        let request = Ask::new(Method::GET, path);
-        self.http.ask_within(address, &request, CHECK_TIMEOUT).await.map_err(|e| e.to_string())
+        let request = HttpRequest::new(Method::GET, path);
+        self.http
+            .send_with_timeout(address, &request, CHECK_TIMEOUT)
+            .await
+            .map_err(|e| e.to_string())
     }
 
     pub(crate) async fn submit_first_bundle(&self, time: Duration) -> Result<(), FleetError> {
@@ -220,9 +223,9 @@
         name: ProcessName,
         bundle: &Bundle,
     ) -> Result<Submitted, FleetError> {
-        let request = Ask::json(Method::POST, "/admin/v1/bundles", &Submission { bundle });
+        let request = HttpRequest::json(Method::POST, "/admin/v1/bundles", &Submission { bundle });
         let response =
-            self.http.ask_within(self.http_address(name)?, &request, SUBMIT_TIMEOUT).await?;
+            self.http.send_with_timeout(self.http_address(name)?, &request, SUBMIT_TIMEOUT).await?;
         Ok(response.json()?)
     }
 
--- a/crates/fleet/tests/suite/at_most_once_calls.rs
+++ b/crates/fleet/tests/suite/at_most_once_calls.rs
@@ -13,7 +13,7 @@
 };
 use hooklug_emulator::{FaultKind, FaultRule, Faults};
 use hooklug_fleet::caller::{CallAnswer, CallerError};
-use hooklug_fleet::http::Ask;
+use hooklug_fleet::http::HttpRequest;
 use hooklug_fleet::{Caller, Fleet, ProcessKind};
 use http::Method;
 use serde_json::Value;
@@ -83,7 +83,7 @@
     wait_for_run(&fleet, "leader-frozen").await;
     fleet.freeze(leader).unwrap();
     resend(&caller, "leader-frozen").await;
-    fleet.wake(leader).unwrap();
+    fleet.resume(leader).unwrap();
     background_call.await.unwrap();
     resend(&caller, "leader-frozen").await;
 
@@ -144,7 +144,7 @@
     let check = || async {
         let response = caller.call(1, PROGRAM, call, &alarm(3)).await;
         let claims_nothing =
-            |e: &CallerError| e.is_passing() || e.code() == Some("deadline_exceeded");
+            |e: &CallerError| e.is_retryable() || e.code() == Some("deadline_exceeded");
         match response {
             Err(error) if claims_nothing(&error) => Err(error.to_string()),
             settled => {
@@ -166,13 +166,16 @@
     let (fleet, caller) = start_calls().await;
     for millis in KILLED_AFTER_MS {
         let call = format!("killed-{millis}");
-        let request =
-            Ask::json(Method::PUT, format!("/v1/programs/{PROGRAM}/calls/{call}"), &alarm(3));
+        let request = HttpRequest::json(
+            Method::PUT,
+            format!("/v1/programs/{PROGRAM}/calls/{call}"),
+            &alarm(3),
+        );
         let kill_gateway = async {
             tokio::time::sleep(Duration::from_millis(millis)).await;
             fleet.kill(name("gateway:0")).unwrap();
         };
-        let (first, ()) = tokio::join!(caller.ask_once(0, &request), kill_gateway);
+        let (first, ()) = tokio::join!(caller.send_once(0, &request), kill_gateway);
         let again = wait_settled(&fleet, &caller, &call).await;
         println!("{call}: first {}, then {again:?}", first.is_ok());
         match &again {
--- a/crates/fleet/tests/suite/bundle_races.rs
+++ b/crates/fleet/tests/suite/bundle_races.rs
@@ -72,7 +72,7 @@
     let (response, ()) =
         tokio::join!(fleet.submit_bundle_at(first_gateway, &bundle), kill_after_commit);
     println!("first response: {response:?}");
-    fleet.wake(name("engine:1")).unwrap();
+    fleet.resume(name("engine:1")).unwrap();
     let other = fleet.marked_bundle(version, 30).unwrap();
     assert!(is_version_taken(&submit(fleet, second_gateway, &other).await));
     let newer = fleet.marked_bundle(version + 1, 20).unwrap();
--- a/crates/fleet/tests/suite/bundle_spread.rs
+++ b/crates/fleet/tests/suite/bundle_spread.rs
@@ -76,7 +76,7 @@
 async fn check_isolated_node_catches_up(fleet: &Fleet, mut version: u64) {
     for isolated in ["gateway:1", "core:0"] {
         let isolated = name(isolated);
-        fleet.cut_off(isolated).await.unwrap();
+        fleet.isolate(isolated).await.unwrap();
         version += 1;
         let rest = running_nodes_except(fleet, &[isolated]);
         let took = measure_spread(fleet, version, &rest).await;
--- a/crates/fleet/tests/suite/combined_failures.rs
+++ b/crates/fleet/tests/suite/combined_failures.rs
@@ -38,7 +38,7 @@
     let alone = fleet.marked_bundle(2, 10).unwrap();
     let response = fleet.submit_bundle_at(name("gateway:0"), &alone).await;
     assert!(response.is_err(), "acknowledged by one store of three: {response:?}");
-    fleet.wake(first).unwrap();
+    fleet.resume(first).unwrap();
     assert_recovered(&fleet, &load, "resumed").await;
     submit_version(&fleet, name("gateway:0"), 2).await;
     // Again with other stores: the one that was down must form a quorum with the one that was
@@ -48,7 +48,7 @@
     assert_recovered(&fleet, &load, "restarted").await;
     submit_version(&fleet, name("gateway:1"), 3).await;
     fleet.kill(first).unwrap();
-    fleet.wake(third).unwrap();
+    fleet.resume(third).unwrap();
     assert_recovered(&fleet, &load, "resumed while another store is down").await;
     submit_version(&fleet, name("gateway:1"), 4).await;
     fleet.restart(first).await.unwrap();
@@ -79,7 +79,7 @@
     let caller = caller(fleet);
     let check = || async {
         let view = caller.session(1, session).await.map_err(|e| e.to_string())?;
-        let moved = view.owner.as_ref().is_some_and(|owner| *owner != before.word());
+        let moved = view.owner.as_ref().is_some_and(|owner| *owner != before.id());
         if moved { Ok(()) } else { Err(format!("{view:?}")) }
     };
     fleet.wait_until("another engine owns the session", WAIT_TIMEOUT, check).await.unwrap();
@@ -137,7 +137,7 @@
     let fleet = start(control_topology(3)).await;
     for version in 2..=4 {
         let leader = fleet.core_leader().await.unwrap();
-        let (race, cut) = tokio::join!(Race::run(&fleet, version), fleet.cut_off(leader));
+        let (race, cut) = tokio::join!(Race::run(&fleet, version), fleet.isolate(leader));
         cut.unwrap();
         // The gateway that responded is killed, and another core leads when the bundles are
         // submitted again.
--- a/crates/fleet/tests/suite/core_failures.rs
+++ b/crates/fleet/tests/suite/core_failures.rs
@@ -14,7 +14,7 @@
     WAIT_TIMEOUT, control_topology, name, read_current, restart_all, running_nodes, start,
     wait_installed,
 };
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Fleet, ProcessKind, ProcessName};
 use http::Method;
 use serde::Deserialize;
@@ -30,8 +30,8 @@
 }
 
 async fn members(fleet: &Fleet, at: ProcessName) -> Result<Vec<Member>, String> {
-    let request = Ask::new(Method::GET, "/admin/v1/members");
-    let response = HttpClient::default().ask(fleet.http_address(at).unwrap(), &request).await;
+    let request = HttpRequest::new(Method::GET, "/admin/v1/members");
+    let response = HttpClient::default().send(fleet.http_address(at).unwrap(), &request).await;
     response.and_then(|response| response.json()).map_err(|e| e.to_string())
 }
 
@@ -86,7 +86,7 @@
 
     let former = fleet.core_leader().await.unwrap();
     let until = Instant::now() + ISOLATION_TIME;
-    fleet.cut_off(former).await.unwrap();
+    fleet.isolate(former).await.unwrap();
     submit_version(&fleet, name("gateway:0"), 3).await;
     let check = || async {
         let members_seen = members(&fleet, name("gateway:0")).await?;
--- a/crates/fleet/tests/suite/disk_soak.rs
+++ b/crates/fleet/tests/suite/disk_soak.rs
@@ -75,7 +75,7 @@
                 if matches!(concurrent, ConcurrentFault::FreezeCore) { core } else { gateway };
             fleet.freeze(frozen).unwrap();
             tokio::time::sleep(pause).await;
-            fleet.wake(frozen).unwrap();
+            fleet.resume(frozen).unwrap();
         }
         ConcurrentFault::RestartAllCores => {
             let cores = fleet.names(ProcessKind::Core);
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -72,7 +72,7 @@
     let next = finish(&caller, session, &TurnRequest::new("t3", Some("t2"), "[tokens 5]", 8)).await;
     assert_eq!(next.events[0].id, transcript.last_id().unwrap() + 1);
     if matches!(failure, Failure::Freeze(_)) {
-        fleet.wake(failed).unwrap();
+        fleet.resume(failed).unwrap();
     } else {
         fleet.restart(failed).await.unwrap();
     }
--- a/crates/fleet/tests/suite/genuine_answers.rs
+++ b/crates/fleet/tests/suite/genuine_answers.rs
@@ -61,12 +61,12 @@
     let call = format!("{tool}-{house}");
     let mut request = CallRequest::new(tool, json!({"house": house}));
     request.deadline_ms = 1_000;
-    let http_request = hooklug_fleet::http::Ask::json(
+    let http_request = hooklug_fleet::http::HttpRequest::json(
         http::Method::PUT,
         format!("/v1/programs/{PROGRAM}/calls/{call}"),
         &request,
     );
-    match caller.ask_once(0, &http_request).await {
+    match caller.send_once(0, &http_request).await {
         Ok(response) => {
             let body = serde_json::from_slice(&response.body).unwrap();
             let response = CallAnswer { status: response.status.as_u16(), body };
@@ -98,7 +98,7 @@
     };
     // One engine of each service and one of the two model servers are replaced.
     for backend in ["app:0", "app:2", "model:0"] {
-        fleet.restart_stand_in(backend.parse().unwrap(), &restart).await.unwrap();
+        fleet.restart_fake_backend(backend.parse().unwrap(), &restart).await.unwrap();
     }
     let mut answered = 0;
     for house in 10..40 {
--- a/crates/fleet/tests/suite/machines.rs
+++ b/crates/fleet/tests/suite/machines.rs
@@ -93,7 +93,7 @@
     assert_eq!(fleet.status().iter().filter(|p| p.state == "frozen").count(), 1);
     let others = Caller::new(vec![fleet.gateway(1)], TENANT);
     run_turn(&others, &session, "t1", None).await.unwrap();
-    fleet.wake(name("gateway:0")).unwrap();
+    fleet.resume(name("gateway:0")).unwrap();
     fleet.wait_ready(name("gateway:0"), WAIT_TIMEOUT).await.unwrap();
     run_turn(&caller, &session, "t2", Some("t1")).await.unwrap();
 }
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_cut_off_is_unready_until_healed() {
     let fleet = start(topology()).await;
-    fleet.cut_off(name("gateway:0")).await.unwrap();
+    fleet.isolate(name("gateway:0")).await.unwrap();
     let unready = fleet.wait_ready(name("gateway:0"), Duration::ZERO);
     let mut last = unready.await;
     while last.is_ok() {
@@ -131,8 +131,8 @@
     assert_eq!(added, name("app:2"));
     let engine_listed = || async {
         let http = hooklug_fleet::http::HttpClient::default();
-        let request = hooklug_fleet::http::Ask::new(http::Method::GET, "/admin/v1/engines");
-        let response = http.ask(fleet.gateway(0), &request).await.map_err(|e| e.to_string())?;
+        let request = hooklug_fleet::http::HttpRequest::new(http::Method::GET, "/admin/v1/engines");
+        let response = http.send(fleet.gateway(0), &request).await.map_err(|e| e.to_string())?;
         let text = String::from_utf8_lossy(&response.body).into_owned();
         if text.contains("app-2") { Ok(()) } else { Err(text) }
     };
--- a/crates/fleet/tests/suite/single_owner.rs
+++ b/crates/fleet/tests/suite/single_owner.rs
@@ -102,13 +102,13 @@
     let next = TurnRequest::new("t2", Some("t1"), "[tokens 5]", 8);
     finish(&caller, session, &next).await;
     let view: SessionView = caller.session(0, session).await.unwrap();
-    assert_ne!(view.owner, Some(old_owner.word()));
+    assert_ne!(view.owner, Some(old_owner.id()));
     assert!(view.epoch > epoch);
     let before = history(&caller, session).await;
     // The owner must be unresponsive for the full time, measured from the start of the fault.
     tokio::time::sleep_until(started + UNRESPONSIVE_TIME).await;
     match mode {
-        FailureMode::Frozen => fleet.wake(old_owner).unwrap(),
+        FailureMode::Frozen => fleet.resume(old_owner).unwrap(),
         FailureMode::Isolated => fleet.heal().await.unwrap(),
     }
     // Everything that the old owner sent to its client must be committed.
@@ -151,8 +151,8 @@
     }
     let leader = fleet.core_leader().await.unwrap();
     assert_ne!(leader, first, "a frozen core still leads");
-    fleet.wake(first).unwrap();
-    fleet.cut_off(leader).await.unwrap();
+    fleet.resume(first).unwrap();
+    fleet.isolate(leader).await.unwrap();
     fleet.wait_ready(first, WAIT_TIMEOUT).await.unwrap();
     for _ in 0..3 {
         head = Some(run_turn(&caller, &session, head.take(), &mut number).await);
--- a/crates/fleet/tests/suite/soak.rs
+++ b/crates/fleet/tests/suite/soak.rs
@@ -184,7 +184,7 @@
         Fault::Freeze => {
             fleet.freeze(target).unwrap();
             tokio::time::sleep(pause).await;
-            fleet.wake(target).unwrap();
+            fleet.resume(target).unwrap();
         }
         Fault::Sighup => {
             fleet.send_sighup(target).unwrap();
--- a/crates/fleet/tests/suite/store_failures.rs
+++ b/crates/fleet/tests/suite/store_failures.rs
@@ -71,7 +71,7 @@
     while Instant::now() < until {
         load.wait_rounds(&fleet, 1).await;
     }
-    fleet.wake(frozen).unwrap();
+    fleet.resume(frozen).unwrap();
     load.wait_rounds(&fleet, 3).await;
     fleet.wait_ready(frozen, WAIT_TIMEOUT).await.unwrap();
 
--- a/crates/fleet/tests/suite/support/load.rs
+++ b/crates/fleet/tests/suite/support/load.rs
@@ -201,7 +201,7 @@
                 acknowledged.turns.push((name, transcript));
                 return;
             }
-            Err(error) if error.is_passing() => {}
+            Err(error) if error.is_retryable() => {}
             Err(error) => {
                 acknowledged.violations.push(format!("{name}: {error}"));
                 return;
@@ -222,7 +222,7 @@
                 return;
             }
             // The outcome is unknown in both cases; the same call is sent again.
-            Err(error) if error.is_passing() || error.code() == Some("deadline_exceeded") => {}
+            Err(error) if error.is_retryable() || error.code() == Some("deadline_exceeded") => {}
             // The response was lost, and the record of the call says so.
             Err(error) if error.code() == Some("call_unknown") => {
                 acknowledged.unknown += 1;
--- a/crates/fleet/tests/suite/support/repair.rs
+++ b/crates/fleet/tests/suite/support/repair.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Fleet, ProcessName};
 use http::Method;
 use serde_json::Value;
@@ -14,8 +14,8 @@
 
 async fn shards(fleet: &Fleet) -> BTreeMap<String, Value> {
     let gateway = fleet.http_address(name("gateway:0")).unwrap();
-    let request = Ask::new(Method::GET, "/admin/v1/shards");
-    let response = HttpClient::default().ask(gateway, &request).await;
+    let request = HttpRequest::new(Method::GET, "/admin/v1/shards");
+    let response = HttpClient::default().send(gateway, &request).await;
     let Ok(Ok(Value::Array(shards))) = response.map(|response| response.json()) else {
         return BTreeMap::new();
     };
@@ -28,8 +28,8 @@
 /// Node id of a store in the view of the first gateway.
 pub async fn node_id(fleet: &Fleet, store: ProcessName) -> Option<u64> {
     let gateway = fleet.http_address(name("gateway:0")).unwrap();
-    let request = Ask::new(Method::GET, "/admin/v1/members");
-    let response = HttpClient::default().ask(gateway, &request).await.ok()?;
+    let request = HttpRequest::new(Method::GET, "/admin/v1/members");
+    let response = HttpClient::default().send(gateway, &request).await.ok()?;
     let members: Vec<Value> = response.json().ok()?;
     let http = fleet.http_address(store).unwrap().to_string();
     members.iter().filter(|m| m["http"] == http.as_str()).find_map(|m| m["node"].as_u64())
@@ -63,10 +63,10 @@
 /// Requests the retirement of a store until a core leader accepts it.
 pub async fn retire(fleet: &Fleet, node: u64) {
     let gateway = fleet.http_address(name("gateway:0")).unwrap();
-    let request = Ask::new(Method::POST, format!("/admin/v1/stores/{node}/retire"));
+    let request = HttpRequest::new(Method::POST, format!("/admin/v1/stores/{node}/retire"));
     let check = || async {
         let response =
-            HttpClient::default().ask(gateway, &request).await.map_err(|e| e.to_string())?;
+            HttpClient::default().send(gateway, &request).await.map_err(|e| e.to_string())?;
         if response.status.is_success() { Ok(()) } else { Err(response.status.to_string()) }
     };
     fleet.wait_until("the retirement is accepted", WAIT_TIMEOUT, check).await.unwrap();
--- a/crates/fleet/tests/suite/support/requests.rs
+++ b/crates/fleet/tests/suite/support/requests.rs
@@ -30,7 +30,7 @@
     let view: SessionView = caller.session(0, session).await.unwrap();
     let owner = view.owner.unwrap();
     let engines = fleet.names(ProcessKind::Engine);
-    engines.into_iter().find(|engine| engine.word() == owner).unwrap()
+    engines.into_iter().find(|engine| engine.id() == owner).unwrap()
 }
 
 /// Creates a non-repeatable call.
--- a/crates/fleet/tests/suite/support/state.rs
+++ b/crates/fleet/tests/suite/support/state.rs
@@ -4,7 +4,7 @@
 
 use futures::future::try_join_all;
 use hooklug_fleet::caller::CallerError;
-use hooklug_fleet::http::{Ask, HttpClient};
+use hooklug_fleet::http::{HttpClient, HttpRequest};
 use hooklug_fleet::{Caller, Fleet, ProcessKind, ProcessName};
 use hooklug_types::{BundleVersion, UnixMillis, shard_of};
 use serde_json::Value;
@@ -32,8 +32,8 @@
 }
 
 async fn get_admin(fleet: &Fleet, path: &str) -> Result<Value, String> {
-    let request = Ask::new(http::Method::GET, path);
-    let response = HttpClient::default().ask(fleet.gateway(0), &request).await;
+    let request = HttpRequest::new(http::Method::GET, path);
+    let response = HttpClient::default().send(fleet.gateway(0), &request).await;
     response.and_then(|response| response.json()).map_err(|error| error.to_string())
 }
 
--- a/crates/fleet/tests/suite/turn_lookup.rs
+++ b/crates/fleet/tests/suite/turn_lookup.rs
@@ -64,7 +64,7 @@
                 assert_eq!(view.state, "finished");
                 found.fetch_add(1, Ordering::SeqCst);
             }
-            Err(error) => assert!(error.is_passing(), "{session:?} {turn}: {error}"),
+            Err(error) => assert!(error.is_retryable(), "{session:?} {turn}: {error}"),
         }
     }
 }
--- a/crates/fleet/tests/suite/version_harm/release.rs
+++ b/crates/fleet/tests/suite/version_harm/release.rs
@@ -168,7 +168,7 @@
         for engine in self.newer_engines() {
             self.fleet.set_faults(engine, &Faults::default()).await.unwrap();
             let restart = Restart { version: Some(self.newer.clone()), ..Restart::default() };
-            self.fleet.restart_stand_in(engine, &restart).await.unwrap();
+            self.fleet.restart_fake_backend(engine, &restart).await.unwrap();
         }
         self.version += 1;
         let mut topology = self.fleet.topology().clone();
--- a/crates/gateway/examples/overload.rs
+++ b/crates/gateway/examples/overload.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hooklug_emulator::{ApplicationEngine as App, ApplicationOptions, StandIn};
+use hooklug_emulator::{ApplicationEngine as App, ApplicationOptions, FakeBackend};
 use hooklug_protocol::control::ApplicationEngine;
 use hooklug_settings::GatewayMode;
 use hooklug_types::ServiceName;
@@ -42,7 +42,7 @@
     late: u64,
 }
 
-async fn start_env(mode: GatewayMode) -> (TestEnv, Vec<StandIn>) {
+async fn start_env(mode: GatewayMode) -> (TestEnv, Vec<FakeBackend>) {
     let mut bundle = bundle();
     let farm = bundle.services.get_mut(&id::<ServiceName>("farm")).expect("service not listed");
     farm.queue_per_engine = 64;
--- a/crates/gateway/tests/whole_path.rs
+++ b/crates/gateway/tests/whole_path.rs
@@ -7,7 +7,7 @@
 
 use hooklug_control::{NodeContext, NodeHandle, NodeHandleChannels, Reachability};
 use hooklug_emulator::model::{ModelOptions, ModelServer};
-use hooklug_emulator::{ApplicationEngine as App, ApplicationOptions, LedgerEntry, StandIn};
+use hooklug_emulator::{ApplicationEngine as App, ApplicationOptions, FakeBackend, LedgerEntry};
 use hooklug_engine::Engine;
 use hooklug_protocol::control::{ApplicationEngine, Member, MemberHealth};
 use hooklug_rpc::{LocalIdentity, RpcClient, RpcServer};
@@ -20,7 +20,7 @@
 
 /// A session-host engine and its emulated model server.
 struct Host {
-    model: StandIn,
+    model: FakeBackend,
     channels: NodeHandleChannels,
     serving: CancellationToken,
     running: tokio::task::JoinHandle<()>,
