--- a/crates/fleet/tests/suite/token_budget.rs
+++ b/crates/fleet/tests/suite/token_budget.rs
@@ -36,7 +36,7 @@
                 Err(error) if error.code() == Some("budget_spent") => return,
                 // All nodes may be down for longer than the caller retries.
                 Err(error) if error.is_retryable() => {
-                    println!("{} {name}: {error}", session.session)
+                    println!("{} {name}: {error}", session.session);
                 }
                 Err(error) => panic!("{} {name}: {error}", session.session),
             }
