--- a/crates/admin/src/answers.rs
+++ b/crates/admin/src/answers.rs
@@ -324,7 +324,7 @@
 /// Slot usage of one service and window group in the response of `GET /admin/v1/slots`, from the
 /// last reports of the session hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotUseAnswer {
+pub struct SlotUsageAnswer {
     /// Name of the service.
     pub service: ServiceName,
     /// Window group; `None` for turns without a group.
@@ -339,7 +339,7 @@
     pub borrowed: u32,
 }
 
-impl From<ServiceSlotUsage> for SlotUseAnswer {
+impl From<ServiceSlotUsage> for SlotUsageAnswer {
     fn from(usage: ServiceSlotUsage) -> Self {
         let ServiceSlotUsage { service, group, engines, reserved, used, borrowed } = usage;
         Self { service, group, engines, reserved, used, borrowed }
--- a/crates/admin/src/cluster.rs
+++ b/crates/admin/src/cluster.rs
@@ -17,7 +17,7 @@
 use crate::AdminContext;
 use crate::answers::{
     EngineAnswer, EngineKind, HarmAnswer, MemberAnswer, RollbackAnswer, RolloutsAnswer,
-    ServiceRollout, SlotUseAnswer, VersionMetrics, ViewAnswer, WindowAnswer,
+    ServiceRollout, SlotUsageAnswer, VersionMetrics, ViewAnswer, WindowAnswer,
 };
 
 type AdminState = State<Arc<AdminContext>>;
@@ -119,9 +119,9 @@
     Json(answer.collect())
 }
 
-pub(crate) async fn slots(State(admin): AdminState) -> Json<Vec<SlotUseAnswer>> {
+pub(crate) async fn slots(State(admin): AdminState) -> Json<Vec<SlotUsageAnswer>> {
     let usage = query_core_leader(&admin, &FetchSlotUsage).await;
-    Json(usage.into_iter().map(SlotUseAnswer::from).collect())
+    Json(usage.into_iter().map(SlotUsageAnswer::from).collect())
 }
 
 pub(crate) async fn rollouts(State(admin): AdminState) -> Json<RolloutsAnswer> {
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -57,7 +57,7 @@
         Ok(EngineId::new(format!("hollow-{}", self.index))?)
     }
 
-    fn hosted_engine(self) -> anyhow::Result<Option<SessionHostInfo>> {
+    fn session_host_info(self) -> anyhow::Result<Option<SessionHostInfo>> {
         if self.role != NodeRole::Engine {
             return Ok(None);
         }
@@ -110,7 +110,7 @@
         let node = Self { identity: identity.clone(), handle, shutdown: shutdown.clone() };
         tokio::spawn(RpcServer::new(listener, identity, agent.rpc_router()).run(shutdown.clone()));
         tokio::spawn(agent.run(shutdown.clone()));
-        if let Some(hosted) = spec.hosted_engine()? {
+        if let Some(hosted) = spec.session_host_info()? {
             node.report_engine(hosted, state);
         }
         Ok(node)
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -216,7 +216,7 @@
     from: NodeRole,
 ) -> Vec<ServiceSlotUsage> {
     match forward_to_leader(shared, &request, from).await {
-        ForwardResult::Reply(uses) => uses,
+        ForwardResult::Reply(usage) => usage,
         ForwardResult::NoReply => Vec::new(),
         ForwardResult::NotForwarded => shared.slot_usage().sums(),
     }
--- a/crates/control/src/core/slot_usage.rs
+++ b/crates/control/src/core/slot_usage.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 struct EngineReport {
     service: ServiceName,
-    uses: Vec<SlotUsage>,
+    slot_usage: Vec<SlotUsage>,
     at: Instant,
 }
 
@@ -26,8 +26,8 @@
     /// Records the report in a heartbeat; a heartbeat of a node without an engine is ignored.
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let Some(engine) = &heartbeat.engine else { return };
-        let (service, uses) = (engine.service.clone(), heartbeat.slot_usage.clone());
-        self.reports.insert(heartbeat.from.node, EngineReport { service, uses, at: now });
+        let (service, slot_usage) = (engine.service.clone(), heartbeat.slot_usage.clone());
+        self.reports.insert(heartbeat.from.node, EngineReport { service, slot_usage, at: now });
     }
 
     /// Removes the reports of engines that have sent no heartbeat for [`DEAD_AFTER`].
@@ -40,8 +40,8 @@
     pub fn sums(&self) -> Vec<ServiceSlotUsage> {
         let mut sums: BTreeMap<(&ServiceName, &Option<WindowGroup>), ServiceSlotUsage> =
             BTreeMap::new();
-        for EngineReport { service, uses, .. } in self.reports.values() {
-            for usage in uses {
+        for EngineReport { service, slot_usage, .. } in self.reports.values() {
+            for usage in slot_usage {
                 let zero = || ServiceSlotUsage {
                     service: service.clone(),
                     group: usage.group.clone(),
--- a/crates/engine/src/admission/policy.rs
+++ b/crates/engine/src/admission/policy.rs
@@ -122,16 +122,16 @@
 
     /// Reserved and running slots by group. Groups with neither are omitted.
     #[must_use]
-    pub fn uses(&self, now: UnixMillis) -> Vec<SlotUsage> {
-        let mut uses: BTreeMap<Option<WindowGroup>, (u32, u32)> = BTreeMap::new();
+    pub fn usage(&self, now: UnixMillis) -> Vec<SlotUsage> {
+        let mut usage: BTreeMap<Option<WindowGroup>, (u32, u32)> = BTreeMap::new();
         for (group, reserved) in self.reservations.reserved_slots_at(now) {
-            uses.entry(Some(group.clone())).or_default().0 = reserved;
+            usage.entry(Some(group.clone())).or_default().0 = reserved;
         }
         for running in self.running.values() {
-            uses.entry(running.occupant.group.clone()).or_default().1 += 1;
+            usage.entry(running.occupant.group.clone()).or_default().1 += 1;
         }
-        let to_slot_use = |(group, (reserved, running))| SlotUsage { group, reserved, running };
-        uses.into_iter().map(to_slot_use).collect()
+        let to_slot_usage = |(group, (reserved, running))| SlotUsage { group, reserved, running };
+        usage.into_iter().map(to_slot_usage).collect()
     }
 
     /// Requests a slot for a turn. The decisions may concern other turns too, such as one evicted
--- a/crates/engine/src/reporter.rs
+++ b/crates/engine/src/reporter.rs
@@ -25,9 +25,9 @@
     let mut load_reported = Instant::now();
     loop {
         let report = NodeReport {
-            engine: Some(shared.hosted_engine()),
+            engine: Some(shared.session_host_info()),
             load: Some(shared.load()),
-            slot_usage: shared.slots.uses(),
+            slot_usage: shared.slots.usage(),
         };
         let load_is_due = load_reported.elapsed() >= LOAD_INTERVAL;
         let reported = shared.node.report.send_if_modified(|known| {
--- a/crates/engine/src/shared.rs
+++ b/crates/engine/src/shared.rs
@@ -158,7 +158,7 @@
 
     /// The engine's entry in the node report.
     #[must_use]
-    pub fn hosted_engine(&self) -> SessionHostInfo {
+    pub fn session_host_info(&self) -> SessionHostInfo {
         SessionHostInfo {
             engine: self.settings.id.clone(),
             service: self.settings.service.clone(),
--- a/crates/engine/src/slots.rs
+++ b/crates/engine/src/slots.rs
@@ -93,8 +93,8 @@
 
     /// Reserved and running slots by group.
     #[must_use]
-    pub fn uses(&self) -> Vec<SlotUsage> {
-        self.lock().admission.uses(UnixMillis::now())
+    pub fn usage(&self) -> Vec<SlotUsage> {
+        self.lock().admission.usage(UnixMillis::now())
     }
 
     /// Updates the admission queue when it is due, until stopped.
--- a/crates/engine/tests/admission.rs
+++ b/crates/engine/tests/admission.rs
@@ -273,9 +273,9 @@
         admission.request(Ticket(ticket), turn, at(1_000));
     }
     let uses_at = |now| {
-        let uses = admission.uses(at(now)).into_iter();
+        let usage = admission.usage(at(now)).into_iter();
         let group = |group: Option<WindowGroup>| group.map(|g| g.to_string());
-        uses.map(|u| (group(u.group), u.reserved, u.running)).collect::<Vec<_>>()
+        usage.map(|u| (group(u.group), u.reserved, u.running)).collect::<Vec<_>>()
     };
     let (frost, idle) = (Some("frost".to_owned()), Some("idle".to_owned()));
     assert_eq!(uses_at(1_000), [(None, 0, 1), (frost.clone(), 3, 1), (idle, 1, 0)]);
--- a/crates/hooklug/src/command/status.rs
+++ b/crates/hooklug/src/command/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hooklug_admin::answers::{
-    EngineAnswer, MemberAnswer, RolloutsAnswer, SessionsAnswer, ShardAnswer, SlotUseAnswer,
+    EngineAnswer, MemberAnswer, RolloutsAnswer, SessionsAnswer, ShardAnswer, SlotUsageAnswer,
     ViewAnswer, WindowAnswer,
 };
 use hooklug_control::view::{revision_count, revision_epoch};
@@ -27,7 +27,7 @@
     sessions_by_owner: BTreeMap<String, usize>,
     unread_groups: Vec<String>,
     windows: Vec<WindowAnswer>,
-    slots: Vec<SlotUseAnswer>,
+    slots: Vec<SlotUsageAnswer>,
 }
 
 pub(crate) async fn run(args: &StatusArgs) -> anyhow::Result<CommandOutcome> {
@@ -219,7 +219,7 @@
     table.render("windows")
 }
 
-fn slots(usages: &[SlotUseAnswer]) -> String {
+fn slots(usages: &[SlotUsageAnswer]) -> String {
     let header = ["service", "group", "engines", "reserved", "used", "borrowed"];
     let mut table = Table::new(&header);
     for usage in usages {
