--- a/crates/gateway/src/limits/token_bucket.rs
+++ b/crates/gateway/src/limits/token_bucket.rs
@@ -7,7 +7,7 @@
 /// Burst size, as a span of the sustained rate.
 const BURST_TIME: Duration = Duration::from_secs(1);
 
-/// Allows a sustained rate and a burst of [`BURST_TIME`] worth of requests.
+/// Allows a sustained rate and a burst of `BURST_TIME` worth of requests.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     tokens: f64,
