--- a/crates/fleet/tests/suite/main.rs
+++ b/crates/fleet/tests/suite/main.rs
@@ -21,7 +21,7 @@
 mod engine_drain;
 mod gapless_streams;
 mod genuine_answers;
-mod machines;
+mod machine_operations;
 mod parsing;
 mod rolling_restart;
 mod single_owner;
