--- a/crates/admin/tests/access.rs
+++ b/crates/admin/tests/access.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[tokio::test]
-async fn only_operators_with_a_key_are_let_in() {
+async fn requests_without_a_valid_admin_key_are_refused() {
     let mut with_keys = settings();
     with_keys.operators.admin_key_digests =
         vec![Digest::of(b"former key").to_string(), Digest::of(b"present key").to_string()];
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_store_is_retired_under_the_core_leaders_epoch() {
+async fn retiring_a_store_requires_a_core_leader() {
     let api = Api::start(settings()).await;
     let retire = |node: NodeId| format!("/admin/v1/stores/{node}/retire");
     let without_leader = api.request(Method::POST, &retire(STORE), None, "").await;
--- a/crates/admin/tests/bundles.rs
+++ b/crates/admin/tests/bundles.rs
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn nodes_that_lack_the_bundle_are_counted() {
+async fn a_submission_reports_live_and_installed_node_counts() {
     let api = Api::start(settings()).await;
     api.publish_member(0);
     let answer = api.submit(&bundle(1, 10)).await;
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_resend_gets_the_first_answer_and_a_rival_is_refused() {
+async fn a_resent_bundle_gets_the_first_response_and_a_rival_is_refused() {
     let api = Api::start(settings()).await;
     api.publish_member(9);
     let (accepted_bundle, conflicting_bundle) = (bundle(1, 10), bundle(1, 11));
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_claims_nothing_and_the_resend_is_accepted() {
+async fn a_lost_commit_reply_returns_try_again_and_a_resend_succeeds() {
     let api = Api::start(settings()).await;
     api.publish_member(9);
     api.state.drop_replies(META_GROUP, 1);
--- a/crates/bench/src/slopes/fit/tests.rs
+++ b/crates/bench/src/slopes/fit/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn too_few_or_dependent_observations_determine_nothing() {
+fn too_few_or_dependent_observations_yield_no_fit() {
     assert_eq!(fit(&[]), None);
     assert_eq!(fit(&[observation(&[1.0], 1.0)]), None);
     let dependent: Vec<_> =
--- a/crates/bench/tests/end_to_end.rs
+++ b/crates/bench/tests/end_to_end.rs
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn random_faults_break_no_promise() {
+async fn random_faults_preserve_the_invariants() {
     println!("seed {SEED}");
     let time = Duration::from_secs(20);
     let chaos = Chaos { topology: small_topology(), time, seed: SEED, programs: 6, data: None };
@@ -65,7 +65,7 @@
 
 /// The route lets gateways retry calls that the callers consider non-repeatable.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_retry_of_a_call_that_may_not_be_repeated_is_noticed() {
+async fn the_oracle_detects_a_retried_non_repeatable_call() {
     let mut topology = small_topology();
     let tool = &mut topology.applications[1].tools[0];
     tool.may_repeat = true;
@@ -98,7 +98,7 @@
 /// engine shows uncommitted events, which the oracle must report; without the feature it must
 /// report nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn events_shown_before_their_commit_are_noticed() {
+async fn the_oracle_detects_events_an_engine_releases_before_commit() {
     let fleet = Fleet::start(small_topology()).await.unwrap();
     let recorder = Recorder::default();
     let client = Client::new(&fleet, recorder.clone());
--- a/crates/bench/tests/oracle/main.rs
+++ b/crates/bench/tests/oracle/main.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn sound_records_break_nothing_and_every_check_looked_at_something() {
+fn valid_evidence_has_no_violations_and_exercises_every_check() {
     let verdict = judge(&valid_evidence());
     assert_eq!(verdict.violations, []);
     for what in ["calls that may not be repeated", "answers to calls", "texts of turns", "budgets"]
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn a_second_run_is_noticed() {
+fn the_oracle_detects_a_second_run_of_a_call() {
     assert_violates(Promise::AtMostOnce, |e| {
         e.application_ledgers.push(call_ran(9_000, "app-1", "v1", CALL));
     });
 }
 
 #[test]
-fn a_false_not_run_is_noticed_also_when_it_runs_later() {
+fn the_oracle_detects_a_false_not_run_report() {
     assert_violates(Promise::TrueRefusals, |e| {
         e.calls[0].claims = vec![CallClaim::NotRun("not_run".to_owned())];
         e.application_ledgers[0].at = UnixMillis(90_000);
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn a_false_budget_spent_is_noticed() {
+fn the_oracle_detects_a_false_budget_refusal() {
     assert_violates(Promise::TrueRefusals, |e| {
         e.model_ledgers.extend(generation("model-0", "t2", "", 0, "aborted"));
     });
 }
 
 #[test]
-fn foreign_crossed_and_cut_answers_of_calls_are_noticed() {
+fn the_oracle_detects_foreign_and_truncated_call_responses() {
     let corruptions: [fn(&mut Value); 4] = [
         |body| body["call"] = "p/c2".into(),
         |body| body["arguments"] = json!({}),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_second_answer_that_differs_is_noticed() {
+fn the_oracle_detects_differing_responses_to_a_call() {
     assert_violates(Promise::OwnWholeAnswers, |e| {
         let mut body = answer_body();
         body["times"] = 2.into();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_text_cut_short_but_shown_as_finished_is_noticed() {
+fn the_oracle_detects_truncated_text_reported_as_finished() {
     assert_violates(Promise::OwnWholeAnswers, |e| {
         e.model_ledgers.truncate(0);
         e.model_ledgers.extend(generation("model-0", "t1", "vent now wait ", 3, "stop"));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn another_requests_text_is_noticed() {
+fn the_oracle_detects_text_of_another_request() {
     assert_violates(Promise::OwnWholeAnswers, |e| {
         e.model_ledgers.truncate(0);
         e.model_ledgers.extend(generation("model-0", "t1", "vent now ", 2, "crossed"));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn lost_repeated_and_spliced_events_are_noticed() {
+fn the_oracle_detects_lost_repeated_and_spliced_events() {
     assert_violates(Promise::ExactStreams, |e| {
         e.turns[0].events.remove(1);
         // The text is shortened too. The ledger is adapted to it, so that the check of texts does
@@ -152,12 +152,12 @@
 }
 
 #[test]
-fn a_stream_that_ends_without_its_end_is_noticed() {
+fn the_oracle_detects_a_stream_without_a_terminal_event() {
     assert_violates(Promise::ExactStreams, |e| e.turns[0].ended_without_terminal = true);
 }
 
 #[test]
-fn an_event_shown_before_its_commit_is_noticed() {
+fn the_oracle_detects_an_event_released_before_commit() {
     assert_violates(Promise::ExactStreams, |e| {
         // The previous owner showed a second token that was never committed; the new owner stored
         // the end of the turn at its id.
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn clients_that_see_different_events_are_noticed() {
+fn the_oracle_detects_clients_with_differing_events() {
     assert_violates(Promise::ExactStreams, |e| {
         let session = e.sessions.get_mut(SESSION).unwrap();
         session.history = None;
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn two_owners_are_noticed() {
+fn the_oracle_detects_two_session_owners() {
     assert_violates(Promise::SingleOwner, |e| {
         let session = e.sessions.get_mut(SESSION).unwrap();
         let owner = "engine-1".to_owned();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn tokens_over_the_budget_and_unbooked_ones_are_noticed() {
+fn the_oracle_detects_exceeded_budgets_and_wrong_charges() {
     assert_violates(Promise::TokenBudget, |e| {
         e.programs.get_mut("p").unwrap().budget = 0;
         e.programs.get_mut("p").unwrap().max_turn_tokens = 1;
@@ -205,14 +205,14 @@
 }
 
 #[test]
-fn a_false_no_such_turn_is_noticed() {
+fn the_oracle_detects_a_false_unknown_turn_report() {
     assert_violates(Promise::KnownTurns, |e| {
         e.turns[1].claim = TurnClaim::Refused("no_such_turn".to_owned());
     });
 }
 
 #[test]
-fn work_at_a_draining_engine_is_noticed() {
+fn the_oracle_detects_work_at_a_draining_engine() {
     let drain = |engine: &str, started_at| DrainRecord {
         engine: engine.into(),
         started_at,
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_bundle_that_is_late_somewhere_is_noticed_unless_a_fault_hit_the_node() {
+fn the_oracle_detects_a_late_bundle_on_an_undisturbed_node() {
     let late = |e: &mut Evidence| e.installed_versions.push(installed_version(2_400, 1));
     assert_violates(Promise::BundleInForce, |e| {
         e.installed_versions.clear();
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_node_that_goes_back_is_noticed() {
+fn the_oracle_detects_a_node_reverting_its_bundle() {
     assert_violates(Promise::BundleInForce, |e| {
         e.installed_versions.insert(1, installed_version(130, 2));
         e.installed_versions.insert(2, installed_version(140, 1));
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn two_accepted_racers_and_a_refused_resend_are_noticed() {
+fn the_oracle_detects_two_accepted_rivals_and_a_refused_resend() {
     assert_violates(Promise::BundleRaces, |e| {
         e.submissions[1].outcome = SubmissionOutcome::Acknowledged;
     });
@@ -267,12 +267,12 @@
 }
 
 #[test]
-fn an_old_bundle_read_back_is_noticed() {
+fn the_oracle_detects_an_outdated_bundle_read() {
     assert_violates(Promise::DurableBundles, |e| e.bundle_reads[0].version = 1);
 }
 
 #[test]
-fn late_traffic_to_a_harmful_version_is_noticed() {
+fn the_oracle_detects_late_traffic_to_a_failing_version() {
     assert_violates(Promise::HarmfulVersions, |e| {
         e.harmful_releases.push(HarmfulRelease { version: "bad".to_owned(), samples: 2 });
         for (at, call) in [(1_000, "p/x"), (2_000, "p/y"), (7_001, "p/z")] {
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn late_and_missing_recoveries_are_noticed() {
+fn the_oracle_detects_late_and_missing_recoveries() {
     assert_violates(Promise::Recovery, |e| e.recoveries[0].served_at = Some(12_001));
     assert_violates(Promise::Recovery, |e| e.recoveries[0].served_at = None);
 }
--- a/crates/bundle/tests/canonical.rs
+++ b/crates/bundle/tests/canonical.rs
@@ -108,7 +108,7 @@
     }
 
     #[test]
-    fn a_held_bundle_and_what_changed_give_the_next(held in any_bundle(), next in any_bundle()) {
+    fn applying_changed_sections_to_a_bundle_yields_the_next(held in any_bundle(), next in any_bundle()) {
         let (before, after) = (sections(&held), sections(&next));
         let changed = after.iter().filter(|(name, bytes)| before.get(*name) != Some(*bytes));
         let changed = changed.map(|(name, bytes)| (name.as_str(), Some(bytes.as_slice())));
@@ -120,7 +120,7 @@
     }
 
     #[test]
-    fn a_text_in_json_is_the_bundle_again(bundle in any_bundle()) {
+    fn a_bundle_round_trips_through_json_text(bundle in any_bundle()) {
         let text = serde_json::to_string_pretty(&bundle).expect("plain data");
         prop_assert_eq!(parse(&text, TextFormat::guess(&text)).expect("parses"), bundle);
     }
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_section_in_another_byte_form_is_refused() {
+fn a_non_canonical_section_is_refused() {
     let mut parts = sections(&valid());
     parts.insert("windows".to_owned(), b"{ }".to_vec());
     let refused = from_sections(header(&valid()), &parts);
@@ -184,7 +184,7 @@
 
 /// Guards against a change of one route that makes every node and store transfer the complete text.
 #[test]
-fn a_line_put_into_the_operators_text_changes_few_bytes() {
+fn inserting_a_line_into_the_document_changes_few_section_bytes() {
     let with_text = |document| {
         let http = HttpRouting { document, ..HttpRouting::default() };
         Bundle { http: Some(http), ..valid() }
@@ -199,7 +199,7 @@
 
 /// Guards against a text that is assembled from pieces of another text.
 #[test]
-fn a_text_with_a_missing_or_false_piece_is_refused() {
+fn a_document_with_a_missing_or_wrong_section_is_refused() {
     let (document, _) = long_texts();
     let http = HttpRouting { document, ..HttpRouting::default() };
     let bundle = Bundle { http: Some(http), ..valid() };
--- a/crates/bundle/tests/validation.rs
+++ b/crates/bundle/tests/validation.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn all_faults_come_at_once() {
+fn validation_reports_all_faults_together() {
     let mut bundle = valid();
     bundle.base = bundle.version;
     for service in bundle.services.values_mut() {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn texts_that_are_no_bundle_name_the_path() {
+fn bundle_parse_errors_report_the_path() {
     let rows = [
         ("slots = 64", "slots = \"many\"", "services.notices.slots"),
         ("service = \"notices\"", "service = \"no tices\"", "routes.send-alarm.service"),
--- a/crates/control/src/core/inbox/tests.rs
+++ b/crates/control/src/core/inbox/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_core_that_leads_later_acts_on_late_evidence_only() {
+fn the_inbox_discards_outdated_heartbeats_and_reports() {
     let (inbox, start) = (Inbox::default(), Instant::now());
     inbox.push_heartbeat(heartbeat(1, vec![statistics(30)]), start);
     inbox.push_harm(harm(), start);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_came_in_lately_is_taken_once() {
+fn recent_inbox_entries_are_taken_once() {
     let (inbox, start) = (Inbox::default(), Instant::now());
     inbox.push_heartbeat(heartbeat(1, vec![statistics(1)]), start);
     inbox.push_heartbeat(heartbeat(1, vec![statistics(2)]), start);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn of_too_many_statistics_the_newest_stay() {
+fn the_inbox_retains_the_newest_statistics() {
     let (inbox, start) = (Inbox::default(), Instant::now());
     let many = (0..=MAX_STATISTICS as u64).map(statistics).collect();
     inbox.push_heartbeat(heartbeat(1, many), start);
--- a/crates/control/tests/backends.rs
+++ b/crates/control/tests/backends.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_follower_hears_of_a_new_bundle_without_waiting_for_the_next_reading() {
+async fn a_backends_subscriber_learns_of_a_new_bundle_immediately() {
     let cluster = Cluster::new(21).await;
     let follower = cluster.start(NodeRole::Core, &[]).await;
     let context = follower.context.clone();
--- a/crates/control/tests/bundles.rs
+++ b/crates/control/tests/bundles.rs
@@ -69,7 +69,7 @@
 /// Guards against bundles that are installed late because nodes wait for one unresponsive source
 /// after the other.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_silent_source_of_sections_does_not_hold_a_bundle_up() {
+async fn an_unresponsive_section_source_does_not_delay_a_bundle() {
     let cluster = Cluster::new(41).await;
     let node = cluster.start(NodeRole::Gateway, &[]).await;
     eventually("a quorum has replied", || node.context.node.reach.borrow().newest_bundle).await;
@@ -124,7 +124,7 @@
 /// Guards against links saturated by sending the full configuration to each node for each change of
 /// one route.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_fetches_what_a_change_touched() {
+async fn a_node_fetches_only_changed_sections() {
     let cluster = Cluster::new(42).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     let node = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
@@ -147,7 +147,7 @@
 /// Guards against restarted nodes that install an older bundle than their previous run had, because
 /// a lagging core reported it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_that_starts_installs_nothing_before_a_quorum_has_told_it_the_newest() {
+async fn a_starting_node_installs_no_bundle_before_a_quorum_confirms_the_newest() {
     let cluster = Cluster::new(43).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     cluster.submit_accepted(&bundle(1, "old")).await;
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -49,7 +49,7 @@
 /// Guards against a node that stops querying a core that knew no store at first: all start at the
 /// same time, and without a leader there is no view from which the node could learn of the stores.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_that_met_a_core_before_the_stores_did_goes_on_asking() {
+async fn a_node_keeps_discovering_stores_after_finding_a_core() {
     let cluster = Cluster::new(19).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     core.state.set_unreachable(true);
@@ -68,7 +68,7 @@
 /// Guards against a node that learns of the leader only from the stores, sends it heartbeats
 /// forever and never follows a view.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_that_only_the_stores_told_of_the_leader_finds_the_others() {
+async fn a_node_that_learns_the_leader_from_the_stores_sees_the_members() {
     let cluster = Cluster::new(20).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     let node = cluster.start(NodeRole::Gateway, &[]).await;
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_at_a_reused_address_replaces_the_one_before() {
+async fn a_node_at_a_reused_address_replaces_its_predecessor_in_the_view() {
     let cluster = Cluster::new(12).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     let observer = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn another_core_leads_when_the_leader_is_killed_and_the_view_never_goes_back() {
+async fn a_core_failover_keeps_view_revisions_monotonic() {
     let cluster = Cluster::new(13).await;
     let mut cores = vec![cluster.start(NodeRole::Core, &[]).await];
     let seed = cores[0].rpc();
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_core_that_was_cut_off_and_comes_back_changes_nothing() {
+async fn a_former_core_leader_becomes_a_follower_after_a_partition() {
     let cluster = Cluster::new(14).await;
     let first = cluster.start(NodeRole::Core, &[]).await;
     let second = cluster.start(NodeRole::Core, &[first.rpc()]).await;
@@ -163,7 +163,7 @@
 /// Guards against a restarted core that forwards heartbeats to itself: the meta group still names
 /// its previous run as the leader, at the address that the new run has.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_core_in_its_former_leaders_place_does_not_pass_heartbeats_on_to_itself() {
+async fn a_core_at_the_former_leaders_address_does_not_forward_heartbeats_to_itself() {
     let cluster = Cluster::new(20).await;
     let leader = cluster.start(NodeRole::Core, &[]).await;
     eventually("it leads", || leader.view().meta.leader.is_some()).await;
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_bundle_spreads_to_thirty_nodes_and_none_slips_back() {
+async fn bundles_reach_thirty_nodes_without_going_back() {
     let cluster = Cluster::new(15).await;
     let mut nodes = vec![cluster.start(NodeRole::Core, &[]).await];
     let seed = nodes[0].rpc();
@@ -248,7 +248,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_is_not_ready_before_it_has_the_newest_bundle_or_reaches_anyone() {
+async fn a_node_is_ready_only_with_the_newest_bundle_and_a_reachable_peer() {
     let cluster = Cluster::new(17).await;
     cluster.submit_accepted(&bundle(1, "growers")).await;
     let alone = cluster.start(NodeRole::Gateway, &[]).await;
@@ -268,7 +268,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn of_two_racing_bundles_one_is_accepted_and_a_resend_gets_the_first_answer() {
+async fn one_of_two_racing_bundles_is_accepted_and_a_resend_gets_the_same_record() {
     let cluster = Cluster::new(18).await;
     let core = cluster.start(NodeRole::Core, &[]).await;
     let gateway = cluster.start(NodeRole::Gateway, &[core.rpc()]).await;
--- a/crates/control/tests/engines.rs
+++ b/crates/control/tests/engines.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_address_that_never_answers_is_no_engine() {
+fn an_address_that_never_responds_is_not_listed_as_an_engine() {
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
     record_probe(&mut table, 1, ProbeResult::NoAnswer, Instant::now());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_refused_connection_counts_at_once_and_a_lost_probe_only_when_repeated() {
+fn one_refused_connection_or_two_lost_probes_make_an_engine_unhealthy() {
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_engine_that_moved_is_where_its_newer_run_is() {
+fn a_moved_engine_is_located_by_its_newest_incarnation() {
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_list_lags_so_a_known_engine_stays_until_it_is_silent_for_long() {
+fn an_unlisted_engine_is_retained_until_it_is_unresponsive_for_a_minute() {
     let start = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1]));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_leader_probes_itself_what_no_core_told_of_lately() {
+fn addresses_without_a_recent_probe_are_overdue() {
     let start = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn draining_and_model_servers_are_told_apart() {
+fn draining_engines_and_model_servers_are_distinguished() {
     let now = Instant::now();
     let mut table = EngineTable::default();
     table.set_list(listed(&[1, 2]));
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn engines_and_their_drains_reach_every_view_also_when_a_core_is_killed() {
+async fn engines_and_drains_reach_every_view_despite_a_killed_core() {
     let mut engines = Vec::new();
     for number in 0..8 {
         engines.push(start_engine(number).await);
--- a/crates/control/tests/judge.rs
+++ b/crates/control/tests/judge.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn failing_from_the_first_second_is_found_within_five() {
+fn immediate_failures_are_detected_within_five_seconds() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         let bad = Behaviour { error_share: 0.9, ..healthy(20) };
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn failing_on_one_route_only_is_found_and_the_route_is_named() {
+fn failures_on_one_route_are_detected_with_the_route_name() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         let bad = Behaviour { error_share: 0.5, ..healthy(10) };
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn slow_under_load_only_is_found_when_the_load_comes() {
+fn slowness_under_load_is_detected_when_load_rises() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         assert_eq!(
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn failing_after_minutes_is_found_while_the_old_version_has_traffic() {
+fn late_failures_are_detected_while_the_old_version_has_traffic() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         assert_eq!(simulation.run(240, healthy(50), healthy(50)), None, "seed {seed}");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn failing_after_minutes_is_found_when_the_old_version_has_no_traffic_any_more() {
+fn late_failures_are_detected_without_old_version_traffic() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         assert_eq!(simulation.run(30, healthy(50), healthy(50)), None, "seed {seed}");
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn no_alarm_before_there_are_samples_enough() {
+fn too_few_samples_raise_no_alarm() {
     let mut simulation = Simulation::new(1);
     let bad = Behaviour { error_share: 1.0, ..healthy(1) };
     assert_eq!(simulation.run(19, healthy(100), bad), None, "19 samples of 20");
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn latency_is_held_under_a_load_that_the_old_version_never_saw() {
+fn latency_under_a_load_unseen_by_the_old_version_raises_no_alarm() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         assert_eq!(simulation.run(60, healthy(50), healthy(50)), None, "seed {seed}");
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn errors_are_held_while_other_services_fail_too_and_the_old_version_has_no_traffic() {
+fn errors_raise_no_alarm_while_other_services_fail_too() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         assert_eq!(simulation.run(60, healthy(50), healthy(50)), None, "seed {seed}");
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn failures_while_an_engine_is_lost_are_no_harm_by_the_version() {
+fn failures_during_an_engine_loss_are_not_attributed_to_the_version() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         assert_eq!(simulation.run(30, healthy(50), healthy(50)), None, "seed {seed}");
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_version_released_again_is_not_judged_by_the_figures_that_condemned_it() {
+fn a_rereleased_version_is_not_judged_by_earlier_measurements() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         let bad = Behaviour { error_share: 0.9, ..healthy(20) };
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_version_listed_before_that_never_ran_does_not_hide_harm() {
+fn an_unused_earlier_version_does_not_hide_a_regression() {
     for seed in SEEDS {
         let mut simulation = Simulation::new(seed);
         let name = ServiceName::new(SERVICE).expect("valid");
--- a/crates/control/tests/members.rs
+++ b/crates/control/tests/members.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn silence_makes_a_node_suspect_then_dead_then_gone() {
+fn an_unresponsive_node_becomes_suspect_then_dead_then_removed() {
     let start = Instant::now();
     let mut table = MemberTable::default();
     table.record_heartbeat(&heartbeat(1, 1, 1), start);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_restart_is_a_new_run_and_words_of_the_old_run_change_nothing() {
+fn heartbeats_of_an_older_incarnation_are_ignored() {
     let now = Instant::now();
     let mut table = MemberTable::default();
     table.record_heartbeat(&heartbeat(1, 5, 1), now);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_pause_of_the_leader_itself_kills_nobody() {
+fn a_pause_of_the_leader_marks_no_node_dead() {
     let start = Instant::now();
     let mut table = MemberTable::default();
     table.record_heartbeat(&heartbeat(1, 1, 1), start);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_record_is_told_once_a_node_and_version_and_again_after_a_while() {
+fn a_bundle_record_is_due_once_per_node_and_version_until_repeated() {
     let now = Instant::now();
     let mut sent = SentRecords::default();
     let (old, new, newer) = (BundleVersion(1), BundleVersion(2), BundleVersion(3));
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_good_version_is_completed_before_its_time_is_over() {
+fn the_rollout_of_a_good_version_completes() {
     let phases = run(|_| GOOD);
     assert_eq!(phases.last().map(|(_, phase)| *phase), Some(RolloutPhase::Completed));
     let shifted = phases.iter().filter(|(_, phase)| *phase == RolloutPhase::Shifted).count();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn less_than_a_tenth_of_all_requests_goes_to_the_target_before_it_gets_all() {
+fn under_a_tenth_of_requests_reaches_the_target_before_the_shift() {
     let phases = run(|_| GOOD);
     let before = phases.iter().take_while(|(_, phase)| *phase != RolloutPhase::Shifted);
     let exposed: f64 = before.map(|(_, phase)| share(*phase) / 50.0).sum();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn harm_at_any_time_turns_it_back_for_good() {
+fn a_regression_at_any_time_rolls_the_rollout_back() {
     for start in 0..45 {
         let start = f64::from(start) / 50.0;
         let phases = run(|elapsed| Evidence { samples: 100, is_harmful: elapsed == start });
@@ -87,13 +87,13 @@
 }
 
 #[test]
-fn a_version_that_nobody_has_met_stays_on_trial() {
+fn a_version_without_samples_gets_at_most_five_percent() {
     let phases = run(|_| Evidence::default());
     assert!(phases.iter().all(|(_, phase)| share(*phase) <= 0.05));
 }
 
 #[test]
-fn errors_on_one_route_are_harm() {
+fn errors_on_one_route_are_a_regression() {
     let statistics = [
         version_statistics("v1", "ask", 200, 1, 7),
         version_statistics("v2", "ask", 12, 0, 7),
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn answers_that_come_several_times_slower_are_harm() {
+fn much_higher_latency_is_a_regression() {
     let statistics =
         [version_statistics("v1", "ask", 200, 0, 7), version_statistics("v2", "ask", 12, 0, 10)];
     assert!(evidence(&service(), &record(), &statistics).is_harmful);
 }
 
 #[test]
-fn the_same_errors_and_times_as_before_are_no_harm() {
+fn unchanged_errors_and_latency_are_no_regression() {
     let statistics = [
         version_statistics("v1", "ask", 200, 20, 7),
         version_statistics("v2", "ask", 18, 2, 7),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn another_services_figures_say_nothing() {
+fn failures_of_another_service_are_ignored() {
     let mut other = version_statistics("v2", "ask", 0, 50, 7);
     other.service = ServiceName::new("other").unwrap();
     assert!(
--- a/crates/control/tests/readiness.rs
+++ b/crates/control/tests/readiness.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_version_that_never_becomes_ready_is_rolled_back_after_the_bound() {
+fn a_version_never_ready_is_reported_after_the_bound() {
     let simulation = Simulation::new();
     for (new, listed) in [(UNREADY, 2), (None, 0)] {
         let mut watch = ReadinessMonitor::new(BOUND);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_version_that_is_ready_now_and_then_is_left_alone() {
+fn a_version_intermittently_ready_within_the_bound_is_not_reported() {
     let simulation = Simulation::new();
     let mut watch = ReadinessMonitor::new(BOUND);
     let (waiting, ready) = (engine_counts(READY, UNREADY), engine_counts(READY, READY));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn without_a_ready_engine_of_an_older_version_nothing_is_rolled_back() {
+fn an_unready_version_is_not_reported_without_a_ready_older_engine() {
     let simulation = Simulation::new();
     for old in [None, UNREADY] {
         let mut watch = ReadinessMonitor::new(BOUND);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_version_released_again_gets_the_whole_bound_again() {
+fn a_rereleased_version_gets_the_full_readiness_bound() {
     let mut simulation = Simulation::new();
     let mut watch = ReadinessMonitor::new(BOUND);
     let waiting = engine_counts(READY, UNREADY);
--- a/crates/control/tests/repair_watch.rs
+++ b/crates/control/tests/repair_watch.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_lost_voter_and_the_time_until_its_place_is_filled_are_told_once() {
+fn a_lost_voter_and_its_repair_time_are_reported_once() {
     let (mut monitor, start, all) = (GroupMonitor::default(), Instant::now(), nodes(&[1, 2, 3]));
     assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 9), &all, start), []);
     let lost = nodes(&[1, 2]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_group_that_commits_nothing_is_told_with_its_members_and_again_when_it_moves() {
+fn a_stalled_group_is_reported_with_its_progress_and_again_on_recovery() {
     let (mut monitor, start, all) = (GroupMonitor::default(), Instant::now(), nodes(&[1, 2, 3]));
     assert_eq!(monitor.update(&meta(), &leader(&[1, 2, 3], 9, 12), &all, start), []);
     let events = monitor.update(&meta(), &leader(&[1, 2, 3], 9, 15), &all, start + STALL_TIME);
--- a/crates/control/tests/slot_uses.rs
+++ b/crates/control/tests/slot_uses.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn uses_add_up_by_service_and_group_and_loans_are_counted_engine_by_engine() {
+fn slot_uses_are_summed_by_service_and_group() {
     let now = Instant::now();
     let mut usage = SlotUsageTable::default();
     usage.record_heartbeat(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_engine_that_is_silent_for_long_no_longer_counts() {
+fn slot_uses_of_an_unresponsive_engine_are_dropped() {
     let now = Instant::now();
     let mut usage = SlotUsageTable::default();
     usage.record_heartbeat(&heartbeat(1, "advisor", vec![slot_use(None, 0, 1)]), now);
--- a/crates/control/tests/store_liveness.rs
+++ b/crates/control/tests/store_liveness.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_store_is_lost_after_its_time_of_silence_and_not_before() {
+fn a_store_is_lost_only_after_the_unresponsive_timeout() {
     let start = Instant::now();
     let mut liveness = StoreLiveness::new(start);
     liveness.record(&[report(false)], start);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_store_that_only_this_core_cannot_reach_lives() {
+fn a_store_reachable_from_another_store_is_alive() {
     let start = Instant::now();
     let mut liveness = StoreLiveness::new(start);
     let later = start + 10 * LOST_AFTER;
--- a/crates/control/tests/views.rs
+++ b/crates/control/tests/views.rs
@@ -59,7 +59,7 @@
 
 proptest! {
     #[test]
-    fn the_changes_between_two_views_lead_from_one_to_the_other(
+    fn applying_the_changes_between_two_views_yields_the_second(
         before in any_view(),
         after in any_view(),
     ) {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_bundle_in_force_at_many_nodes_is_one_change() {
+fn a_bundle_installed_on_many_nodes_is_one_view_change() {
     let members = (1..=1_000).map(|node| {
         let address = address(node, 1, NodeRole::Gateway);
         let bundle = BundleVersion(1);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_node_that_asks_is_told_of_all_stores_and_cores_and_of_few_others() {
+fn discovery_returns_all_stores_and_cores_and_few_other_nodes() {
     let own = address(1, 1, NodeRole::Store);
     let mut peers = Peers::new(own.clone());
     let role = |node| match node {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn who_started_later_holds_an_address_whatever_the_order_of_the_news() {
+fn the_newest_incarnation_holds_an_address_in_any_order_of_updates() {
     let mut peers = Peers::new(address(1, 1, NodeRole::Core));
     let early = address(2, 5, NodeRole::Gateway);
     let mut late = address(3, 6, NodeRole::Gateway);
--- a/crates/emulator/tests/application.rs
+++ b/crates/emulator/tests/application.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 #[tokio::test]
-async fn it_tells_who_it_is_and_how_it_is() {
+async fn the_emulated_application_reports_its_identity_and_status() {
     let engine = application().await;
     let identity = get(engine.address(), "/identity").await;
     assert_eq!(identity["service"], "alarms");
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_echoes_its_request_and_every_request_runs() {
+async fn a_response_echoes_its_request_id_and_every_request_runs() {
     let engine = application().await;
     for (request, times) in [("r1", 1), ("r2", 2)] {
         let (status, headers, body) = call(&engine, request, "alarm", "p/c").await.complete();
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn refusals_are_explicit_and_run_nothing() {
+async fn refused_calls_are_marked_and_not_run() {
     let engine = application().await;
     let foreign = [("x-hooklug-request", "r1"), ("x-hooklug-expect", "alarms/app-9/1")];
     let response = send(engine.address(), Method::POST, "/calls/alarm", &foreign, &json!({})).await;
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_ran() {
+async fn a_call_with_a_lost_response_has_run() {
     let engine = application().await;
     engine.set_faults(faults(FaultKind::LoseAnswer));
     assert!(matches!(call(&engine, "r1", "alarm", "p/c").await, ClientResponse::NoResponse));
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn cut_crossed_and_garbled_answers_are_recognisable() {
+async fn truncated_crossed_and_garbled_responses_are_recognisable() {
     let engine = application().await;
     engine.set_faults(faults(FaultKind::CutShort));
     assert!(matches!(call(&engine, "r1", "alarm", "p/c1").await, ClientResponse::Truncated));
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_rule_hits_its_share_of_its_route_and_no_more_often_than_asked() {
+async fn a_fault_rule_applies_to_its_share_and_route_up_to_its_limit() {
     let engine = application().await;
     let rule = FaultRule {
         share: 0.5,
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn a_restart_is_a_new_run_and_may_be_another_service() {
+async fn a_restarted_engine_has_a_new_incarnation_and_may_change_service() {
     let engine = application().await;
     call(&engine, "r1", "alarm", "p/c").await.complete();
     let before = engine.identity();
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_is_counted_and_its_text_follows_from_the_context() {
+async fn stream_lines_are_numbered_and_their_text_is_determined_by_the_context() {
     let model = model().await;
     let (status, headers, body) = generate(&model, "r1", "p/s", "vent?").await.complete();
     assert_eq!((status, &headers["x-hooklug-request"]), (StatusCode::OK, &"r1".parse().unwrap()));
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn an_input_can_ask_for_a_length_and_a_tool() {
+async fn an_input_can_request_a_length_and_a_tool_call() {
     let model = model().await;
     let input = "[tokens 4] [tool read_sensor]";
     let lines = lines(&generate(&model, "r1", "p/s", input).await.complete().2);
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_goes_away_aborts_its_generation() {
+async fn a_disconnected_reader_aborts_its_generation() {
     let model = model().await;
     model.set_faults(faults(FaultKind::Stall));
     let waiting = tokio::spawn({
--- a/crates/engine/tests/admission.rs
+++ b/crates/engine/tests/admission.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn slots_are_given_out_and_the_earliest_deadline_comes_next() {
+fn free_slots_are_granted_by_earliest_deadline() {
     let mut admission = admission(2, 10, Vec::new());
     assert_eq!(granted(&admission.request(Ticket(1), request("a", 90_000), at(0))), [1]);
     assert_eq!(granted(&admission.request(Ticket(2), request("b", 90_000), at(0))), [2]);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_and_pushes_out_the_tenant_that_crowds_it() {
+fn a_full_queue_sheds_a_turn_of_the_tenant_with_the_most_waiting() {
     let mut admission = admission(1, 2, Vec::new());
     admission.request(Ticket(1), request("a", 90_000), at(0));
     admission.request(Ticket(2), request("crowd", 80_000), at(0));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_can_no_longer_end_in_time_is_refused_as_soon_as_that_is_known() {
+fn a_turn_that_cannot_meet_its_deadline_is_refused_early() {
     let mut admission = admission(1, 10, Vec::new());
     // The first turn sets the average duration to ten seconds.
     admission.request(Ticket(1), request("a", 90_000), at(0));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_windows_members_get_their_slots_while_it_is_open() {
+fn members_get_the_reserved_slots_of_an_open_window() {
     let mut admission = admission(4, 10, vec![span("frost", 0, 60_000, 2)]);
     assert_eq!(granted(&admission.request(Ticket(1), request("a", 30_000), at(0))), [1]);
     assert_eq!(granted(&admission.request(Ticket(2), request("a", 30_000), at(0))), [2]);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn idle_slots_of_a_coming_window_are_lent_only_to_turns_that_end_in_time() {
+fn slots_of_an_upcoming_window_are_lent_only_to_turns_ending_before_it() {
     let mut admission = admission(2, 10, vec![span("frost", 60_000, 90_000, 2)]);
     assert_eq!(granted(&admission.request(Ticket(1), request("a", 60_000), at(0))), [1]);
     assert!(admission.request(Ticket(2), request("a", 60_001), at(0)).is_empty());
@@ -198,7 +198,7 @@
     /// However the service's slots are distributed over engines, the engines together reserve at
     /// least the window's slots, and no engine reserves more than it has.
     #[test]
-    fn shares_follow_from_the_bundle_alone(
+    fn window_shares_of_all_engines_cover_the_reservation(
         engines in proptest::collection::vec(1_u32..40, 1..12),
         part in 0.0_f64..1.0,
     ) {
@@ -219,7 +219,7 @@
     /// For any sequence of requests, there are never more running turns than slots, each request is
     /// decided at most once, and the unused reserved slots of an open window are not given to others.
     #[test]
-    fn no_slot_is_given_twice_and_no_reservation_is_eaten(
+    fn slots_and_reservations_are_never_overcommitted(
         steps in proptest::collection::vec((0_u8..10, 0_u64..4, 1_u64..40_000, 0_u64..2_000), 1..200),
     ) {
         let (slots, kept) = (8, 3);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn uses_name_each_group_with_slots_kept_or_turns_running() {
+fn slot_uses_list_groups_with_reserved_slots_or_running_turns() {
     let mut admission =
         admission(8, 8, vec![span("frost", 0, 10_000, 3), span("idle", 0, 5_000, 1)]);
     let turns = [member("a", "frost", 60_000), request("b", 60_000)];
--- a/crates/engine/tests/clients.rs
+++ b/crates/engine/tests/clients.rs
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn a_client_with_a_full_queue_is_cut_and_the_others_are_not_held_up() {
+async fn a_client_with_a_full_queue_is_disconnected_without_delaying_others() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let shared = start_shared(&world, &model).await;
     let mailbox = start_session(&world, &shared).await;
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_does_not_read_resumes_where_it_was() {
+async fn a_stalled_reader_resumes_after_its_last_event() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, EngineOptions::default()).await;
     let location = world.session(&engine, "p1").await;
--- a/crates/engine/tests/draining.rs
+++ b/crates/engine/tests/draining.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn at_the_drain_bound_sessions_are_given_up_between_turns() {
+async fn at_the_drain_bound_sessions_are_handed_over_between_turns() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let options = EngineOptions { drain_bound_ms: 1, ..named("e1", "v1") };
     let engine = world.engine(&model, options).await;
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_superseded_engine_takes_sessions_again_after_a_roll_back() {
+async fn a_superseded_engine_accepts_sessions_after_a_rollback() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
     let location = world.session(&engine, "p1").await;
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_rolled_back_engine_gives_its_sessions_up_between_turns() {
+async fn a_rolled_back_engine_hands_over_its_sessions_between_turns() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let (old, new) = (
         world.engine(&model, named("e1", "v1")).await,
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_hands_sessions_over_and_gives_turns_the_grace_period() {
+async fn a_stopping_engine_hands_over_sessions_and_grants_turns_a_grace_period() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let options = EngineOptions { grace_ms: 2_000, ..named("e1", "v1") };
     let engine = world.engine(&model, options).await;
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_without_its_model_server_is_unready_and_gives_idle_sessions_up() {
+async fn an_engine_with_an_unready_model_server_hands_over_idle_sessions() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
     let location = world.session(&engine, "p1").await;
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn a_model_server_of_another_service_is_never_asked() {
+async fn a_model_server_of_another_service_receives_no_request() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1", "v1")).await;
     let location = world.session(&engine, "p1").await;
@@ -193,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_whose_version_is_not_released_yet_stays_and_takes_nothing() {
+async fn an_engine_of_an_unreleased_version_refuses_sessions_until_released() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let state = std::sync::Arc::new(world.state.clone());
     let released = bundle(1, &[("v1", VersionState::Sound)]);
--- a/crates/engine/tests/lease.rs
+++ b/crates/engine/tests/lease.rs
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_is_held_while_renewed_and_cannot_be_expired() {
+async fn a_renewed_lease_is_held_and_cannot_be_expired() {
     let keeper = start_keeper();
     for _ in 0..20 {
         sleep(RENEW_INTERVAL).await;
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_runs_out_by_its_own_clock_before_the_shard_may_expire_it() {
+async fn an_engine_lease_lapses_locally_before_the_shard_can_expire_it() {
     let keeper = start_keeper();
     sleep(RENEW_INTERVAL * 2 + Duration::from_millis(10)).await;
     let LeaseState::HeldUntil(until) = keeper.view.state() else { panic!("not held") };
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn loops_stand_still_until_a_late_renewal_and_then_go_on() {
+async fn a_late_renewal_resumes_waiting_session_loops() {
     let keeper = start_keeper();
     sleep(STEP).await;
     let LeaseState::HeldUntil(until) = keeper.view.state() else { panic!("not held") };
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_waits_for_a_renewal_of_an_engine_that_has_stopped() {
+async fn waiters_do_not_wait_for_a_stopped_lease_keeper() {
     let keeper = start_keeper();
     sleep(STEP).await;
     keeper.ended.abort();
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_counts_from_sending_however_late_the_answer() {
+async fn the_lease_time_counts_from_sending_the_renewal() {
     let keeper = start_keeper();
     sleep(Duration::from_millis(10)).await;
     keeper.link.delay(Duration::from_millis(800));
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_only_ran_out_is_renewed_again() {
+async fn a_lapsed_lease_can_be_renewed() {
     let keeper = start_keeper();
     sleep(RENEW_INTERVAL).await;
     keeper.link.stall(true);
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_has_expired_is_expired_for_ever() {
+async fn an_expired_lease_cannot_be_renewed() {
     let keeper = start_keeper();
     sleep(RENEW_INTERVAL).await;
     keeper.link.stall(true);
--- a/crates/engine/tests/model_response.rs
+++ b/crates/engine/tests/model_response.rs
@@ -33,7 +33,7 @@
 
 proptest! {
     #[test]
-    fn pieces_do_not_matter(count in 0_u64..8, cuts in proptest::collection::vec(0_usize..400, 0..8)) {
+    fn responses_parse_independently_of_chunk_boundaries(count in 0_u64..8, cuts in proptest::collection::vec(0_usize..400, 0..8)) {
         let body = lines(count).iter().map(|l| format!("{l}\n")).collect::<String>().into_bytes();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c % (body.len() + 1)).collect();
         cuts.extend([0, body.len()]);
@@ -47,7 +47,7 @@
     /// With a line lost, repeated, swapped or truncated, the validator returns a prefix of the valid
     /// events and never an end.
     #[test]
-    fn nothing_but_the_whole_answer_ends(count in 1_u64..8, place in 0_usize..8, kind in 0..4) {
+    fn an_altered_response_never_ends_successfully(count in 1_u64..8, place in 0_usize..8, kind in 0..4) {
         let mut all = lines(count);
         let place = place % all.len();
         match kind {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn faults_are_told_apart() {
+fn invalid_responses_are_distinguished() {
     let crossed = lines(1)[0].replace("r-1", "r-2") + "\n";
     let found = "r-2".to_owned();
     assert_eq!(check(&[crossed.as_bytes()]).1, Err(InvalidResponse::WrongRequest { found }));
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_engines_session_is_taken_and_its_turn_sealed() {
+async fn a_killed_engines_session_is_taken_over_and_its_turn_ended() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let (first, second) =
         (world.engine(&model, named("e1")).await, world.engine(&model, named("e2")).await);
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_engine_that_wakes_releases_nothing() {
+async fn an_engine_resumed_after_takeover_releases_no_events() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let link = StalledState::new(world.state.clone());
     let bundle = bundle(1, &[("v1", VersionState::Sound)]);
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_turn_goes_on_when_its_engines_lease_ran_out_and_is_renewed_late() {
+async fn a_turn_continues_after_a_late_lease_renewal() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let link = StalledState::new(world.state.clone());
     let bundle = bundle(1, &[("v1", VersionState::Sound)]);
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn lost_answers_neither_lose_nor_repeat_an_event() {
+async fn lost_commit_replies_neither_lose_nor_duplicate_events() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, named("e1")).await;
     let location = world.session(&engine, "p1").await;
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn two_engines_asked_at_once_agree_on_one_owner() {
+async fn concurrent_opens_at_two_engines_agree_on_one_owner() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let (first, second) =
         (world.engine(&model, named("e1")).await, world.engine(&model, named("e2")).await);
--- a/crates/engine/tests/turns.rs
+++ b/crates/engine/tests/turns.rs
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn only_a_whole_answer_of_the_expected_server_finishes_a_turn() {
+async fn only_a_complete_response_of_the_expected_server_finishes_a_turn() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, EngineOptions::default()).await;
     let location = world.session(&engine, "p1").await;
@@ -190,7 +190,7 @@
 }
 
 #[tokio::test]
-async fn a_wrong_incarnation_or_epoch_is_told_apart() {
+async fn a_wrong_incarnation_is_refused_but_an_older_epoch_is_served() {
     let (world, model) = (World::new(), ModelServer::start().await);
     let engine = world.engine(&model, EngineOptions::default()).await;
     let location = world.session(&engine, "p1").await;
--- a/crates/fleet/tests/suite/at_most_once_calls.rs
+++ b/crates/fleet/tests/suite/at_most_once_calls.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_runs_once_whatever_becomes_of_its_answer() {
+async fn a_call_runs_once_despite_response_faults() {
     let (fleet, caller) = start_calls().await;
     use FaultKind::{Cross, CutShort, Garble, LoseAnswer, Stall};
     let kinds = [LoseAnswer, CutShort, Cross, Garble, Stall];
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_runs_once_though_machines_fail_in_the_middle() {
+async fn a_call_runs_once_despite_failures_during_its_run() {
     let (fleet, caller) = start_calls().await;
     set_fault(&fleet, ProcessKind::App, Some(slow(1_500))).await;
 
@@ -162,7 +162,7 @@
 const KILLED_AFTER_MS: [u64; 7] = [0, 4, 8, 16, 24, 28, 40];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_runs_once_though_its_gateway_dies_at_any_moment() {
+async fn a_call_runs_at_most_once_if_its_gateway_is_killed() {
     let (fleet, caller) = start_calls().await;
     for millis in KILLED_AFTER_MS {
         let call = format!("killed-{millis}");
--- a/crates/fleet/tests/suite/bundle_races.rs
+++ b/crates/fleet/tests/suite/bundle_races.rs
@@ -14,7 +14,7 @@
 use hooklug_types::BundleVersion;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_of_two_racing_bundles_wins_and_its_resend_gets_the_same_answer_at_every_node() {
+async fn one_of_two_racing_bundles_wins_and_resends_agree_on_every_node() {
     let fleet = start(control_topology(3)).await;
     for version in 2..=6 {
         let race = Race::run(&fleet, version).await;
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bundle_whose_answer_was_lost_is_accepted_again_at_another_node() {
+async fn a_bundle_with_a_lost_response_can_be_resent_to_another_node() {
     let fleet = start(control_topology(3)).await;
     let (first_gateway, second_gateway) = (name("gateway:0"), name("gateway:1"));
     let mut version = 1;
--- a/crates/fleet/tests/suite/bundle_spread.rs
+++ b/crates/fleet/tests/suite/bundle_spread.rs
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bundles_spread_while_the_core_leader_dies_and_nodes_restart() {
+async fn bundles_spread_despite_core_leader_failure_and_restarts() {
     let fleet = Arc::new(start(control_topology(3)).await);
     let watch = VersionWatch::start(fleet.clone());
     let mut version = 1;
--- a/crates/fleet/tests/suite/combined_failures.rs
+++ b/crates/fleet/tests/suite/combined_failures.rs
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_is_frozen_while_another_is_killed() {
+async fn load_resumes_after_one_store_is_frozen_and_another_killed() {
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, 6).await;
     let (first, second, third) = (name("store:0"), name("store:1"), name("store:2"));
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_engine_that_takes_a_session_over_dies_too() {
+async fn a_session_survives_the_failure_of_owner_and_successor() {
     let fleet = start(data_topology(3, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, "frost", 100_000).await;
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_core_leader_is_cut_off_and_an_answering_gateway_dies_while_bundles_race() {
+async fn bundle_races_resolve_with_a_partitioned_core_leader_and_a_killed_gateway() {
     let fleet = start(control_topology(3)).await;
     for version in 2..=4 {
         let leader = fleet.core_leader().await.unwrap();
--- a/crates/fleet/tests/suite/core_failures.rs
+++ b/crates/fleet/tests/suite/core_failures.rs
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_cores_are_lost_and_then_the_leader_is_cut_off() {
+async fn turns_finish_despite_loss_of_all_cores_and_a_partitioned_leader() {
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, 6).await;
     let cores = fleet.names(ProcessKind::Core);
--- a/crates/fleet/tests/suite/demo.rs
+++ b/crates/fleet/tests/suite/demo.rs
@@ -14,32 +14,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_ordinary_path() {
+async fn the_demo_succeeds_without_faults() {
     demo(None).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_is_killed() {
+async fn the_demo_succeeds_with_a_killed_store() {
     demo(Some("store:1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_owner_is_killed() {
+async fn the_demo_succeeds_with_a_killed_owner() {
     demo(Some("engine:owner")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_is_killed() {
+async fn the_demo_succeeds_with_a_killed_gateway() {
     demo(Some("gateway:0")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_core_leader_is_killed() {
+async fn the_demo_succeeds_with_a_killed_core_leader() {
     demo(Some("core:leader")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_that_is_not_there_fails_the_demo() {
+async fn the_demo_fails_for_an_unknown_process() {
     let _permit = acquire_fleet_permit().await;
     let kill = Some("store:99".parse().unwrap());
     let result = run(Topology::small(), kill, &|_| {}).await;
--- a/crates/fleet/tests/suite/durable_bundles.rs
+++ b/crates/fleet/tests/suite/durable_bundles.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hundreds_of_changes_are_read_back_after_all_stores_and_then_all_nodes_lost_power() {
+async fn hundreds_of_bundles_survive_power_loss_of_all_stores_and_nodes() {
     const CHANGES: u64 = 200;
     let mut small = control_topology(3);
     (small.cores, small.gateways, small.models[0].engines) = (1, 1, 1);
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_loss_right_after_a_repair_or_replacement_loses_no_acknowledged_bundle() {
+async fn acknowledged_bundles_survive_a_second_loss_after_repair() {
     let fleet = start(control_topology(4)).await;
     let at = name("gateway:0");
     for version in 2..=20 {
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_loses_its_disk_right_after_an_acknowledgement_loses_nothing() {
+async fn acknowledged_bundles_survive_an_immediate_disk_loss() {
     let fleet = start(control_topology(3)).await;
     let at = name("gateway:0");
     let mut version = 1;
--- a/crates/fleet/tests/suite/engine_drain.rs
+++ b/crates/fleet/tests/suite/engine_drain.rs
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_session_engine_gets_no_new_work_and_its_sessions_move() {
+async fn a_stopping_session_engine_gets_no_work_and_its_sessions_move() {
     let fleet = start(data_topology(2, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 1_000_000).await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_superseded_session_engine_gets_no_new_session_and_keeps_its_old_one() {
+async fn a_superseded_session_engine_retains_its_session_and_gets_no_new_one() {
     let fleet = start(data_topology(1, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 1_000_000).await;
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_owner_fails_in_the_middle_of_a_turn() {
+async fn an_owner_failure_during_a_turn_leaves_no_stream_gap() {
     let fleet = start(data_topology(3, 1)).await;
     for frozen in [false, true] {
         let session = open_session(&fleet, &format!("owner-{frozen}")).await;
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_or_a_shards_leader_fails_in_the_middle_of_a_turn() {
+async fn a_gateway_or_shard_leader_failure_leaves_no_stream_gap() {
     let fleet = start(data_topology(2, 1)).await;
     let session_of_gateway = open_session(&fleet, "gateway").await;
     let (transcript, complete) =
--- a/crates/fleet/tests/suite/genuine_answers.rs
+++ b/crates/fleet/tests/suite/genuine_answers.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_damaged_answer_of_an_application_is_never_shown() {
+async fn damaged_application_responses_are_never_returned() {
     let fleet = start(topology()).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 100).await;
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_service_at_a_reused_address_is_asked_nothing() {
+async fn another_service_at_a_reused_address_gets_no_requests() {
     let fleet = start(topology()).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 1_000).await;
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_damaged_stream_of_a_model_server_never_ends_finished() {
+async fn a_turn_with_a_damaged_model_stream_never_ends_finished() {
     let fleet = start(topology()).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 10_000).await;
--- a/crates/fleet/tests/suite/machine_operations.rs
+++ b/crates/fleet/tests/suite/machine_operations.rs
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_left_behind_also_after_a_panic_and_of_frozen_processes() {
+async fn a_panicking_test_leaves_no_processes_or_data() {
     let fleet = start(topology()).await;
     let (ids, data) = (process_ids(&fleet), fleet.data().to_owned());
     assert_eq!(ids.len(), fleet.all_names().len());
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sessions_go_on_while_stores_are_replaced_and_lose_their_disks() {
+async fn sessions_continue_across_store_replacement_and_disk_loss() {
     let fleet = start(topology()).await;
     let (caller, session) = session(&fleet, "p").await;
     run_turn(&caller, &session, "t1", None).await.unwrap();
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_gateway_answers_again_when_woken() {
+async fn a_frozen_gateway_serves_after_resuming() {
     let fleet = start(topology()).await;
     let (caller, session) = session(&fleet, "p").await;
     fleet.freeze(name("gateway:0")).unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_cut_off_is_unready_until_healed() {
+async fn a_partitioned_gateway_is_unready_until_healed() {
     let fleet = start(topology()).await;
     fleet.isolate(name("gateway:0")).await.unwrap();
     let unready = fleet.wait_ready(name("gateway:0"), Duration::ZERO);
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_nodes_restart_in_turn_and_sessions_go_on() {
+async fn sessions_continue_across_a_rolling_restart() {
     use ProcessKind::{Core, Engine, Gateway, Store};
     let fleet = start(topology()).await;
     let (caller, session) = session(&fleet, "p").await;
--- a/crates/fleet/tests/suite/parsing.rs
+++ b/crates/fleet/tests/suite/parsing.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 #[test]
-fn every_topology_file_is_sound_and_makes_a_valid_bundle() {
+fn every_topology_file_parses_and_yields_a_valid_bundle() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../topologies");
     let mut read = Vec::new();
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn names_read_as_they_are_written() {
+fn process_names_round_trip_through_text() {
     for text in ["store:1", "core:0", "engine:12", "gateway:3", "model:2", "app:30", "platform:0"] {
         assert_eq!(text.parse::<ProcessName>().unwrap().to_string(), text);
     }
@@ -56,7 +56,7 @@
                       data: {\"turn\":\"t\",\"tokens\":1}\r\n\r\n";
 
 #[test]
-fn a_stream_parses_alike_however_its_bytes_are_cut() {
+fn an_event_stream_parses_independently_of_chunk_boundaries() {
     let complete = SseParser::default().push(STREAM.as_bytes()).unwrap();
     assert_eq!(complete.len(), 2);
     assert_eq!((complete[0].id, &complete[0].data["text"]), (7, &json!("ä ")));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn lost_repeated_and_spliced_events_are_found() {
+fn a_transcript_check_detects_lost_repeated_and_spliced_events() {
     assert!(complete_turn().check("t").is_ok());
     assert_eq!((complete_turn().text().as_str(), complete_turn().end()), ("a b ", "finished"));
     let corruptions: [fn(&mut Vec<StreamEvent>); 6] = [
--- a/crates/fleet/tests/suite/rolling_restart.rs
+++ b/crates/fleet/tests/suite/rolling_restart.rs
@@ -16,7 +16,7 @@
 use hooklug_types::{BundleVersion, ServiceVersion};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_machines_restart_in_turn_under_load() {
+async fn load_survives_a_rolling_restart() {
     use ProcessKind::{Core, Engine, Gateway, Store};
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, 6).await;
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bundles_are_accepted_while_each_machine_is_killed_and_comes_back() {
+async fn bundles_are_accepted_while_each_process_is_killed_and_restarted() {
     let mut small = control_topology(3);
     (small.cores, small.models[0].engines) = (2, 1);
     let fleet = start(small).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_machines_restart_in_turn_while_a_release_is_rolled_out() {
+async fn a_rollout_completes_during_a_rolling_restart() {
     use ProcessKind::{Core, Engine, Gateway, Store};
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, 6).await;
--- a/crates/fleet/tests/suite/single_owner.rs
+++ b/crates/fleet/tests/suite/single_owner.rs
@@ -69,12 +69,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_frozen_for_twenty_seconds_owns_and_releases_nothing_more() {
+async fn a_frozen_engine_loses_ownership_and_releases_no_events() {
     check_returned_engine_is_fenced(FailureMode::Frozen).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_cut_off_for_twenty_seconds_owns_and_releases_nothing_more() {
+async fn a_partitioned_engine_loses_ownership_and_releases_no_events() {
     check_returned_engine_is_fenced(FailureMode::Isolated).await;
 }
 
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_core_silent_for_twenty_seconds_changes_no_owner() {
+async fn an_unresponsive_core_changes_no_session_owner() {
     let mut topology = data_topology(2, 1);
     topology.cores = 3;
     let fleet = start(topology).await;
--- a/crates/fleet/tests/suite/store_failures.rs
+++ b/crates/fleet/tests/suite/store_failures.rs
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_a_majority_and_all_stores_lose_power_under_load() {
+async fn load_survives_power_loss_of_one_most_and_all_stores() {
     let fleet = start(control_topology(3)).await;
     let load = Load::start(&fleet, SESSIONS).await;
     let stores = fleet.names(ProcessKind::Store);
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_freezes_and_wakes_and_links_fail_one_way() {
+async fn load_survives_a_frozen_store_and_one_way_partitions() {
     /// Time for which the store is frozen (requirement: 20 s).
     const FREEZE_TIME: std::time::Duration = std::time::Duration::from_secs(20);
     let fleet = start(control_topology(3)).await;
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn stores_are_replaced_at_new_and_at_the_same_addresses() {
+async fn turns_finish_across_store_replacement_and_disk_loss() {
     let fleet = start(control_topology(4)).await;
     let load = Load::start(&fleet, SESSIONS).await;
     let before = fleet.http_address(name("store:1")).unwrap();
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_is_retired_and_one_that_stays_is_killed_right_after() {
+async fn load_survives_a_store_retirement_followed_by_a_kill() {
     let fleet = start(control_topology(4)).await;
     let load = Load::start(&fleet, SESSIONS).await;
     let (leaving, killed) = (name("store:3"), name("store:0"));
@@ -141,7 +141,7 @@
 /// that returned with an empty disk requested the state from itself and from cores and was
 /// registered seconds late, so the next lost disk took the majority.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_disk_lost_in_the_middle_of_a_retirement_is_made_up_for_before_the_next() {
+async fn a_disk_loss_during_a_retirement_is_repaired_within_the_catch_up_time() {
     let mut topology = control_topology(4);
     topology.seeds = SeedChoice::Cores;
     let fleet = start_alone(topology).await;
@@ -171,7 +171,7 @@
 /// although its replacement at another address was available: the next disk may be lost once the
 /// replacement has had its time to catch up.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_replaced_at_another_address_is_made_up_for_before_the_next_disk_is_lost() {
+async fn a_store_replaced_at_a_new_address_is_repaired_within_the_catch_up_time() {
     let mut topology = control_topology(4);
     topology.seeds = SeedChoice::Cores;
     let fleet = start_alone(topology).await;
--- a/crates/fleet/tests/suite/token_budget.rs
+++ b/crates/fleet/tests/suite/token_budget.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_budget_is_exact_over_many_engines_their_ends_and_a_restart_of_everything() {
+async fn a_budget_is_exact_across_engines_failures_and_a_full_restart() {
     let fleet = start(data_topology(3, 1)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, BUDGET).await;
--- a/crates/fleet/tests/suite/truthful_refusals.rs
+++ b/crates/fleet/tests/suite/truthful_refusals.rs
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_said_not_to_have_run_never_runs() {
+async fn a_call_reported_not_run_never_runs() {
     let fleet = start(data_topology(1, 2)).await;
     let caller = caller(&fleet);
     put_program(&caller, PROGRAM, 100).await;
--- a/crates/fleet/tests/suite/turn_lookup.rs
+++ b/crates/fleet/tests/suite/turn_lookup.rs
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_finished_turn_is_always_found() {
+async fn a_finished_turn_is_never_reported_unknown() {
     let fleet = start(data_topology(2, 1)).await;
     let caller = caller(&fleet);
     let mut tracked = Vec::new();
--- a/crates/fleet/tests/suite/version_harm.rs
+++ b/crates/fleet/tests/suite/version_harm.rs
@@ -26,7 +26,7 @@
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn harmful_versions_of_an_application_service_lose_their_traffic() {
+async fn failing_application_versions_lose_their_traffic() {
     let mut release = Release::start().await;
     let newer = release.newer_engines();
 
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn versions_that_suffer_alike_stay_in_force() {
+async fn equally_degraded_versions_are_not_rolled_back() {
     /// Longer than the system needs to react to a real regression (requirement: about 5 s).
     const OBSERVATION_TIME: Duration = Duration::from_secs(10);
     /// Calls at each version while both fail.
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_harmful_version_of_a_model_service_gets_no_more_sessions() {
+async fn a_failing_model_version_gets_no_new_sessions() {
     let mut topology = control_topology(3);
     topology.cores = 2;
     let fleet = start_alone(topology).await;
--- a/crates/gateway/tests/calls.rs
+++ b/crates/gateway/tests/calls.rs
@@ -10,7 +10,7 @@
 use support::http;
 
 #[tokio::test]
-async fn a_call_is_answered_by_the_application_and_recorded() {
+async fn an_application_response_is_returned_and_recorded() {
     let (env, engines) = env_with(2, 2).await;
     let answer = call(&env, 0, "c1", &alarm()).await;
     assert_eq!((answer.status, &answer.json), (200, &json!({"ok": true})));
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_the_application_with_a_client_error_is_an_answer() {
+async fn an_application_client_error_is_returned_as_the_answer() {
     let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::AnswerWith(422, r#"{"error":"no such house"}"#));
     let answer = call(&env, 0, "c1", &alarm()).await;
@@ -42,7 +42,7 @@
 /// An invalid response leaves the call's outcome unknown: the response is never forwarded and the
 /// call never runs again.
 #[tokio::test]
-async fn what_is_no_answer_leaves_a_call_unknown_and_it_never_runs_twice() {
+async fn an_invalid_response_leaves_the_call_unknown_and_never_rerun() {
     let table = [
         Behaviour::LoseAnswer,
         Behaviour::CutShort,
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_the_look_up() {
+async fn a_lookup_settles_a_call_with_a_lost_response() {
     let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::LoseAnswer);
     let lost = call(&env, 0, "c1", &alarm()).await;
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_look_up_that_knows_nothing_settles_nothing() {
+async fn a_lookup_without_a_result_leaves_the_call_running() {
     let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.script(|s| s.answer_lookups = true));
     // The claim is held by a gateway that failed; no engine ever received the call.
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn refusals_and_refused_connections_go_elsewhere_under_the_same_attempt() {
+async fn refused_calls_move_to_another_engine_or_are_recorded_refused() {
     let (mut env, mut engines) = env_with(3, 1).await;
     engines[0].script(|s| s.always = Some(Behaviour::Refuse("draining")));
     engines[1].kill();
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_closed_after_the_request_is_a_lost_answer() {
+async fn a_connection_closed_after_the_request_leaves_the_call_unknown() {
     let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.next(Behaviour::CloseBefore));
     let answer = call(&env, 0, "c1", &alarm()).await;
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn the_same_call_at_two_gateways_runs_once_and_both_get_its_answer() {
+async fn a_call_sent_to_two_gateways_runs_once_with_the_same_response() {
     let (env, engines) = env_with(2, 2).await;
     let slow = Behaviour::Slow(Duration::from_millis(150));
     engines.iter().for_each(|e| e.script(|s| s.always = Some(slow.clone())));
--- a/crates/gateway/tests/calls_overload.rs
+++ b/crates/gateway/tests/calls_overload.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinSet;
 
 #[tokio::test]
-async fn while_a_route_fails_its_callers_hear_so_at_once_until_a_probe_succeeds() {
+async fn an_open_circuit_fails_calls_fast_until_a_probe_succeeds() {
     let (env, engines) = env_with(2, 1).await;
     assert_eq!(call(&env, 0, "answered", &alarm()).await.status, 200);
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::ServerError)));
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn overload_is_told_at_once_and_urgent_calls_still_pass() {
+async fn overload_is_rejected_immediately_while_urgent_calls_succeed() {
     let mut small = bundle();
     let farm = small.services.get_mut(&id("farm")).unwrap();
     (farm.concurrency_per_engine, farm.queue_per_engine) = (5, 4);
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn a_call_with_an_outcome_is_answered_without_room() {
+async fn a_recorded_call_is_answered_at_capacity() {
     let (env, engine, _held) = full_env().await;
     let before = engine.received();
     let again = call(&env, 0, "answered", &alarm()).await;
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_shed_call_is_told_soon_when_its_record_cannot_be_read() {
+async fn a_shed_call_is_rejected_promptly_if_its_record_is_unreadable() {
     let (env, _engine, _held) = full_env().await;
     env.state.set_available(shard_of("p1"), false);
     let mut patient = alarm();
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_cannot_end_in_time_does_not_wait() {
+async fn a_call_that_cannot_meet_its_deadline_is_shed_immediately() {
     let mut small = bundle();
     small.services.get_mut(&id("farm")).unwrap().concurrency_per_engine = 1;
     let mut env = TestEnv::with(small, GatewayMode::Full, 1).await;
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_call_whose_turn_comes_too_late_is_not_sent() {
+async fn a_queued_call_granted_a_slot_too_late_is_not_sent() {
     // Queued calls are also notified periodically and may be rejected then. Several rounds ensure
     // that in some of them the call gets its slot only when the running call ends.
     for _ in 0..6 {
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_link_holds_calls_back_and_claims_nothing() {
+async fn a_partitioned_engine_receives_no_calls() {
     let (env, engines) = env_with(1, 1).await;
     call(&env, 0, "c0", &alarm()).await;
     let cut = hooklug_rpc::LinkFault { cut: true, delay_micros: 0 };
--- a/crates/gateway/tests/calls_record.rs
+++ b/crates/gateway/tests/calls_record.rs
@@ -12,7 +12,7 @@
 use support::http;
 
 #[tokio::test]
-async fn lost_answers_of_the_shard_change_nothing() {
+async fn a_call_succeeds_despite_lost_shard_replies() {
     let (env, engines) = env_with(2, 1).await;
     for lost in 1..=3 {
         let name = format!("c{lost}");
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_shard_out_of_reach_claims_nothing_and_the_call_is_carried_through_later() {
+async fn a_call_during_a_shard_outage_succeeds_when_resent() {
     let (env, engines) = env_with(1, 1).await;
     // The gateway has cached the program, so only the claim needs the shard.
     call(&env, 0, "c0", &alarm()).await;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_given_only_once_it_is_recorded() {
+async fn a_response_is_returned_only_after_it_is_recorded() {
     let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::Slow(Duration::from_millis(100)));
     let mut body = alarm();
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_call_goes_on_when_its_caller_goes_away() {
+async fn a_call_is_completed_and_recorded_after_its_caller_disconnects() {
     let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::Slow(Duration::from_millis(100)));
     let body = alarm();
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn without_a_store_in_reach_only_repeatable_calls_are_made() {
+async fn without_reachable_stores_only_repeatable_calls_are_sent() {
     let (env, engines) = env_with(1, 1).await;
     env.gateways[0].channels.reach.send_replace(Default::default());
     let answer = call(&env, 0, "c1", &alarm()).await;
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn a_call_held_by_a_gateway_that_is_gone_is_told_unknown_while_a_look_up_hangs() {
+async fn a_call_claimed_by_a_failed_gateway_is_reported_unknown_if_the_lookup_hangs() {
     let (env, engines) = env_with(1, 1).await;
     env.begin_call("p1", "c1", "gone", &alarm()).await;
     engines[0].script(|script| script.stall_lookups = true);
--- a/crates/gateway/tests/calls_repeatable.rs
+++ b/crates/gateway/tests/calls_repeatable.rs
@@ -14,7 +14,7 @@
 use support::{TestEnv, bundle, http, id};
 
 #[tokio::test]
-async fn a_call_that_may_be_repeated_is_tried_elsewhere() {
+async fn a_repeatable_call_is_retried_on_another_engine() {
     let (env, engines) = env_with(3, 1).await;
     let bad = [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::WrongRequestId];
     for (engine, behaviour) in engines.iter().zip(bad).take(2) {
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_can_only_make_a_route_stricter() {
+async fn a_caller_can_only_forbid_retries() {
     let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::LoseAnswer)));
     let mut strict = sensor();
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn retries_stay_within_their_share_of_traffic() {
+async fn retries_stay_within_the_retry_budget() {
     let (env, engines) = env_with(2, 1).await;
     engines.iter().for_each(|e| e.script(|s| s.always = Some(Behaviour::LoseAnswer)));
     let sent = || engines.iter().map(AppEngine::received).sum::<u32>();
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn the_plain_mode_goes_round_robin_and_retries_blindly() {
+async fn plain_mode_uses_round_robin_and_unconditional_retries() {
     let mut env = TestEnv::with(bundle(), GatewayMode::Plain, 1).await;
     let engines = [AppEngine::start("a1", 1).await, AppEngine::start("a2", 2).await];
     engines.iter().for_each(|e| env.list_app(e, "v1", "z1"));
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn calls_claimed_before_their_tool_may_be_repeated_never_run_again() {
+async fn calls_claimed_before_their_tool_became_repeatable_never_rerun() {
     let (mut env, engines) = env_with(2, 2).await;
     let sealed = http::post(env.url(0), "/v1/programs/p1/calls/sealed/seal", &alarm()).await;
     assert_eq!(sealed.json["state"], "not_run");
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_that_starts_later_reads_which_tools_were_not_repeatable() {
+async fn a_new_gateway_does_not_rerun_calls_claimed_while_non_repeatable() {
     let mut strict = bundle();
     (strict.version, strict.base) = (BundleVersion(1), BundleVersion(0));
     let mut loose = bundle();
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn not_run_is_never_said_of_a_tool_that_left_no_records() {
+async fn an_unrecorded_call_of_a_formerly_repeatable_tool_is_never_reported_not_run() {
     let (mut env, engines) = env_with(1, 1).await;
     assert_eq!(call(&env, 0, "c1", &sensor()).await.status, 200);
     assert_eq!(runs(&engines, "c1"), 1);
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn a_repeatable_call_ends_when_its_caller_goes_away() {
+async fn a_repeatable_call_is_cancelled_when_its_caller_disconnects() {
     let (env, engines) = env_with(1, 1).await;
     engines[0].next(Behaviour::Slow(Duration::from_secs(600)));
     let body = sensor();
--- a/crates/gateway/tests/end_to_end.rs
+++ b/crates/gateway/tests/end_to_end.rs
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn a_program_runs_through_turns_calls_a_kill_and_its_close() {
+async fn a_session_continues_across_a_gateway_change_and_a_killed_engine() {
     let mut env = TestEnv::with(bundle(), GatewayMode::Full, 2).await;
     let first = Host::start(&env, "e1", "v2", 11).await;
     list(&mut env, &first);
@@ -175,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn calls_reach_a_stand_in_and_run_once() {
+async fn calls_reach_the_emulated_application_and_run_once() {
     let mut env = TestEnv::new().await;
     let app = App::start(ApplicationOptions {
         listen: loopback(),
--- a/crates/gateway/tests/inputs.rs
+++ b/crates/gateway/tests/inputs.rs
@@ -230,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn unknown_things_are_not_found() {
+async fn unknown_resources_return_not_found() {
     let mut env = TestEnv::new().await;
     let engine = FakeEngine::start("e1", "v2", 1, &env.state).await;
     env.list(&engine, "z1");
@@ -300,7 +300,7 @@
 }
 
 #[tokio::test]
-async fn a_tenant_over_its_limit_is_told_when_to_come_back() {
+async fn a_rate_limited_tenant_gets_a_retry_after() {
     let mut tight = bundle();
     let tenant = tight.tenants.get_mut(&id("dalatek")).unwrap();
     tenant.limits.requests_per_second = 5.0;
@@ -320,7 +320,7 @@
 }
 
 #[tokio::test]
-async fn without_a_bundle_nothing_is_decided() {
+async fn a_gateway_without_a_bundle_is_unready_and_refuses_requests() {
     let env = TestEnv::new().await;
     env.gateways[0].channels.bundle.send_replace(None);
     let answer = support::http::get(env.url(0), "/v1/programs/p1").await;
--- a/crates/gateway/tests/inputs_by_endpoint.rs
+++ b/crates/gateway/tests/inputs_by_endpoint.rs
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn bodies_are_read_strictly() {
+async fn malformed_bodies_and_unknown_fields_are_refused() {
     let fixture = Fixture::start().await;
     for endpoint in endpoints() {
         for broken in ["", "{", "[]", "null", "7", r#"{"a": 1, "a": 2}"#, "{} {}", "\u{0}"] {
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn bodies_of_another_kind_or_size_are_refused() {
+async fn bodies_of_a_wrong_content_type_or_size_are_refused() {
     let fixture = Fixture::start().await;
     for endpoint in endpoints() {
         let body = endpoint.body.to_string();
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn bad_identifiers_in_paths_are_named() {
+async fn invalid_path_identifiers_are_reported_by_field() {
     let fixture = Fixture::start().await;
     let long = "x".repeat(97);
     for bad in ["a%20b", "%00", "a%2Fb", long.as_str()] {
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn unknown_programs_sessions_and_earlier_turns_change_nothing() {
+async fn references_to_unknown_resources_change_no_state() {
     let fixture = Fixture::start().await;
     let turn = json!({"turn": "t1", "input": "", "max_tokens": 1});
     let result = json!({"call": "c1", "result": 1});
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_adaptive_limit_gives_way_to_refusals_and_ignores_idle_calls() {
+fn the_adaptive_limit_decreases_on_overload_and_ignores_idle_calls() {
     let now = Instant::now();
     let mut limit = AdaptiveLimit::default();
     let before = limit.get(64);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_circuit_opens_on_failures_probes_once_and_closes_on_an_answer() {
+fn a_circuit_opens_on_failures_and_closes_after_a_successful_probe() {
     let now = Instant::now();
     let mut circuit = Circuit::default();
     for _ in 0..19 {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_engine_that_leaves_the_view_is_a_loss_of_its_version_for_a_while() {
+fn an_engine_missing_from_the_view_is_a_recent_loss_of_its_version() {
     let now = std::time::Instant::now();
     let mut losses = EngineLosses::default();
     let mut view = ClusterView::default();
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn callers_are_not_asked_back_all_at_once() {
+fn retry_after_times_are_jittered() {
     let min = Duration::from_millis(400);
     let times: std::collections::BTreeSet<Duration> = (0..100)
         .filter_map(|_| Problem::try_again("later", min).retry_after)
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn only_the_engines_own_whole_answer_is_one() {
+fn only_a_complete_response_of_the_called_engine_is_valid() {
     const REQUEST: (&str, &str) = ("x-hooklug-request", "r1");
     const ENGINE: (&str, &str) = ("x-hooklug-engine", "farm/a1/1");
     const LENGTH: (&str, &str) = ("content-length", "2");
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_prefix_stays_with_its_engine_and_moves_only_when_that_one_is_full() {
+fn prefix_affinity_holds_until_the_engine_is_full() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let candidates: Vec<_> = (0..8).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
     let prefixes: Vec<String> = (0..64).map(|n| format!("prefix-{n}")).collect();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn without_a_prefix_the_own_zone_goes_first_and_overflows() {
+fn placement_without_a_prefix_prefers_the_local_zone_until_full() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut candidates = vec![candidate("near", "z1", 9), candidate("far", "z2", 0)];
     for _ in 0..20 {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_better_of_two_keeps_the_load_even() {
+fn two_choice_placement_balances_load() {
     let mut random = ChaCha8Rng::seed_from_u64(SEED);
     let mut candidates: Vec<_> = (0..10).map(|n| candidate(&format!("e{n}"), "z1", 0)).collect();
     for c in &mut candidates {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn load_is_what_engines_tell_and_what_was_routed_since() {
+fn load_is_the_reported_load_plus_work_routed_since() {
     let table = LoadTable::default();
     let engine = EngineIncarnation { engine: id("e1"), incarnation: Incarnation(1) };
     let first = table.route(&engine);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_owner_table_follows_epochs_forgets_the_closed_and_stays_bounded() {
+fn the_owner_table_is_bounded_and_retains_the_newest_epoch() {
     let mut table = OwnerTable::new(100);
     table.learn(&record("s1", Some("e2"), 2));
     table.learn(&record("s1", Some("e1"), 1));
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_slow_engine_gets_less_and_the_own_zone_goes_first_while_it_has_room() {
+fn balancing_prefers_fast_engines_and_the_local_zone() {
     let (now, mut random) = (Instant::now(), ChaCha8Rng::seed_from_u64(SEED));
     let mut candidates = vec![
         choice("fast", "z1", with_latency(5, now)),
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_listed_version_without_engines_does_not_pass_its_share_to_the_newest() {
+fn the_share_of_a_version_without_engines_goes_to_an_older_version() {
     let mut service = farm_service();
     service
         .versions
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn steps_count_from_the_bundle_that_brought_the_version() {
+fn rollout_steps_count_from_the_bundle_that_added_the_version() {
     let (now, name) = (Instant::now(), id::<ServiceName>("farm"));
     let (v1, v2) = (id::<ServiceVersion>("v1"), id::<ServiceVersion>("v2"));
     let mut clock = RolloutClock::default();
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_bundle_committed_before_the_clock_was_set_counts_from_now() {
+fn a_bundle_without_a_commit_time_has_age_zero() {
     let now = UnixMillis(1_700_000_000_000);
     assert_eq!(time_since_commit(UnixMillis::default(), now), Duration::ZERO);
     assert_eq!(time_since_commit(UnixMillis(now.0 - 700), now), Duration::from_millis(700));
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -12,7 +12,7 @@
 use support::{TestEnv, bundle};
 
 #[tokio::test]
-async fn a_turn_streams_its_events_and_ends_whole() {
+async fn a_turn_streams_all_its_events() {
     let (env, _engine) = env_with_session().await;
     let stream = http::post_turn(env.url(0), SESSION, &turn("t1", None, 3)).await;
     assert_eq!(stream.status, 200);
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_broken_engine_stream_goes_on_without_a_seam() {
+async fn a_truncated_engine_stream_is_resumed_without_gaps() {
     let (env, engine) = env_with_session().await;
     engine.script(|s| s.cut_streams_after.extend([2]));
     let (events, complete) =
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn repeated_and_missing_events_of_an_engine_reach_no_caller() {
+async fn duplicate_and_missing_engine_events_are_repaired() {
     let (env, engine) = env_with_session().await;
     engine.script(|s| {
         s.send_twice = true;
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_stream_resumes_at_another_gateway() {
+async fn an_interrupted_stream_resumes_at_another_gateway() {
     let mut env = TestEnv::with(bundle(), GatewayMode::Full, 2).await;
     let engine = FakeEngine::start("e1", "v2", 1, &env.state).await;
     engine.tokens.forget_permits(usize::MAX);
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn refusals_of_the_ledger_are_told_with_their_code() {
+async fn shard_refusals_are_returned_with_their_codes() {
     let (env, _engine) = env_with_session().await;
     let path = "/v1/programs/p1/sessions/s1/turns";
     let unknown = http::post(env.url(0), path, &turn("t1", Some("t0"), 1)).await;
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn without_a_store_in_reach_no_turn_begins_and_nothing_is_claimed() {
+async fn without_reachable_stores_no_turn_is_started() {
     let (env, engine) = env_with_session().await;
     env.gateways[0].channels.reach.send_replace(Default::default());
     let path = "/v1/programs/p1/sessions/s1/turns";
@@ -175,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn a_stopping_gateway_is_unready_lets_streams_end_and_cuts_the_rest() {
+async fn a_stopping_gateway_is_unready_finishes_turns_and_aborts_joined_streams() {
     let (mut env, engine) = env_with_session().await;
     engine.tokens.forget_permits(usize::MAX);
     let mut ending = http::post_turn(env.url(0), SESSION, &turn("t1", None, 2)).await;
--- a/crates/gateway/tests/sessions_owners.rs
+++ b/crates/gateway/tests/sessions_owners.rs
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn a_former_owner_is_not_asked_to_take_its_sessions_back() {
+async fn a_former_owner_receives_no_takeover_request() {
     const SESSIONS: usize = 8;
     let (mut env, old) = env_with_session().await;
     for number in 2..=SESSIONS {
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn racing_takers_agree_and_each_caller_gets_its_answer() {
+async fn concurrent_takeovers_agree_and_every_caller_gets_a_response() {
     let mut env = TestEnv::with(bundle(), GatewayMode::Full, 2).await;
     let old = FakeEngine::start("e1", "v2", 1, &env.state).await;
     env.list(&old, "z1");
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn a_lease_that_outlives_the_deadline_is_answered_at_once() {
+async fn a_turn_waiting_for_a_lease_beyond_its_deadline_is_refused_immediately() {
     let mut slow = bundle();
     slow.routes
         .get_mut(&support::id::<hooklug_types::RouteName>("sessions"))
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test]
-async fn without_an_engine_of_the_newest_version_the_one_before_serves() {
+async fn the_previous_version_serves_without_engines_of_the_newest() {
     let mut env = TestEnv::new().await;
     let old = FakeEngine::start("e0", "v1", 3, &env.state).await;
     env.list(&old, "z1");
--- a/crates/hooklug/tests/command_line.rs
+++ b/crates/hooklug/tests/command_line.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn keys_are_drawn_into_private_files_and_sign_bundles() {
+fn generated_key_files_are_private_and_sign_bundles() {
     use std::os::unix::fs::PermissionsExt;
     let folder = tempfile::tempdir().expect("a scratch folder");
     let path = folder.path();
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_that_is_asked_to_stop_exits_with_zero() {
+async fn processes_exit_with_code_zero_on_sigterm() {
     let mut fleet = Fleet::started(65, 3, 1, 1);
     let gateway = fleet.with_role("gateway")[0];
     fleet.wait_for_members(gateway, 5).await;
--- a/crates/hooklug/tests/rollouts.rs
+++ b/crates/hooklug/tests/rollouts.rs
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_version_that_begins_to_fail_is_rolled_back_and_gets_no_more_traffic() {
+async fn a_failing_version_is_rolled_back_and_gets_no_traffic() {
     let fleet = Fleet::started(67, 3, 1, 2);
     let gateways = fleet.with_role("gateway");
     let (old, old_address) = start_engine(1, "v1").await;
--- a/crates/hooklug/tests/signals.rs
+++ b/crates/hooklug/tests/signals.rs
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_process_that_is_told_of_new_settings_goes_on() {
+async fn a_process_survives_sighup() {
     let mut fleet = Fleet::new(91);
     for role in ["core", "gateway"] {
         let index = fleet.add(role);
--- a/crates/ingress/tests/calls.rs
+++ b/crates/ingress/tests/calls.rs
@@ -24,27 +24,27 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_passed_on_unchanged() {
+async fn a_backend_response_is_forwarded_unchanged() {
     let (answer, backend) = answer_of(&[Behaviour::Answer(201, "made")], "/once/x").await;
     assert_eq!(forwarded(answer).await, (201, Ok("made".to_owned())));
     assert_eq!(backend.executed().len(), 1);
 }
 
 #[tokio::test]
-async fn before_a_bundle_is_in_force_nothing_is_denied() {
+async fn requests_before_the_first_bundle_are_refused_as_not_configured() {
     let world = World::without_bundle(MemoryState::default(), &[]);
     let refused = refusal(world.ingress.serve(&call("/once/x", "r1")).await);
     assert!(matches!(refused, Refusal::NotConfigured { .. }), "{refused}");
 }
 
 #[tokio::test]
-async fn no_route_is_said_at_once() {
+async fn a_request_without_a_matching_route_is_refused() {
     let (answer, _) = answer_of(&[], "/elsewhere/x").await;
     assert_eq!(refusal(answer), Refusal::NoRoute);
 }
 
 #[tokio::test]
-async fn a_full_back_end_is_left_for_another_and_the_call_runs_once() {
+async fn a_call_refused_by_a_full_backend_runs_once_elsewhere() {
     let full = FakeBackend::start(
         "e1",
         &[Behaviour::AtCapacity, Behaviour::AtCapacity, Behaviour::AtCapacity],
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn another_back_end_at_the_address_is_never_asked_again() {
+async fn a_wrong_backend_at_an_address_executes_no_calls() {
     let other = FakeBackend::start("e1", &vec![Behaviour::WrongBackend; 50]).await;
     let right = FakeBackend::start("e2", &[]).await;
     let world = World::new(&[&other, &right]).await;
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn without_room_anywhere_the_caller_is_told_when_to_come_back() {
+async fn a_call_is_refused_as_not_run_if_all_backends_are_at_capacity() {
     let (answer, backend) = answer_of(&vec![Behaviour::AtCapacity; 500], "/once/x").await;
     let refused = refusal(answer);
     assert!(matches!(refused, Refusal::NotRun { .. }), "{refused}");
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_to_a_call_that_may_run_once_is_not_asked_for_again() {
+async fn a_non_repeatable_call_is_not_retried_after_a_lost_response() {
     for lost in [Behaviour::NoResponse, Behaviour::WrongRequest, Behaviour::Truncated] {
         let (answer, backend) = answer_of(std::slice::from_ref(&lost), "/once/x").await;
         let refused = refusal(answer);
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_to_a_call_that_may_repeat_is_made_up_for() {
+async fn a_repeatable_call_is_retried_after_a_lost_response() {
     for lost in [
         Behaviour::NoResponse,
         Behaviour::WrongRequest,
@@ -122,13 +122,13 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_the_back_ends_own_is_passed_on() {
+async fn a_backend_error_response_is_forwarded() {
     let (answer, _) = answer_of(&[Behaviour::Answer(500, "no")], "/once/x").await;
     assert_eq!(forwarded(answer).await, (500, Ok("no".to_owned())));
 }
 
 #[tokio::test]
-async fn the_time_is_the_callers() {
+async fn a_request_times_out_at_the_callers_deadline() {
     let backend = FakeBackend::start("e1", &[Behaviour::Unresponsive]).await;
     let world = World::new(&[&backend]).await;
     let caller_timeout = Some(Duration::from_millis(300));
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn when_the_caller_leaves_the_back_end_is_told() {
+async fn a_disconnected_caller_cancels_the_backend_request() {
     let backend = FakeBackend::start("e1", &[Behaviour::Unresponsive]).await;
     let world = World::new(&[&backend]).await;
     let ingress = world.ingress.clone();
--- a/crates/ingress/tests/components.rs
+++ b/crates/ingress/tests/components.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn pools_are_drawn_by_weight_and_those_of_no_weight_never() {
+fn services_are_picked_by_weight_and_never_at_weight_zero() {
     println!("seed {SEED}");
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let backends = vec![service("none", 0), service("some", 1), service("most", 9)];
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn events_are_read_whatever_the_line_ends() {
+fn events_are_parsed_with_any_line_ending() {
     let mut reader = EventReader::default();
     let events =
         reader.read(b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\ndata:c\r\n\r\n: note\n\ndata: d");
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn prefixes_share_the_engines_out_by_how_often_they_are_asked_for() {
+fn engines_are_shared_among_prefixes_by_request_rate() {
     let fleet = Fleet::of(48);
     let requests = [("a", 160), ("b", 80), ("c", 60), ("d", 40), ("e", 30), ("f", 20)];
     let shares = shares(&requests, &fleet);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_rare_prefix_has_no_engines_of_its_own() {
+fn an_unrequested_prefix_has_no_segment() {
     let mut ring = PrefixRing::default();
     (0..600).for_each(|_| ring.record("often"));
     assert!(ring.segment("never").is_none());
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn an_engine_that_holds_the_prompt_is_chosen_while_it_is_not_too_busy() {
+fn an_engine_with_a_cached_prompt_is_preferred_unless_overloaded() {
     println!("seed {SEED}");
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let fleet = Fleet::of(9);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn back_ends_that_fail_a_part_of_their_requests_are_left_though_they_are_free() {
+fn partially_failing_backends_are_avoided_even_if_idle() {
     println!("seed {SEED}");
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let fleet = Fleet::of(2);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_gateway_prefers_the_same_few_back_ends_and_leaves_full_ones_out() {
+fn a_gateway_uses_a_stable_subset_without_full_backends() {
     let fleet = Fleet::of(100);
     let calm = fleet.candidates(|_| 1.0);
     let own = own_subset(&calm, "gateway");
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_prompt_is_missing_from_its_first_unknown_part_on() {
+fn uncached_tokens_count_from_the_first_unknown_prompt_part() {
     let part = |id: &str, tokens| PromptPart { id: id.to_owned(), tokens };
     let (shared, own, next) = (part("a", 2_560), part("b", 500), part("c", 40));
     let engine = EngineId::new("e").unwrap();
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn of_two_engines_the_one_with_room_is_chosen() {
+fn the_less_loaded_of_two_engines_is_chosen() {
     println!("seed {SEED}");
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let fleet = Fleet::of(2);
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn what_others_sent_to_an_engine_fades_with_the_age_of_its_report() {
+fn reported_load_decays_with_the_age_of_the_report() {
     let began = Instant::now();
     let mut load = LoadEstimate::default();
     load.in_flight = 2;
--- a/crates/ingress/tests/records.rs
+++ b/crates/ingress/tests/records.rs
@@ -81,7 +81,7 @@
 /// Guards against a turn being refused, although its history was found, because another shard does
 /// not reply.
 #[tokio::test(start_paused = true)]
-async fn a_history_that_was_found_waits_for_no_silent_shard() {
+async fn a_found_history_is_returned_without_waiting_for_unresponsive_shards() {
     let records = TurnRecords::new(Arc::new(OneUnresponsiveShard), NodeId(1));
     let turn = TurnId::new("turn").expect("a name");
     let start = Instant::now();
--- a/crates/ingress/tests/server.rs
+++ b/crates/ingress/tests/server.rs
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_comes_late_after_the_stop_is_refused_and_one_that_runs_is_answered() {
+async fn a_stopped_server_refuses_new_requests_and_completes_running_ones() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to loopback");
     let address = listener.local_addr().expect("a bound address");
     let (handler, stop) = (Arc::new(HoldingHandler::default()), CancellationToken::new());
--- a/crates/ingress/tests/turns.rs
+++ b/crates/ingress/tests/turns.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn the_engine_gets_the_chain_before_the_new_input() {
+async fn the_engine_receives_the_history_before_the_new_input() {
     let engine = FakeBackend::start("e1", &[TWO, TWO, TWO]).await;
     let world = World::new(&[&engine]).await;
     let body = complete_body(&world, &turn("/kept/x", "t1", None)).await;
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn a_turn_after_an_unknown_one_reaches_no_engine() {
+async fn a_turn_continuing_an_unknown_turn_is_refused() {
     let engine = FakeBackend::start("e1", &[]).await;
     let world = World::new(&[&engine]).await;
     let request = turn("/kept/x", "t2", Some("t1"));
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn while_any_shard_is_silent_no_turn_is_called_unknown() {
+async fn a_turn_is_not_reported_unknown_while_a_shard_is_unavailable() {
     let engine = FakeBackend::start("e1", &[]).await;
     let world = World::new(&[&engine]).await;
     let another = GroupId::all().find(|group| group.0 != 0 && *group != shard()).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_turn_of_another_program_is_found() {
+async fn a_turn_can_continue_a_turn_of_another_program() {
     let engine = FakeBackend::start("e1", &[TWO, TWO]).await;
     let world = World::new(&[&engine]).await;
     complete_body(&world, &turn("/kept/x", "t1", None)).await;
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_stream_looks_cut_and_is_not_kept() {
+async fn a_truncated_stream_is_reported_truncated_and_not_retained() {
     let engine = FakeBackend::start("e1", &[Behaviour::EventsTruncated(&["a"])]).await;
     let world = World::new(&[&engine]).await;
     let (status, body) = forwarded(world.ingress.serve(&turn("/kept/x", "t1", None)).await).await;
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_turn_whose_end_cannot_be_recorded_does_not_look_whole() {
+async fn a_turn_with_an_unrecorded_end_is_reported_truncated() {
     let engine = FakeBackend::start("e1", &[Behaviour::EventsHeld(&["a", "b"])]).await;
     let world = World::new(&[&engine]).await;
     let request = IngressRequest {
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn without_word_from_the_shard_nothing_runs() {
+async fn a_turn_does_not_run_while_its_shard_is_unavailable() {
     let engine = FakeBackend::start("e1", &[]).await;
     let world = World::new(&[&engine]).await;
     world.state.set_available(shard(), false);
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn a_full_engine_is_left_for_another_and_a_lost_answer_is_not() {
+async fn a_turn_is_retried_after_a_full_engine_but_not_after_a_lost_response() {
     let full = FakeBackend::start("e1", &[Behaviour::AtCapacity, Behaviour::AtCapacity]).await;
     let lost = FakeBackend::start("e2", &[Behaviour::NoResponse]).await;
     let world = World::new(&[&full, &lost]).await;
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn when_the_caller_leaves_a_stream_its_engine_is_told() {
+async fn a_disconnected_caller_cancels_the_engine_stream() {
     let engine = FakeBackend::start("e1", &[Behaviour::Unresponsive]).await;
     let world = World::new(&[&engine]).await;
     let ingress = world.ingress.clone();
--- a/crates/raft/src/simulation/tests.rs
+++ b/crates/raft/src/simulation/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn no_seed_breaks_a_promise() {
+fn all_seeds_keep_the_invariants() {
     let report = sweep(0, SEEDS, THREADS, None);
     for failure in &report.failures {
         println!("seed {}: {}", failure.seed, failure.violation);
@@ -65,38 +65,38 @@
 }
 
 #[test]
-fn a_sweep_does_not_depend_on_its_threads() {
+fn sweep_results_are_independent_of_the_thread_count() {
     let rule = Some(BrokenRule::VoteNotSynced);
     assert_eq!(sweep(100, 60, 1, rule), sweep(100, 60, 3, rule));
 }
 
 #[test]
-fn commit_of_an_older_term_by_counting_is_noticed() {
+fn the_simulation_detects_commits_of_older_terms_by_replica_count() {
     let report = broken(BrokenRule::CommitOlderTermByCounting, SEEDS);
     assert!(report.failures.iter().any(|failure| is_safety(&failure.violation)));
 }
 
 #[test]
-fn a_read_without_a_round_is_noticed() {
+fn the_simulation_detects_stale_reads_without_a_quorum_round() {
     let report = broken(BrokenRule::ReadWithoutRound, 400);
     let stale = |v: &Violation| matches!(v, Violation::StaleRead { .. });
     assert!(report.failures.iter().any(|failure| stale(&failure.violation)));
 }
 
 #[test]
-fn an_unsynced_vote_is_noticed() {
+fn the_simulation_detects_unsynced_votes() {
     let report = broken(BrokenRule::VoteNotSynced, SEEDS);
     assert!(report.failures.iter().any(|failure| is_safety(&failure.violation)));
 }
 
 #[test]
-fn unsynced_entries_are_noticed() {
+fn the_simulation_detects_unsynced_entries() {
     let report = broken(BrokenRule::EntriesNotSynced, 400);
     assert!(report.failures.iter().any(|failure| is_safety(&failure.violation)));
 }
 
 #[test]
-fn an_empty_disk_under_its_old_id_is_noticed() {
+fn the_simulation_detects_an_empty_disk_with_a_reused_id() {
     let report = broken(BrokenRule::EmptyDiskKeepsId, 400);
     assert!(report.failures.iter().any(|failure| is_safety(&failure.violation)));
 }
--- a/crates/raft/tests/suite/arbitrary_messages.rs
+++ b/crates/raft/tests/suite/arbitrary_messages.rs
@@ -69,7 +69,7 @@
 
 proptest! {
     #[test]
-    fn odd_messages_change_nothing_committed(
+    fn arbitrary_messages_preserve_committed_entries(
         messages in proptest::collection::vec(message(), 1..60),
         snapshot in (small(), small()),
         leads in any::<bool>(),
--- a/crates/raft/tests/suite/group.rs
+++ b/crates/raft/tests/suite/group.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_read_needs_a_quorum_that_answers_after_it() {
+fn a_read_index_requires_a_later_quorum_acknowledgement() {
     let mut group = group_led_by_node_1();
     group.at(1).propose(b"x".to_vec()).expect("accepted");
     group.settle();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn reads_that_come_together_share_a_round() {
+fn concurrent_reads_share_one_heartbeat_round() {
     let mut group = group_led_by_node_1();
     for context in 0..50 {
         group.at(1).read_index(context).expect("accepted");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_depose_the_leader() {
+fn a_replica_that_rejoins_after_a_partition_does_not_depose_the_leader() {
     let mut group = group_led_by_node_1();
     let term = group.at(1).status().term;
     group.partitioned.insert(3);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn leadership_goes_to_the_named_voter() {
+fn leadership_is_transferred_to_the_chosen_voter() {
     let mut group = group_led_by_node_1();
     assert_eq!(
         group.at(1).transfer_leadership(node(9)),
@@ -133,7 +133,7 @@
 /// Guards against a member that restarts with an empty log but whose leader still considers it up
 /// to date: its rejections were ignored as stale, and as a voter it kept entries from committing.
 #[test]
-fn a_member_that_comes_back_without_its_log_is_sent_a_snapshot() {
+fn a_member_that_restarts_with_an_empty_log_catches_up() {
     let mut group = group_led_by_node_1();
     for n in 0..10u8 {
         group.at(1).propose(vec![n]).expect("accepted");
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_change_that_does_not_fit_is_refused() {
+fn an_invalid_membership_change_is_refused() {
     let mut group = group_led_by_node_1();
     for change in [ConfChange::AddLearner(node(2)), ConfChange::Remove(node(9))] {
         let refused = group.at(1).propose_conf_change(change);
--- a/crates/raft/tests/suite/progress.rs
+++ b/crates/raft/tests/suite/progress.rs
@@ -93,7 +93,7 @@
 
 proptest! {
     #[test]
-    fn a_replica_catches_up_whatever_was_lost(
+    fn a_replica_catches_up_after_any_message_loss(
         outcomes in outcomes(), last in 0u64..30, held in 0u64..30, max_inflight in 1usize..5,
     ) {
         let held = held.min(last);
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn a_refusal_out_of_date_changes_nothing(matched in 1u64..20, at in 1u64..20) {
+    fn a_stale_append_rejection_is_ignored(matched in 1u64..20, at in 1u64..20) {
         let mut progress = Progress::new(20, 4);
         progress.append_accepted(matched, 1);
         let before = format!("{progress:?}");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn nothing_is_sent_while_a_snapshot_is_on_its_way() {
+fn no_append_is_sent_while_a_snapshot_is_in_flight() {
     let mut progress = Progress::new(10, 4);
     progress.become_snapshot();
     progress.heartbeat_acked(10);
--- a/crates/raft/tests/suite/raft_log.rs
+++ b/crates/raft/tests/suite/raft_log.rs
@@ -150,7 +150,7 @@
 
 proptest! {
     #[test]
-    fn the_log_does_what_a_plain_list_does(operations in operations()) {
+    fn the_raft_log_matches_a_list_model(operations in operations()) {
         let base = SnapshotMeta { index: 0, term: 0, conf: voters(&[1, 2, 3]) };
         let mut log = RaftLog::new(base, Vec::new()).expect("an empty log");
         let mut model = Model::default();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn the_last_entries_that_stay_are_bounded_in_number_and_in_bytes() {
+fn trailing_entries_are_bounded_by_count_and_bytes() {
     let base = SnapshotMeta { index: 0, term: 0, conf: voters(&[1]) };
     let mut log = RaftLog::new(base, Vec::new()).expect("an empty log");
     for _ in 0..10 {
--- a/crates/replication/src/snapshot_inbox/tests.rs
+++ b/crates/replication/src/snapshot_inbox/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn pieces_in_order_make_the_whole() {
+fn chunks_received_in_order_complete_the_snapshot() {
     let mut inbox = SnapshotInbox::default();
     assert_eq!(inbox.receive(&chunk(0, 4, 5)), ChunkOutcome::ExpectOffset(4));
     assert_eq!(inbox.receive(&chunk(4, 9, 5)), ChunkOutcome::ExpectOffset(9));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_piece_that_came_twice_or_early_tells_what_is_expected() {
+fn a_duplicate_or_early_chunk_returns_the_expected_offset() {
     let mut inbox = SnapshotInbox::default();
     inbox.receive(&chunk(0, 4, 5));
     inbox.receive(&chunk(4, 9, 5));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn pieces_of_different_leaders_are_never_joined() {
+fn chunks_from_different_terms_are_never_combined() {
     let mut inbox = SnapshotInbox::default();
     inbox.receive(&chunk(0, 4, 5));
     assert_eq!(inbox.receive(&chunk(4, DATA.len(), 6)), ChunkOutcome::ExpectOffset(0));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_whole_with_another_digest_starts_again() {
+fn a_snapshot_with_a_wrong_digest_restarts_the_transfer() {
     let mut inbox = SnapshotInbox::default();
     let mut damaged = chunk(0, DATA.len(), 5);
     damaged.data[3] ^= 1;
--- a/crates/replication/tests/batching.rs
+++ b/crates/replication/tests/batching.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn commands_of_one_cycle_share_an_entry_and_each_gets_its_own_reply() {
+fn commands_of_one_cycle_share_an_entry_with_separate_replies() {
     let mut replica = leader_alone();
     let commands: Vec<Vec<u8>> = (0..20_u8).map(|number| vec![number; 3]).collect();
     let answers: Vec<Answer> = commands.iter().map(|c| propose(&mut replica, c)).collect();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_membership_change_has_an_entry_of_its_own_between_the_commands() {
+fn a_membership_change_is_a_separate_entry_in_proposal_order() {
     let mut replica = leader_alone();
     let _before = propose(&mut replica, b"before");
     let (reply, _changed) = oneshot::channel();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_leader_that_loses_its_place_calls_a_joined_entry_uncertain_and_the_gathered_not_appended() {
+fn a_deposed_leader_reports_batched_commands_uncertain_and_pending_ones_not_leader() {
     let mut replica = leader_of_three();
     let mut in_flight = [propose(&mut replica, b"one"), propose(&mut replica, b"two")];
     let work = replica.next_work(Instant::now()).expect("an entry to persist");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn waiting_commands_are_bounded_and_answers_make_room() {
+fn pending_commands_are_bounded_and_replies_free_capacity() {
     let mut replica = leader_alone();
     let mut answers: Vec<Answer> = Vec::new();
     let refused = loop {
@@ -162,7 +162,7 @@
 proptest! {
     /// Corrupt input never panics: it yields complete commands and then at most one error.
     #[test]
-    fn splitting_any_bytes_ends(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn splitting_arbitrary_bytes_yields_at_most_one_error(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         let bytes = Bytes::from(bytes);
         let parts: Vec<_> = split_batch(&bytes).collect();
         let errors = parts.iter().filter(|part| part.is_err()).count();
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_command_is_handed_over_only_after_its_sync() {
+fn a_command_is_committed_only_after_its_sync() {
     let mut replica = leader_alone();
     let (reply, _result) = oneshot::channel();
     replica.propose(b"command", reply);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_deposed_leader_calls_its_commands_uncertain_and_applies_what_won() {
+fn a_deposed_leader_reports_its_commands_uncertain_and_applies_the_new_leaders() {
     let (mut replica, mut result) = leader_with_an_unreplicated_command();
     assert!(result.try_recv().is_err(), "not answered while it leads");
     let term = replica.term() + 1;
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn snapshots_are_asked_for_by_entries_and_by_bytes() {
+fn a_snapshot_is_due_after_enough_entries_or_bytes() {
     let mut replica = leader_alone();
     assert!(!replica.needs_snapshot(100));
     let (reply, _result) = oneshot::channel();
@@ -138,7 +138,7 @@
 /// the removal and the removal itself, a leader may have added the replica again and rely on its
 /// log.
 #[test]
-fn a_replica_that_has_heard_a_leader_since_its_status_is_not_let_go() {
+fn a_replica_contacted_by_a_leader_since_its_status_is_not_removable() {
     let mut replica = replica(&[1, 2, 3]);
     let seen = replica.status().leader_messages;
     replica.check_removable(seen).expect("no leader was heard from since");
--- a/crates/rpc/tests/transport.rs
+++ b/crates/rpc/tests/transport.rs
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn a_deferred_reply_comes_from_any_thread_and_a_dropped_one_is_a_fault() {
+async fn a_deferred_reply_is_delivered_and_a_dropped_one_is_a_fault() {
     let server = start("a shared secret").await;
     let client = RpcClient::new(identity(2, "a shared secret"));
     for number in 0..50 {
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_is_whole_and_ends() {
+async fn a_stream_delivers_all_items_then_ends() {
     let server = start("a shared secret").await;
     let client = RpcClient::new(identity(2, "a shared secret"));
     let mut items = client.open(server.address, &Count(500), deadline()).await.expect("opened");
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_reader_is_cut_and_others_go_on() {
+async fn a_slow_reader_is_disconnected_without_blocking_other_calls() {
     let server = start("a shared secret").await;
     let client = RpcClient::new(identity(2, "a shared secret"));
     let mut slow = client.open(server.address, &Count(100_000), deadline()).await.expect("opened");
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test]
-async fn a_handler_that_panics_is_told_as_a_fault() {
+async fn a_panicking_handler_returns_a_fault() {
     let server = start("a shared secret").await;
     let client = RpcClient::new(identity(2, "a shared secret"));
     let failed = client.call(server.address, &Panicking, deadline()).await;
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_breaks_the_hello_off_is_not_connected_to_for_each_call() {
+async fn connection_attempts_back_off_after_an_aborted_handshake() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let to = listener.local_addr().expect("an address");
     let accepted = Arc::new(AtomicU64::new(0));
@@ -228,7 +228,7 @@
 }
 
 #[tokio::test]
-async fn bundle_versions_spread_with_ordinary_frames() {
+async fn bundle_versions_are_exchanged_in_ordinary_frames() {
     let server = start("a shared secret").await;
     let own = identity(2, "a shared secret");
     let client = RpcClient::new(own.clone());
@@ -244,7 +244,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_link_holds_replies_back_until_it_heals() {
+async fn a_partitioned_link_delays_replies_until_healed() {
     let server = start("a shared secret").await;
     let client = RpcClient::new(identity(2, "a shared secret"));
     client.call(server.address, &Echo("before".into()), deadline()).await.expect("a reply");
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test]
-async fn nothing_listening_is_not_sent() {
+async fn a_call_to_a_stopped_server_is_reported_not_sent() {
     let server = start("a shared secret").await;
     let to = server.address;
     let client = RpcClient::new(identity(2, "a shared secret"));
@@ -284,7 +284,7 @@
 /// Guards against calls that fail for seconds after a machine lost power and restarted: its
 /// previous incarnation cannot close the connection, which looks open until the idle timeout.
 #[tokio::test]
-async fn a_connection_is_opened_anew_once_a_newer_run_has_shown_itself_at_the_address() {
+async fn a_connection_is_reopened_once_for_a_newer_incarnation_at_its_address() {
     let server = start("a shared secret").await;
     let own = start("a shared secret").await;
     let client = RpcClient::new(own.identity.clone());
--- a/crates/session/tests/model_check/main.rs
+++ b/crates/session/tests/model_check/main.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn releasing_before_the_commit_is_reported() {
+fn the_model_checker_detects_events_released_before_commit() {
     let rules = Rules { release_before_commit: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1"]))];
     check_reports_violation(
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn taking_a_session_without_waiting_for_the_lease_is_reported() {
+fn the_model_checker_detects_a_takeover_without_lease_expiry() {
     let rules = Rules { take_without_expiry: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1", "t2"]))];
     let scenario = Scenario { callers, rules, faults: 1, ..Scenario::default() };
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn forgetting_the_answer_of_a_repeated_commit_is_reported() {
+fn the_model_checker_detects_a_renumbered_commit_retry() {
     let rules = Rules { renumber_repeats: true, ..Rules::default() };
     let callers = vec![("s1", turns(&["t1"]))];
     let scenario = Scenario { callers, rules, faults: 1, ..Scenario::default() };
--- a/crates/session/tests/session_loop.rs
+++ b/crates/session/tests/session_loop.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn events_wait_for_their_commit_and_the_next_commit_carries_all_that_gathered() {
+fn events_are_released_after_commit_and_pending_events_share_the_next_commit() {
     let mut harness = Harness::new(100);
     let generation = harness.open_turn("t1", 10);
     let first = harness.generate(generation, "a");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_met_by_the_same_command() {
+fn an_uncertain_commit_is_retried_with_the_same_command() {
     let mut harness = Harness::new(100);
     let generation = harness.open_turn("t1", 10);
     let sent = harness.generate(generation, "a");
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_stale_epoch_ends_all_release_and_names_the_record() {
+fn a_stale_epoch_ends_the_session_loop_and_returns_the_current_record() {
     let mut harness = Harness::new(100);
     let generation = harness.open_turn("t1", 10);
     let sent = harness.generate(generation, "a");
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_lease_that_ran_out_stops_the_loop_before_the_message() {
+fn an_expired_lease_ends_the_session_loop_before_processing_a_message() {
     let mut harness = Harness::new(100);
     let generation = harness.open_turn("t1", 10);
     let sent = harness.generate(generation, "a");
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn no_event_goes_beyond_the_reservation() {
+fn a_generation_stops_at_its_token_reservation() {
     let mut harness = Harness::new(2);
     let generation = harness.open_turn("t1", 10);
     let first = harness.generate(generation, "a");
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_turn_without_a_slot_is_refused_at_once_and_leaves_no_trace() {
+fn a_turn_without_a_slot_is_refused_without_a_commit() {
     let mut harness = Harness::new(100);
     let requested = harness.run(1, "t1", 10);
     let retry_after = Duration::from_millis(700);
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn an_abort_before_the_begin_is_on_record() {
+fn an_abort_before_the_slot_grant_is_recorded() {
     let mut harness = Harness::new(100);
     let requested = harness.run(1, "t1", 10);
     let abort = Message::Abort { reply: ReplyId(7), turn: "t1".parse().unwrap() };
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_hand_over_waits_for_the_turn_and_takes_no_new_one() {
+fn a_hand_over_waits_for_the_open_turn_and_refuses_new_turns() {
     let mut harness = Harness::new(100);
     let generation = harness.open_turn("t1", 10);
     assert_eq!(harness.send(Message::HandOver), []);
--- a/crates/settings/tests/documentation.rs
+++ b/crates/settings/tests/documentation.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_setting_is_on_the_page() {
+fn every_setting_is_documented_in_operations_md() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
     let page = std::fs::read_to_string(page).expect("the page is in the repository");
     let missing: Vec<String> =
--- a/crates/settings/tests/load.rs
+++ b/crates/settings/tests/load.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_defaults_of_the_table_are_those_in_force() {
+fn the_documented_defaults_match_the_loaded_defaults() {
     let mut text = String::from(VALID);
     let mut sections: BTreeMap<&str, String> = BTreeMap::new();
     for setting in SETTINGS {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn variables_win_over_the_file_and_flags_over_variables() {
+fn variables_override_the_file_and_flags_override_variables() {
     let environment = [
         ("HOOKLUG_ZONE", "z2"),
         ("HOOKLUG_STORE__EXPECT_STORES", "5"),
@@ -131,7 +131,7 @@
 ];
 
 #[test]
-fn each_fault_names_its_key_what_was_found_and_what_is_allowed() {
+fn each_settings_fault_reports_key_found_value_and_allowed_values() {
     for (from, to, key) in ROWS {
         assert!(VALID.contains(from), "the row changes nothing: {from}");
         let found = errors(&VALID.replacen(from, to, 1), NodeRole::Store);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn all_faults_come_at_once_and_say_where_they_come_from() {
+fn all_settings_faults_are_reported_together_with_their_origin() {
     let text = "rpc = 1\ncluster_secret = \"short\"\n[store]\ntick_ms = 0";
     let flags = Overrides {
         seeds: vec!["127.0.0.1:0".parse().expect("an address")],
--- a/crates/state/tests/bundle_costs.rs
+++ b/crates/state/tests/bundle_costs.rs
@@ -97,7 +97,7 @@
 /// Guards against stores that run out of memory because every version of a bundle is stored in
 /// full.
 #[test]
-fn hundreds_of_versions_cost_a_store_what_each_changed() {
+fn bundle_history_size_grows_with_the_changes_only() {
     let mut meta = formed_cluster();
     for version in 1..=VERSIONS {
         submit(&mut meta, &one_route_changed(version));
@@ -110,7 +110,7 @@
 
 /// Guards against stores that run out of memory when no two versions share any section.
 #[test]
-fn versions_that_share_nothing_are_kept_within_a_bound() {
+fn bundle_history_size_is_bounded_without_shared_sections() {
     let mut meta = formed_cluster();
     let everything_changed = |version| bundle(version, |number| 1_000 + version * 1_000 + number);
     for version in 1..=60 {
@@ -141,7 +141,7 @@
 
 /// Guards against logs that contain the full configuration for every change of one route.
 #[test]
-fn a_change_of_one_route_is_a_short_entry_of_the_log() {
+fn changing_one_route_appends_a_small_log_entry() {
     let mut meta = formed_cluster();
     let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let next = one_route_changed(2);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn changes_that_do_not_give_the_named_whole_are_refused() {
+fn bundle_changes_that_do_not_match_the_digest_are_refused() {
     let mut meta = formed_cluster();
     let first = accepted_record(meta.apply_command(submission(&one_route_changed(1))));
     let good = submission_on(&one_route_changed(2), &first);
--- a/crates/state/tests/frozen_copies.rs
+++ b/crates/state/tests/frozen_copies.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_frozen_copy_is_the_state_as_it_was_whatever_is_written_afterwards() {
+fn a_frozen_copy_is_unaffected_by_later_writes() {
     let mut shard = populated_shard();
     let mut kept = Vec::new();
     for command in writes(2) {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_machine_restored_from_a_frozen_copy_goes_on_as_the_one_that_gave_it() {
+fn a_machine_restored_from_a_frozen_copy_matches_its_source() {
     let mut one = populated_shard();
     one.apply_accepted(append(1, Some("t1"), 2, vec![tokens(1); MANY_EVENTS as usize]));
     let mut two = ShardMachine::new(RETENTION);
@@ -60,7 +60,7 @@
 
 proptest! {
     #[test]
-    fn a_log_in_chunks_reads_as_a_plain_list(count in 0_u64..MANY_EVENTS, after in 0_u64..700) {
+    fn the_chunked_event_log_matches_a_plain_list(count in 0_u64..MANY_EVENTS, after in 0_u64..700) {
         let mut log = EventLog::default();
         for number in 0..count {
             prop_assert_eq!(log.push(None, tokens(number)), EventSeq(number + 1));
--- a/crates/state/tests/meta.rs
+++ b/crates/state/tests/meta.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn stores_register_by_run_and_never_return_once_removed() {
+fn a_removed_store_cannot_register_again() {
     let mut meta = with_leader();
     let registration = StoreRecord { state: StoreState::Removed, ..store(4, 5) };
     apply_twice(&mut meta, MetaCommand::RegisterStore(registration));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn placements_change_only_from_what_the_sender_saw() {
+fn a_placement_change_requires_the_expected_placement() {
     let mut meta = with_leader();
     apply_twice(&mut meta, set_placement(1, &[1, 2, 3], &[1, 2, 4]));
     let late = set_placement(1, &[1, 2, 3], &[1, 3, 4]);
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn of_two_racing_bundles_one_is_committed_and_its_resend_is_not_refused() {
+fn only_one_of_two_racing_bundles_commits_and_resending_it_is_idempotent() {
     let mut meta = with_leader();
     let first = record(apply_twice(&mut meta, submit(&bundle(1, 0, 3))));
     let other = submit(&bundle(1, 0, 4));
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn bundles_are_read_back_whole_and_by_sections() {
+fn bundles_are_readable_in_full_and_by_section() {
     let mut meta = with_leader();
     let (one, two) = (bundle(1, 0, 40), bundle(2, 1, 41));
     let first = record(meta.apply_command(submit(&one)));
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn a_roll_back_is_a_new_bundle_and_happens_once() {
+fn a_rollback_creates_one_new_bundle() {
     let mut meta = with_leader();
     assert!(matches!(
         apply_refused(&mut meta, roll_back(1, "v2")),
--- a/crates/state/tests/properties.rs
+++ b/crates/state/tests/properties.rs
@@ -110,7 +110,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn replicas_agree_also_after_a_snapshot(
+    fn replicas_agree_after_a_snapshot_restore(
         sequence in prop::collection::vec(commands(), 0..120),
         cut in 0_usize..120,
     ) {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn damaged_bytes_are_refused_and_change_nothing() {
+fn malformed_bytes_are_refused_without_a_state_change() {
     let mut shard = shard_with_open_sessions();
     let before = shard.digest();
     assert!(shard.apply(&[0xff; 9]).is_err());
--- a/crates/state/tests/shard_calls.rs
+++ b/crates/state/tests/shard_calls.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_attempt_holds_a_call() {
+fn a_call_is_granted_to_one_attempt_only() {
     let mut shard = shard_with_session();
     let (first, second) = shard.apply_twice(begin_call("a", "x"));
     assert_eq!((first, second), (ShardReply::CallGranted, ShardReply::CallGranted));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_outcome_is_never_granted_again_and_unknown_gives_way_to_the_answer() {
+fn an_ended_call_is_not_granted_again_and_an_answer_replaces_unknown() {
     let mut shard = shard_with_session();
     assert_eq!(shard.apply_refused(finish_call("a", CallOutcome::Unknown)), ShardRefusal::NoCall);
     shard.apply_accepted(begin_call("a", "x"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn only_a_call_that_never_began_is_sealed() {
+fn a_call_that_never_began_can_be_sealed_as_not_run() {
     let mut shard = shard_with_session();
     let (first, second) = shard.apply_twice(seal_call("x"));
     assert_eq!(first, second);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_begun_call_is_neither_sealed_nor_said_not_run() {
+fn a_begun_call_cannot_be_sealed_or_recorded_as_not_run() {
     let mut shard = shard_with_session();
     shard.apply_accepted(begin_call("a", "x"));
     let commands = [seal_call("x"), finish_call("a", CallOutcome::NotRun)];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_lease_expires_only_for_the_renewal_judged_and_for_ever() {
+fn a_lease_expires_permanently_and_only_at_the_expected_renewal() {
     let mut shard = shard_with_session();
     shard.apply_accepted(renew("e1"));
     let renewed = shard.apply_accepted(renew("e1"));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_clock_never_goes_back_and_does_bounded_work_a_step() {
+fn the_clock_is_monotonic_and_expires_a_bounded_number_of_items_per_step() {
     let mut shard = shard_with_session();
     let turns = ITEMS_PER_STEP + 10;
     let mut after = None;
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn calls_and_closed_sessions_are_forgotten_after_the_keep_time() {
+fn calls_and_closed_sessions_are_removed_after_the_retention_time() {
     let mut shard = shard_with_session();
     shard.apply_accepted(take("s", 1, "e2"));
     shard.apply_accepted(begin_call("a", "x"));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_program_is_forgotten_the_keep_time_after_its_last_end() {
+fn a_program_is_removed_one_retention_time_after_its_last_turn_end() {
     let mut shard = shard_with_session();
     shard.apply_accepted(begin(1, "t1", None, 50));
     let first_check = PROGRAM_END + RETENTION_MS;
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_batch_is_replied_to_one_by_one() {
+fn a_batch_returns_one_reply_per_command() {
     let mut shard = ShardMachine::new(RETENTION);
     let batch = ShardCommand::Batch(vec![open("s", "e1"), put_program(BUDGET), open("s", "e1")]);
     let ShardReply::Batch(replies) = shard.apply_command(batch) else { panic!() };
--- a/crates/state/tests/shard_chains.rs
+++ b/crates/state/tests/shard_chains.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn several_turns_may_go_on_from_one_and_each_gets_its_own_history() {
+fn several_turns_can_continue_from_one_turn_with_separate_histories() {
     let mut shard = machine();
     let first = start_turn(&mut shard, start("s", "t1"));
     assert_eq!(first.history, None);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_turn_that_is_not_kept_cannot_be_gone_on_from() {
+fn a_turn_cannot_continue_from_an_open_interrupted_or_unknown_turn() {
     let mut shard = machine();
     let unknown = ShardCommand::StartChainedTurn(after("s", "t2", "t1"));
     assert_eq!(apply_refused(&mut shard, unknown.clone()), ShardRefusal::UnknownTurn);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_budget_counts_running_turns_at_their_most() {
+fn running_turns_reserve_their_maximum_tokens() {
     let mut shard = machine();
     for name in ["t1", "t2", "t3"] {
         start_turn(&mut shard, start(name, name));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_a_cut_turn_gave_is_booked_and_the_rest_is_free_again() {
+fn an_interrupted_turn_is_charged_for_streamed_tokens_only() {
     let mut shard = machine();
     let first = start_turn(&mut shard, start("s", "t1"));
     end_turn(&mut shard, EndChainedTurn { output: None, ..end("s", "t1", first.epoch.0, 4) });
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn another_programs_turn_is_found_and_brought_in() {
+fn a_turn_can_continue_from_an_imported_history() {
     let mut shard = machine();
     let first = start_turn(&mut shard, start("s", "t1"));
     end_turn(&mut shard, end("s", "t1", first.epoch.0, 10));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_program_is_forgotten_after_its_keep_time_but_not_while_it_is_used() {
+fn a_program_in_use_is_not_removed_after_the_retention_time() {
     let mut shard = machine();
     let first = start_turn(&mut shard, start("s", "t1"));
     end_turn(&mut shard, end("s", "t1", first.epoch.0, 10));
@@ -254,7 +254,7 @@
     /// Replicas that apply the same commands agree, also if one of them was restored from a
     /// snapshot.
     #[test]
-    fn a_snapshot_holds_all_of_it(commands in prop::collection::vec(commands(), 1..60), cut in 0_usize..60) {
+    fn a_replica_restored_from_a_snapshot_agrees(commands in prop::collection::vec(commands(), 1..60), cut in 0_usize..60) {
         let (mut one, mut two) = (machine(), machine());
         for (number, command) in commands.into_iter().enumerate() {
             if number == cut {
--- a/crates/state/tests/shard_sessions.rs
+++ b/crates/state/tests/shard_sessions.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn commands_name_what_is_missing() {
+fn commands_report_a_missing_program_or_session() {
     let mut shard = ShardMachine::new(RETENTION);
     let refused = |shard: &mut ShardMachine, command| match shard.apply_command(command) {
         ShardReply::Refused(refusal) => refusal,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn opening_takes_a_session_without_owner_under_a_new_epoch() {
+fn opening_an_unowned_session_assigns_a_new_epoch() {
     let mut shard = shard_with_session();
     shard.apply_accepted(hand_over(1));
     shard.apply_accepted(open("s", "e2"));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_closed_session_takes_nothing_more() {
+fn a_closed_session_refuses_all_commands() {
     let mut shard = shard_with_session();
     let (first, second) = shard.apply_twice(close(1));
     assert_eq!(first, second);
--- a/crates/state/tests/shard_turns.rs
+++ b/crates/state/tests/shard_turns.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_resent_turn_is_the_same_turn() {
+fn resending_a_turn_returns_the_existing_record() {
     let mut shard = shard_with_session();
     let (first, second) = shard.apply_twice(begin(1, "t1", None, 60));
     let (first, second) = (grant(first), grant(second));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_turn_follows_the_head() {
+fn a_turn_must_continue_from_the_session_head() {
     let mut shard = shard_with_session();
     assert_eq!(shard.apply_refused(begin(1, "t1", Some("t0"), 5)), not_head(None, false));
     shard.apply_accepted(begin(1, "t1", None, 5));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_earlier_turn_is_known_for_the_keep_time() {
+fn an_earlier_turn_is_known_for_the_retention_time() {
     let mut shard = shard_with_session();
     for (name, after) in [("t1", None), ("t2", Some("t1"))] {
         shard.apply_accepted(begin(1, name, after, 5));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_turn_after_the_end_time_is_refused_for_good() {
+fn a_turn_after_the_program_end_time_is_refused_permanently() {
     let mut shard = shard_with_session();
     shard.apply_accepted(advance_clock(PROGRAM_END));
     assert_eq!(shard.apply_refused(begin(1, "t1", None, 5)), ShardRefusal::ProgramEnded);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_budget_reserved_by_other_sessions_may_be_asked_for_again() {
+fn a_turn_refused_for_reserved_budget_can_be_retried() {
     let mut shard = shard_with_session();
     shard.apply_accepted(open("other", "e2"));
     shard.apply_accepted(begin_in("other", 1, "o1", None, 90));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn only_the_open_turn_gets_events_and_only_its_own_kinds() {
+fn events_are_accepted_only_for_the_open_turn() {
     let mut shard = shard_with_session();
     let refusal =
         |shard: &mut _, name, body| Commands::apply_refused(shard, append(1, name, 2, vec![body]));
--- a/crates/store/tests/decisions.rs
+++ b/crates/store/tests/decisions.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn only_the_lowest_of_enough_settled_stores_proposes() {
+fn only_the_lowest_settled_store_proposes_a_formation_plan() {
     let now = Instant::now();
     assert!(view(1, &[2, 3], now).plan(7, settled(now)).is_some());
     assert!(view(2, &[1, 3], now).plan(7, settled(now)).is_none(), "not the lowest");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_plan_names_all_stores_and_places_every_group() {
+fn a_formation_plan_lists_all_stores_and_places_every_group() {
     let now = Instant::now();
     let plan = view(1, &[2, 3, 4], now).plan(7, settled(now)).unwrap();
     assert_eq!(plan.stores.len(), 4);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_store_does_not_promise_past_a_lower_one() {
+fn a_store_refuses_a_plan_if_it_sees_a_lower_coordinator() {
     let now = Instant::now();
     let plan = view(2, &[3, 4], now).plan(7, settled(now)).unwrap();
     let sees_lower = view(3, &[1, 2, 4], now);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_lease_is_held_for_its_time_and_margin_from_the_later_of_renewal_and_leadership() {
+fn the_lease_time_counts_from_the_later_of_renewal_and_leadership() {
     let start = Instant::now();
     let full = LEASE_TIME + LEASE_MARGIN;
     let renewal = Renewal(4);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_leadership_moves_to_the_store_with_the_fewest_until_they_are_even() {
+fn leadership_transfers_balance_leaders_across_stores() {
     let leaders = [1, 1, 1, 2];
     let replicas: Vec<_> = (1..).zip(leaders).map(|(group, l)| replica(group, l, 1)).collect();
     let chosen = choose_transfer(NodeId(1), &replicas);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_replica_is_removed_only_if_a_leader_that_knows_more_reports_it() {
+fn a_replica_is_removed_only_on_the_report_of_an_up_to_date_leader() {
     let own = NodeId(4);
     let mut left = replica(1, 1, 4);
     left.leader = None;
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_was_acknowledged_survives_a_loss_of_power_of_all_machines() {
+async fn acknowledged_writes_survive_power_loss_on_all_machines() {
     let disks = [TestDisk::default(), TestDisk::default(), TestDisk::default()];
     let mut cluster = cluster_on(&disks).await;
     let (acknowledged, stopped) =
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_store_whose_disk_fails_acknowledges_nothing_and_the_others_go_on() {
+async fn a_store_with_a_failed_disk_acknowledges_nothing_while_the_others_serve() {
     let disks = [TestDisk::default(), TestDisk::default(), TestDisk::default()];
     let cluster = cluster_on(&disks).await;
     let client = cluster.client();
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_store_that_is_told_to_ends_when_its_disk_fails() {
+async fn a_store_set_to_end_when_failed_exits_on_disk_failure() {
     let options = StoreSettings { end_when_failed: true, ..fast_options() };
     let mut cluster = TestCluster::new(3, options).await;
     let disk = TestDisk::default();
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_store_whose_snapshot_thread_panics_acknowledges_nothing_and_the_others_go_on() {
+async fn the_cluster_serves_after_a_snapshot_thread_panic() {
     let options = StoreSettings { snapshot_commands: 20, ..fast_options() };
     let mut cluster = TestCluster::new(3, options).await;
     let disk = TestDisk::default();
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_folder_that_is_in_use_damaged_or_of_another_node_is_refused() {
+async fn an_unusable_store_folder_is_refused() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     let node = cluster.node(0);
     let in_use = open_folder(&cluster, 0, node);
--- a/crates/store/tests/failures.rs
+++ b/crates/store/tests/failures.rs
@@ -23,7 +23,7 @@
 use tokio::time::Instant;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_leader_that_is_cut_off_serves_no_stale_read() {
+async fn a_partitioned_leader_serves_no_stale_read() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let group = shard_of("program");
     let old = cluster.until_leader(group).await;
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn one_way_cuts_leave_the_group_serving() {
+async fn groups_serve_during_one_way_partitions() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let client = cluster.client();
     for (number, is_outbound) in [(0, true), (1, false), (2, true)] {
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_majority_lost_claims_nothing_and_comes_back() {
+async fn requests_fail_without_a_majority_and_succeed_after_its_restart() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     let client = cluster.client();
     put_program(&client, "program").await;
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_stop_in_order_leaves_every_group_led() {
+async fn stopping_stores_one_by_one_keeps_groups_available() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     let client = cluster.client();
     for number in 0..3 {
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_lease_is_held_until_its_time_is_over_on_the_present_leader() {
+async fn a_lease_is_held_for_its_full_time_after_a_leader_change() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     let client = cluster.client();
     let holder = engine("engine-1");
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_lease_that_was_never_granted_is_ended_for_good() {
+async fn an_ungranted_lease_is_expired_permanently() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let client = cluster.client();
     let holder = engine("engine-2");
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn commands_that_no_replica_could_apply_or_only_leaders_propose_are_refused() {
+async fn malformed_and_internal_commands_are_refused() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let rpc = support::rpc_client();
     let group = GroupId(1);
@@ -206,7 +206,7 @@
 /// After a loss of power of all machines, no replica has applied anything yet, and the seed
 /// processes may be the last ones to return.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn stores_that_start_again_together_find_each_other_without_any_seed() {
+async fn stores_restarted_together_find_each_other_without_seeds() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     put_program(&cluster.client(), "program").await;
     for number in 0..3 {
@@ -238,7 +238,7 @@
 /// processes were killed: the leader's machine had restarted, but all cores waited for the lease of
 /// its former run to expire.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_core_that_starts_again_at_its_address_ends_its_former_runs_lease_at_once() {
+async fn a_core_restarted_at_its_address_expires_its_former_lease_immediately() {
     let cluster = TestCluster::formed(3, fast_options()).await;
     let (rpc, elsewhere) = (free_address().await, free_address().await);
     let former = client_at(&cluster, rpc, 5, NodeRole::Core);
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_is_held_from_its_last_renewal_and_then_expires_for_ever() {
+async fn an_unrenewed_lease_expires_permanently() {
     let state = state();
     renew(&state).await;
     advance(Duration::from_secs(2)).await;
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_core_leaders_lease_expires_too() {
+async fn the_lease_of_the_core_leader_expires() {
     let state = state();
     let form = MetaCommand::Form { cluster: 1, stores: vec![], placements: vec![] };
     state.execute_meta(&form, soon()).await.unwrap();
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_was_applied() {
+async fn a_command_with_a_lost_reply_was_applied() {
     let state = state();
     state.drop_replies(SHARD, 1);
     let command = ShardCommand::RenewLease { holder: holder(1) };
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unavailable_group_is_waited_for_until_the_deadline() {
+async fn a_command_waits_for_an_unavailable_group_until_its_deadline() {
     let state = state();
     state.set_available(SHARD, false);
     let started = Instant::now();
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_clock_can_be_driven() {
+async fn the_test_clock_can_be_set() {
     let state = state();
     state.set_clock(UnixMillis(42));
     let answer = state.query_shard(SHARD, &ShardQuery::Clock, soon()).await.unwrap();
--- a/crates/store/tests/placement.rs
+++ b/crates/store/tests/placement.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_new_cluster_is_spread_over_zones_and_needs_no_change() {
+fn a_new_cluster_is_balanced_across_zones() {
     let model = Model::new(&[1, 2, 3, 4]);
     model.assert_zones_apart();
     assert!(model.confs.values().all(|conf| conf.learners.len() == 1));
@@ -188,12 +188,12 @@
 }
 
 #[test]
-fn two_stores_in_one_zone_share_no_group_while_others_are_free() {
+fn placement_keeps_the_replicas_of_a_group_in_separate_zones() {
     Model::new(&[1, 1, 2, 3]).assert_zones_apart();
 }
 
 #[test]
-fn a_dead_voter_is_replaced_by_the_learner_and_the_learner_by_a_further_store() {
+fn a_lost_voter_is_replaced_by_the_learner_and_a_new_learner_added() {
     let mut model = Model::new(&[1, 2, 3, 4, 5]);
     let group = *model.confs.iter().find(|(_, c)| c.voters.contains(&NodeId(1))).unwrap().0;
     let learner = *model.confs[&group].learners.first().unwrap();
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_learner_that_lags_is_not_promoted() {
+fn placement_does_not_promote_a_lagging_learner() {
     let mut model = Model::new(&[1, 2, 3, 4]);
     model.behind = [NodeId(4)].into();
     model.alive.remove(&NodeId(1));
@@ -237,14 +237,14 @@
 }
 
 #[test]
-fn with_nowhere_to_go_nothing_changes() {
+fn placement_is_unchanged_without_a_free_store() {
     let mut model = Model::new(&[1, 2, 3]);
     model.alive.remove(&NodeId(2));
     assert_eq!(model.plan(), vec![]);
 }
 
 #[test]
-fn an_empty_machine_in_place_of_a_lost_one_gets_its_replicas() {
+fn an_empty_store_at_the_address_of_a_lost_one_gets_its_replicas() {
     let mut model = Model::new(&[1, 2, 3]);
     model.alive.remove(&NodeId(2));
     let mut fresh = store(9, 2);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_group_without_a_leader_is_left_alone() {
+fn no_members_are_changed_in_groups_without_a_leader() {
     let mut model = Model::new(&[1, 2, 3, 4]);
     model.alive = [NodeId(1)].into();
     let changes_members =
@@ -301,7 +301,7 @@
     /// After any sequence of lost, returning, retiring and added stores, planning ends and every
     /// group has three living voters in three zones.
     #[test]
-    fn plans_end_with_every_group_whole(events in prop::collection::vec((0..4_u8, any::<u8>()), 1..8)) {
+    fn planning_converges_with_every_group_fully_replicated(events in prop::collection::vec((0..4_u8, any::<u8>()), 1..8)) {
         let mut model = Model::new(&[1, 2, 3, 4, 5]);
         for (kind, pick) in events {
             let usable: Vec<NodeId> = model.meta.stores.iter()
--- a/crates/store/tests/repair.rs
+++ b/crates/store/tests/repair.rs
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_lost_disk_at_the_same_address_is_a_new_node_and_a_second_loss_is_survived() {
+async fn acknowledged_writes_survive_two_disk_losses_with_a_repair_between() {
     let mut cluster = TestCluster::formed(4, fast_options()).await;
     let repairer = Repairer::new(&cluster).await;
     repairer.settle(&cluster).await;
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_added_store_takes_its_share_and_a_retired_one_is_emptied() {
+async fn replicas_move_to_an_added_store_and_off_a_retired_one() {
     let mut cluster = TestCluster::formed(4, fast_options()).await;
     let repairer = Repairer::new(&cluster).await;
     put_programs(&cluster, 0..30).await;
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_empty_machine_joins_the_cluster_and_never_forms_its_own() {
+async fn empty_stores_join_the_existing_cluster() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     let formed = cluster.handle(0).cluster();
     for _ in 0..3 {
@@ -158,7 +158,7 @@
 /// unresponsive store, and then acted on the outdated replies, although the leader counted on the
 /// entries that it had held.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_store_that_is_added_again_while_it_asks_keeps_what_it_holds() {
+async fn a_store_added_again_during_its_removal_check_retains_its_replicas() {
     let mut cluster = TestCluster::formed(4, fast_options()).await;
     put_programs(&cluster, 0..30).await;
     let repairer = Repairer::new(&cluster).await;
@@ -201,7 +201,7 @@
 /// stores by the time it has joined; otherwise it would query itself and be registered seconds
 /// later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_store_that_joins_asks_the_stores_at_once_and_nobody_else() {
+async fn a_store_joining_through_a_core_knows_the_stores_and_registers() {
     let mut cluster = TestCluster::formed(3, fast_options()).await;
     let known: Vec<NodeAddress> = (0..3)
         .map(|number| cluster.stores[number].running.as_ref().unwrap().identity.address.clone())
--- a/crates/wal/tests/damage.rs
+++ b/crates/wal/tests/damage.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_log_cut_anywhere_keeps_every_whole_append() {
+fn a_truncated_log_recovers_all_complete_appends() {
     let (bytes, lengths) = written();
     for cut in 0..=bytes.len() {
         let complete = lengths.iter().filter(|length| **length <= cut).count().saturating_sub(1);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_flip_before_the_last_append_is_refused_with_its_place() {
+fn a_bit_flip_before_the_last_append_is_reported_with_its_offset() {
     let (bytes, lengths) = written();
     let last_start = lengths[lengths.len() - 2];
     for position in 0..last_start {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_flip_in_the_last_append_never_yields_other_records() {
+fn a_bit_flip_in_the_last_append_drops_that_append() {
     let (bytes, lengths) = written();
     let all = appends();
     let before: Vec<_> = all[..all.len() - 1].iter().flatten().cloned().collect();
--- a/crates/wal/tests/failures.rs
+++ b/crates/wal/tests/failures.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn appends_that_wait_together_share_a_sync() {
+fn queued_appends_share_one_sync() {
     let folder = tempfile::tempdir().unwrap();
     let files = FailingFiles::default();
     let (wal, _) = open_with(Arc::new(files.clone()), folder.path(), 1 << 20).unwrap();
--- a/crates/wal/tests/segments.rs
+++ b/crates/wal/tests/segments.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn covered_segments_are_removed_and_holders_are_named() {
+fn segments_covered_by_snapshots_are_removed_and_pinning_groups_reported() {
     let folder = tempfile::tempdir().unwrap();
     let (wal, _) = open(folder.path(), 400).unwrap();
     write(&wal, vec![append(2, 1..=1, 1), hard_state(2, 1, 1)]).unwrap();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_removed_replica_keeps_its_vote() {
+fn the_term_of_a_removed_replica_is_retained() {
     let folder = tempfile::tempdir().unwrap();
     let (wal, _) = open(folder.path(), 1 << 20).unwrap();
     write(&wal, vec![hard_state(1, 7, 3), append(1, 1..=3, 7)]).unwrap();
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn snapshots_are_whole_or_refused() {
+fn damaged_snapshots_are_refused() {
     let folder = tempfile::tempdir().unwrap();
     let store = SnapshotStore::open(Arc::new(OsFiles), folder.path()).unwrap();
     let group = GroupId(3);
