--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -251,8 +251,7 @@
 async fn a_node_is_ready_only_with_the_newest_bundle_and_a_reachable_peer() {
     let cluster = Cluster::new(17).await;
     cluster.submit_accepted(&bundle(1, "growers")).await;
-    let alone = cluster.start(NodeRole::Gateway, &[]).await;
-    alone.state.set_unreachable(true);
+    let alone = cluster.start_without_stores(NodeRole::Gateway, &[]).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let reasons = alone.context.node.readiness.reasons();
     assert!(reasons.contains_key("reach") && reasons.contains_key("bundle"), "{reasons:?}");
