--- a/crates/bundle/src/http_sections.rs
+++ b/crates/bundle/src/http_sections.rs
@@ -1,4 +1,4 @@
-//! Sections of the HTTP_SECTION routing: pools and limits, chunks of routes, and pieces of the
+//! Sections of the HTTP routing: pools and limits, chunks of routes, and pieces of the
 //! operators' text.
 //!
 //! A change of one route changes one chunk of routes and one or two pieces of the text. Pieces are
@@ -47,7 +47,7 @@
     name == TEXT_SECTION || name.starts_with(PIECE_PREFIX)
 }
 
-/// Encodes a bundle's HTTP_SECTION routing as sections by name.
+/// Encodes a bundle's HTTP routing as sections by name.
 pub(crate) fn sections(http: &HttpRouting) -> BTreeMap<String, Vec<u8>> {
     let pools = Pools { services: http.services.clone(), limits: http.limits.clone() };
     let mut sections = BTreeMap::from([(HTTP_SECTION.to_owned(), to_json(&pools))]);
@@ -94,7 +94,7 @@
     id
 }
 
-/// Changed sections of a bundle's HTTP_SECTION routing. An inner `None` marks a removed section.
+/// Changed sections of a bundle's HTTP routing. An inner `None` marks a removed section.
 #[derive(Debug, Default)]
 pub(crate) struct HttpChanges<'a> {
     pools: Option<Option<&'a [u8]>>,
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Applies the changed sections to the current HTTP_SECTION routing.
+    /// Applies the changed sections to the current HTTP routing.
     pub(crate) fn apply(self, routing: &mut Option<HttpRouting>) -> Result<(), DecodeError> {
         if self.pools == Some(None) {
             *routing = None;
@@ -187,6 +187,6 @@
 }
 
 fn malformed(id: &str) -> DecodeError {
-    let reason = "missing, or other bytes than its name says".to_owned();
+    let reason = "missing, or its content does not match the digest in its name".to_owned();
     DecodeError::Malformed { part: format!("{PIECE_PREFIX}{id}"), reason }
 }
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -57,7 +57,7 @@
     pub model: Option<ModelName>,
     /// Versions, oldest first; the last one that is not `rolled_back` is the newest sound version.
     pub versions: Vec<VersionEntry>,
-    /// Number of slots of the complete service; windows that overlap can reserve at most this many.
+    /// Total number of slots of the service; windows that overlap can reserve at most this many.
     pub slots: u32,
     /// Outstanding calls at one backend above which other backends are preferred (default 64).
     #[serde(default = "default_concurrency")]
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! All messages between hooklug processes, shared so that both ends compile against the same
+//! All messages between hooklug processes, shared so that both sides compile against the same
 //! definitions.
 //!
 //! Frames are encoded with postcard, so these types use no serde tags, flattening or skipped
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -33,7 +33,7 @@
     }
 
     /// Transfers leadership to another voter. Proposals are rejected until the target has the
-    /// complete log and has been told to campaign immediately. The transfer is aborted after an
+    /// complete log and has been sent `TimeoutNow`. The transfer is aborted after an
     /// election timeout.
     ///
     /// # Errors
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -157,13 +157,13 @@
     /// Records that the replica's log matches up to an index. `first_index` is the first index of
     /// the leader's log.
     pub fn append_accepted(&mut self, matched: u64, first_index: u64) {
-        let grew = matched > self.matched;
+        let advanced = matched > self.matched;
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched + 1);
         match self.state {
             ProgressState::Replicate => self.free_to(self.matched),
             ProgressState::Probe => self.become_replicate(),
-            ProgressState::Snapshot if grew && self.matched + 1 >= first_index => {
+            ProgressState::Snapshot if advanced && self.matched + 1 >= first_index => {
                 self.become_replicate();
             }
             ProgressState::Snapshot => {}
--- a/crates/raft/src/simulation/disk.rs
+++ b/crates/raft/src/simulation/disk.rs
@@ -58,15 +58,15 @@
             }
             _ => None,
         };
-        let mut kept = VecDeque::new();
+        let mut remaining = VecDeque::new();
         for (position, write) in std::mem::take(&mut self.unsynced).into_iter().enumerate() {
             if Some(position) == skipped {
-                kept.push_back(write);
+                remaining.push_back(write);
             } else {
                 self.synced.apply(write);
             }
         }
-        self.unsynced = kept;
+        self.unsynced = remaining;
     }
 
     /// Number of unsynced writes.
@@ -74,9 +74,9 @@
         self.unsynced.len()
     }
 
-    /// Simulates a crash that keeps only the first `kept` unsynced writes.
-    pub(crate) fn crash(&mut self, kept: usize) {
-        for write in std::mem::take(&mut self.unsynced).into_iter().take(kept) {
+    /// Simulates a crash that keeps only the first `count` unsynced writes.
+    pub(crate) fn crash(&mut self, count: usize) {
+        for write in std::mem::take(&mut self.unsynced).into_iter().take(count) {
             self.synced.apply(write);
         }
     }
--- a/crates/raft/src/simulation/faults.rs
+++ b/crates/raft/src/simulation/faults.rs
@@ -63,8 +63,8 @@
         if replica.process.take().is_none() {
             return;
         }
-        let kept = self.random.random_range(0..=replica.disk.unsynced());
-        replica.disk.crash(kept);
+        let retained = self.random.random_range(0..=replica.disk.unsynced());
+        replica.disk.crash(retained);
         replica.frozen_until = 0;
         self.totals.crashes += 1;
         let downtime = self.random.random_range(1..=self.fault_profile.max_downtime);
--- a/crates/replication/src/driver.rs
+++ b/crates/replication/src/driver.rs
@@ -58,7 +58,7 @@
     pub(crate) dirty: BTreeSet<GroupId>,
     pub(crate) groups: Arc<Mutex<BTreeSet<GroupId>>>,
     /// Dropped, which closes the channel, after the driver has stopped and the log is closed.
-    pub(crate) ended: watch::Sender<()>,
+    pub(crate) stopped: watch::Sender<()>,
 }
 
 impl Driver {
@@ -66,7 +66,7 @@
     pub(crate) fn run(mut self, inputs: &Receiver<Input>) {
         self.serve(inputs);
         self.wal.close();
-        drop(self.ended);
+        drop(self.stopped);
     }
 
     fn serve(&mut self, inputs: &Receiver<Input>) {
--- a/crates/replication/src/handle.rs
+++ b/crates/replication/src/handle.rs
@@ -44,7 +44,7 @@
     pub(crate) inbox: Arc<Mutex<SnapshotInbox>>,
     pub(crate) snapshots: SnapshotStore,
     pub(crate) failure: watch::Receiver<Option<String>>,
-    pub(crate) ended: watch::Receiver<()>,
+    pub(crate) stopped: watch::Receiver<()>,
     pub(crate) groups: Arc<Mutex<BTreeSet<GroupId>>>,
 }
 
@@ -186,7 +186,7 @@
         self.groups.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Passes on messages from another store. Messages with a different sender or receiver are
+    /// Forwards messages from another store to the driver. Messages with a different sender or receiver are
     /// dropped.
     pub fn deliver(&self, from: NodeId, mut messages: Vec<(GroupId, Message)>) {
         messages.retain(|(_, message)| message.from == from && message.to == self.node);
@@ -245,8 +245,8 @@
 
     /// Waits until the driver has stopped or panicked. No request is served after that.
     pub async fn wait_stopped(&self) {
-        let mut ended = self.ended.clone();
-        while ended.changed().await.is_ok() {}
+        let mut stopped = self.stopped.clone();
+        while stopped.changed().await.is_ok() {}
     }
 
     fn send_input(&self, input: Input) {
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -286,7 +286,7 @@
 
     /// Whether enough was applied since the last snapshot to take another one: `snapshot_commands`
     /// commands, or more bytes than both a fixed limit and the size of the last snapshot. The
-    /// latter keeps a large state from being written too often.
+    /// latter prevents a large state from being written too often.
     #[must_use]
     pub fn needs_snapshot(&self, snapshot_commands: u64) -> bool {
         let is_large = self.bytes_since_snapshot >= SNAPSHOT_LOG_BYTES.max(self.snapshot_bytes);
@@ -354,7 +354,8 @@
         }
         if self.leader_messages != leader_messages {
             return Err(ReplicationError::Refused(
-                "the replica has heard from a leader since its status was read".to_owned(),
+                "the replica has received a message from a leader since its status was read"
+                    .to_owned(),
             ));
         }
         Ok(())
--- a/crates/replication/src/start.rs
+++ b/crates/replication/src/start.rs
@@ -59,7 +59,7 @@
         let (store, sender) = (snapshots.clone(), driver.clone());
         spawn_watched("snapshots", &driver, move || snapshot_thread::run(&store, &jobs, &sender))?;
         let (failure, failed) = watch::channel(None);
-        let (ended, watch_end) = watch::channel(());
+        let (stopped, stopped_receiver) = watch::channel(());
         let groups = Arc::default();
         let handle = Self {
             node: settings.node,
@@ -68,7 +68,7 @@
             inbox: Arc::default(),
             snapshots: snapshots.clone(),
             failure: failed,
-            ended: watch_end,
+            stopped: stopped_receiver,
             groups: Arc::clone(&groups),
         };
         let transport = Transport::new(
@@ -89,7 +89,7 @@
             failure,
             dirty: Default::default(),
             groups,
-            ended,
+            stopped,
         };
         for (group, state) in recovered.groups {
             driver_state.restore(group, state)?;
--- a/crates/rpc/src/faults.rs
+++ b/crates/rpc/src/faults.rs
@@ -2,7 +2,7 @@
 //! `--enable-faults`.
 //!
 //! Faults act on the sending side. A cut link holds frames back until the cut is lifted, as TCP
-//! does on a network that drops packets. A one-way partition is a cut at one end only.
+//! does on a network that drops packets. A one-way partition is a cut on one side only.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/crates/rpc/src/handshake.rs
+++ b/crates/rpc/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Handshake of a new connection: both ends prove that they hold the cluster secret.
+//! Handshake of a new connection: both sides prove that they hold the cluster secret.
 //!
 //! The server sends a challenge, and each side then sends a [`Hello`] with a keyed hash over the
 //! other side's nonce, its own nonce and its identity.
@@ -120,7 +120,7 @@
 {
     let challenge: Challenge = read(stream, &identity.traffic).await?;
     if challenge.protocol != PROTOCOL_VERSION {
-        return Err(refusal("peer speaks another protocol version"));
+        return Err(refusal("peer uses another protocol version"));
     }
     let nonce: Nonce = rand::rng().random();
     send(stream, identity, &make_hello(identity, Side::Client, &challenge.nonce, nonce)).await?;
--- a/crates/rpc/src/identity.rs
+++ b/crates/rpc/src/identity.rs
@@ -79,7 +79,7 @@
 pub struct LocalIdentity {
     /// Node id, incarnation, role and addresses.
     pub address: NodeAddress,
-    /// Key derived from the cluster secret; both ends prove in the handshake that they hold it.
+    /// Key derived from the cluster secret; both sides prove in the handshake that they hold it.
     secret_key: [u8; 32],
     /// Cluster id; 0 until known. Peers of another cluster are rejected.
     cluster: Arc<AtomicU64>,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Authenticated process at the other end of a connection.
+/// Authenticated process on the other side of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Node id.
--- a/crates/rpc/src/incarnations.rs
+++ b/crates/rpc/src/incarnations.rs
@@ -7,8 +7,8 @@
 use hooklug_types::Incarnation;
 
 /// Newest known incarnations by IP address. A machine that lost power does not close its
-/// connections, so a connection to its previous incarnation looks open until the idle timeout. A
-/// handshake with a newer incarnation shows earlier that such a connection is dead.
+/// connections, so a connection to its previous incarnation appears open until the idle timeout. A
+/// handshake with a newer incarnation shows earlier that such a connection has failed.
 #[derive(Debug, Default)]
 pub(crate) struct NewestIncarnations {
     newest: RwLock<HashMap<IpAddr, Incarnation>>,
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -2,7 +2,7 @@
 //! peer.
 //!
 //! A frame is a four-byte length and a postcard body. Each connection starts with a handshake in
-//! which both ends prove that they hold the cluster secret. Each server frame carries the sender's
+//! which both sides prove that they hold the cluster secret. Each server frame carries the sender's
 //! bundle version, so new bundle versions spread with ordinary traffic. Tests can cut or delay
 //! links (see [`LinkFaults`]).
 
--- a/crates/session/src/attach.rs
+++ b/crates/session/src/attach.rs
@@ -50,7 +50,12 @@
         }
     }
 
-    pub(crate) fn look_up(&mut self, client: ClientId, request: TurnRequest, last_seen: EventSeq) {
+    pub(crate) fn start_lookup(
+        &mut self,
+        client: ClientId,
+        request: TurnRequest,
+        last_seen: EventSeq,
+    ) {
         let lookup = LookupId(self.new_id());
         let turn = request.turn.clone();
         self.lookups.insert(lookup, PendingLookup { client, request, last_seen });
--- a/crates/session/src/commit.rs
+++ b/crates/session/src/commit.rs
@@ -58,7 +58,7 @@
         let (key, epoch) = (self.record.key.clone(), self.record.epoch);
         let command = match &self.phase {
             Phase::Open(open) => {
-                let reason = open.ending.clone()?;
+                let reason = open.end_reason.clone()?;
                 let turn = open.record.turn.clone();
                 ShardCommand::FinishTurn(FinishTurn { key, epoch, turn, reason })
             }
@@ -84,15 +84,15 @@
 
     fn take_append_batch(&mut self) -> Vec<PendingEvent> {
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut batch = Vec::new();
         while let Some(next) = self.pending.front() {
             bytes += text_bytes(&next.body);
-            if bytes > MAX_APPEND_BYTES && !taken.is_empty() {
+            if bytes > MAX_APPEND_BYTES && !batch.is_empty() {
                 break;
             }
-            taken.extend(self.pending.pop_front());
+            batch.extend(self.pending.pop_front());
         }
-        taken
+        batch
     }
 
     fn append_command(&self, events: &[PendingEvent]) -> ShardCommand {
@@ -136,13 +136,13 @@
     }
 
     fn commit_refused(&mut self, in_flight: InFlight, refusal: ShardRefusal) {
-        let handed_over = matches!(in_flight.command, ShardCommand::HandOver { .. });
-        let begin = matches!(in_flight.command, ShardCommand::BeginTurn(_));
-        let is_expected = begin && self.is_expected_begin_refusal(&refusal);
+        let is_hand_over = matches!(in_flight.command, ShardCommand::HandOver { .. });
+        let is_begin = matches!(in_flight.command, ShardCommand::BeginTurn(_));
+        let is_expected = is_begin && self.is_expected_begin_refusal(&refusal);
         // Put back, so that `end` replies to the waiting requests.
         self.in_flight = (!is_expected).then_some(in_flight);
         match refusal {
-            ShardRefusal::StaleEpoch { .. } if handed_over => self.end(ExitReason::HandedOver),
+            ShardRefusal::StaleEpoch { .. } if is_hand_over => self.end(ExitReason::HandedOver),
             ShardRefusal::StaleEpoch { record } => self.end(ExitReason::NotOwner(Some(record))),
             refusal if is_expected => self.refuse_starting_turn(&SessionRefusal::Shard(refusal)),
             ShardRefusal::SessionClosed => self.end(ExitReason::Closed),
--- a/crates/session/src/generation.rs
+++ b/crates/session/src/generation.rs
@@ -27,7 +27,7 @@
 
     pub(crate) fn model_event(&mut self, generation: GenerationId, event: ModelEvent) {
         let Phase::Open(open) = &mut self.phase else { return };
-        if open.generation != Some(generation) || open.ending.is_some() {
+        if open.generation != Some(generation) || open.end_reason.is_some() {
             return;
         }
         let body = match event {
--- a/crates/session/src/phase.rs
+++ b/crates/session/src/phase.rs
@@ -45,8 +45,9 @@
     pub(crate) generation: Option<GenerationId>,
     /// Number of generated tokens, committed or not.
     pub(crate) generated: TokenCount,
-    /// The reason why the turn ended, once it has; committed after all its events.
-    pub(crate) ending: Option<EndReason>,
+    /// The reason for which the turn ends; committed after all its events. `None` until the end is
+    /// decided.
+    pub(crate) end_reason: Option<EndReason>,
     pub(crate) replies: Vec<ReplyId>,
 }
 
@@ -67,7 +68,7 @@
             state: TurnState::Open,
         };
         let mut open = OpenTurn::new(record, TokenCount(0), now);
-        open.ending = Some(EndReason::Interrupted);
+        open.end_reason = Some(EndReason::Interrupted);
         Self::Open(Box::new(open))
     }
 
@@ -104,7 +105,7 @@
             ticket: None,
             generation: None,
             generated: TokenCount(0),
-            ending: None,
+            end_reason: None,
             replies: Vec::new(),
         }
     }
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -102,7 +102,7 @@
             self.end(ExitReason::LeaseLost);
         }
         match self.exit_reason.clone() {
-            Some(ending) => self.refuse_after_end(&message, &ending),
+            Some(exit_reason) => self.refuse_after_end(&message, &exit_reason),
             None => self.dispatch(message, time.now),
         }
         if self.exit_reason.is_none() {
@@ -245,8 +245,8 @@
     }
 
     fn owner_changed(&mut self, record: Box<SessionRecord>) {
-        let still_ours = record.epoch == self.record.epoch && record.owner == self.record.owner;
-        if !still_ours && record.epoch >= self.record.epoch {
+        let is_still_owner = record.epoch == self.record.epoch && record.owner == self.record.owner;
+        if !is_still_owner && record.epoch >= self.record.epoch {
             self.end(ExitReason::NotOwner(Some(record)));
         }
     }
@@ -266,8 +266,8 @@
 
     /// Ends the loop: stops the generation and refuses all clients and waiting requests. No event
     /// is released afterwards.
-    pub(crate) fn end(&mut self, ending: ExitReason) {
-        let refusal = ending.refusal();
+    pub(crate) fn end(&mut self, exit_reason: ExitReason) {
+        let refusal = exit_reason.refusal();
         self.end_current_turn(&refusal);
         self.clients.refuse_all(&refusal, &mut self.effects);
         for (_, lookup) in std::mem::take(&mut self.lookups) {
@@ -279,12 +279,12 @@
         for reply in waiting.collect::<Vec<_>>() {
             self.reply(reply, Err(refusal.clone()));
         }
-        self.effects.push(Effect::Ended(ending.clone()));
-        self.exit_reason = Some(ending);
+        self.effects.push(Effect::Ended(exit_reason.clone()));
+        self.exit_reason = Some(exit_reason);
     }
 
-    fn refuse_after_end(&mut self, message: &Message, ending: &ExitReason) {
-        let refusal = ending.refusal();
+    fn refuse_after_end(&mut self, message: &Message, exit_reason: &ExitReason) {
+        let refusal = exit_reason.refusal();
         match *message {
             Message::Join { client, .. } | Message::RunTurn { client, .. } => {
                 crate::clients::refuse(client, refusal, &mut self.effects);
@@ -292,7 +292,7 @@
             Message::ToolResult { reply, .. } | Message::Abort { reply, .. } => {
                 self.reply(reply, Err(refusal));
             }
-            Message::Close { reply } if *ending == ExitReason::Closed => {
+            Message::Close { reply } if *exit_reason == ExitReason::Closed => {
                 self.reply(reply, Ok(Answer::Closed(Box::new(self.record.clone()))));
             }
             Message::Close { reply } => self.reply(reply, Err(refusal)),
--- a/crates/session/src/turn.rs
+++ b/crates/session/src/turn.rs
@@ -26,7 +26,7 @@
                 // The digest of a turn started by an earlier loop is unknown here, so read its
                 // record from the shard.
                 if known.digest == Digest([0; 32]) {
-                    self.look_up(client, request, last_seen);
+                    self.start_lookup(client, request, last_seen);
                 } else {
                     self.attach(client, &known, &request, last_seen);
                 }
@@ -41,7 +41,7 @@
             _ if self.history.contains_turn(&request.turn) => {
                 match self.history.record(&request.turn).cloned() {
                     Some(known) => self.attach(client, &known, &request, last_seen),
-                    None => self.look_up(client, request, last_seen),
+                    None => self.start_lookup(client, request, last_seen),
                 }
             }
             _ => self.start_turn(client, request, last_seen, now),
@@ -241,10 +241,10 @@
     /// Ends the open turn, unless it is already ending. Its pending events are committed first.
     pub(crate) fn end_turn(&mut self, reason: EndReason) {
         let Phase::Open(open) = &mut self.phase else { return };
-        if open.ending.is_some() {
+        if open.end_reason.is_some() {
             return;
         }
-        open.ending = Some(reason);
+        open.end_reason = Some(reason);
         if let Some(generation) = open.generation.take() {
             self.effects.push(Effect::StopGeneration { generation });
         }
@@ -267,7 +267,9 @@
 
     pub(crate) fn turn_deadline(&self) -> Option<Instant> {
         match &self.phase {
-            Phase::Open(open) if open.ending.is_none() => Some(open.deadline.min(self.program_end)),
+            Phase::Open(open) if open.end_reason.is_none() => {
+                Some(open.deadline.min(self.program_end))
+            }
             _ => None,
         }
     }
--- a/crates/state/src/meta/rollback.rs
+++ b/crates/state/src/meta/rollback.rs
@@ -1,4 +1,4 @@
-//! Rolls back a harmful version, through a new bundle based on the newest.
+//! Rolls back a version after a regression, through a new bundle based on the newest one.
 
 use hooklug_bundle::{Bundle, VersionState};
 
--- a/crates/state/src/meta/rollouts.rs
+++ b/crates/state/src/meta/rollouts.rs
@@ -23,7 +23,7 @@
     Shifted,
     /// The rollout is complete; engines of older versions may be removed.
     Completed,
-    /// The target version was found harmful and receives no requests.
+    /// The target version was rolled back after a regression and receives no requests.
     RolledBack,
 }
 
--- a/crates/state/src/meta/stores.rs
+++ b/crates/state/src/meta/stores.rs
@@ -31,14 +31,14 @@
     /// Starts to retire a store. A repeated request changes nothing.
     pub(super) fn retire_store(&mut self, node: NodeId, min_remaining: u32) -> CommandResult {
         let stores = &mut self.state.meta.stores;
-        let left = stores.iter().filter(|s| s.state == StoreState::Active && s.node != node);
-        let left = left.count();
+        let remaining = stores.iter().filter(|s| s.state == StoreState::Active && s.node != node);
+        let remaining = remaining.count();
         let store = stores.iter_mut().find(|s| s.node == node).ok_or(MetaRefusal::NoStore)?;
         if store.state != StoreState::Active {
             return Ok(MetaReply::Done);
         }
-        if left < min_remaining as usize {
-            return Err(MetaRefusal::TooFewStores { left });
+        if remaining < min_remaining as usize {
+            return Err(MetaRefusal::TooFewStores { left: remaining });
         }
         store.state = StoreState::Retiring;
         Ok(MetaReply::Done)
--- a/crates/state/src/shard/programs.rs
+++ b/crates/state/src/shard/programs.rs
@@ -64,8 +64,8 @@
         if self.spent >= self.token_budget {
             return Err(ShardRefusal::BudgetSpent);
         }
-        let left = self.token_budget.0 - self.spent.0;
-        let free = left.saturating_sub(self.reserved.0);
+        let unspent = self.token_budget.0 - self.spent.0;
+        let free = unspent.saturating_sub(self.reserved.0);
         if free == 0 {
             return Err(ShardRefusal::BudgetReserved);
         }
--- a/crates/state/src/shard/sessions.rs
+++ b/crates/state/src/shard/sessions.rs
@@ -41,9 +41,9 @@
     pub(super) fn take_session(&mut self, take: TakeSession) -> CommandResult {
         let session = self.session_mut(&take.key)?;
         let record = &session.record;
-        let already_taken = record.epoch == take.expected_epoch.next()
+        let already_applied = record.epoch == take.expected_epoch.next()
             && record.owner.as_ref() == Some(&take.new_owner);
-        if already_taken {
+        if already_applied {
             return Ok(ShardReply::Session(record.clone()));
         }
         if record.closed {
--- a/crates/wal/src/block.rs
+++ b/crates/wal/src/block.rs
@@ -107,7 +107,7 @@
 }
 
 fn read_u32(bytes: &[u8]) -> u32 {
-    let mut word = [0_u8; 4];
-    word.copy_from_slice(&bytes[..4]);
-    u32::from_le_bytes(word)
+    let mut buffer = [0_u8; 4];
+    buffer.copy_from_slice(&bytes[..4]);
+    u32::from_le_bytes(buffer)
 }
