--- a/crates/control/src/core/leadership.rs
+++ b/crates/control/src/core/leadership.rs
@@ -27,7 +27,7 @@
 /// Timeout of a request to the stores.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Leadership state of this core, valid as long as the lease is fresh by its own clock.
+/// Leadership state of this core, valid until the lease expires by its own clock.
 #[derive(Debug)]
 pub struct Leadership {
     epoch: watch::Sender<Option<FencingEpoch>>,
@@ -47,12 +47,12 @@
 }
 
 impl Leadership {
-    /// Returns the epoch under which this core leads, if its lease is fresh.
+    /// Returns the epoch under which this core leads, if its lease has not expired by its own clock.
     #[must_use]
     pub fn epoch(&self) -> Option<FencingEpoch> {
         let accepted = *self.accepted_at.lock().unwrap_or_else(PoisonError::into_inner);
-        let fresh = accepted.is_some_and(|at| at.elapsed() < LEASE_TIME);
-        self.epoch.borrow().filter(|_| fresh)
+        let unexpired = accepted.is_some_and(|at| at.elapsed() < LEASE_TIME);
+        self.epoch.borrow().filter(|_| unexpired)
     }
 
     /// Returns a receiver of this core's epoch.
--- a/crates/control/src/core/platform.rs
+++ b/crates/control/src/core/platform.rs
@@ -52,7 +52,7 @@
     #[error(transparent)]
     Http(#[from] HttpError),
     /// The content is not a valid list.
-    #[error("cannot decode the list: {0}")]
+    #[error("cannot decode the platform's list: {0}")]
     Decode(#[from] serde_json::Error),
 }
 
--- a/crates/control/src/core/repair/liveness.rs
+++ b/crates/control/src/core/repair/liveness.rs
@@ -13,8 +13,8 @@
 /// successor at another address has to catch up.
 pub const LOST_AFTER: Duration = Duration::from_millis(3_500);
 
-/// When each store last replied to this core leader, and which stores the groups' leaders hear
-/// from.
+/// When each store last replied to this core leader, and from which stores the groups'
+/// leaders receive replies.
 #[derive(Debug)]
 pub struct StoreLiveness {
     since: Instant,
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether a store is alive. One that this core cannot reach is alive as long as the
-    /// leader of any group hears from it.
+    /// leader of any group receives replies from it.
     #[must_use]
     pub fn is_alive(&self, store: NodeId, now: Instant) -> bool {
         let last_reply = self.last_reply.get(&store).copied().unwrap_or(self.since);
--- a/crates/control/src/core/repair/monitor.rs
+++ b/crates/control/src/core/repair/monitor.rs
@@ -50,7 +50,7 @@
         /// How long the group was degraded.
         degraded_for: Duration,
     },
-    /// It has committed nothing for [`STALL_TIME`], although entries are waiting; reported once.
+    /// The group has committed nothing for [`STALL_TIME`], although entries are waiting; reported once.
     Stalled {
         /// The group.
         group: GroupId,
@@ -155,10 +155,10 @@
         let commit = leader.map(|view| view.replica.commit);
         let has_progressed =
             |waiting: &Waiting| !has_waiting || commit.is_some_and(|c| c != waiting.commit);
-        if let Some(ended) = self.waiting.take_if(|waiting| has_progressed(waiting))
+        if let Some(finished) = self.waiting.take_if(|waiting| has_progressed(waiting))
             && std::mem::take(&mut self.is_stall_reported)
         {
-            return Some(GroupEvent::Resumed { group, stalled_for: now - ended.since });
+            return Some(GroupEvent::Resumed { group, stalled_for: now - finished.since });
         }
         if !has_waiting {
             return None;
--- a/crates/control/src/judge/counts.rs
+++ b/crates/control/src/judge/counts.rs
@@ -163,13 +163,13 @@
     if share(new_part, new_total) >= share(old_part, old_total) { root } else { -root }
 }
 
-/// Returns the log-likelihood of a count under its own share minus that under the share `given`.
-fn log_likelihood_gain(part: u64, total: u64, given: f64) -> f64 {
-    let term = |count: u64, own: f64, given: f64| {
-        if count == 0 { 0.0 } else { count as f64 * (own / given).ln() }
+/// Returns the log-likelihood of a count under its own share minus that under the share `reference`.
+fn log_likelihood_gain(part: u64, total: u64, reference: f64) -> f64 {
+    let term = |count: u64, own: f64, reference: f64| {
+        if count == 0 { 0.0 } else { count as f64 * (own / reference).ln() }
     };
     let own = share(part, total);
-    term(part, own, given) + term(total - part, 1.0 - own, 1.0 - given)
+    term(part, own, reference) + term(total - part, 1.0 - own, 1.0 - reference)
 }
 
 /// Returns the histogram bucket of a latency; bucket `i` holds latencies below `2^i` ms.
--- a/crates/control/src/judge/mod.rs
+++ b/crates/control/src/judge/mod.rs
@@ -52,7 +52,7 @@
 const HISTORY_SAMPLES: u64 = 20_000;
 
 /// Highest comparable load, as a multiple of the maximum load at which the old version was
-/// observed. Above it the old version's latency says nothing about the new one's.
+/// observed. Above it the old version's latency is no valid baseline.
 const MAX_COMPARABLE_LOAD: f64 = 1.5;
 
 /// A version of a service.
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -1,5 +1,5 @@
-//! Draining: the engine accepts no new sessions, keeps those it has and exits once the last one has
-//! left (write-up, "zero-downtime deployments"). The cases in which sessions are handed over instead
+//! Draining: the engine accepts no new sessions, runs those it has and exits once the last one has
+//! ended (write-up, "zero-downtime deployments"). The cases in which sessions are handed over instead
 //! are those of the design document, section 6.
 
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     }
 
     /// Runs until the engine may exit: either its version has been replaced and its last session has
-    /// left, or the platform stopped it and its sessions are handed over. After a stop it returns at
+    /// ended, or the platform stopped it and its sessions are handed over. After a stop it returns at
     /// the end of the grace period at the latest.
     pub async fn run(mut self, stop: CancellationToken, grace: Duration) {
         let mut bundle = self.shared.node.bundle.clone();
@@ -131,7 +131,7 @@
         self.wait_until_empty(grace_end).await;
     }
 
-    /// Waits until the last session has left; `false` if that has not happened by the deadline.
+    /// Waits until no session is held; `false` if that has not happened by the deadline.
     async fn wait_until_empty(&self, deadline: Instant) -> bool {
         let mut sessions = self.shared.table.watch_len();
         // `self` keeps the sending half of the channel alive, so only the condition ends the wait.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -90,18 +90,18 @@
     /// dropped by then; restart the process, or the role with a new identity.
     pub async fn run(self) -> Result<(), EngineError> {
         let Self { shared, keeper, probe, stop, grace } = self;
-        let ended = CancellationToken::new();
+        let cancel = CancellationToken::new();
         // The guard stops the tasks even when this future is dropped.
-        let _ends_tasks = ended.clone().drop_guard();
+        let _cancel_on_drop = cancel.clone().drop_guard();
         let mut tasks = JoinSet::new();
         let mut lease = keeper.view().watch();
         let table_owner = shared.clone();
         let lost = move || table_owner.table.broadcast(&Message::LeaseLost);
-        tasks.spawn(keeper.run(ended.clone(), lost));
-        tasks.spawn(probe.run(ended.clone()));
-        tasks.spawn(reporter::run(shared.clone(), ended.clone()));
-        let (slots_owner, slots_stop) = (shared.clone(), ended.clone());
-        tasks.spawn(async move { slots_owner.slots.run(slots_stop).await });
+        tasks.spawn(keeper.run(cancel.clone(), lost));
+        tasks.spawn(probe.run(cancel.clone()));
+        tasks.spawn(reporter::run(shared.clone(), cancel.clone()));
+        let (slots_owner, slots_cancel) = (shared.clone(), cancel.clone());
+        tasks.spawn(async move { slots_owner.slots.run(slots_cancel).await });
         let drain = Drain::new(shared.clone());
         let expired = async move {
             // The keeper drops the sender only when it is stopped, together with this future.
--- a/crates/engine/src/session_task.rs
+++ b/crates/engine/src/session_task.rs
@@ -172,13 +172,13 @@
                 let submission = Submission { command, commit, mailbox: self.mailbox.clone() };
                 self.shared.writers.submit(self.group, submission);
             }
-            Effect::RequestSlot { ticket, request } => {
-                let slot = self.shared.slots.request(self.mailbox.clone(), ticket, request);
-                self.tickets.insert(ticket, slot);
+            Effect::RequestSlot { ticket: request_id, request } => {
+                let ticket = self.shared.slots.request(self.mailbox.clone(), request_id, request);
+                self.tickets.insert(request_id, ticket);
             }
-            Effect::ReleaseSlot { ticket } => {
-                if let Some(slot) = self.tickets.remove(&ticket) {
-                    self.shared.slots.release(slot);
+            Effect::ReleaseSlot { ticket: request_id } => {
+                if let Some(ticket) = self.tickets.remove(&request_id) {
+                    self.shared.slots.release(ticket);
                 }
             }
             Effect::StartGeneration { generation, request } => self.generate(generation, request),
@@ -187,7 +187,7 @@
                     running.abort();
                 }
             }
-            Effect::LookUpTurn { lookup, turn } => self.look_up(lookup, turn),
+            Effect::LookUpTurn { lookup, turn } => self.look_up_turn(lookup, turn),
             Effect::Send { client, item } => self.send(client, item),
             Effect::EndClient { client } => {
                 self.clients.remove(&client);
@@ -198,8 +198,8 @@
                     let _ = waiting.send(answer);
                 }
             }
-            Effect::Ended(ending) => {
-                tracing::debug!(session = %self.key, ?ending, "session ended on this engine");
+            Effect::Ended(exit_reason) => {
+                tracing::debug!(session = %self.key, ?exit_reason, "session ended on this engine");
             }
         }
     }
@@ -224,7 +224,7 @@
         self.generations.insert(generation, running.abort_handle());
     }
 
-    fn look_up(&self, lookup: LookupId, turn: TurnId) {
+    fn look_up_turn(&self, lookup: LookupId, turn: TurnId) {
         let (shared, mailbox) = (self.shared.clone(), self.mailbox.clone());
         let (group, key) = (self.group, self.key.clone());
         tokio::spawn(async move {
--- a/crates/engine/src/slots.rs
+++ b/crates/engine/src/slots.rs
@@ -57,7 +57,7 @@
     pub fn request(
         &self,
         mailbox: Mailbox,
-        session_ticket: SlotRequestId,
+        request_id: SlotRequestId,
         request: SlotRequest,
     ) -> Ticket {
         let ticket = Ticket(self.last_ticket.fetch_add(1, Ordering::Relaxed));
@@ -70,7 +70,7 @@
             deadline: now.plus(left),
         };
         let mut state = self.lock();
-        state.waiting.insert(ticket, (mailbox, session_ticket));
+        state.waiting.insert(ticket, (mailbox, request_id));
         let decisions = state.admission.request(ticket, admission_request, now);
         state.send_decisions(decisions);
         self.changed.notify_one();
@@ -124,20 +124,21 @@
 impl SlotState {
     fn send_decisions(&mut self, decisions: Vec<Decision>) {
         for Decision { ticket, outcome } in decisions {
-            let Some((mailbox, ticket)) = self.waiting.remove(&ticket) else { continue };
+            let Some((mailbox, request_id)) = self.waiting.remove(&ticket) else { continue };
             let message = match outcome {
-                Outcome::Granted => Message::SlotGranted { ticket },
+                Outcome::Granted => Message::SlotGranted { ticket: request_id },
                 Outcome::Overloaded { retry_after } => {
                     let retry_after =
                         retry_after.mul_f64(1.0 + RETRY_JITTER * rand::random::<f64>());
                     Message::SlotRefused {
-                        ticket,
+                        ticket: request_id,
                         refusal: SlotRefusal::Overloaded { retry_after },
                     }
                 }
-                Outcome::DeadlineExceeded => {
-                    Message::SlotRefused { ticket, refusal: SlotRefusal::DeadlineExceeded }
-                }
+                Outcome::DeadlineExceeded => Message::SlotRefused {
+                    ticket: request_id,
+                    refusal: SlotRefusal::DeadlineExceeded,
+                },
             };
             mailbox.send(message);
         }
--- a/crates/gateway/src/backend/lookup.rs
+++ b/crates/gateway/src/backend/lookup.rs
@@ -54,8 +54,8 @@
     let queries = targets.iter().take(MAX_ENGINES);
     let mut queries: FuturesUnordered<_> =
         queries.map(|target| pool.exchange(target, &dispatch, deadline)).collect();
-    while let Some(answered) = queries.next().await {
-        if let Some(answer) = answered.ok().and_then(|answer| final_answer(&answer)) {
+    while let Some(result) = queries.next().await {
+        if let Some(answer) = result.ok().and_then(|answer| final_answer(&answer)) {
             return Some(answer);
         }
     }
--- a/crates/gateway/src/backend/state.rs
+++ b/crates/gateway/src/backend/state.rs
@@ -143,14 +143,14 @@
     }
 
     /// Records how a call ended.
-    pub(super) fn call_ended(&mut self, call: &EngineSlot, now: Instant) {
+    pub(super) fn record_call_end(&mut self, call: &EngineSlot, now: Instant) {
         let signal = self.observe_route(call.route(), call.end(), now);
         let Some(state) = self.engines.get_mut(&call.target.run) else { return };
         if let Some(signal) = signal {
             let outstanding = state.stats.outstanding();
             state.limit.record(signal, outstanding, call.max_concurrency(), call.started(), now);
         }
-        state.stats.call_ended(call.end(), now);
+        state.stats.record_call_end(call.end(), now);
         // This run gets no more calls from here if it is draining or its address belongs to another
         // engine.
         let refusal = matches!(call.end(), CallEnd::Refused(Refusal::Draining | Refusal::Identity));
--- a/crates/gateway/src/backend/stats.rs
+++ b/crates/gateway/src/backend/stats.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records the end of a call.
-    pub fn call_ended(&mut self, end: CallEnd, now: Instant) {
+    pub fn record_call_end(&mut self, end: CallEnd, now: Instant) {
         self.outstanding = self.outstanding.saturating_sub(1);
         match end {
             CallEnd::Answered(latency) => {
--- a/crates/gateway/src/backend/table.rs
+++ b/crates/gateway/src/backend/table.rs
@@ -261,7 +261,7 @@
 
 impl Drop for EngineSlot {
     fn drop(&mut self) {
-        self.backends.lock().call_ended(self, Instant::now());
+        self.backends.lock().record_call_end(self, Instant::now());
         self.backends.wait_queues.wake_next(&self.target.service);
     }
 }
--- a/crates/gateway/src/calls/engine_slot.rs
+++ b/crates/gateway/src/calls/engine_slot.rs
@@ -145,16 +145,16 @@
     ) -> (Arc<Target>, Result<Answer, ExchangeError>) {
         let target = slot.target.clone();
         let started = Instant::now();
-        let answered = self.backends.pool.exchange(&target, dispatch, request.deadline).await;
+        let result = self.backends.pool.exchange(&target, dispatch, request.deadline).await;
         let latency = started.elapsed();
-        slot.set_end(match &answered {
+        slot.set_end(match &result {
             Ok(_) => CallEnd::Answered(latency),
             Err(ExchangeError::Refused(refusal)) => CallEnd::Refused(*refusal),
             Err(ExchangeError::NotSent(_) | ExchangeError::Lost(_)) => CallEnd::Failed,
         });
         drop(slot);
-        self.observe(request, &target, &answered, latency);
-        (target, answered)
+        self.observe(request, &target, &result, latency);
+        (target, result)
     }
 
     /// Records the result for the engine's version. Refusals and failed connections do not reflect
@@ -163,10 +163,10 @@
         &self,
         request: &CallRequest,
         target: &Target,
-        answered: &Result<Answer, ExchangeError>,
+        result: &Result<Answer, ExchangeError>,
         latency: Duration,
     ) {
-        let success = match answered {
+        let success = match result {
             Ok(_) => true,
             Err(ExchangeError::Lost(_)) => false,
             Err(ExchangeError::Refused(_) | ExchangeError::NotSent(_)) => return,
--- a/crates/gateway/src/calls/mod.rs
+++ b/crates/gateway/src/calls/mod.rs
@@ -35,7 +35,7 @@
     pub(crate) node: hooklug_control::NodeHandle,
     pub(crate) retries: RetryBudget,
     pub(crate) mode: GatewayMode,
-    /// Tools whose calls left no record under earlier bundles.
+    /// Tools whose calls were not recorded under earlier bundles.
     pub(crate) history: RepeatHistory,
     /// Tracks calls that continue after their caller disconnected.
     pub(crate) running: TaskTracker,
--- a/crates/gateway/src/calls/non_repeatable.rs
+++ b/crates/gateway/src/calls/non_repeatable.rs
@@ -33,7 +33,7 @@
 /// which the gateway still reports the known state instead of `deadline_exceeded`.
 const REPLY_MARGIN: Duration = Duration::from_secs(1);
 
-/// How long a claim with an unknown result is followed up after its caller was told to retry.
+/// How long a claim with an unknown result is followed up after its caller got a retryable error.
 const CLAIM_FOLLOW_UP_TIME: Duration = Duration::from_secs(60);
 
 /// Minimum time that an engine gets for a call whose claim was granted late.
@@ -121,7 +121,9 @@
         loop {
             let error = match self.claim(&request, &attempt, request.deadline).await {
                 Ok(Claimed::Granted) => {
-                    return Ok(self.run_claimed(&request, &attempt, self.keep_if_open(slot)).await);
+                    return Ok(self
+                        .run_claimed(&request, &attempt, self.retain_if_open(slot))
+                        .await);
                 }
                 Ok(Claimed::Held(record)) => {
                     drop(slot);
@@ -194,9 +196,9 @@
         warn!(call = %request.call, "could not determine whether the call's claim was committed; giving up");
     }
 
-    /// Keeps the slot acquired before the claim unless its engine was removed or started draining
+    /// Retains the slot acquired before the claim unless its engine was removed or started draining
     /// since; a claim may wait as long as its shard is unreachable.
-    fn keep_if_open(&self, slot: EngineSlot) -> Option<EngineSlot> {
+    fn retain_if_open(&self, slot: EngineSlot) -> Option<EngineSlot> {
         match self.mode {
             GatewayMode::Plain => Some(slot),
             GatewayMode::Full => self.backends.is_open(&slot.target).then_some(slot),
@@ -230,9 +232,9 @@
             if slot.is_none() {
                 slot = self.acquire_slot(request, &tried).await.ok();
             }
-            if let Some(taken) = slot.take() {
-                let (target, answered) = self.send(request, taken, &dispatch).await;
-                match answered {
+            if let Some(acquired) = slot.take() {
+                let (target, result) = self.send(request, acquired, &dispatch).await;
+                match result {
                     Ok(answer) => return answered_outcome(&answer),
                     Err(ExchangeError::Lost(reason)) => {
                         warn!(call = %request.call, engine = %target.run.engine, %reason, "response to a non-repeatable call was lost");
--- a/crates/gateway/src/calls/repeat_history.rs
+++ b/crates/gateway/src/calls/repeat_history.rs
@@ -66,7 +66,7 @@
     Repeatable,
     /// Non-repeatable under every known bundle.
     NonRepeatable,
-    /// Non-repeatable now; repeatable under another bundle, where calls left no record.
+    /// Non-repeatable now; repeatable under another bundle, where calls were not recorded.
     FormerlyRepeatable,
 }
 
--- a/crates/gateway/src/calls/repeatable.rs
+++ b/crates/gateway/src/calls/repeatable.rs
@@ -37,8 +37,8 @@
                 (Err(_), Some(error)) => return Err(failure_problem(&error, request.deadline)),
                 (Err(reason), None) => return Err(reason.into()),
             };
-            let (target, answered) = self.send(request, slot, &dispatch).await;
-            let error = match answered {
+            let (target, result) = self.send(request, slot, &dispatch).await;
+            let error = match result {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
--- a/crates/gateway/src/engine_losses.rs
+++ b/crates/gateway/src/engine_losses.rs
@@ -43,9 +43,9 @@
 
 fn live_engines(view: &ClusterView) -> LiveEngines {
     let hosts = view.members.values().filter(|m| m.health == MemberHealth::Alive).filter_map(|m| {
-        let hosted = m.engine.as_ref()?;
-        let run = (hosted.engine.clone(), m.address.incarnation);
-        let (service, version) = (hosted.service.clone(), hosted.version.clone());
+        let host = m.engine.as_ref()?;
+        let run = (host.engine.clone(), m.address.incarnation);
+        let (service, version) = (host.service.clone(), host.version.clone());
         Some((run, JudgedVersion { service, version }))
     });
     let applications = view.engines.values().filter(|e| e.healthy).map(|e| {
--- a/crates/gateway/src/limits/adaptive.rs
+++ b/crates/gateway/src/limits/adaptive.rs
@@ -30,12 +30,12 @@
 /// What one call indicates about the engine's load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LoadSignal {
-    /// The engine answered.
+    /// The engine responded.
     Answered {
         /// Latency divided by the route's baseline latency.
         ratio: f64,
     },
-    /// The engine refused because of load, or its response was lost or late.
+    /// The engine refused the call because of load, or its response was lost or late.
     Overloaded,
 }
 
--- a/crates/gateway/src/limits/circuit.rs
+++ b/crates/gateway/src/limits/circuit.rs
@@ -73,16 +73,16 @@
         }
     }
 
-    /// Records whether a call was answered.
-    pub fn record(&mut self, answered: bool, now: Instant) {
-        if answered && self.state != State::Closed {
+    /// Records whether the engine responded to a call.
+    pub fn record(&mut self, responded: bool, now: Instant) {
+        if responded && self.state != State::Closed {
             self.state = State::Closed;
             self.outcomes.clear();
         }
-        if let (false, State::Probing { time, .. }) = (answered, self.state) {
+        if let (false, State::Probing { time, .. }) = (responded, self.state) {
             self.open((time * 2).min(MAX_OPEN_TIME), now);
         }
-        self.outcomes.push_back((now, answered));
+        self.outcomes.push_back((now, responded));
         let is_old = |at: Instant| now.saturating_duration_since(at) > WINDOW;
         while self.outcomes.len() > MAX_OUTCOMES
             || self.outcomes.front().is_some_and(|(at, _)| is_old(*at))
@@ -99,7 +99,7 @@
     }
 
     fn is_failing(&self) -> bool {
-        let failures = self.outcomes.iter().filter(|(_, answered)| !answered).count();
+        let failures = self.outcomes.iter().filter(|(_, responded)| !responded).count();
         self.outcomes.len() >= MIN_OUTCOMES
             && failures as f64 >= self.outcomes.len() as f64 * FAILURE_THRESHOLD
     }
--- a/crates/gateway/src/sessions/placement.rs
+++ b/crates/gateway/src/sessions/placement.rs
@@ -41,11 +41,8 @@
 /// Returns the incarnation of a member's session-host engine; `None` for other roles.
 #[must_use]
 pub fn engine_of(member: &Member) -> Option<EngineIncarnation> {
-    let hosted = member.engine.as_ref()?;
-    Some(EngineIncarnation {
-        engine: hosted.engine.clone(),
-        incarnation: member.address.incarnation,
-    })
+    let host = member.engine.as_ref()?;
+    Some(EngineIncarnation { engine: host.engine.clone(), incarnation: member.address.incarnation })
 }
 
 /// Returns an engine's address if the view lists this incarnation and does not consider it failed.
@@ -93,18 +90,18 @@
     let alive = view.members.values().filter(|m| m.health == MemberHealth::Alive);
     alive
         .filter_map(|member| {
-            let hosted = member.engine.as_ref()?;
+            let host = member.engine.as_ref()?;
             let engine = engine_of(member)?;
-            let eligible = hosted.service == *name
-                && hosted.version == *version
-                && hosted.ready
-                && !hosted.draining
+            let eligible = host.service == *name
+                && host.version == *version
+                && host.ready
+                && !host.draining
                 && !engines.is_excluded(&engine);
             eligible.then(|| Candidate {
                 address: member.address.rpc,
                 zone: member.address.zone.clone(),
                 version: version.clone(),
-                slots: hosted.slots,
+                slots: host.slots,
                 work: engines.work(&engine),
                 engine,
             })
--- a/crates/gateway/src/sessions/takeover.rs
+++ b/crates/gateway/src/sessions/takeover.rs
@@ -34,7 +34,7 @@
     Never,
 }
 
-/// Result of asking one engine to take over a session.
+/// Result of one takeover request to an engine.
 enum TakeResult {
     /// This engine or another one owns the session.
     Owned(OwnerEntry),
--- a/crates/gateway/tests/routing.rs
+++ b/crates/gateway/tests/routing.rs
@@ -208,7 +208,7 @@
     let mut stats = EngineStats::new(None);
     for _ in 0..20 {
         stats.call_started();
-        stats.call_ended(CallEnd::Answered(Duration::from_millis(ms)), now);
+        stats.record_call_end(CallEnd::Answered(Duration::from_millis(ms)), now);
     }
     stats
 }
@@ -217,7 +217,7 @@
     let mut stats = EngineStats::new(None);
     for _ in 0..3 {
         stats.call_started();
-        stats.call_ended(CallEnd::Failed, now);
+        stats.record_call_end(CallEnd::Failed, now);
     }
     stats
 }
@@ -258,13 +258,13 @@
     assert_eq!(chosen(&candidates, later, &mut random).len(), 4);
     let mut again = candidates[0].stats.clone();
     again.call_started();
-    again.call_ended(CallEnd::Failed, later);
+    again.record_call_end(CallEnd::Failed, later);
     assert_eq!(again.ejected_until(later), Some(later + Duration::from_secs(4)));
     // Refusals and cancelled calls eject no engine.
     let mut calm = EngineStats::new(None);
     for end in [CallEnd::Refused(Refusal::Overloaded), CallEnd::Cancelled].repeat(5) {
         calm.call_started();
-        calm.call_ended(end, now);
+        calm.record_call_end(end, now);
     }
     assert_eq!((calm.ejected_until(now), calm.outstanding()), (None, 0));
 }
--- a/crates/ingress/src/records.rs
+++ b/crates/ingress/src/records.rs
@@ -66,7 +66,7 @@
     /// Maximum duration of the turn.
     pub time_limit: Duration,
     /// Retention time of finished turns.
-    pub keep: Duration,
+    pub retention: Duration,
 }
 
 /// Access to the records of turns in the shards. Cheap to clone.
@@ -109,7 +109,7 @@
             include_history: start.include_history,
             imported: start.imported,
             time_limit_ms: millis(start.time_limit),
-            keep_ms: millis(start.keep + CLOCK_MARGIN),
+            keep_ms: millis(start.retention + CLOCK_MARGIN),
         });
         let group = shard_of(turn.program.as_str());
         match self.state.execute_shard(group, &command, deadline).await? {
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -68,7 +68,7 @@
     let stages = ShutdownStages { stop, ..ShutdownStages::default() };
     let connections = TaskTracker::new();
     let accepting = accept(&listener, &handler, &stages, &connections);
-    let ending = async {
+    let shutdown = async {
         stages.stop.cancelled().await;
         let (stopped, idle_period) = (Instant::now(), grace.mul_f64(IDLE_CLOSE_SHARE));
         tokio::time::sleep_until(stopped + idle_period).await;
@@ -80,7 +80,7 @@
     };
     tokio::select! {
         () = accepting => {}
-        () = ending => {}
+        () = shutdown => {}
     }
 }
 
@@ -127,14 +127,14 @@
         .header_read_timeout(idle_time)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = close.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         debug!(%error, "connection of a caller closed with an error");
     }
 }
--- a/crates/ingress/src/turns.rs
+++ b/crates/ingress/src/turns.rs
@@ -115,14 +115,14 @@
         route: &NamedRoute,
         deadlines: &RequestDeadlines,
     ) -> Result<(OpenTurn, Option<Bytes>), Refusal> {
-        let keep = route.route.keep_ms.map(Duration::from_millis);
+        let retention = route.route.keep_ms.map(Duration::from_millis);
         let cached = turn.after.as_ref().and_then(|after| self.histories.get(after));
         let start = TurnStart {
-            input: keep.map(|_| request.body.clone()),
+            input: retention.map(|_| request.body.clone()),
             include_history: turn.after.is_some() && cached.is_none(),
             imported: None,
             time_limit: deadlines.left(Instant::now()),
-            keep: keep.unwrap_or(LEDGER_RETENTION),
+            retention: retention.unwrap_or(LEDGER_RETENTION),
         };
         let deadline = deadlines.end.min(Instant::now() + START_TIMEOUT);
         let (started, history) = match self.records.start(turn, start.clone(), deadline).await {
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -20,7 +20,7 @@
         folder: PathBuf,
     },
     /// A file or folder of the data folder cannot be used, for example because a checksum differs.
-    #[error("{}: {reason}", path.display())]
+    #[error("cannot use {}: {reason}", path.display())]
     Damaged {
         /// The file or folder.
         path: PathBuf,
--- a/crates/store/src/lease_expiry.rs
+++ b/crates/store/src/lease_expiry.rs
@@ -60,7 +60,7 @@
                 return Ok(LeaseStatus::Unknown);
             }
             LeaseDecision::Expired => return Ok(LeaseStatus::Expired),
-            LeaseDecision::Held(left) => return Ok(held_for(left)),
+            LeaseDecision::Held(remaining) => return Ok(held_for(remaining)),
             LeaseDecision::ProposeExpiry(renewal) => renewal,
         };
         match self.propose(group, &ShardCommand::ExpireLease { holder, renewal }).await? {
@@ -93,7 +93,7 @@
             LeaseDecision::Held(_) if restarted_core.is_some_and(|core| core.replaces(&leader)) => {
                 renewal
             }
-            LeaseDecision::Held(left) => return Ok(held_for(left)),
+            LeaseDecision::Held(remaining) => return Ok(held_for(remaining)),
             LeaseDecision::ProposeExpiry(renewal) => renewal,
         };
         let expire = MetaCommand::ExpireLeadership { epoch, renewal };
@@ -153,8 +153,8 @@
     StoreRequestError::Refused { reason: format!("unexpected reply {reply:?}") }
 }
 
-fn held_for(left: std::time::Duration) -> LeaseStatus {
-    let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+fn held_for(remaining: std::time::Duration) -> LeaseStatus {
+    let left_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
     LeaseStatus::Held { left_ms: left_ms.max(1) }
 }
 
--- a/crates/store/src/leases.rs
+++ b/crates/store/src/leases.rs
@@ -48,10 +48,10 @@
     }
     let start = lease.renewed_at.map_or(lease.leading_since, |at| at.max(lease.leading_since));
     let end = start + LEASE_TIME + LEASE_MARGIN;
-    let left = end.saturating_duration_since(now);
-    if left.is_zero() {
+    let remaining = end.saturating_duration_since(now);
+    if remaining.is_zero() {
         LeaseDecision::ProposeExpiry(lease.renewal)
     } else {
-        LeaseDecision::Held(left)
+        LeaseDecision::Held(remaining)
     }
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -156,8 +156,8 @@
 
     fn drop_reply_if_requested(&mut self, group: GroupId) -> Result<(), Unavailable> {
         match self.replies_to_drop.get_mut(&group) {
-            Some(left) if *left > 0 => {
-                *left -= 1;
+            Some(remaining) if *remaining > 0 => {
+                *remaining -= 1;
                 Err(Unavailable { group, reason: "the reply was dropped".to_owned() })
             }
             _ => Ok(()),
@@ -178,9 +178,9 @@
             shard.apply_command(ShardCommand::ExpireLease { holder, renewal });
             return LeaseStatus::Unknown;
         };
-        let left = time_left(renewed_at, inner.lease_time);
-        if !lease.expired && !left.is_zero() {
-            return held_for(left);
+        let remaining = time_left(renewed_at, inner.lease_time);
+        if !lease.expired && !remaining.is_zero() {
+            return held_for(remaining);
         }
         let renewal = lease.renewal;
         shard.apply_command(ShardCommand::ExpireLease { holder, renewal });
@@ -197,9 +197,9 @@
         if leader.epoch > epoch || leader.expired {
             return LeaseStatus::Expired;
         }
-        let left = time_left(self.leader_renewal, lease_time);
-        if !left.is_zero() {
-            return held_for(left);
+        let remaining = time_left(self.leader_renewal, lease_time);
+        if !remaining.is_zero() {
+            return held_for(remaining);
         }
         let renewal = leader.renewal;
         self.meta.apply_command(MetaCommand::ExpireLeadership { epoch, renewal });
@@ -211,8 +211,8 @@
     renewed_at.map_or(Duration::ZERO, |at| lease_time.saturating_sub(at.elapsed()))
 }
 
-fn held_for(left: Duration) -> LeaseStatus {
-    let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+fn held_for(remaining: Duration) -> LeaseStatus {
+    let left_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
     LeaseStatus::Held { left_ms: left_ms.max(1) }
 }
 
--- a/crates/store/src/placement/desired.rs
+++ b/crates/store/src/placement/desired.rs
@@ -183,9 +183,9 @@
 ) -> Option<PlacementUpdate> {
     let mut stores: Vec<&StoreRecord> = cluster.usable().collect();
     stores.sort_by_key(|store| (load(store.node), store.node));
-    let least = stores.first().copied()?;
-    let loaded = stores.iter().rev().take_while(|s| load(s.node) >= load(least.node) + 2);
-    loaded.into_iter().find_map(|store| build_update(cluster, store.node, least))
+    let least_loaded = stores.first().copied()?;
+    let loaded = stores.iter().rev().take_while(|s| load(s.node) >= load(least_loaded.node) + 2);
+    loaded.into_iter().find_map(|store| build_update(cluster, store.node, least_loaded))
 }
 
 /// Moves a replica to a store that has none of its group; a learner is preferred over a voter.
