--- a/crates/admin/src/cluster.rs
+++ b/crates/admin/src/cluster.rs
@@ -150,11 +150,12 @@
     let versions_in = |state: VersionState| {
         service.versions.iter().filter(move |v| v.state == state).map(|v| v.version.clone())
     };
-    let mut sound = versions_in(VersionState::Sound).collect::<Vec<_>>().into_iter().rev();
+    let mut active_versions =
+        versions_in(VersionState::Sound).collect::<Vec<_>>().into_iter().rev();
     ServiceRollout {
         service: name.clone(),
-        newest: sound.next(),
-        former: sound.next(),
+        newest: active_versions.next(),
+        former: active_versions.next(),
         rolled_back: versions_in(VersionState::RolledBack).collect(),
     }
 }
--- a/crates/bench/src/faults/apply.rs
+++ b/crates/bench/src/faults/apply.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Ends a fault, except for network cuts: the caller heals all of them at once.
+/// Ends a fault, except for blocked links: the caller unblocks all of them at once.
 ///
 /// # Errors
 /// If the fleet cannot perform it.
--- a/crates/bench/src/faults/fault.rs
+++ b/crates/bench/src/faults/fault.rs
@@ -33,7 +33,7 @@
     Replace(ProcessName),
     /// Erases the disk of a store, which restarts at the same address.
     LoseDisk(ProcessName),
-    /// Drains a process: the platform stops and restarts it; an emulated application engine refuses
+    /// Drains a process: the platform stops and restarts it; a fake application engine refuses
     /// new work for a while.
     Drain(ProcessName),
     /// Restarts all nodes of a kind, one after another.
--- a/crates/bench/src/faults/rounds.rs
+++ b/crates/bench/src/faults/rounds.rs
@@ -127,8 +127,8 @@
         round: &FaultRound,
         released_engine: Option<ProcessName>,
     ) -> Result<(), FleetError> {
-        // All machines return together. Frozen processes resume first; then all cuts are healed, so
-        // that restarted nodes start without cuts.
+        // All machines return together. Frozen processes resume first; then all links are unblocked,
+        // so that restarted nodes reach each other at once.
         for fault in round.faults.iter().filter(|fault| matches!(fault, Fault::Freeze(_))) {
             apply::end(self.fleet, fault).await?;
         }
--- a/crates/bench/src/hollow/node.rs
+++ b/crates/bench/src/hollow/node.rs
@@ -110,20 +110,20 @@
         let node = Self { identity: identity.clone(), handle, shutdown: shutdown.clone() };
         tokio::spawn(RpcServer::new(listener, identity, agent.rpc_router()).run(shutdown.clone()));
         tokio::spawn(agent.run(shutdown.clone()));
-        if let Some(hosted) = spec.session_host_info()? {
-            node.report_engine(hosted, state);
+        if let Some(host_info) = spec.session_host_info()? {
+            node.report_engine(host_info, state);
         }
         Ok(node)
     }
 
     /// Reports an engine and renews its lease, as a real engine does.
-    fn report_engine(&self, hosted: SessionHostInfo, state: Arc<StoreClient>) {
+    fn report_engine(&self, host_info: SessionHostInfo, state: Arc<StoreClient>) {
         let incarnation = self.identity.address.incarnation;
-        let holder = EngineIncarnation { engine: hosted.engine.clone(), incarnation };
+        let holder = EngineIncarnation { engine: host_info.engine.clone(), incarnation };
         let shutdown = self.shutdown.clone();
         tokio::spawn(async move { LeaseKeeper::new(state, holder).run(shutdown, || {}).await });
         self.handle.report.send_modify(|report| {
-            report.engine = Some(hosted);
+            report.engine = Some(host_info);
             report.load = Some(EngineLoad {
                 slots: SLOTS,
                 running: 0,
--- a/crates/bench/src/hollow/nodes.rs
+++ b/crates/bench/src/hollow/nodes.rs
@@ -161,13 +161,13 @@
     ) -> anyhow::Result<Duration> {
         let start_time = Instant::now();
         loop {
-            let least = self.nodes.iter().map(|(_, n)| n.members_seen()).min();
-            let least = least.ok_or_else(|| anyhow!("there are no hollow nodes"))?;
-            if least >= members {
+            let min_seen = self.nodes.iter().map(|(_, n)| n.members_seen()).min();
+            let min_seen = min_seen.ok_or_else(|| anyhow!("there are no hollow nodes"))?;
+            if min_seen >= members {
                 return Ok(start_time.elapsed());
             }
             if start_time.elapsed() > max_wait {
-                bail!("a node sees {least} of {members} members after {max_wait:?}");
+                bail!("a node sees {min_seen} of {members} members after {max_wait:?}");
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/bench/src/scenario/burst.rs
+++ b/crates/bench/src/scenario/burst.rs
@@ -280,9 +280,9 @@
     async fn stop(&self) -> Result<(), FleetError> {
         self.stop.cancel();
         let mut tasks = self.tasks.lock().await;
-        while let Some(ended) = tasks.join_next().await {
+        while let Some(joined) = tasks.join_next().await {
             // A panic in one of these tasks is a bug of the load tool.
-            ended.map_err(|e| FleetError::Unexpected(e.to_string()))?;
+            joined.map_err(|e| FleetError::Unexpected(e.to_string()))?;
         }
         Ok(())
     }
--- a/crates/bench/src/scenario/overhead.rs
+++ b/crates/bench/src/scenario/overhead.rs
@@ -70,8 +70,8 @@
         });
     }
     let mut times = StreamTimes::default();
-    while let Some(ended) = running.join_next().await {
-        for record in ended.unwrap_or_default() {
+    while let Some(joined) = running.join_next().await {
+        for record in joined.unwrap_or_default() {
             if record.claim != TurnClaim::Ended("finished".to_owned()) {
                 times.failed += 1;
             }
@@ -127,8 +127,8 @@
         });
     }
     let mut times = StreamTimes::default();
-    while let Some(ended) = running.join_next().await {
-        let single = ended.unwrap_or_default();
+    while let Some(joined) = running.join_next().await {
+        let single = joined.unwrap_or_default();
         times.first_ms.extend(single.first_ms);
         times.gaps_ms.extend(single.gaps_ms);
         times.failed += single.failed;
--- a/crates/bench/src/scenario/proxy.rs
+++ b/crates/bench/src/scenario/proxy.rs
@@ -1,5 +1,5 @@
 //! Compares the throughput of a single gateway with that of a minimal HTTP proxy in front of the
-//! same emulated backends.
+//! same fake backends.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/crates/bench/src/scenario/rate.rs
+++ b/crates/bench/src/scenario/rate.rs
@@ -48,9 +48,9 @@
         });
     }
     let (mut times, mut failed) = (Vec::new(), 0);
-    while let Some(ended) = running.join_next().await {
+    while let Some(joined) = running.join_next().await {
         // Measurements of a caller that panicked are lost.
-        let Ok((caller_times, caller_failed)) = ended else { continue };
+        let Ok((caller_times, caller_failed)) = joined else { continue };
         times.extend::<Vec<f64>>(caller_times);
         failed += caller_failed;
     }
--- a/crates/bench/src/scenario/specification.rs
+++ b/crates/bench/src/scenario/specification.rs
@@ -100,14 +100,14 @@
         }
     }
 
-    fn word(self) -> &'static str {
-        Self::ALL.iter().find(|(scenario, _)| *scenario == self).map_or("", |(_, word)| word)
+    fn name(self) -> &'static str {
+        Self::ALL.iter().find(|(scenario, _)| *scenario == self).map_or("", |(_, name)| name)
     }
 }
 
 impl fmt::Display for Specification {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.scenario.word())?;
+        f.write_str(self.scenario.name())?;
         if self.mode == GatewayMode::Plain {
             f.write_str("@plain")?;
         }
@@ -132,7 +132,7 @@
         let error = || SpecificationError(text.to_owned());
         let known = BurstScenario::ALL
             .iter()
-            .find_map(|(scenario, word)| Some((*scenario, text.strip_prefix(word)?)));
+            .find_map(|(scenario, name)| Some((*scenario, text.strip_prefix(name)?)));
         let (scenario, rest) = known.ok_or_else(error)?;
         let (mode, rest) = match rest.strip_prefix("@plain") {
             Some(rest) => (GatewayMode::Plain, rest),
--- a/crates/bench/src/scenario/takeover.rs
+++ b/crates/bench/src/scenario/takeover.rs
@@ -43,7 +43,7 @@
 impl EngineFault {
     const ALL: [Self; 3] = [Self::Kill, Self::Freeze, Self::Drain];
 
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Self::Kill => "kill",
             Self::Freeze => "freeze",
@@ -155,7 +155,7 @@
     }
 
     async fn inject(&self, fault: EngineFault, engine: ProcessName) -> Result<(), FleetError> {
-        let description = format!("{} {engine}", fault.word());
+        let description = format!("{} {engine}", fault.name());
         self.progress.report_line(&description);
         self.record_start(fault, engine, &description);
         match fault {
@@ -196,13 +196,13 @@
     }
 }
 
-/// Returns the takeover times of all faults whose description starts with `word`, in milliseconds.
-/// A takeover time is measured for each session that the failed engine owned, from the fault to the
-/// first token of the next turn that finished.
+/// Returns the takeover times of all faults whose description starts with `fault_name`, in
+/// milliseconds. A takeover time is measured for each session that the failed engine owned, from
+/// the fault to the first token of the next turn that finished.
 #[must_use]
-pub fn takeover_times(evidence: &Evidence, word: &str) -> Vec<f64> {
+pub fn takeover_times(evidence: &Evidence, fault_name: &str) -> Vec<f64> {
     let faults =
-        evidence.injected_faults.iter().filter(|fault| fault.description.starts_with(word));
+        evidence.injected_faults.iter().filter(|fault| fault.description.starts_with(fault_name));
     let takeovers_of = |fault: &InjectedFault| {
         let owned_sessions = evidence.sessions.iter().filter(|(_, session)| {
             owner_at(session, fault.started_at)
@@ -236,18 +236,21 @@
 fn section(evidence: &Evidence) -> Section {
     let mut measures = Vec::new();
     for fault in EngineFault::ALL {
-        let word = fault.word();
-        let times = Percentiles::of(takeover_times(evidence, word));
-        let median =
-            Measure::new(format!("{word} to a next turn's first token, p50"), times.p50, "ms");
+        let fault_name = fault.name();
+        let times = Percentiles::of(takeover_times(evidence, fault_name));
+        let median = Measure::new(
+            format!("{fault_name} to a next turn's first token, p50"),
+            times.p50,
+            "ms",
+        );
         measures.push(median.with_goal(Goal::AtMost(MEDIAN_TAKEOVER_GOAL_MS)));
         measures.push(Measure::new(
-            format!("{word} to a next turn's first token, p95"),
+            format!("{fault_name} to a next turn's first token, p95"),
             times.p95,
             "ms",
         ));
         measures.push(Measure::new(
-            format!("{word}: sessions that went on"),
+            format!("{fault_name}: sessions that went on"),
             times.count as f64,
             "",
         ));
--- a/crates/bench/src/slopes/data_plane.rs
+++ b/crates/bench/src/slopes/data_plane.rs
@@ -181,7 +181,7 @@
         let name = format!("t{number}");
         let input = format!("go on [tokens {tokens}]");
         let request = TurnRequest::new(&name, after.as_deref(), &input, tokens);
-        let mut stream = caller.begin_turn(0, &session, &request).await?;
+        let mut stream = caller.start_turn(0, &session, &request).await?;
         while let Some(event) = stream.next().await? {
             completed.1.fetch_add(event.data["count"].as_u64().unwrap_or(0), Ordering::Relaxed);
             if event.ends_turn() {
@@ -221,7 +221,7 @@
         for n in streams.len()..step {
             let input = format!("go on [tokens {LONG_TURN_TOKENS}]");
             let request = TurnRequest::new("t0", None, &input, LONG_TURN_TOKENS);
-            let mut stream = callers[n % TENANTS].begin_turn(0, &name(n), &request).await?;
+            let mut stream = callers[n % TENANTS].start_turn(0, &name(n), &request).await?;
             stream.next().await?;
             streams
                 .push(tokio::spawn(async move { while let Ok(Some(_)) = stream.next().await {} }));
--- a/crates/bench/src/workload/turns.rs
+++ b/crates/bench/src/workload/turns.rs
@@ -25,7 +25,7 @@
         loop {
             let caller = self.caller();
             let opened = match followed.last_event_id() {
-                None => caller.begin_turn(gateway, session, request).await,
+                None => caller.start_turn(gateway, session, request).await,
                 after => caller.resume_turn(gateway, session, &request.turn, after).await,
             };
             let error = match opened {
--- a/crates/emulator/tests/application.rs
+++ b/crates/emulator/tests/application.rs
@@ -39,8 +39,9 @@
 #[tokio::test]
 async fn refused_calls_are_marked_and_not_run() {
     let engine = application().await;
-    let foreign = [("x-hooklug-request", "r1"), ("x-hooklug-expect", "alarms/app-9/1")];
-    let response = send(engine.address(), Method::POST, "/calls/alarm", &foreign, &json!({})).await;
+    let wrong_identity = [("x-hooklug-request", "r1"), ("x-hooklug-expect", "alarms/app-9/1")];
+    let response =
+        send(engine.address(), Method::POST, "/calls/alarm", &wrong_identity, &json!({})).await;
     let (status, headers, _) = response.complete();
     assert_eq!(
         (status, &headers["x-hooklug-refused"]),
--- a/crates/fleet/src/binaries.rs
+++ b/crates/fleet/src/binaries.rs
@@ -68,6 +68,6 @@
         .current_dir(workspace)
         .stdin(Stdio::null())
         .status()
-        .map_err(|e| format!("{}: {e}", cargo.display()))?;
+        .map_err(|e| format!("cannot run {}: {e}", cargo.display()))?;
     if status.success() { Ok(()) } else { Err(format!("cargo build failed: {status}")) }
 }
--- a/crates/fleet/src/caller/error.rs
+++ b/crates/fleet/src/caller/error.rs
@@ -29,7 +29,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallerError {
     /// The gateway responded with a problem.
-    #[error("{} {}: {}", .0.status, .0.code, .0.detail.as_deref().unwrap_or(""))]
+    #[error(
+        "the gateway responded with {} {}: {}",
+        .0.status, .0.code, .0.detail.as_deref().unwrap_or("")
+    )]
     Problem(Box<Problem>),
     /// No complete response arrived, so the outcome is unknown.
     #[error("{0}")]
--- a/crates/fleet/src/caller/turns.rs
+++ b/crates/fleet/src/caller/turns.rs
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// When the response is a problem or does not arrive.
-    pub async fn begin_turn(
+    pub async fn start_turn(
         &self,
         gateway: usize,
         session: &SessionRef,
@@ -115,7 +115,7 @@
         let deadline = Instant::now() + TURN_TIMEOUT;
         loop {
             let opened = match transcript.last_id() {
-                None => self.begin_turn(gateway, session, turn).await,
+                None => self.start_turn(gateway, session, turn).await,
                 after => self.resume_turn(gateway, session, &turn.turn, after).await,
             };
             let error = match opened {
--- a/crates/fleet/src/demo/mod.rs
+++ b/crates/fleet/src/demo/mod.rs
@@ -66,7 +66,7 @@
     killed: Option<ProcessName>,
 }
 
-/// Runs the demo and passes a line of output for each step to `say`.
+/// Runs the demo and passes a line of output for each step to `print_line`.
 ///
 /// # Errors
 /// When a step or a check fails.
--- a/crates/fleet/src/demo/sessions.rs
+++ b/crates/fleet/src/demo/sessions.rs
@@ -59,7 +59,7 @@
         print_line: &(dyn Fn(String) + Sync),
     ) -> Result<String, DemoError> {
         let turn = self.next_turn("t3", "Explain at length. [tokens 80]", 128);
-        let started = self.caller.begin_turn(0, &self.session, &turn).await;
+        let started = self.caller.start_turn(0, &self.session, &turn).await;
         let mut stream = started.map_err(during("starting a turn"))?;
         let mut transcript = Transcript::default();
         while transcript.events.len() < EVENTS_BEFORE_CLOSE {
@@ -124,7 +124,7 @@
 
     pub(super) async fn abort(&mut self) -> Result<String, DemoError> {
         let turn = self.next_turn("t5", "Count all sensors. [tokens 500]", 500);
-        let started = self.caller.begin_turn(1, &self.session, &turn).await;
+        let started = self.caller.start_turn(1, &self.session, &turn).await;
         let mut stream = started.map_err(during("starting a long turn"))?;
         let mut transcript = Transcript::default();
         while transcript.events.len() < EVENTS_BEFORE_CLOSE {
@@ -174,7 +174,7 @@
         let closed = closed.map_err(during("closing the session"))?;
         ensure(closed.closed, || "a closed session is reported as open".to_owned())?;
         let late = self.next_turn("t7", "One more?", 64);
-        let refused = self.caller.begin_turn(2, &self.session, &late).await;
+        let refused = self.caller.start_turn(2, &self.session, &late).await;
         let code = refused.as_ref().err().and_then(|error| error.code());
         ensure(code == Some("session_closed"), || format!("a turn after closing got {refused:?}"))?;
         Ok(format!("8. {history} events of history read back at the new owner; session closed"))
--- a/crates/fleet/src/error.rs
+++ b/crates/fleet/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The topology file can't be read or is invalid.
-    #[error("topology {path}: {reason}")]
+    #[error("cannot load the topology {path}: {reason}")]
     Topology {
         /// Path of the file.
         path: PathBuf,
--- a/crates/fleet/src/fakes.rs
+++ b/crates/fleet/src/fakes.rs
@@ -50,11 +50,9 @@
         let text = std::fs::read_to_string(&path).unwrap_or_default();
         // Ignores a last line without a line end: the process was killed while it wrote it.
         let complete_lines = text.rsplit_once('\n').map_or("", |(lines, _)| lines);
-        complete_lines
-            .lines()
-            .map(serde_json::from_str)
-            .collect::<Result<_, _>>()
-            .map_err(|e| FleetError::Unexpected(format!("{}: {e}", path.display())))
+        complete_lines.lines().map(serde_json::from_str).collect::<Result<_, _>>().map_err(|e| {
+            FleetError::Unexpected(format!("cannot decode the ledger {}: {e}", path.display()))
+        })
     }
 
     /// The ledgers of all fake backends of a kind.
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -255,7 +255,7 @@
         self.signal(name, Signal::SIGCONT, Some(false))
     }
 
-    /// Sends `SIGHUP`, on which a process reloads its settings.
+    /// Sends `SIGHUP`, which announces changed settings. Nodes read them only at their next start.
     ///
     /// # Errors
     /// When the fleet has no process of that name, or the signal can't be sent.
--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The connection failed; the server may have received the request.
-    #[error("{to}: {reason}")]
+    #[error("request to {to} failed: {reason}")]
     Connection {
         /// Address of the server.
         to: SocketAddr,
@@ -29,13 +29,13 @@
         reason: String,
     },
     /// The request timed out; the server may have received it.
-    #[error("{to}: request timed out")]
+    #[error("request to {to} timed out")]
     TimedOut {
         /// Address of the server.
         to: SocketAddr,
     },
     /// The response has an unexpected status.
-    #[error("{to}: status {status}: {body}")]
+    #[error("{to} responded with status {status}: {body}")]
     Status {
         /// Address of the server.
         to: SocketAddr,
@@ -45,7 +45,7 @@
         body: String,
     },
     /// The body can't be decoded, or the request can't be built.
-    #[error("{to}: {reason}")]
+    #[error("invalid request to or response from {to}: {reason}")]
     Body {
         /// Address of the server.
         to: SocketAddr,
--- a/crates/fleet/src/names.rs
+++ b/crates/fleet/src/names.rs
@@ -39,7 +39,7 @@
     /// The kind as it is written in process names.
     #[must_use]
     pub fn as_str(self) -> &'static str {
-        Self::ALL.iter().find(|(kind, _)| *kind == self).map_or("", |(_, word)| word)
+        Self::ALL.iter().find(|(kind, _)| *kind == self).map_or("", |(_, name)| name)
     }
 
     /// Whether it is a hooklug process rather than a fake.
@@ -88,9 +88,9 @@
 
     fn from_str(text: &str) -> Result<Self, NameError> {
         let error = || NameError(text.to_owned());
-        let (word, index) = text.split_once(':').ok_or_else(error)?;
+        let (kind_name, index) = text.split_once(':').ok_or_else(error)?;
         let (kind, _) =
-            ProcessKind::ALL.iter().find(|(_, kind_name)| *kind_name == word).ok_or_else(error)?;
+            ProcessKind::ALL.iter().find(|(_, name)| *name == kind_name).ok_or_else(error)?;
         Ok(Self { kind: *kind, index: index.parse().map_err(|_| error())? })
     }
 }
--- a/crates/fleet/tests/suite/combined_failures.rs
+++ b/crates/fleet/tests/suite/combined_failures.rs
@@ -62,7 +62,7 @@
 /// Starts a long turn and returns it with the events that its client has received.
 async fn start_long_turn(caller: &Caller, session: &SessionRef) -> (TurnRequest, Transcript) {
     let turn = TurnRequest::new("t2", Some("t1"), "[tokens 800]", 800);
-    let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
+    let mut stream = caller.start_turn(0, session, &turn).await.unwrap();
     let mut transcript = Transcript::default();
     while transcript.events.len() < 6 {
         transcript.events.push(stream.next().await.unwrap().unwrap());
--- a/crates/fleet/tests/suite/core_failures.rs
+++ b/crates/fleet/tests/suite/core_failures.rs
@@ -2,7 +2,7 @@
 //! effect, and all nodes show the right members afterwards.
 //!
 //! Detects a data plane that waits for a core, writes of a former leader that are accepted after
-//! its isolation, and nodes that stay listed as dead or twice in the view of the next leader.
+//! its isolation, and nodes that stay listed as failed or twice in the view of the next leader.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/fleet/tests/suite/engine_drain.rs
+++ b/crates/fleet/tests/suite/engine_drain.rs
@@ -67,7 +67,7 @@
     // A turn that is running when the engine is stopped must finish: sessions move between turns
     // only.
     let long = TurnRequest::new("t2", Some("t1"), "[tokens 150]", 150);
-    let mut stream = caller.begin_turn(0, &session, &long).await.unwrap();
+    let mut stream = caller.start_turn(0, &session, &long).await.unwrap();
     let mut transcript = hooklug_fleet::caller::Transcript::default();
     transcript.events.extend(stream.next().await.unwrap());
     let stopped = Arc::new(AtomicBool::new(false));
--- a/crates/fleet/tests/suite/gapless_streams.rs
+++ b/crates/fleet/tests/suite/gapless_streams.rs
@@ -1,4 +1,5 @@
-//! A stream has no lost, repeated or foreign events, whatever fails in the middle of its turn.
+//! A stream neither loses nor repeats events and contains none of another turn, whatever fails in
+//! the middle of its turn.
 //!
 //! Two clients follow each turn: one resumes its interrupted stream, the other has joined the
 //! session. Both must receive the same events without gaps, and the text must be that of a model
@@ -37,7 +38,7 @@
     let input = format!("[tokens {TURN_TOKENS}]");
     let turn = TurnRequest::new("t2", Some("t1"), &input, TURN_TOKENS);
     let joined = tokio::spawn(follow_joined(caller.clone(), session.clone(), before.last_id()));
-    let mut stream = caller.begin_turn(0, session, &turn).await.unwrap();
+    let mut stream = caller.start_turn(0, session, &turn).await.unwrap();
     let mut transcript = Transcript::default();
     while transcript.events.len() < EVENTS_BEFORE_FAILURE {
         transcript.events.push(stream.next().await.unwrap().unwrap());
--- a/crates/fleet/tests/suite/single_owner.rs
+++ b/crates/fleet/tests/suite/single_owner.rs
@@ -42,7 +42,7 @@
 ) -> UnresponsiveOwner {
     let session = open(caller, PROGRAM, session).await;
     let turn = TurnRequest::new("t1", None, "[tokens 2000]", 2_000);
-    let mut stream = caller.begin_turn(0, &session, &turn).await.unwrap();
+    let mut stream = caller.start_turn(0, &session, &turn).await.unwrap();
     let mut old_transcript = Transcript::default();
     while old_transcript.events.len() < 6 {
         old_transcript.events.push(stream.next().await.unwrap().unwrap());
--- a/crates/fleet/tests/suite/soak.rs
+++ b/crates/fleet/tests/suite/soak.rs
@@ -3,9 +3,9 @@
 //! `SIGHUP` in series of overlapping faults.
 //!
 //! Detects a node that returns to an older bundle, a change that is installed late, lost, or read
-//! back in an older state, an invalid or losing bundle that is accepted, and a resubmission that is
-//! rejected. The records of the load show responses that are lost, duplicated or belong to another
-//! request.
+//! back in an older state, an accepted bundle that is invalid or lost a race, and a resubmission
+//! that is rejected. The records of the load show responses that are lost, duplicated or belong to
+//! another request.
 //!
 //! The seed is printed; `SOAK_SEEDS=7,8,9` runs other seeds.
 
--- a/crates/hooklug/src/cli.rs
+++ b/crates/hooklug/src/cli.rs
@@ -218,7 +218,7 @@
     pub(crate) signatures: Vec<NamedSignature>,
     #[command(flatten)]
     pub(crate) node: NodeArgs,
-    /// How the answer is printed
+    /// Format of the printed result
     #[arg(long, value_enum, default_value_t = OutputFormat::Table)]
     pub(crate) output: OutputFormat,
 }
@@ -239,7 +239,7 @@
     pub(crate) limit: u32,
     #[command(flatten)]
     pub(crate) node: NodeArgs,
-    /// How the answer is printed
+    /// Format of the printed result
     #[arg(long, value_enum, default_value_t = OutputFormat::Table)]
     pub(crate) output: OutputFormat,
 }
@@ -257,7 +257,7 @@
     pub(crate) secret_file: Option<PathBuf>,
     #[command(flatten)]
     pub(crate) node: NodeArgs,
-    /// How the answer is printed
+    /// Format of the printed result
     #[arg(long, value_enum, default_value_t = OutputFormat::Table)]
     pub(crate) output: OutputFormat,
 }
@@ -266,7 +266,7 @@
 pub(crate) struct StatusArgs {
     #[command(flatten)]
     pub(crate) node: NodeArgs,
-    /// How the answer is printed
+    /// Format of the printed result
     #[arg(long, value_enum, default_value_t = OutputFormat::Table)]
     pub(crate) output: OutputFormat,
 }
@@ -289,7 +289,7 @@
     pub(crate) limit: usize,
     #[command(flatten)]
     pub(crate) node: NodeArgs,
-    /// How the answer is printed
+    /// Format of the printed result
     #[arg(long, value_enum, default_value_t = OutputFormat::Table)]
     pub(crate) output: OutputFormat,
 }
--- a/crates/hooklug/src/command/bundle.rs
+++ b/crates/hooklug/src/command/bundle.rs
@@ -22,7 +22,7 @@
 fn read_bundle(file: &Path) -> anyhow::Result<Bundle> {
     let text = read_text(file)?;
     hooklug_bundle::parse(&text, TextFormat::guess(&text))
-        .map_err(|error| anyhow!("{}: {error}", file.display()))
+        .map_err(|error| anyhow!("cannot parse the bundle {}: {error}", file.display()))
 }
 
 pub(crate) fn validate(file: &Path) -> anyhow::Result<CommandOutcome> {
--- a/crates/hooklug/src/command/status.rs
+++ b/crates/hooklug/src/command/status.rs
@@ -82,7 +82,7 @@
 fn members(members: &[MemberAnswer]) -> String {
     let mut table = Table::new(&["node", "role", "zone", "rpc", "http", "health", "bundle", ""]);
     for member in members {
-        let note = match (member.core_leader, member.store) {
+        let detail = match (member.core_leader, member.store) {
             (true, _) => "core leader".to_owned(),
             (false, Some(state)) => format!("{state:?}").to_lowercase(),
             (false, None) => String::new(),
@@ -95,7 +95,7 @@
             member.http.to_string(),
             format!("{:?}", member.health).to_lowercase(),
             member.bundle.to_string(),
-            note,
+            detail,
         ]);
     }
     table.render("members")
--- a/crates/hooklug/src/main.rs
+++ b/crates/hooklug/src/main.rs
@@ -19,7 +19,7 @@
 /// Exit code for invalid settings or an invalid bundle.
 const EXIT_INVALID: u8 = 2;
 
-/// CommandOutcome of a command that ran without an error.
+/// Outcome of a command that ran without an error.
 pub(crate) enum CommandOutcome {
     /// The command succeeded.
     Done,
