--- a/crates/bundle/src/canonical.rs
+++ b/crates/bundle/src/canonical.rs
@@ -34,7 +34,7 @@
     #[error("unknown section {0:?}")]
     UnknownSection(String),
     /// Encoding the decoded section gives other bytes; it was written by an incompatible build.
-    #[error("section {0:?} is not canonically encoded")]
+    #[error("section {0:?} is not in the one byte form")]
     NotCanonical(String),
 }
 
--- a/crates/bundle/src/http_sections.rs
+++ b/crates/bundle/src/http_sections.rs
@@ -187,6 +187,6 @@
 }
 
 fn malformed(id: &str) -> DecodeError {
-    let reason = "missing, or its content does not match the digest in its name".to_owned();
+    let reason = "missing, or other bytes than its name says".to_owned();
     DecodeError::Malformed { part: format!("{PIECE_PREFIX}{id}"), reason }
 }
--- a/crates/bundle/src/validate/http.rs
+++ b/crates/bundle/src/validate/http.rs
@@ -26,8 +26,8 @@
     let has_slashes = prefix.starts_with('/') && prefix.ends_with('/');
     let message = format!("is {prefix:?}, must begin and end with a slash");
     errors.require(has_slashes, field("path_prefix"), message);
-    errors.require(route.timeout_ms > 0, field("timeout_ms"), "is 0, must be at least 1");
-    errors.require(route.max_attempts > 0, field("max_attempts"), "is 0, must be at least 1");
+    errors.require(route.timeout_ms > 0, field("timeout_ms"), "is 0, must be above");
+    errors.require(route.max_attempts > 0, field("max_attempts"), "is 0, must be above");
     let weight: u64 = route.backends.iter().map(|b| u64::from(b.weight)).sum();
     errors.require(weight > 0, field("backends"), "the weights add up to 0");
     for backend in &route.backends {
