--- a/crates/bundle/src/validate/services.rs
+++ b/crates/bundle/src/validate/services.rs
@@ -56,7 +56,7 @@
         ("step_seconds", service.step_seconds),
     ];
     for (key, value) in sizes {
-        errors.require(value > 0, format!("{path}.{key}"), "is 0, must be above");
+        errors.require(value > 0, format!("{path}.{key}"), "is 0, must be at least 1");
     }
 }
 
@@ -83,6 +83,6 @@
     errors.require(
         harm.least_samples > 0,
         format!("{path}.harm.least_samples"),
-        "is 0, must be above",
+        "is 0, must be at least 1",
     );
 }
--- a/crates/bundle/src/validate/tenants.rs
+++ b/crates/bundle/src/validate/tenants.rs
@@ -21,7 +21,7 @@
         errors.require(
             tenant.limits.concurrency > 0,
             format!("{path}.limits.concurrency"),
-            "is 0, must be above",
+            "is 0, must be at least 1",
         );
     }
 }
--- a/crates/bundle/src/validate/windows.rs
+++ b/crates/bundle/src/validate/windows.rs
@@ -36,7 +36,7 @@
         format!("{path}.service"),
         format!("is {}, which is not a service of the bundle", window.service),
     );
-    errors.require(window.slots > 0, format!("{path}.slots"), "is 0, must be above");
+    errors.require(window.slots > 0, format!("{path}.slots"), "is 0, must be at least 1");
 }
 
 type NamedWindows<'a> = Vec<(&'a WindowName, &'a Window)>;
